--- a/src/test/kotlin/glenspool/standin/World.kt
+++ b/src/test/kotlin/glenspool/standin/World.kt
@@ -40,6 +40,7 @@
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.frozen.DecisionTrace
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
 import glenspool.reconcile.StartKind
@@ -108,6 +109,8 @@
     private val maxMachines: Int = 24,
     /** Makes the recovery of a term that begins like this; null: recovery is not managed. */
     private val recoverer: ((token: Long, at: Duration, kind: StartKind) -> RecoveryEngine)? = null,
+    /** Is told of all that the leaders decide. */
+    private val trace: DecisionTrace? = null,
 ) {
     private val random = Random(seed)
     private class Timed(val at: Duration, val order: Long, val body: () -> Unit)
@@ -244,6 +247,7 @@
     var allNew = false
 
     fun elect() {
+        leader?.let { trace?.effort(it.effort) }
         oldLeads = !allNew && chance(weather.olds)
         val lease = state.newLease()
         token++
@@ -310,7 +314,10 @@
 
     private fun step(body: Scheduler.() -> Unit) {
         val s = leader ?: return
-        s.step(now, now, body).forEach { perform(it, s) }
+        for (action in s.step(now, now, body)) {
+            trace?.action(now, action) { transactionOf(leadMark, it) }
+            perform(action, s)
+        }
     }
 
     private fun ifLeading(s: Scheduler, body: Scheduler.() -> Unit) {
@@ -556,6 +563,7 @@
             var commands: List<Command> = emptyList()
             step { commands = reported(r) }
             val answerToken = s.token
+            trace?.answer(now, w.id, answerToken, commands)
             after(delay()) {
                 if (w.gone || w.hanging || now < w.cutUntil || now < w.unreachedUntil || r.session != w.session || answerToken < w.seen) return@after
                 w.seen = answerToken
@@ -699,6 +707,7 @@
 
     /** The leader ends; its messages stay on their way. [span]: until another is elected. */
     fun changeLeader(span: Duration) {
+        leader?.let { trace?.effort(it.effort) }
         leader = null
         after(span) { electWhenUp() }
     }
