--- a/src/main/kotlin/glenspool/peer/Peers.kt
+++ b/src/main/kotlin/glenspool/peer/Peers.kt
@@ -6,6 +6,7 @@
 import glenspool.http.hostPort
 import glenspool.logging.loggerOf
 import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.Cbor
 import kotlinx.serialization.decodeFromByteArray
@@ -16,16 +17,16 @@
 /** What a controller tells another of itself. */
 @Serializable
 data class PeerStatus(
-    val node: String,
-    val leading: Boolean,
-    val leader: String?,
-    val fresh: Boolean,
+    @SerialName("node") val node: String,
+    @SerialName("leading") val leading: Boolean,
+    @SerialName("leader") val leader: String?,
+    @SerialName("fresh") val fresh: Boolean,
     /** Which stored forms it reads; versions before pipelines say nothing. */
-    val reads: Int = 0,
+    @SerialName("reads") val reads: Int = 0,
     /** Which levels its build knows, and who it is; only where levels are managed. */
-    val levels: PeerLevels? = null,
+    @SerialName("levels") val levels: PeerLevels? = null,
     /** What its process has lived through; only where recovery is managed. */
-    val witness: PeerWitness? = null,
+    @SerialName("witness") val witness: PeerWitness? = null,
 ) {
     companion object {
         /** Records whose description or places are stored apart. */
@@ -35,47 +36,47 @@
 
 /** The token of the first leader's term that a controller's process has lived through; null if it has lived through none. */
 @Serializable
-data class PeerWitness(val firstToken: Long? = null)
+data class PeerWitness(@SerialName("firstToken") val firstToken: Long? = null)
 
 /** What a controller shows of its build as evidence for a rollout. [boot] differs between any two processes. */
 @Serializable
 data class PeerLevels(
-    val boot: String,
-    val build: String,
-    val lowest: Int,
-    val highest: Int,
-    val ready: Boolean,
-    val takeOvers: Long,
-    val leasesExpired: Long,
-    val refusals: Long,
-    val rejectedWrites: Long,
+    @SerialName("boot") val boot: String,
+    @SerialName("build") val build: String,
+    @SerialName("lowest") val lowest: Int,
+    @SerialName("highest") val highest: Int,
+    @SerialName("ready") val ready: Boolean,
+    @SerialName("takeOvers") val takeOvers: Long,
+    @SerialName("leasesExpired") val leasesExpired: Long,
+    @SerialName("refusals") val refusals: Long,
+    @SerialName("rejectedWrites") val rejectedWrites: Long,
 )
 
 /** A user's request, passed on by a node that has lost the state service alone. */
 @Serializable
-data class RelayRequest(val method: String, val path: String, val body: ByteArray)
+data class RelayRequest(@SerialName("method") val method: String, @SerialName("path") val path: String, @SerialName("body") val body: ByteArray)
 
 /** What the user is to be answered. */
 @Serializable
-data class RelayAnswer(val status: Int, val body: ByteArray, val retryAfter: String?)
+data class RelayAnswer(@SerialName("status") val status: Int, @SerialName("body") val body: ByteArray, @SerialName("retryAfter") val retryAfter: String?)
 
 /** See `glenspool.core.cluster.CancelNews`; spans and times of day are in milliseconds. */
 @Serializable
 data class CancelMessage(
-    val node: String,
-    val boot: String,
-    val uptime: Long,
-    val entries: List<Entry>,
-    val base: Long,
-    val upTo: Long,
-    val whole: Boolean,
-    val completeAge: Long?,
-    val contactAge: Long,
-    val heardBoot: String?,
-    val heardUpTo: Long,
+    @SerialName("node") val node: String,
+    @SerialName("boot") val boot: String,
+    @SerialName("uptime") val uptime: Long,
+    @SerialName("entries") val entries: List<Entry>,
+    @SerialName("base") val base: Long,
+    @SerialName("upTo") val upTo: Long,
+    @SerialName("whole") val whole: Boolean,
+    @SerialName("completeAge") val completeAge: Long?,
+    @SerialName("contactAge") val contactAge: Long,
+    @SerialName("heardBoot") val heardBoot: String?,
+    @SerialName("heardUpTo") val heardUpTo: Long,
 ) {
     @Serializable
-    data class Entry(val job: String, val at: Long, val version: Long)
+    data class Entry(@SerialName("job") val job: String, @SerialName("at") val at: Long, @SerialName("version") val version: Long)
 }
 
 /** Where controllers ask each other. A path that a version does not know gets 404, and the next one is asked. */
--- a/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
@@ -1,64 +1,80 @@
 package glenspool.peer
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /** What an operator may ask a controller about its orders and its recovery. */
 @Serializable
-enum class RecoveryVerb { STATUS, DIFFERENCES, APPROVE, PAUSE, RESUME }
+enum class RecoveryVerb {
+    @SerialName("STATUS")
+    STATUS,
+
+    @SerialName("DIFFERENCES")
+    DIFFERENCES,
+
+    @SerialName("APPROVE")
+    APPROVE,
+
+    @SerialName("PAUSE")
+    PAUSE,
+
+    @SerialName("RESUME")
+    RESUME,
+}
 
 /** An operator's question or order. [by] names the operator in the log. */
 @Serializable
-data class RecoveryRequest(val verb: RecoveryVerb, val by: String? = null)
+data class RecoveryRequest(@SerialName("verb") val verb: RecoveryVerb, @SerialName("by") val by: String? = null)
 
 /** The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again. */
 @Serializable
 data class RecoveryReply(
-    val accepted: Boolean,
-    val problem: String? = null,
-    val retryAfterSeconds: Int? = null,
-    val status: RecoveryStatus? = null,
-    val differences: DifferenceList? = null,
+    @SerialName("accepted") val accepted: Boolean,
+    @SerialName("problem") val problem: String? = null,
+    @SerialName("retryAfterSeconds") val retryAfterSeconds: Int? = null,
+    @SerialName("status") val status: RecoveryStatus? = null,
+    @SerialName("differences") val differences: DifferenceList? = null,
 )
 
 /** The orders of the present term and the recovery, as one controller sees them. Spans are in seconds. */
 @Serializable
 data class RecoveryStatus(
-    val node: String,
-    val leader: String?,
+    @SerialName("node") val node: String,
+    @SerialName("leader") val leader: String?,
     /** Whether the controller was started with `--recovery`. */
-    val managed: Boolean,
+    @SerialName("managed") val managed: Boolean,
     /** Orders that this node's leader has given in its term, by kind and cause; null if it does not lead. */
-    val orders: Map<String, Long>?,
+    @SerialName("orders") val orders: Map<String, Long>?,
     /** Null if the node does not lead, or recovery is not managed. */
-    val recovery: Recovery?,
+    @SerialName("recovery") val recovery: Recovery?,
 ) {
     @Serializable
     data class Recovery(
-        val token: Long,
-        val start: String,
-        val phase: String,
-        val phaseSeconds: Double,
+        @SerialName("token") val token: Long,
+        @SerialName("start") val start: String,
+        @SerialName("phase") val phase: String,
+        @SerialName("phaseSeconds") val phaseSeconds: Double,
         /** Until the phase ends at the latest; null if it has no end of its own. */
-        val leftSeconds: Double?,
-        val paused: Boolean,
-        val approved: Boolean,
-        val expectedMachines: Int,
-        val heardMachines: Int,
+        @SerialName("leftSeconds") val leftSeconds: Double?,
+        @SerialName("paused") val paused: Boolean,
+        @SerialName("approved") val approved: Boolean,
+        @SerialName("expectedMachines") val expectedMachines: Int,
+        @SerialName("heardMachines") val heardMachines: Int,
         /** Groups of machines of which too little was heard. */
-        val lacking: List<String>,
-        val adoptedTasks: Int,
-        val confirmedTasks: Int,
-        val settledShare: Double,
-        val differences: Map<String, Int>,
+        @SerialName("lacking") val lacking: List<String>,
+        @SerialName("adoptedTasks") val adoptedTasks: Int,
+        @SerialName("confirmedTasks") val confirmedTasks: Int,
+        @SerialName("settledShare") val settledShare: Double,
+        @SerialName("differences") val differences: Map<String, Int>,
         /** Why destructive orders are held; null if they are not. */
-        val breaker: String?,
-        val ordersPerSecond: Map<String, Long>,
+        @SerialName("breaker") val breaker: String?,
+        @SerialName("ordersPerSecond") val ordersPerSecond: Map<String, Long>,
     )
 }
 
 /** Differences by name. [total]: how many there are, of which [listed] holds the first. */
 @Serializable
-data class DifferenceList(val total: Int, val listed: List<Entry>) {
+data class DifferenceList(@SerialName("total") val total: Int, @SerialName("listed") val listed: List<Entry>) {
     @Serializable
-    data class Entry(val kind: String, val machine: String, val task: String?, val detail: String, val source: String, val ageSeconds: Double)
+    data class Entry(@SerialName("kind") val kind: String, @SerialName("machine") val machine: String, @SerialName("task") val task: String?, @SerialName("detail") val detail: String, @SerialName("source") val source: String, @SerialName("ageSeconds") val ageSeconds: Double)
 }
--- a/src/main/kotlin/glenspool/peer/RolloutMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RolloutMessages.kt
@@ -1,62 +1,84 @@
 package glenspool.peer
 
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
 /** What an operator may ask a controller about the rollout. */
 @Serializable
-enum class RolloutVerb { STATUS, HOLD, RESUME, ACTIVATE, DEACTIVATE, EXCLUDE, INCLUDE }
+enum class RolloutVerb {
+    @SerialName("STATUS")
+    STATUS,
+
+    @SerialName("HOLD")
+    HOLD,
+
+    @SerialName("RESUME")
+    RESUME,
+
+    @SerialName("ACTIVATE")
+    ACTIVATE,
+
+    @SerialName("DEACTIVATE")
+    DEACTIVATE,
+
+    @SerialName("EXCLUDE")
+    EXCLUDE,
+
+    @SerialName("INCLUDE")
+    INCLUDE,
+}
 
 /** An operator's question or order. [by] names the operator in what is recorded. */
 @Serializable
-data class RolloutRequest(val verb: RolloutVerb, val level: Int? = null, val member: String? = null, val by: String? = null)
+data class RolloutRequest(@SerialName("verb") val verb: RolloutVerb, @SerialName("level") val level: Int? = null, @SerialName("member") val member: String? = null, @SerialName("by") val by: String? = null)
 
 /** The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again. */
 @Serializable
 data class RolloutReply(
-    val accepted: Boolean,
-    val problem: String? = null,
-    val retryAfterSeconds: Int? = null,
-    val status: RolloutStatus? = null,
+    @SerialName("accepted") val accepted: Boolean,
+    @SerialName("problem") val problem: String? = null,
+    @SerialName("retryAfterSeconds") val retryAfterSeconds: Int? = null,
+    @SerialName("status") val status: RolloutStatus? = null,
 )
 
 /** The rollout as one controller sees it. Times are in milliseconds since the epoch, spans in seconds. */
 @Serializable
 data class RolloutStatus(
-    val node: String,
-    val leader: String?,
-    val build: String,
-    val lowest: Int,
-    val highest: Int,
+    @SerialName("node") val node: String,
+    @SerialName("leader") val leader: String?,
+    @SerialName("build") val build: String,
+    @SerialName("lowest") val lowest: Int,
+    @SerialName("highest") val highest: Int,
     /** Null: it is absent or can't be read, see [levelProblem]. */
-    val level: Int?,
-    val levelName: String?,
-    val stage: String?,
-    val levelChangedAt: Long?,
-    val levelProblem: String?,
-    val fence: String?,
-    val target: Int,
-    val mode: String,
-    val approvedLevel: Int?,
-    val lowerTo: Int?,
-    val excluded: List<String>,
-    val hold: String?,
-    val holdMember: String?,
-    val holdDetail: String?,
-    val heldSince: Long?,
-    val members: List<Member>,
-    val health: List<String>,
-    val plan: List<String>,
+    @SerialName("level") val level: Int?,
+    @SerialName("levelName") val levelName: String?,
+    @SerialName("stage") val stage: String?,
+    @SerialName("levelChangedAt") val levelChangedAt: Long?,
+    @SerialName("levelProblem") val levelProblem: String?,
+    @SerialName("fence") val fence: String?,
+    @SerialName("target") val target: Int,
+    @SerialName("mode") val mode: String,
+    @SerialName("approvedLevel") val approvedLevel: Int?,
+    @SerialName("lowerTo") val lowerTo: Int?,
+    @SerialName("excluded") val excluded: List<String>,
+    @SerialName("hold") val hold: String?,
+    @SerialName("holdMember") val holdMember: String?,
+    @SerialName("holdDetail") val holdDetail: String?,
+    @SerialName("heldSince") val heldSince: Long?,
+    @SerialName("members") val members: List<Member>,
+    @SerialName("health") val health: List<String>,
+    @SerialName("plan") val plan: List<String>,
     /** Records still stored in a form of the active level. */
-    val recordsInLevel: Int,
+    @SerialName("recordsInLevel") val recordsInLevel: Int,
 ) {
     @Serializable
     data class Member(
-        val member: String,
-        val build: String?,
-        val highest: Int?,
-        val reachable: Boolean,
-        val readySeconds: Long,
-        val unchangedSeconds: Long,
-        val restarts: Int,
+        @SerialName("member") val member: String,
+        @SerialName("build") val build: String?,
+        @SerialName("highest") val highest: Int?,
+        @SerialName("reachable") val reachable: Boolean,
+        @SerialName("readySeconds") val readySeconds: Long,
+        @SerialName("unchangedSeconds") val unchangedSeconds: Long,
+        @SerialName("restarts") val restarts: Int,
     )
 }
