--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -7,7 +7,10 @@
 /** A stored cancellation. [at]: when it was stored, by the time of day; [version]: of its key. */
 data class Cancellation(val job: String, val at: Duration, val version: Long)
 
-/** Which of a process's cancellations another one has: those up to [upTo] in the order in which process [boot] learnt them. */
+/**
+ * Which of a process's cancellations another one has: those up to [upTo] in the order in which process [boot] learnt
+ * them.
+ */
 data class Heard(val boot: String, val upTo: Long)
 
 /** What one node tells another. All spans count back from the moment at which it was made. */
@@ -31,26 +34,35 @@
 
 /**
  * The cancellations that a node knows, and up to which moment it knows *every* one that a user was told of. No node may
- * keep a worker's lease beyond the time by which one that it may not know of has to have taken effect; so the
- * moment is moved on only by evidence, and only by such as was asked for after it:
+ * keep a worker's lease beyond the time by which one that it may not know of has to have taken effect; so the moment is
+ * moved on only by evidence, and only by such as was asked for after it:
  *
  * - The state service was read: every confirmed cancellation is stored.
  * - A node was asked and told all it knows. That holds for what this process of it confirmed, and for what earlier ones
  *   did, as far as the moment had come when that process began.
- * - A node confirms nothing that this one has not heard of, until it has not reached this one for [ALONE]. It says how long
- *   ago it did. So a node that ends, or a cut, does not stop the moment at once, and an outage in which nobody can
+ * - A node confirms nothing that this one has not heard of, until it has not reached this one for [ALONE]. It says how
+ *   long ago it did. So a node that ends, or a cut, does not stop the moment at once, and an outage in which nobody can
  *   confirm anything never does.
  *
  * [now] is the steady clock, counted from the start of the process; [wall] the time of day.
  */
-class Cancellations(private val boot: String, members: Collection<String>, private val keep: Duration, private val now: () -> Duration, private val wall: () -> Duration) {
+class Cancellations(
+    private val boot: String,
+    members: Collection<String>,
+    private val keep: Duration,
+    private val now: () -> Duration,
+    private val wall: () -> Duration,
+) {
     private class Known(val it: Cancellation, val order: Long)
 
     private class Member(start: Duration) {
         /** Up to which moment all is known that the member, in any of its processes, confirmed. */
         var covered: Duration? = null
 
-        /** When the last message was sent that the member answered; at first this process's start, which is on the safe side. */
+        /**
+         * When the last message was sent that the member answered; at first this process's start, which is on the safe
+         * side.
+         */
         var contact = start
 
         /** What the member has of ours. */
@@ -102,8 +114,8 @@
     private fun later(a: Duration?, b: Duration) = if (a == null || b > a) b else a
 
     /**
-     * The moment up to which this node knows every confirmed cancellation; null: it can't say. It may lie ahead: until then
-     * nobody confirms one that this node has not heard of.
+     * The moment up to which this node knows every confirmed cancellation; null: it can't say. It may lie ahead: until
+     * then nobody confirms one that this node has not heard of.
      */
     @Synchronized
     fun complete(): Duration? {
@@ -137,7 +149,10 @@
         )
     }
 
-    /** Entries are true whenever they come; nothing else in a message that nobody asked for counts, since it may be minutes old. */
+    /**
+     * Entries are true whenever they come; nothing else in a message that nobody asked for counts, since it may be
+     * minutes old.
+     */
     private fun take(m: Member, news: CancelNews): List<Cancellation> {
         val fresh = news.entries.filter { add(it) }
         val before = m.heard?.takeIf { it.boot == news.boot }?.upTo ?: 0L
@@ -158,12 +173,16 @@
         // It began at this moment at the latest, and its earlier processes had ended.
         val began = now() - news.uptime * (1 - DRIFT)
         if (m.covered.let { it != null && it >= began }) {
-            m.covered = later(m.covered, maxOf(asked, asked - news.contactAge * (1 + DRIFT) + ALONE * (1 - DRIFT) - MARGIN))
+            m.covered =
+                later(m.covered, maxOf(asked, asked - news.contactAge * (1 + DRIFT) + ALONE * (1 - DRIFT) - MARGIN))
         }
         return fresh
     }
 
-    /** [member] is of a version that neither tells nor hears; it can't be waited for, and nothing is known of what it confirms. */
+    /**
+     * [member] is of a version that neither tells nor hears; it can't be waited for, and nothing is known of what it
+     * confirms.
+     */
     @Synchronized
     fun isOld(member: String) {
         members.getValue(member).old = true
@@ -174,8 +193,8 @@
     fun lacks(member: String): Boolean = members.getValue(member).let { !it.old && it.acknowledged < last }
 
     /**
-     * Whether a user may be told that the job is cancelled: every other node has heard of it, or has had [ALONE] to find out
-     * that it hears nothing.
+     * Whether a user may be told that the job is cancelled: every other node has heard of it, or has had [ALONE] to
+     * find out that it hears nothing.
      */
     @Synchronized
     fun confirmable(job: String): Boolean {
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWork.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWork.kt
@@ -10,8 +10,8 @@
 data class Suspect(val machine: String, val jobs: Set<String>, val since: Duration)
 
 /**
- * Cancelled work that nobody who leads looks after: which machines have to be asked about it, and which are too late for
- * asking. Times are of the day. Safe for several threads.
+ * Cancelled work that nobody who leads looks after: which machines have to be asked about it, and which are too late
+ * for asking. Times are of the day. Safe for several threads.
  */
 class CancelledWork(private val cancel: Duration) {
     /** Jobs that a machine was seen to be rid of. */
@@ -27,7 +27,8 @@
         val jobs = HashMap<String, HashSet<String>>()
         val since = HashMap<String, Duration>()
         for (c in known) {
-            // Reports that come in have it stopped before. Later than that it is too late in any case, but no less true.
+            // Reports that come in have it stopped before. Later than that it is too late in any case, but no less
+            // true.
             if (now - c.at < cancel * ASK_AFTER || now - c.at > cancel * 2) continue
             for (m in machinesOf(c.job)) {
                 if (cleared[m]?.contains(c.job) == true) continue
@@ -52,11 +53,18 @@
         return left.map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
     }
 
-    /** Machines that have to be deleted at [now]: they were asked, and what is on them was neither seen to be gone nor stopped. */
+    /**
+     * Machines that have to be deleted at [now]: they were asked, and what is on them was neither seen to be gone nor
+     * stopped.
+     */
     @Synchronized
-    fun late(now: Duration): List<String> = suspects.values
-        .filter { it.machine in tried && now - it.since > cancel * DELETE_AFTER && cleared[it.machine]?.containsAll(it.jobs) != true }
-        .map { it.machine }
+    fun late(now: Duration): List<String> =
+        suspects.values
+            .filter {
+                it.machine in tried &&
+                    now - it.since > cancel * DELETE_AFTER &&
+                    cleared[it.machine]?.containsAll(it.jobs) != true
+            }.map { it.machine }
 
     @Synchronized
     fun gone(machine: String) {
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -15,7 +15,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Commands on their way to machines: one request to a machine at a time, and only machines with commands are looked at. */
+/**
+ * Commands on their way to machines: one request to a machine at a time, and only machines with commands are looked at.
+ */
 class CommandQueue(private val core: Scheduler) {
     private val pending = LinkedHashSet<Machine>()
 
@@ -30,7 +32,9 @@
     fun stop(p: Placement, cause: StopCause, grace: Duration) {
         if (p.stop != null && !(cause == StopCause.CANCELLED && p.stop != StopCause.CANCELLED)) return
         p.stop = cause
-        core.note { "stop task=${p.key.job}/${p.task} attempt=${p.attempt} machine=${p.machine} reason=$cause grace=$grace" }
+        core.note {
+            "stop task=${p.key.job}/${p.task} attempt=${p.attempt} machine=${p.machine} reason=$cause grace=$grace"
+        }
         p.stopGrace = grace
         p.stopSent = null
         val m = core.machines[p.machine] ?: return
@@ -63,22 +67,36 @@
         if (commands.isNotEmpty()) send(m, commands)
     }
 
-    /** By the most urgent job that waits for a start there: highest priority, then the one that has to start first; hopeless ones last. */
-    private val byUrgency = compareByDescending<Machine> { m -> waitingJobs(m).maxOfOrNull { it.rank } }.thenBy { m -> waitingJobs(m).minOfOrNull(core::order) }
+    /**
+     * By the most urgent job that waits for a start there: highest priority, then the one that has to start first;
+     * hopeless ones last.
+     */
+    private val byUrgency =
+        compareByDescending<Machine> { m ->
+            waitingJobs(m).maxOfOrNull { it.rank }
+        }.thenBy { m -> waitingJobs(m).minOfOrNull(core::order) }
 
     private fun waitingJobs(m: Machine) = m.orders.filterIsInstance<StartTask>().mapNotNull { core.jobs[it.key.job] }
 
     /** The machine's commands that are still wanted and may be sent now; starts that have to wait stay with it. */
     private fun takeCommands(m: Machine): List<Command> {
-        val (admitted, held) = withoutRepeats(m.orders.filter { stillWanted(m, it) })
-            .partition { it !is StartTask || core.hooks.gate.admits(ProposedOrder(it.cause, m.id, it.key)) }
+        val (admitted, held) =
+            withoutRepeats(m.orders.filter { stillWanted(m, it) })
+                .partition { it !is StartTask || core.hooks.gate.admits(ProposedOrder(it.cause, m.id, it.key)) }
         m.orders.clear()
         m.orders.addAll(held)
         admitted.filterIsInstance<StartTask>().forEach { started(m, it) }
         return admitted
     }
 
-    private fun withoutRepeats(commands: List<Command>) = if (commands.size > 1) commands.distinctBy { it.asWorkersSeeIt() } else commands
+    private fun withoutRepeats(commands: List<Command>) =
+        if (commands.size >
+            1
+        ) {
+            commands.distinctBy { it.asWorkersSeeIt() }
+        } else {
+            commands
+        }
 
     private fun stillWanted(m: Machine, c: Command): Boolean {
         if (c !is StartTask) return true
@@ -114,7 +132,17 @@
         m.loose.removeIf { l -> l.token == sent.token && l.session == sent.session && l.since == m.directAt }
         if (outcome == DirectOutcome.DONE) return
         m.directRetry = core.now + 500.milliseconds
-        for (c in sent.commands) if (c is StartTask) m.placements[c.key]?.let { if (it.attempt == c.attempt && it.step == Step.ORDERED) it.startSent = null }
+        for (c in sent.commands) {
+            if (c is StartTask) {
+                m.placements[c.key]?.let {
+                    if (it.attempt == c.attempt &&
+                        it.step == Step.ORDERED
+                    ) {
+                        it.startSent = null
+                    }
+                }
+            }
+        }
     }
 
     /** Whether a start has been without an answer for so long that the token should be raised. */
--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -95,7 +95,8 @@
             }
             drainForNotice(m)
         }
-        // Where a worker has not found a new leader, the leader asks: those that are lost must not be waited for longest.
+        // Where a worker has not found a new leader, the leader asks: those that are lost must not be waited for
+        // longest.
         val late = if (m.everHeard) config.report * 1.6 + 500.milliseconds else config.report
         if ((quiet > late || m.mutedSince != null) && m.addr.isNotEmpty() && now >= m.probeAt) probe(m)
         if (cancelledTooLong(m)) {
@@ -114,8 +115,9 @@
         val limit = if (isGone(m) && m.listed) config.report * 2.5 else silence
         // Silence for two leases is given up in any case: if most machines are really lost, waiting would never end.
         if (quiet > limit && (mostAreHeard(m) || quiet > config.lease * 2)) {
-            // A worker may need most of its lease to find a new leader, or one that was too slow to answer it: each dead node
-            // costs it a time-out. Until then only questions without an answer show that the machine itself is lost.
+            // A worker may need most of its lease to find a new leader, or one that was too slow to answer it: each
+            // dead node costs it a time-out. Until then only questions without an answer show that the machine itself
+            // is lost.
             val mayBeElsewhere = (!m.everHeard || core.overloaded) && quiet <= config.lease && !isGone(m)
             if (mayBeElsewhere && m.mutedSince.let { it == null || now - it < probeGap + UNANSWERED_TWICE }) return
             delete(m, DeletionCause.SILENT)
@@ -123,8 +125,8 @@
     }
 
     /**
-     * Missing from lists for longer than they lag. A new leader knows such a machine from a stored place only and has no
-     * address to ask it at: the last leader deleted it, or it died, and its work would wait for a whole lease.
+     * Missing from lists for longer than they lag. A new leader knows such a machine from a stored place only and has
+     * no address to ask it at: the last leader deleted it, or it died, and its work would wait for a whole lease.
      */
     private fun isGone(m: Machine) = m.missingSince.let { it != null && now - it > config.listLag * 2 + 2.seconds }
 
@@ -141,7 +143,11 @@
      * stopping it takes a moment. A new leader gets that moment before it judges.
      */
     private fun cancelledTooLong(m: Machine): Boolean {
-        if (now - core.startedAt > STOP_TIME && m.orphanSince.let { it != null && now - it > config.cancel * 0.6 }) return true
+        if (now - core.startedAt > STOP_TIME &&
+            m.orphanSince.let { it != null && now - it > config.cancel * 0.6 }
+        ) {
+            return true
+        }
         val since = now - (cancelledSince(m) ?: return false)
         return since > config.cancel * 0.6 && now - core.startedAt > STOP_TIME || since > config.cancel * 0.8
     }
@@ -155,11 +161,17 @@
         return due
     }
 
-    private fun cancelledOn(m: Machine): List<Job> = (m.placements.values.map { it.job } + m.orphans.keys.mapNotNull { core.jobs[it.job] }).filter { it.cancelledAt != null }
+    private fun cancelledOn(m: Machine): List<Job> =
+        (
+            m.placements.values.map { it.job } +
+                m.orphans.keys.mapNotNull { core.jobs[it.job] }
+        ).filter { it.cancelledAt != null }
 
     private val overdueAskedAt = HashMap<String, Duration>()
 
-    /** Machines whose cancelled work must be gone by now, as far as this node knows; each is named again after a while. */
+    /**
+     * Machines whose cancelled work must be gone by now, as far as this node knows; each is named again after a while.
+     */
     fun overdue(at: Duration): List<Overdue> {
         val result = ArrayList<Overdue>()
         for (m in core.machines.values) {
@@ -182,8 +194,9 @@
     private fun checkControls() {
         if (muted == 0 || reached > muted) return
         core.machines.values
-            .filter { it.mutedSince == null && !it.deleting && it.everHeard && it.addr.isNotEmpty() && now >= it.probeAt }
-            .sortedBy { it.reachedAt ?: Duration.ZERO }
+            .filter {
+                it.mutedSince == null && !it.deleting && it.everHeard && it.addr.isNotEmpty() && now >= it.probeAt
+            }.sortedBy { it.reachedAt ?: Duration.ZERO }
             .take(minOf(muted + 1, MAX_CONTROLS))
             .forEach(::probe)
     }
@@ -202,26 +215,41 @@
         }
         if (core.overloaded) return false
         if (up < DEAF_MACHINES) return false
-        return last.let { if (it == null) now - core.startedAt > config.lease * 0.6 else now - it > maxOf(config.report * 2.5, 3.seconds) }
+        return last.let {
+            if (it ==
+                null
+            ) {
+                now - core.startedAt > config.lease * 0.6
+            } else {
+                now - it > maxOf(config.report * 2.5, 3.seconds)
+            }
+        }
     }
 
     /** The same for a leader that hears workers but reaches none of those it tries. */
-    private fun mute(): Boolean = muted >= DEAF_MACHINES &&
-        reached == 0 &&
-        core.machines.values.count { m -> m.mutedSince.let { it != null && now - it > silence } } >= DEAF_MACHINES
+    private fun mute(): Boolean =
+        muted >= DEAF_MACHINES &&
+            reached == 0 &&
+            core.machines.values.count { m -> m.mutedSince.let { it != null && now - it > silence } } >= DEAF_MACHINES
 
     private fun drainForNotice(m: Machine) {
         for (p in m.placements.values) {
             if (p.stop != null || p.step != Step.SEEN) continue
             val s = p.job.spec
-            if (s.checkpoint > Duration.ZERO || p.state == TaskState.FETCHING) core.stop(p, StopCause.NOTICE, s.save + Scheduler.GRACE_SLACK)
+            if (s.checkpoint > Duration.ZERO ||
+                p.state == TaskState.FETCHING
+            ) {
+                core.stop(p, StopCause.NOTICE, s.save + Scheduler.GRACE_SLACK)
+            }
         }
     }
 
     /** Gives the machine up, unless that has to wait. */
     fun delete(m: Machine, cause: DeletionCause) {
         if (m.deleting || cause in deferrable && !core.hooks.gate.admits(ProposedOrder(cause, m.id))) return
-        core.note(important = true) { "give-up machine=${m.id} reason=${cause.label} tasks=${m.placements.size} heard=${m.heard} now=$now" }
+        core.note(important = true) {
+            "give-up machine=${m.id} reason=${cause.label} tasks=${m.placements.size} heard=${m.heard} now=$now"
+        }
         m.deletion = cause
         m.orders.clear()
         sendDelete(m, cause)
@@ -249,7 +277,8 @@
         const val DEAF_MACHINES = 3
 
         /** Neither a promise about cancelled work nor certain knowledge is behind these. */
-        val deferrable = setOf(DeletionCause.NEVER_CAME_UP, DeletionCause.UNREACHABLE, DeletionCause.SILENT, DeletionCause.NOT_NEEDED)
+        val deferrable =
+            setOf(DeletionCause.NEVER_CAME_UP, DeletionCause.UNREACHABLE, DeletionCause.SILENT, DeletionCause.NOT_NEEDED)
         const val MAX_CONTROLS = 6
         const val PROBES = 4
         const val FLEET_PER_PROBE = 100
--- a/src/main/kotlin/glenspool/core/cluster/ImageHints.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageHints.kt
@@ -18,7 +18,10 @@
 
     fun remember(images: Map<String, Map<String, Double>>) {
         remembered = images
-        for ((part, list) in images.entries.groupBy { partOf(it.key) }) saved[part] = list.associate { it.key to it.value }
+        for ((part, list) in images.entries.groupBy { partOf(it.key) }) {
+            saved[part] =
+                list.associate { it.key to it.value }
+        }
     }
 
     /** Taken over when a machine is first heard. */
@@ -31,16 +34,29 @@
         if (now - savedAt < PERIOD) return
         val parts = HashMap<Int, LinkedHashMap<String, Map<String, Double>>>()
         val room = HashMap<Int, Int>()
+
         fun put(id: String, images: Map<String, Double>) {
             val part = partOf(id)
-            val left = (room[part] ?: (core.config.valueBytes * 3 / 4)) - id.length - BYTES_PER_ENTRY - images.keys.sumOf { it.length + BYTES_PER_ENTRY }
+            val left =
+                (room[part] ?: (core.config.valueBytes * 3 / 4)) - id.length - BYTES_PER_ENTRY -
+                    images.keys.sumOf { it.length + BYTES_PER_ENTRY }
             if (images.isEmpty() || left < 0) return
             room[part] = left
             parts.getOrPut(part) { LinkedHashMap() }[id] = images.toMap()
         }
         for (m in core.machines.values) if (m.trusted && !m.deleting) put(m.id, m.cachedImages())
         // What was handed down for a machine not heard yet must not be lost by storing the part anew.
-        if (now - core.startedAt < KEEP) for ((id, own) in remembered) if (core.machines[id]?.everHeard != true && !core.wasDeleted(id)) put(id, own)
+        if (now - core.startedAt <
+            KEEP
+        ) {
+            for ((id, own) in remembered) {
+                if (core.machines[id]?.everHeard != true &&
+                    !core.wasDeleted(id)
+                ) {
+                    put(id, own)
+                }
+            }
+        }
         for (i in 0 until PARTS) {
             val part = (next + i) % PARTS
             val images = parts[part] ?: emptyMap()
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -52,7 +52,10 @@
     var retiring = false
     var idleSince: Duration? = null
 
-    /** A gang for which work was stopped here, or that was here: nothing of its rank or below takes the room before it or that time. */
+    /**
+     * A gang for which work was stopped here, or that was here: nothing of its rank or below takes the room before it
+     * or that time.
+     */
     var reservedFor: Job? = null
         private set
     private var reservedUntil: Duration = Duration.ZERO
@@ -128,7 +131,14 @@
     val everHeard: Boolean get() = heard != null
 
     fun place(p: Placement) {
-        if (placed.put(p.key, p)?.job?.spec?.kind == JobKind.SERVICE) servicesNow--
+        if (placed
+                .put(p.key, p)
+                ?.job
+                ?.spec
+                ?.kind == JobKind.SERVICE
+        ) {
+            servicesNow--
+        }
         if (p.job.spec.kind == JobKind.SERVICE) servicesNow++
         usedNow = null
     }
@@ -157,12 +167,13 @@
     val services: Int get() = servicesNow
 
     /** Summed anew after each change, so that rounding errors can't add up. */
-    fun used(): Amount = usedNow ?: run {
-        var sum = Amount.ZERO
-        for (p in placed.values) sum += p.job.need
-        for (a in orphanTasks.values) sum += a
-        sum.also { usedNow = it }
-    }
+    fun used(): Amount =
+        usedNow ?: run {
+            var sum = Amount.ZERO
+            for (p in placed.values) sum += p.job.need
+            for (a in orphanTasks.values) sum += a
+            sum.also { usedNow = it }
+        }
 
     fun free(type: MachineType): Amount = type.room - used()
 
@@ -191,7 +202,13 @@
     fun ready(now: Duration, freshness: Duration): Boolean {
         val h = heard ?: return false
         val bad = badUntil
-        return trusted && !deleting && !failed && notice == null && mutedSince == null && now - h <= freshness && (bad == null || now >= bad)
+        return trusted &&
+            !deleting &&
+            !failed &&
+            notice == null &&
+            mutedSince == null &&
+            now - h <= freshness &&
+            (bad == null || now >= bad)
     }
 
     fun busyTasks(): Int = placed.size + orphanTasks.size
--- a/src/main/kotlin/glenspool/core/cluster/Observations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Observations.kt
@@ -48,7 +48,13 @@
         m.booting = false
         if (!m.everHeard) core.images.hand(m)
         if (r.session > m.session) {
-            if (m.session > 0) core.note(important = true) { "lease-ended machine=${m.id} session=${r.session} tasks=${m.placements.size}" }
+            if (m.session >
+                0
+            ) {
+                core.note(important = true) {
+                    "lease-ended machine=${m.id} session=${r.session} tasks=${m.placements.size}"
+                }
+            }
             m.loose.removeIf { it.session < r.session }
         }
         m.loose.removeIf { it.token < r.token }
@@ -94,13 +100,19 @@
                 orphanNow[t.key] = job?.need ?: Amount.ZERO
             }
         }
-        if (m.trusted) m.placements.values.filter { isProvedAbsent(it, m, present) }.forEach { absent(it, m) }
+        if (m.trusted) {
+            m.placements.values
+                .filter { isProvedAbsent(it, m, present) }
+                .forEach { absent(it, m) }
+        }
         settleOrphans(m, orphanNow)
     }
 
     private fun settleOrphans(m: Machine, shown: Map<TaskKey, Amount>) {
         if (m.orphans.isEmpty() && shown.isEmpty()) return
-        m.orphans.keys.filter { it !in shown }.forEach { core.orphans.drop(m, it) }
+        m.orphans.keys
+            .filter { it !in shown }
+            .forEach { core.orphans.drop(m, it) }
         for ((k, a) in shown) if (m.addOrphan(k, a, now)) core.orphans.found(m, k)
     }
 
@@ -124,13 +136,15 @@
     }
 
     /**
-     * The place is stored and holds room, limit and zone, so the task may simply be started there again. Not a gang's: its tasks find
-     * each other by their attempt. Not where the machine is about to go, or the job failed.
+     * The place is stored and holds room, limit and zone, so the task may simply be started there again. Not a gang's:
+     * its tasks find each other by their attempt. Not where the machine is about to go, or the job failed.
      */
     private fun mayBeRestored(p: Placement, m: Machine): Boolean {
         val job = p.job
-        val wanted = !job.cancelled && !job.finished && !job.done[p.task] && p.stop == null && job.spec.kind != JobKind.GANG
-        // Whichever message shows the absence, its own reports must arrive, or what is started there ends with its lease.
+        val wanted =
+            !job.cancelled && !job.finished && !job.done[p.task] && p.stop == null && job.spec.kind != JobKind.GANG
+        // Whichever message shows the absence, its own reports must arrive, or what is started there ends with its
+        // lease.
         val reports = m.reportedAt.let { it != null && now - it <= core.freshness }
         return wanted && reports && m.id !in job.failedOn && !m.retiring && m.ready(now, core.freshness)
     }
@@ -151,7 +165,11 @@
         }
         if (t.state == TaskState.RUNNING && p.runningSince == null) {
             p.runningSince = now
-            if (p.job.spec.kind == JobKind.GANG && p.job.placements.size == p.job.spec.tasks && p.job.placements.values.all { it.state == TaskState.RUNNING || it === p }) {
+            if (p.job.spec.kind == JobKind.GANG &&
+                p.job.placements.size == p.job.spec.tasks &&
+                p.job.placements.values
+                    .all { it.state == TaskState.RUNNING || it === p }
+            ) {
                 p.job.gangStarted = true
             }
         }
@@ -225,8 +243,26 @@
             if (t.state == TaskState.EXITED) {
                 // A start still on its way would start the task again after this.
                 if (m.mayStillStart(t.key, t.attempt)) continue
-                if (t.exit == Exit.DONE && job != null && !job.finished && job.spec.kind != JobKind.SERVICE && !job.storedDone[t.key.task]) continue
-                result.add(ForgetTask(t.key, t.attempt, if (t.exit == Exit.DONE && job != null) ForgetCause.RECORDED else ForgetCause.NO_RESULT))
+                if (t.exit == Exit.DONE &&
+                    job != null &&
+                    !job.finished &&
+                    job.spec.kind != JobKind.SERVICE &&
+                    !job.storedDone[t.key.task]
+                ) {
+                    continue
+                }
+                result.add(
+                    ForgetTask(
+                        t.key, t.attempt,
+                        if (t.exit == Exit.DONE &&
+                            job != null
+                        ) {
+                            ForgetCause.RECORDED
+                        } else {
+                            ForgetCause.NO_RESULT
+                        },
+                    ),
+                )
             } else if (p == null) {
                 val cause = orphanCause(job)
                 if (mayStopOrphan(m, t.key, cause)) result.add(StopTask(t.key, t.attempt, Duration.ZERO, cause))
@@ -241,11 +277,12 @@
     private fun mayStopOrphan(m: Machine, key: TaskKey, cause: StopCause): Boolean =
         cause == StopCause.CANCELLED || core.hooks.gate.admits(ProposedOrder(cause, m.id, key))
 
-    private fun orphanCause(job: Job?): StopCause = when {
-        job == null -> StopCause.UNRECORDED
-        job.cancelled -> StopCause.CANCELLED
-        else -> StopCause.ORPHANED
-    }
+    private fun orphanCause(job: Job?): StopCause =
+        when {
+            job == null -> StopCause.UNRECORDED
+            job.cancelled -> StopCause.CANCELLED
+            else -> StopCause.ORPHANED
+        }
 
     /** A stop that should have been carried out by now. */
     private fun repeatedStop(p: Placement, t: ReportedTask): StopTask? {
@@ -258,7 +295,10 @@
     private companion object {
         const val MAX_SLOWNESS = 5.0
 
-        /** A worker reports every report time, give or take a quarter; what must not wait is given one report, other work several. */
+        /**
+         * A worker reports every report time, give or take a quarter; what must not wait is given one report, other
+         * work several.
+         */
         const val REPORTS_TO_WAIT_CRITICAL = 1.5
         const val REPORTS_TO_WAIT = 3.0
     }
--- a/src/main/kotlin/glenspool/core/cluster/Orphans.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Orphans.kt
@@ -5,8 +5,8 @@
 import glenspool.core.model.TaskKey
 
 /**
- * Tasks on machines without a place of ours: remains of earlier leaders. They block their task, hold room and count for their team's
- * limit until they are proved gone.
+ * Tasks on machines without a place of ours: remains of earlier leaders. They block their task, hold room and count for
+ * their team's limit until they are proved gone.
  */
 class Orphans(private val core: Scheduler) {
     /** Machines with tasks of jobs that nobody knows, by job. */
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Tasks of the job were on machines before the job was known: it was accepted once, the state service lost it, and its user
-     * submits it again. Without this the same task would be started once more elsewhere.
+     * Tasks of the job were on machines before the job was known: it was accepted once, the state service lost it, and
+     * its user submits it again. Without this the same task would be started once more elsewhere.
      */
     fun adopt(job: Job) {
         for (id in unrecorded.remove(job.spec.id).orEmpty()) {
--- a/src/main/kotlin/glenspool/core/cluster/ZoneWatch.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ZoneWatch.kt
@@ -4,9 +4,9 @@
 import kotlin.time.Duration
 
 /**
- * Tells a zone that is cut off from machines that are lost. In a zone with a controller of its own the work goes on while
- * it is cut off, since that controller keeps its workers' leases; giving its machines up would stop a good part of all
- * work, to rent the same again. So its machines are waited for, but not without end: a controller there may have
+ * Tells a zone that is cut off from machines that are lost. In a zone with a controller of its own the work goes on
+ * while it is cut off, since that controller keeps its workers' leases; giving its machines up would stop a good part
+ * of all work, to rent the same again. So its machines are waited for, but not without end: a controller there may have
  * ended too. Machines that died with their zone show in the cloud's list, and cancelled work is never waited for.
  */
 class ZoneWatch(private val core: Scheduler) {
@@ -36,7 +36,8 @@
         for (zone in core.config.peerZones) {
             val c = counts[zone] ?: Count()
             // The other zones must be heard, or the trouble is this node's own.
-            val silent = c.machines >= FEW && c.fresh * NEARLY_NONE <= c.machines && (fresh - c.fresh) * USUAL > all - c.machines
+            val silent =
+                c.machines >= FEW && c.fresh * NEARLY_NONE <= c.machines && (fresh - c.fresh) * USUAL > all - c.machines
             val known = cuts[zone]
             if (silent) {
                 cuts[zone] = (known?.first ?: core.now) to core.now
--- a/src/main/kotlin/glenspool/core/lifecycle/Chains.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Chains.kt
@@ -95,7 +95,9 @@
         if (ends[id] == null) unknown.add(id)
     }
 
-    /** Asks for what is not known, a few at a time: a take-over may find many, and the state service takes few requests. */
+    /**
+     * Asks for what is not known, a few at a time: a take-over may find many, and the state service takes few requests.
+     */
     fun ask(now: Duration) {
         if (asking || unknown.isEmpty() || now < askAfter) return
         asking = true
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -53,7 +53,12 @@
  * A live job as the leader knows it. [touched] is told of every change that may have to be stored, so that nobody
  * has to look through all jobs for those that changed.
  */
-class Job(record: JobRecord, var version: Long, val shelves: Shelves = Shelves(Int.MAX_VALUE, Int.MAX_VALUE), private val touched: (Job) -> Unit = {}) {
+class Job(
+    record: JobRecord,
+    var version: Long,
+    val shelves: Shelves = Shelves(Int.MAX_VALUE, Int.MAX_VALUE),
+    private val touched: (Job) -> Unit = {},
+) {
     val spec: JobSpec = record.spec
     val submitted: Duration = record.submitted
 
@@ -180,19 +185,24 @@
     /** How many tasks wait for a place; those that are somewhere without a place of ours count as waiting. */
     fun waitingCount(): Int = if (cancelled || finished || held) 0 else spec.tasks - doneCount - placedOpen
 
-    fun record() = JobRecord(
-        spec,
-        submitted,
-        lastAttempt,
-        done.clone() as BitSet,
-        Shelves.intentsOf(placed.values, Shelves.RECORD),
-        emptyList(),
-        ready,
-        placed.values.filter { it.shelf != Shelves.RECORD }.groupBy({ it.shelf }, { Intent(it.task, it.attempt, it.machine) }),
-        pieces,
-    )
-
-    /** What stopping it now would throw away: the [fetch] of its image as far as it has come, and progress not saved. */
+    fun record() =
+        JobRecord(
+            spec,
+            submitted,
+            lastAttempt,
+            done.clone() as BitSet,
+            Shelves.intentsOf(placed.values, Shelves.RECORD),
+            emptyList(),
+            ready,
+            placed.values
+                .filter { it.shelf != Shelves.RECORD }
+                .groupBy({ it.shelf }, { Intent(it.task, it.attempt, it.machine) }),
+            pieces,
+        )
+
+    /**
+     * What stopping it now would throw away: the [fetch] of its image as far as it has come, and progress not saved.
+     */
     fun lossOf(p: Placement, now: Duration, fetch: Duration): Duration {
         val ran = p.runningSince?.let { now - it } ?: return minOf(now - p.since, fetch)
         return fetch + if (spec.checkpoint > Duration.ZERO) minOf(ran, spec.checkpoint) else ran
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordMerging.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordMerging.kt
@@ -3,8 +3,9 @@
 import glenspool.core.Scheduler
 
 /**
- * Brings places that are stored apart back into their jobs' records once records may no longer be split. The changed records
- * are stored like all others, within the state service's rate. What does not fit stays where it is until room is free.
+ * Brings places that are stored apart back into their jobs' records once records may no longer be split. The changed
+ * records are stored like all others, within the state service's rate. What does not fit stays where it is until room
+ * is free.
  */
 class RecordMerging(private val core: Scheduler) {
     /** Jobs that may still have places apart. No job gets such places while records must not be split. */
@@ -30,10 +31,12 @@
     }
 
     /**
-     * An intended place that lies apart was decided on while that was allowed, but its record can't be stored any more: it is
-     * given up, and the task is placed anew. Places that are stored are kept.
+     * An intended place that lies apart was decided on while that was allowed, but its record can't be stored any more:
+     * it is given up, and the task is placed anew. Places that are stored are kept.
      */
     private fun dropUnstored(job: Job) {
-        job.placements.values.filter { it.step == Step.INTENDED && it.shelf != Shelves.RECORD }.forEach(core::drop)
+        job.placements.values
+            .filter { it.step == Step.INTENDED && it.shelf != Shelves.RECORD }
+            .forEach(core::drop)
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/Shelves.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Shelves.kt
@@ -26,7 +26,9 @@
     /** How many more places there is surely room for. The record lists its shelves, so there are only so many. */
     fun room(mayShelve: Boolean): Int {
         if (!mayShelve) return recordLeft / BYTES_PER_PLACE
-        val onShelves = apart.sumOf { maxOf(0, shelfRoom - it.bytes) / BYTES_PER_PLACE } + (MAX_SHELVES - apart.size) * (shelfRoom / BYTES_PER_PLACE)
+        val onShelves =
+            apart.sumOf { maxOf(0, shelfRoom - it.bytes) / BYTES_PER_PLACE } +
+                (MAX_SHELVES - apart.size) * (shelfRoom / BYTES_PER_PLACE)
         return maxOf(0, recordLeft) / BYTES_PER_PLACE + onShelves
     }
 
@@ -107,7 +109,8 @@
 
     /** A machine is written once with all its tasks: name and marks for the first, two numbers for each. */
     private fun cost(s: Shelf, p: Placement): Int =
-        p.task.toString().length + p.attempt.toString().length + 2 + if (p.machine in s.machines) 0 else p.machine.length + MACHINE_MARKS
+        p.task.toString().length + p.attempt.toString().length + 2 +
+            if (p.machine in s.machines) 0 else p.machine.length + MACHINE_MARKS
 
     companion object {
         const val RECORD = -1
@@ -119,7 +122,9 @@
         /** A record must be able to list them all beside its description. */
         private const val MAX_SHELVES = 256
 
-        /** So many are listed within [RECORD_MARKS]; the number of each further one takes room that places could have. */
+        /**
+         * So many are listed within [RECORD_MARKS]; the number of each further one takes room that places could have.
+         */
         private const val LISTED_SHELVES = 16
         private const val SHELF_NUMBER = 4
 
@@ -129,6 +134,9 @@
         /** A place at most: the names of machines are short, numbers have at most seven digits. */
         const val BYTES_PER_PLACE = 28
 
-        fun intentsOf(places: Collection<Placement>, shelf: Int): List<Intent> = places.filter { it.shelf == shelf }.map { Intent(it.task, it.attempt, it.machine) }
+        fun intentsOf(places: Collection<Placement>, shelf: Int): List<Intent> =
+            places
+                .filter { it.shelf == shelf }
+                .map { Intent(it.task, it.attempt, it.machine) }
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/Storing.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Storing.kt
@@ -38,15 +38,16 @@
 
     private enum class Urgency { CRITICAL_PLACE, END, PLACE, RESULT }
 
-    private fun urgency(job: Job): Urgency? = when {
-        job.finished || job.writing || job.storeAfter > core.now -> null
-        job.changes > job.saved && job.rank == Priority.CRITICAL && !job.cancelled -> Urgency.CRITICAL_PLACE
-        finishable(job) -> Urgency.END
-        job.held -> null
-        job.changes > job.saved -> Urgency.PLACE
-        job.softSince != null && !job.cancelled -> Urgency.RESULT
-        else -> null
-    }
+    private fun urgency(job: Job): Urgency? =
+        when {
+            job.finished || job.writing || job.storeAfter > core.now -> null
+            job.changes > job.saved && job.rank == Priority.CRITICAL && !job.cancelled -> Urgency.CRITICAL_PLACE
+            finishable(job) -> Urgency.END
+            job.held -> null
+            job.changes > job.saved -> Urgency.PLACE
+            job.softSince != null && !job.cancelled -> Urgency.RESULT
+            else -> null
+        }
 
     fun flush() {
         if (busy || dirty.isEmpty() || core.now < pausedUntil) return
@@ -141,21 +142,38 @@
                 if (w.whole) job.saved = w.change else job.soft(core.now)
                 job.shelves.stored(w.shelves)
                 job.markStored(w)
-                if (w.record.done.cardinality() > 0 && job.spec.tasks > CHUNKED_ABOVE && job.dirtyChunks().isNotEmpty()) job.soft(core.now)
+                if (w.record.done.cardinality() > 0 &&
+                    job.spec.tasks > CHUNKED_ABOVE &&
+                    job.dirtyChunks().isNotEmpty()
+                ) {
+                    job.soft(core.now)
+                }
                 for (p in job.placements.values.toList()) {
-                    if (p.step != Step.INTENDED || p.storedAt > w.change || p.shelf != Shelves.RECORD && p.shelf !in w.shelves) continue
+                    if (p.step != Step.INTENDED ||
+                        p.storedAt > w.change ||
+                        p.shelf != Shelves.RECORD &&
+                        p.shelf !in w.shelves
+                    ) {
+                        continue
+                    }
                     if (job.cancelled) {
                         core.drop(p)
                         continue
                     }
                     p.step = Step.ORDERED
-                    if (!p.deferred) core.machines[p.machine]?.let { core.commands.add(it, StartTask(p.key, p.attempt, StartCause.PLACED)) }
+                    if (!p.deferred) {
+                        core.machines[p.machine]?.let {
+                            core.commands
+                                .add(it, StartTask(p.key, p.attempt, StartCause.PLACED))
+                        }
+                    }
                 }
             }
         }
     }
 
-    private fun finishable(job: Job): Boolean = job.cutBy != null || (job.cancelled && job.placements.isEmpty() && job.orphans.isEmpty()) || job.complete
+    private fun finishable(job: Job): Boolean =
+        job.cutBy != null || (job.cancelled && job.placements.isEmpty() && job.orphans.isEmpty()) || job.complete
 
     private fun writeFor(job: Job): JobWrite {
         if (job.complete && !job.cancelled) return FinishJob(job.spec.id, job.version, null, job.spec.tasks)
@@ -177,10 +195,11 @@
         )
     }
 
-    private fun opsOf(w: JobWrite): Int = when (w) {
-        is SaveJob -> 1 + w.chunks.size + w.shelves.size
-        is FinishJob -> 2 + (if (w.cancelVersion != null) 1 else 0)
-    }
+    private fun opsOf(w: JobWrite): Int =
+        when (w) {
+            is SaveJob -> 1 + w.chunks.size + w.shelves.size
+            is FinishJob -> 2 + (if (w.cancelVersion != null) 1 else 0)
+        }
 
     private companion object {
         /** The rest is for acceptance and cancellation, which every node stores by itself. */
--- a/src/main/kotlin/glenspool/core/lifecycle/Tending.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Tending.kt
@@ -10,13 +10,19 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Sees each job's places through: starts and stops that were not carried out are sent again, broken gangs are ended. */
+/**
+ * Sees each job's places through: starts and stops that were not carried out are sent again, broken gangs are ended.
+ */
 class Tending(private val core: Scheduler) {
     private val now: Duration get() = core.now
 
     fun tend(job: Job) {
         if (job.placements.isEmpty()) return
-        if (job.cancelled && !job.writing) job.placements.values.filter { it.step == Step.INTENDED }.forEach(core::drop)
+        if (job.cancelled && !job.writing) {
+            job.placements.values
+                .filter { it.step == Step.INTENDED }
+                .forEach(core::drop)
+        }
         if (job.spec.kind == JobKind.GANG && !job.cancelled && job.placements.isNotEmpty()) tendGang(job)
         for (p in job.placements.values.toList()) {
             // A place that is seen and not being stopped needs nothing.
@@ -28,17 +34,32 @@
                 job.soft(now)
                 continue
             }
-            if (p.step == Step.ORDERED && p.startSent == null && !p.deferred && now >= m.directRetry && m.orders.none { it.key == p.key && it.attempt == p.attempt }) {
+            if (p.step == Step.ORDERED &&
+                p.startSent == null &&
+                !p.deferred &&
+                now >= m.directRetry &&
+                m.orders.none { it.key == p.key && it.attempt == p.attempt }
+            ) {
                 core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RETRIED))
             }
-            if (p.step == Step.ORDERED && m.loose.any { it.key == p.key } && p.startSent.let { it != null && now - it > 2.seconds }) {
+            if (p.step == Step.ORDERED &&
+                m.loose.any { it.key == p.key } &&
+                p.startSent.let { it != null && now - it > 2.seconds }
+            ) {
                 core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RETRIED))
                 p.startSent = now
             }
             val sent = p.stopSent
             val stop = p.stop
-            if (stop != null && p.step != Step.INTENDED && (sent == null || now - sent > maxOf(2.seconds, core.config.report))) {
-                if (p.state != TaskState.SAVING || stop == StopCause.CANCELLED) core.commands.add(m, StopTask(p.key, p.attempt, p.stopGrace, stop))
+            if (stop != null &&
+                p.step != Step.INTENDED &&
+                (sent == null || now - sent > maxOf(2.seconds, core.config.report))
+            ) {
+                if (p.state != TaskState.SAVING ||
+                    stop == StopCause.CANCELLED
+                ) {
+                    core.commands.add(m, StopTask(p.key, p.attempt, p.stopGrace, stop))
+                }
                 p.stopSent = now
             }
         }
@@ -49,7 +70,11 @@
      * that has its image gives up when the others take longer than the gang's waiting time.
      */
     fun deferCached(job: Job) {
-        val (cached, fetching) = job.placements.values.partition { core.machines[it.machine]?.hasImage(job.spec.image) == true }
+        val (cached, fetching) =
+            job.placements.values.partition {
+                core.machines[it.machine]?.hasImage(job.spec.image) ==
+                    true
+            }
         if (fetching.isEmpty()) return
         cached.forEach { it.deferred = true }
     }
@@ -59,7 +84,14 @@
         val missing = all.size < job.spec.tasks - job.done.cardinality()
         val stopping = all.any { it.stop != null }
         if (!missing && !stopping) {
-            if (all.any { it.deferred } && all.all { it.deferred || (it.state != null && it.state != TaskState.FETCHING) }) all.forEach { it.deferred = false }
+            if (all.any { it.deferred } &&
+                all.all { it.deferred || (it.state != null && it.state != TaskState.FETCHING) }
+            ) {
+                all.forEach {
+                    it.deferred =
+                        false
+                }
+            }
             return
         }
         // Places that were only reserved are given up at once: no start was ever sent.
@@ -67,7 +99,12 @@
         val started = job.gangStarted || all.any { it.state == TaskState.RUNNING || it.state == TaskState.SAVING }
         // Before the start, fetches under way are let through: stopping them would throw the image away, and the
         // next attempt would run into the same waiting time for ever.
-        if (!started && !stopping && job.placements.values.any { it.state == null || it.state == TaskState.FETCHING }) return
+        if (!started &&
+            !stopping &&
+            job.placements.values.any { it.state == null || it.state == TaskState.FETCHING }
+        ) {
+            return
+        }
         val grace = if (!missing) job.spec.save + Scheduler.GRACE_SLACK else Duration.ZERO
         for (p in job.placements.values) {
             if (p.stop == null && p.step != Step.INTENDED) core.stop(p, StopCause.GANG_BROKEN, grace)
--- a/src/main/kotlin/glenspool/core/model/Model.kt
+++ b/src/main/kotlin/glenspool/core/model/Model.kt
@@ -38,11 +38,12 @@
         return n
     }
 
-    fun of(r: Resource): Double = when (r) {
-        Resource.GPU -> gpus
-        Resource.MEMORY -> memoryGb
-        Resource.CPU -> cpus
-    }
+    fun of(r: Resource): Double =
+        when (r) {
+            Resource.GPU -> gpus
+            Resource.MEMORY -> memoryGb
+            Resource.CPU -> cpus
+        }
 
     companion object {
         const val EPS = 1e-6
@@ -77,14 +78,28 @@
 
     /** At most what its stored description takes, with its done bits and without its tasks' places. */
     val recordBytes: Int
-        get() = RECORD_FIELDS + listOf(id, jobClass, team, image, zone ?: "").sumOf(::written) + (types?.sumOf { written(it) + 3 } ?: 0) + minOf(tasks, 2048) / 6
+        get() =
+            RECORD_FIELDS + listOf(id, jobClass, team, image, zone ?: "").sumOf(::written) +
+                (types?.sumOf { written(it) + 3 } ?: 0) +
+                minOf(tasks, 2048) / 6
 
     companion object {
         /** Field names, numbers and marks; texts come on top. */
         private const val RECORD_FIELDS = 650
 
         /** What a text takes at most in a stored value: anything but plain characters may be written as an escape. */
-        private fun written(text: String): Int = text.sumOf { c -> if (c in ' '..'~' && c != '"' && c != '\\') 1L else 6L }.toInt()
+        private fun written(text: String): Int =
+            text
+                .sumOf { c ->
+                    if (c in ' '..'~' &&
+                        c != '"' &&
+                        c != '\\'
+                    ) {
+                        1L
+                    } else {
+                        6L
+                    }
+                }.toInt()
     }
 }
 
@@ -166,17 +181,23 @@
 data class StartTask(override val key: TaskKey, override val attempt: Long, override val cause: StartCause) : Command
 
 /** Stop the task; it may take [grace] to save. */
-data class StopTask(override val key: TaskKey, override val attempt: Long, val grace: Duration, override val cause: StopCause) : Command
+data class StopTask(
+    override val key: TaskKey,
+    override val attempt: Long,
+    val grace: Duration,
+    override val cause: StopCause,
+) : Command
 
 /** Forget an ended task, which is no longer reported then. */
 data class ForgetTask(override val key: TaskKey, override val attempt: Long, override val cause: ForgetCause) : Command
 
 /** The command without the difference that its cause makes to controllers alone. */
-fun Command.asWorkersSeeIt(): Command = when (this) {
-    is StartTask -> copy(cause = StartCause.PLACED)
-    is StopTask -> copy(cause = StopCause.CANCELLED)
-    is ForgetTask -> copy(cause = ForgetCause.RECORDED)
-}
+fun Command.asWorkersSeeIt(): Command =
+    when (this) {
+        is StartTask -> copy(cause = StartCause.PLACED)
+        is StopTask -> copy(cause = StopCause.CANCELLED)
+        is ForgetTask -> copy(cause = ForgetCause.RECORDED)
+    }
 
 /** How far the cloud says a machine has come. */
 enum class MachineStage { BOOTING, RUNNING, FAILED }
--- a/src/main/kotlin/glenspool/core/placement/RoomMaker.kt
+++ b/src/main/kotlin/glenspool/core/placement/RoomMaker.kt
@@ -30,7 +30,15 @@
             if (wanted <= 0 || job.spec.kind == JobKind.GANG && wanted < job.waitingCount()) continue
             val usable = ready.filter { it.hasImage(job.spec.image) && allowed(job, it) }
             if (roomFor(job, usable) >= wantedAtOnce(job)) continue
-            if (job.spec.kind == JobKind.GANG && (job.spec.sameZone && usable.distinctBy { it.zone }.size > 1 || usable.sumOf { possibleRoom(it, job) } < wanted)) continue
+            if (job.spec.kind == JobKind.GANG &&
+                (
+                    job.spec.sameZone &&
+                        usable.distinctBy { it.zone }.size > 1 ||
+                        usable.sumOf { possibleRoom(it, job) } < wanted
+                )
+            ) {
+                continue
+            }
             val claimed = HashMap<Machine, Amount>()
             var left = wanted
             for (m in usable.sortedBy { m -> m.placements.values.count { it.job === job } }) {
@@ -50,7 +58,11 @@
     private fun wantedAtOnce(job: Job) = if (job.spec.kind == JobKind.GANG) job.waitingCount() else 1
 
     /** How many tasks of the job the machines have room for. */
-    private fun roomFor(job: Job, on: List<Machine>): Int = on.sumOf { m -> core.types[m.type]?.let { job.need.countIn(m.free(it)) } ?: 0 }
+    private fun roomFor(job: Job, on: List<Machine>): Int =
+        on.sumOf { m ->
+            core.types[m.type]?.let { job.need.countIn(m.free(it)) }
+                ?: 0
+        }
 
     /** The same if lower work made way. */
     private fun possibleRoom(m: Machine, job: Job): Int {
@@ -59,25 +71,36 @@
         return job.need.countIn(room)
     }
 
-    private fun yields(p: Placement, to: Job) = p.stop == null && p.step == Step.SEEN && p.job.rank < to.rank && p.job.spec.kind != JobKind.GANG
+    private fun yields(p: Placement, to: Job) =
+        p.stop == null && p.step == Step.SEEN && p.job.rank < to.rank && p.job.spec.kind != JobKind.GANG
 
     fun waitsForRoom(job: Job, ready: List<Machine>): Boolean {
         val until = job.roomComing ?: return false
-        return core.now < until && roomFor(job, ready.filter { it.hasImage(job.spec.image) && allowed(job, it) }) < wantedAtOnce(job)
+        return core.now < until &&
+            roomFor(job, ready.filter { it.hasImage(job.spec.image) && allowed(job, it) }) < wantedAtOnce(job)
     }
 
     /** Stops lower work where a waiting job of higher priority needs its room, least loss first. */
     fun makeRoom(ready: List<Machine>) {
-        val waiting = core.jobs.values
-            .filter { !it.cancelled && it.rank >= Priority.URGENT && !stillLeaving(it) && it.waiting(1).isNotEmpty() && it.notBefore.let { b -> b == null || core.now >= b } }
-            .sortedWith(compareByDescending<Job> { it.rank }.thenBy { it.since })
+        val waiting =
+            core.jobs.values
+                .filter {
+                    !it.cancelled &&
+                        it.rank >= Priority.URGENT &&
+                        !stillLeaving(it) &&
+                        it.waiting(1).isNotEmpty() &&
+                        it.notBefore.let { b -> b == null || core.now >= b }
+                }.sortedWith(compareByDescending<Job> { it.rank }.thenBy { it.since })
         if (waiting.isEmpty()) return
         // Only where something could make way, or already does, or there is room: most of a large fleet drops out here.
         val top = waiting.first().rank
-        val possible = ready.filter { m ->
-            val free = core.types[m.type]?.let { m.free(it) }
-            m.placements.values.any { it.stop != null || it.job.rank < top } || free != null && waiting.any { it.need.fits(free) }
-        }
+        val possible =
+            ready.filter { m ->
+                val free = core.types[m.type]?.let { m.free(it) }
+                m.placements.values.any { it.stop != null || it.job.rank < top } ||
+                    free != null &&
+                    waiting.any { it.need.fits(free) }
+            }
         // Room that earlier stops are already making is not asked for twice.
         val claimed = HashMap<Machine, Amount>()
         for (job in waiting) {
@@ -91,8 +114,22 @@
                 val zones = if (job.spec.sameZone) usable.groupBy { it.zone }.values else listOf(usable)
                 usable = zones.maxByOrNull { z -> z.sumOf { possibleRoom(it, job) } } ?: continue
                 if (usable.sumOf { possibleRoom(it, job) } < n) continue
-                // What was stopped for it before comes first, so that no more is stopped than it needs; then where least is lost.
-                usable = usable.map { it to (if (it.reservedFor === job) Duration.ZERO else costOf(it, job)) }.sortedBy { it.second }.map { it.first }
+                // What was stopped for it before comes first, so that no more is stopped than it needs; then where
+                // least is lost.
+                usable =
+                    usable
+                        .map {
+                            it to (
+                                if (it.reservedFor ===
+                                    job
+                                ) {
+                                    Duration.ZERO
+                                } else {
+                                    costOf(it, job)
+                                }
+                            )
+                        }.sortedBy { it.second }
+                        .map { it.first }
             }
             for (m in usable) {
                 if (n <= 0) break
@@ -103,20 +140,28 @@
         }
     }
 
-    /** Machine time that is lost if the gang has the machine: its own fetch, and what the work that makes way has spent. */
+    /**
+     * Machine time that is lost if the gang has the machine: its own fetch, and what the work that makes way has spent.
+     */
     private fun costOf(m: Machine, job: Job): Duration {
         val fetch = if (m.hasImage(job.spec.image)) Duration.ZERO else core.fetchTime(job)
         val leaving = m.placements.values.filter { yields(it, job) }
-        return if (leaving.isEmpty()) fetch else fetch + leaving.fold(Duration.ZERO) { sum, p -> sum + loss(p) } / leaving.size
+        return if (leaving.isEmpty()) {
+            fetch
+        } else {
+            fetch +
+                leaving.fold(Duration.ZERO) { sum, p -> sum + loss(p) } / leaving.size
+        }
     }
 
     /** What stopping it throws away: its fetch, and progress that is not saved. */
     private fun loss(p: Placement): Duration = p.job.lossOf(p, core.now, core.fetchTime(p.job))
 
-    private fun allowed(job: Job, m: Machine) = mayUse(job.spec, m) &&
-        !core.avoids(job, m) &&
-        !m.reservedAgainst(job, core.now) &&
-        zoneAllows(job, m.zone, core::zoneOf)
+    private fun allowed(job: Job, m: Machine) =
+        mayUse(job.spec, m) &&
+            !core.avoids(job, m) &&
+            !m.reservedAgainst(job, core.now) &&
+            zoneAllows(job, m.zone, core::zoneOf)
 
     private fun makeRoomOn(m: Machine, job: Job, claimed: HashMap<Machine, Amount>, wanted: Int): Int {
         val type = core.types[m.type] ?: return 0
@@ -124,10 +169,14 @@
         val stopping = m.placements.values.filter { it.stop != null && it.stop != StopCause.GANG_BROKEN }
         for (p in stopping) room += p.job.need
         var made = 0
-        val victims = m.placements.values
-            .filter { yields(it, job) }
-            .sortedWith(compareBy<Placement> { it.job.rank }.thenByDescending { core.order(it.job) }.thenBy { loss(it) })
-            .toMutableList()
+        val victims =
+            m.placements.values
+                .filter { yields(it, job) }
+                .sortedWith(
+                    compareBy<Placement> {
+                        it.job.rank
+                    }.thenByDescending { core.order(it.job) }.thenBy { loss(it) },
+                ).toMutableList()
         while (made < wanted) {
             if (!job.need.fits(room)) {
                 val chosen = ArrayList<Placement>()
@@ -139,7 +188,14 @@
                 }
                 if (!job.need.fits(r)) return made
                 for (v in chosen) {
-                    val grace = if (job.rank == Priority.CRITICAL) Duration.ZERO else v.job.spec.save + Scheduler.GRACE_SLACK
+                    val grace =
+                        if (job.rank ==
+                            Priority.CRITICAL
+                        ) {
+                            Duration.ZERO
+                        } else {
+                            v.job.spec.save + Scheduler.GRACE_SLACK
+                        }
                     core.stop(v, StopCause.PREEMPTED, grace)
                 }
                 room = r
--- a/src/main/kotlin/glenspool/core/placement/Round.kt
+++ b/src/main/kotlin/glenspool/core/placement/Round.kt
@@ -14,11 +14,12 @@
 import kotlin.time.Duration
 
 /** The bottleneck resource of a task, after DESIGN: GPU if it asks for one, else memory or CPU by share. */
-fun bottleneck(need: Amount, common: MachineType?, factor: Double): Resource = when {
-    need.gpus > 0.0 -> Resource.GPU
-    common != null && need.memoryGb / common.room.memoryGb > factor * (need.cpus / common.room.cpus) -> Resource.MEMORY
-    else -> Resource.CPU
-}
+fun bottleneck(need: Amount, common: MachineType?, factor: Double): Resource =
+    when {
+        need.gpus > 0.0 -> Resource.GPU
+        common != null && need.memoryGb / common.room.memoryGb > factor * (need.cpus / common.room.cpus) -> Resource.MEMORY
+        else -> Resource.CPU
+    }
 
 /** What a round may look at, and the one thing it does: [place]. */
 interface RoundView {
@@ -85,9 +86,19 @@
     /** Gangs that could not be placed and have waited past the bound have machines [held] for them. */
     fun run(holdFor: (Job) -> Boolean) {
         for (priority in Priority.entries.asReversed()) {
-            val keyed = jobs.filter { it.rank == priority }.map { Triple(!view.withinGuarantee(it), view.order(it), it) }
+            val keyed =
+                jobs
+                    .filter {
+                        it.rank == priority
+                    }.map { Triple(!view.withinGuarantee(it), view.order(it), it) }
             if (keyed.isEmpty()) continue
-            val level = keyed.sortedWith(compareBy<Triple<Boolean, Duration, Job>> { it.first }.thenBy { it.second }.thenBy { it.third.spec.id }).map { it.third }
+            val level =
+                keyed
+                    .sortedWith(
+                        compareBy<Triple<Boolean, Duration, Job>> {
+                            it.first
+                        }.thenBy { it.second }.thenBy { it.third.spec.id },
+                    ).map { it.third }
             for (job in level) {
                 if (job.spec.kind == JobKind.GANG && !placeGang(job) && holdFor(job)) hold(job)
             }
@@ -102,8 +113,11 @@
         if (tasks.size < job.spec.tasks - job.done.cardinality() || tasks.isEmpty()) return true
         if (view.teamRoom(job) < tasks.size || view.recordRoom(job) < tasks.size) return true
         val zones: List<String?> = if (job.spec.sameZone) free.keys.map { it.zone }.distinct() else listOf(null)
-        val plan = zones.mapNotNull { planGang(job, tasks, it) }.minByOrNull { plan -> plan.count { !it.second.hasImage(job.spec.image) } }
-            ?: return false
+        val plan =
+            zones.mapNotNull { planGang(job, tasks, it) }.minByOrNull { plan ->
+                plan.count { !it.second.hasImage(job.spec.image) }
+            }
+                ?: return false
         val attempt = view.newGangAttempt(job)
         for ((task, m) in plan) {
             view.place(job, task, m, attempt)
@@ -124,15 +138,24 @@
         val perZone = HashMap<String, Int>()
         val plan = ArrayList<Pair<Int, Machine>>()
         val fastest = view.fastestType(job.spec.jobClass)
-        val fitting = free.filter { (m, r) -> m !in held && job.need.fits(r) && allowed(job.spec, m) && (zone == null || m.zone == zone) && !view.avoids(job, m) }.keys
+        val fitting =
+            free
+                .filter { (m, r) ->
+                    m !in held &&
+                        job.need.fits(r) &&
+                        allowed(job.spec, m) &&
+                        (zone == null || m.zone == zone) &&
+                        !view.avoids(job, m)
+                }.keys
         if (fitting.sumOf { job.need.countIn(free.getValue(it)) } < tasks.size) return null
-        val candidates = fitting.sortedWith(
-            compareBy<Machine> { if (it.type == fastest) 0 else 1 }
-                .thenBy { if (it.hasImage(job.spec.image)) 0 else 1 }
-                .thenBy { view.misfit(job, it) }
-                .thenBy { it.slowness }
-                .thenByDescending { free.getValue(it).gpus },
-        )
+        val candidates =
+            fitting.sortedWith(
+                compareBy<Machine> { if (it.type == fastest) 0 else 1 }
+                    .thenBy { if (it.hasImage(job.spec.image)) 0 else 1 }
+                    .thenBy { view.misfit(job, it) }
+                    .thenBy { it.slowness }
+                    .thenByDescending { free.getValue(it).gpus },
+            )
         val left = ArrayDeque(tasks)
         for (m in candidates) {
             var r = room[m] ?: free.getValue(m)
@@ -150,8 +173,23 @@
     /** Keeps machines that the gang could use from lower work in this round, so that they become free for it. */
     private fun hold(job: Job) {
         var wanted = job.waitingCount()
-        val usable = all.filter { it !in held && allowed(job.spec, it) && !view.avoids(job, it) && job.need.fits(view.types.getValue(it.type).room) }
-        val zone = if (job.spec.sameZone) usable.groupingBy { it.zone }.eachCount().maxByOrNull { it.value }?.key else null
+        val usable =
+            all.filter {
+                it !in held &&
+                    allowed(job.spec, it) &&
+                    !view.avoids(job, it) &&
+                    job.need.fits(view.types.getValue(it.type).room)
+            }
+        val zone =
+            if (job.spec.sameZone) {
+                usable
+                    .groupingBy { it.zone }
+                    .eachCount()
+                    .maxByOrNull { it.value }
+                    ?.key
+            } else {
+                null
+            }
         for (m in usable.sortedBy { it.busyTasks() }) {
             if (wanted <= 0) return
             if (zone != null && m.zone != zone) continue
@@ -165,19 +203,25 @@
         val byResource = level.groupBy { bottleneck(it.need, view.commonType, view.factor) }
         for (pass in listOf(true, false)) {
             val waiting = byResource.mapValues { (_, l) -> l.filterTo(ArrayList()) { it.waitingCount() > 0 } }
-            val queues = Resource.entries.associateWith { r ->
-                if (waiting[r].isNullOrEmpty()) {
-                    ArrayDeque()
-                } else {
-                    ArrayDeque(
-                        free.keys.filter { m -> m !in held && free.getValue(m).of(r) > Amount.EPS }
-                            .sortedWith(
-                                compareByDescending<Machine> { view.types.getValue(it.type).room.of(r) }
-                                    .thenByDescending { free.getValue(it).of(r) },
-                            ),
-                    )
+            val queues =
+                Resource.entries.associateWith { r ->
+                    if (waiting[r].isNullOrEmpty()) {
+                        ArrayDeque()
+                    } else {
+                        ArrayDeque(
+                            free.keys
+                                .filter { m -> m !in held && free.getValue(m).of(r) > Amount.EPS }
+                                .sortedWith(
+                                    compareByDescending<Machine> {
+                                        view.types
+                                            .getValue(it.type)
+                                            .room
+                                            .of(r)
+                                    }.thenByDescending { free.getValue(it).of(r) },
+                                ),
+                        )
+                    }
                 }
-            }
             while (queues.values.any { it.isNotEmpty() }) {
                 for (r in Resource.entries) {
                     val q = queues.getValue(r)
@@ -205,7 +249,11 @@
         while (each.hasNext()) {
             val job = each.next()
             // What no machine can do for the job now, no later draw of this round can.
-            if (job.waitingCount() <= 0 || view.teamRoom(job) <= 0 || view.recordRoom(job) <= 0 || job.waiting(1).isEmpty()) {
+            if (job.waitingCount() <= 0 ||
+                view.teamRoom(job) <= 0 ||
+                view.recordRoom(job) <= 0 ||
+                job.waiting(1).isEmpty()
+            ) {
                 each.remove()
                 continue
             }
@@ -236,7 +284,8 @@
             zoneAllows(job, m.zone, view::zoneOf)
 
     /** The fastest type, then a cached image, then a machine that fits the job's price and spread. */
-    private fun preferred(job: Job, m: Machine): Boolean = suits.getOrPut(job) { Suitability(job) }.best() >= score(job, m)
+    private fun preferred(job: Job, m: Machine): Boolean =
+        suits.getOrPut(job) { Suitability(job) }.best() >= score(job, m)
 
     /**
      * How well the machines with room suit one job, best first. A machine that changed is entered anew and its old
@@ -256,7 +305,11 @@
         }
 
         private fun usable(m: Machine): Boolean =
-            !(m.retiring && job.spec.kind == JobKind.ARRAY) && m !in held && job.need.fits(free.getValue(m)) && allowed(job.spec, m) && !view.avoids(job, m)
+            !(m.retiring && job.spec.kind == JobKind.ARRAY) &&
+                m !in held &&
+                job.need.fits(free.getValue(m)) &&
+                allowed(job.spec, m) &&
+                !view.avoids(job, m)
 
         fun changed(m: Machine) = enter(m)
 
@@ -273,13 +326,14 @@
         view.effort.scores++
         val fastest = view.fastestType(job.spec.jobClass)
         var s = if (fastest == null || m.type == fastest) 0 else 1000
-        s += if (m.hasImage(job.spec.image)) {
-            0
-        } else if (m.willHaveImage(job.spec.image)) {
-            50
-        } else {
-            100
-        }
+        s +=
+            if (m.hasImage(job.spec.image)) {
+                0
+            } else if (m.willHaveImage(job.spec.image)) {
+                50
+            } else {
+                100
+            }
         s += view.misfit(job, m) * 60
         if (job.spec.kind == JobKind.SERVICE && view.needsCache(job)) {
             // Spread out, such services leave room and their images on many machines for those to come.
--- a/src/main/kotlin/glenspool/http/CallPool.kt
+++ b/src/main/kotlin/glenspool/http/CallPool.kt
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * Threads for calls that may be slow: a new one only while all others are busy, up to [threads]; beyond that calls
- * wait in turn. A counterpart that does not answer holds a thread for seconds, and tens of machines may be lost at once,
+ * Threads for calls that may be slow: a new one only while all others are busy, up to [threads]; beyond that calls wait
+ * in turn. A counterpart that does not answer holds a thread for seconds, and tens of machines may be lost at once,
  * while after a take-over hundreds of calls that take a moment come together.
  */
 class CallPool(name: String, threads: Int, private val waiting: Int) :
@@ -30,11 +30,12 @@
 
     private val unfinished = AtomicInteger()
     private val queue = Waiting()
-    private val pool: ThreadPoolExecutor = ThreadPoolExecutor(
-        1, threads, 10, TimeUnit.SECONDS, queue,
-        { r -> Thread(null, r, name, STACK).also { it.isDaemon = true } },
-        { r, _ -> queue.wait(r) },
-    )
+    private val pool: ThreadPoolExecutor =
+        ThreadPoolExecutor(
+            1, threads, 10, TimeUnit.SECONDS, queue,
+            { r -> Thread(null, r, name, STACK).also { it.isDaemon = true } },
+            { r, _ -> queue.wait(r) },
+        )
 
     /** For servers: a refused exchange ends with its connection, and the other side comes again. */
     override fun execute(call: Runnable) {
--- a/src/main/kotlin/glenspool/http/ClientConnection.kt
+++ b/src/main/kotlin/glenspool/http/ClientConnection.kt
@@ -117,11 +117,12 @@
 
     fun give(to: String, connection: ClientConnection) {
         connection.rest()
-        val surplus = synchronized(idle) {
-            val all = idle.getOrPut(to) { ArrayDeque() }
-            all.addLast(connection)
-            if (all.size > MOST) all.removeFirst() else null
-        }
+        val surplus =
+            synchronized(idle) {
+                val all = idle.getOrPut(to) { ArrayDeque() }
+                all.addLast(connection)
+                if (all.size > MOST) all.removeFirst() else null
+            }
         surplus?.close()
     }
 
--- a/src/main/kotlin/glenspool/http/Connection.kt
+++ b/src/main/kotlin/glenspool/http/Connection.kt
@@ -47,12 +47,13 @@
     /** Takes in what has arrived. [input] is scratch space. */
     fun receive(input: ByteBuffer) {
         input.clear()
-        val read = try {
-            channel.read(input)
-        } catch (e: IOException) {
-            log.debug("connection lost", e)
-            -1
-        }
+        val read =
+            try {
+                channel.read(input)
+            } catch (e: IOException) {
+                log.debug("connection lost", e)
+                -1
+            }
         if (read < 0) return endOfInput()
         input.flip()
         synchronized(this) {
@@ -82,11 +83,12 @@
     /** Hands over what is whole, one request after the other: one that is answered at once makes room for the next. */
     private fun serve() {
         while (true) {
-            val next = synchronized(this) {
-                // Another thread is at it, or the answer to the last one is still to come.
-                if (busy || closing || serving) return
-                nextRequest()?.also { serving = true } ?: return
-            }
+            val next =
+                synchronized(this) {
+                    // Another thread is at it, or the answer to the last one is still to come.
+                    if (busy || closing || serving) return
+                    nextRequest()?.also { serving = true } ?: return
+                }
             hand(next)
             synchronized(this) { serving = false }
         }
@@ -94,13 +96,18 @@
 
     /** The next whole request; from then on the connection is busy until it is answered. */
     private fun nextRequest(): ParsedRequest? {
-        val parsed = try {
-            parser.next()
-        } catch (e: BadMessage) {
-            log.debug("bad request", e)
-            send(writer.write(Response(Status.fromCode(e.status) ?: Status.BAD_REQUEST), keepAlive = false, withBody = true), keepAlive = false)
-            return null
-        }
+        val parsed =
+            try {
+                parser.next()
+            } catch (e: BadMessage) {
+                log.debug("bad request", e)
+                send(
+                    writer
+                        .write(Response(Status.fromCode(e.status) ?: Status.BAD_REQUEST), keepAlive = false, withBody = true),
+                    keepAlive = false,
+                )
+                return null
+            }
         if (parsed != null) {
             busy = true
         } else if (parser.awaitsContinue) {
@@ -126,12 +133,13 @@
     private fun answer(to: ParsedRequest, response: Response) {
         val keepAlive = to.keepAlive && !inputEnded && !response.header("Connection").equals("close", true)
         val bytes = writer.write(response, keepAlive, withBody = to.request.method != Method.HEAD)
-        val ahead = synchronized(this) {
-            busy = false
-            paused = false
-            send(bytes, keepAlive)
-            parser.started
-        }
+        val ahead =
+            synchronized(this) {
+                busy = false
+                paused = false
+                send(bytes, keepAlive)
+                parser.started
+            }
         if (ahead) serve()
     }
 
@@ -139,7 +147,18 @@
     private fun send(bytes: ByteBuffer, keepAlive: Boolean) {
         closing = !keepAlive
         val before = unsent
-        unsent = if (before == null) bytes else ByteBuffer.allocate(before.remaining() + bytes.remaining()).put(before).put(bytes).flip()
+        unsent =
+            if (before ==
+                null
+            ) {
+                bytes
+            } else {
+                ByteBuffer
+                    .allocate(before.remaining() + bytes.remaining())
+                    .put(before)
+                    .put(bytes)
+                    .flip()
+            }
         flush()
     }
 
--- a/src/main/kotlin/glenspool/http/Http.kt
+++ b/src/main/kotlin/glenspool/http/Http.kt
@@ -40,13 +40,21 @@
     cbor(status, mapOf("error" to "try later")).header("Retry-After", after.inWholeSeconds.toString())
 
 /** What a raw result means where bodies are CBOR maps. */
-internal fun RawResult.decoded(): CallResult = when (this) {
-    is RawResult.NotSent -> CallResult.NotSent(why)
-    is RawResult.NoAnswer -> CallResult.NoAnswer(why)
-    is RawResult.Answer -> try {
-        CallResult.Answer(status, if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body))
-    } catch (e: MalformedMessage) {
-        // What a refusal says besides its status is of no account.
-        if (status == Status.OK.code) CallResult.NoAnswer(e.toString()) else CallResult.Answer(status, emptyMap())
+internal fun RawResult.decoded(): CallResult =
+    when (this) {
+        is RawResult.NotSent -> CallResult.NotSent(why)
+        is RawResult.NoAnswer -> CallResult.NoAnswer(why)
+        is RawResult.Answer ->
+            try {
+                CallResult.Answer(status, if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body))
+            } catch (e: MalformedMessage) {
+                // What a refusal says besides its status is of no account.
+                if (status ==
+                    Status.OK.code
+                ) {
+                    CallResult.NoAnswer(e.toString())
+                } else {
+                    CallResult.Answer(status, emptyMap())
+                }
+            }
     }
-}
--- a/src/main/kotlin/glenspool/http/HttpCaller.kt
+++ b/src/main/kotlin/glenspool/http/HttpCaller.kt
@@ -18,8 +18,8 @@
 }
 
 /**
- * The one way out for requests. Redirects are not followed, and nothing that could be carried out twice is ever sent twice
- * behind the caller's back: a repeated command or transaction is the caller's decision.
+ * The one way out for requests. Redirects are not followed, and nothing that could be carried out twice is ever sent
+ * twice behind the caller's back: a repeated command or transaction is the caller's decision.
  *
  * The JDK's clients were measured against it: see docs/design.md, "Libraries".
  */
@@ -28,9 +28,17 @@
 
     fun get(to: String, path: String, timeout: Duration): CallResult = call("GET", to, path, null, timeout)
 
-    fun post(to: String, path: String, body: Fields, timeout: Duration): CallResult = call("POST", to, path, Cbor.encode(body), timeout)
+    fun post(to: String, path: String, body: Fields, timeout: Duration): CallResult =
+        call(
+            "POST", to, path,
+            Cbor
+                .encode(body),
+            timeout,
+        )
 
-    fun call(method: String, to: String, path: String, body: ByteArray?, timeout: Duration): CallResult = callRaw(method, to, path, body, timeout).decoded()
+    fun call(method: String, to: String, path: String, body: ByteArray?, timeout: Duration): CallResult =
+        callRaw(method, to, path, body, timeout)
+            .decoded()
 
     fun callRaw(method: String, to: String, path: String, body: ByteArray?, timeout: Duration): RawResult {
         if (path.any { it !in VISIBLE }) return RawResult.NotSent("$path is no path")
@@ -45,11 +53,12 @@
                 if (method != "GET") return RawResult.NoAnswer(e.toString())
             }
         }
-        val connection = try {
-            ClientConnection.open(address(to), connectTimeout)
-        } catch (e: IOException) {
-            return RawResult.NotSent(e.toString())
-        }
+        val connection =
+            try {
+                ClientConnection.open(address(to), connectTimeout)
+            } catch (e: IOException) {
+                return RawResult.NotSent(e.toString())
+            }
         return try {
             exchange(connection, to, request, deadline)
         } catch (e: ClientConnection.NothingRead) {
@@ -57,7 +66,12 @@
         }
     }
 
-    private fun exchange(connection: ClientConnection, to: String, request: ByteBuffer, deadline: TimeSource.Monotonic.ValueTimeMark): RawResult {
+    private fun exchange(
+        connection: ClientConnection,
+        to: String,
+        request: ByteBuffer,
+        deadline: TimeSource.Monotonic.ValueTimeMark,
+    ): RawResult {
         try {
             val response = connection.exchange(request, deadline)
             if (keepOpen && response.reusable) idle.give(to, connection) else connection.close()
@@ -72,12 +86,27 @@
     }
 
     private fun requestBytes(method: String, to: String, path: String, body: ByteArray?): ByteBuffer {
-        val head = StringBuilder(HEAD_SIZE).append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(to).append("\r\n")
+        val head =
+            StringBuilder(HEAD_SIZE)
+                .append(method)
+                .append(' ')
+                .append(path)
+                .append(" HTTP/1.1\r\nHost: ")
+                .append(to)
+                .append("\r\n")
         if (!keepOpen) head.append("Connection: close\r\n")
-        if (body != null) head.append("Content-Type: application/cbor\r\nContent-Length: ").append(body.size).append("\r\n")
+        if (body !=
+            null
+        ) {
+            head.append("Content-Type: application/cbor\r\nContent-Length: ").append(body.size).append("\r\n")
+        }
         val bytes = head.append("\r\n").toString().toByteArray(Charsets.ISO_8859_1)
         val size = bytes.size + (body?.size ?: 0)
-        return ByteBuffer.allocate(size).put(bytes).also { if (body != null) it.put(body) }.flip()
+        return ByteBuffer
+            .allocate(size)
+            .put(bytes)
+            .also { if (body != null) it.put(body) }
+            .flip()
     }
 
     private fun address(to: String): InetSocketAddress {
--- a/src/main/kotlin/glenspool/http/HttpListener.kt
+++ b/src/main/kotlin/glenspool/http/HttpListener.kt
@@ -17,15 +17,18 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** Answers a request now or later, from any thread, by calling `respond` once. It runs on the thread that serves all connections, so it must not wait. */
+/**
+ * Answers a request now or later, from any thread, by calling `respond` once. It runs on the thread that serves all
+ * connections, so it must not wait.
+ */
 fun interface AsyncHandler {
     fun handle(request: Request, respond: (Response) -> Unit)
 }
 
 /**
- * Serves http4k handlers on one port. One thread accepts connections, reads requests and sends what a socket did not take at
- * once; answers are written by the thread that has them. Whatever may wait runs on threads of a [CallPool]: out of threads,
- * exchanges wait their turn, and past the waiting room their connection is closed.
+ * Serves http4k handlers on one port. One thread accepts connections, reads requests and sends what a socket did not
+ * take at once; answers are written by the thread that has them. Whatever may wait runs on threads of a [CallPool]: out
+ * of threads, exchanges wait their turn, and past the waiting room their connection is closed.
  *
  * The JDK's own server was measured against it: see docs/design.md, "Libraries".
  */
@@ -39,7 +42,12 @@
     private val fatal: () -> Unit,
     handler: HttpHandler,
 ) : AutoCloseable {
-    constructor(addr: InetSocketAddress, name: String, threads: Int, handler: HttpHandler) : this(addr, name, threads, { null }, {}, handler)
+    constructor(
+        addr: InetSocketAddress,
+        name: String,
+        threads: Int,
+        handler: HttpHandler,
+    ) : this(addr, name, threads, { null }, {}, handler)
 
     private val pool = CallPool(name, threads, threads * WAITING_EACH)
     private val pooled = AsyncHandler { request, respond -> pool.execute { respond(answer(handler, request)) } }
@@ -71,12 +79,13 @@
         thread.start()
     }
 
-    private fun answer(handler: HttpHandler, request: Request): Response = try {
-        handler(request)
-    } catch (e: RuntimeException) {
-        log.error("{} failed", request.uri, e)
-        Response(Status.INTERNAL_SERVER_ERROR)
-    }
+    private fun answer(handler: HttpHandler, request: Request): Response =
+        try {
+            handler(request)
+        } catch (e: RuntimeException) {
+            log.error("{} failed", request.uri, e)
+            Response(Status.INTERNAL_SERVER_ERROR)
+        }
 
     private fun run() {
         try {
@@ -123,13 +132,14 @@
 
     private fun accept() {
         while (true) {
-            val channel = try {
-                server.accept() ?: return
-            } catch (e: IOException) {
-                // Out of sockets, for one: the next wake-up tries again.
-                log.warn("connection not accepted: {}", e.toString())
-                return
-            }
+            val channel =
+                try {
+                    server.accept() ?: return
+                } catch (e: IOException) {
+                    // Out of sockets, for one: the next wake-up tries again.
+                    log.warn("connection not accepted: {}", e.toString())
+                    return
+                }
             if (open >= maxOpen) {
                 channel.close()
                 continue
@@ -142,7 +152,9 @@
         }
     }
 
-    /** Closes what was given up, what stalls in the middle of a request or an answer, and what has been idle for long. */
+    /**
+     * Closes what was given up, what stalls in the middle of a request or an answer, and what has been idle for long.
+     */
     private fun sweep() {
         val now = clock.elapsedNow()
         if (now - sweptAt < SWEEP_EVERY && open < maxOpen) return
@@ -177,7 +189,9 @@
         private const val STACK = 256L * 1024
         private val SWEEP_EVERY = 1.seconds
 
-        /** The share of the sockets that connections from outside may take; the rest is for requests of this node's own. */
+        /**
+         * The share of the sockets that connections from outside may take; the rest is for requests of this node's own.
+         */
         private const val INCOMING_SHARE = 0.75
 
         @Volatile
--- a/src/main/kotlin/glenspool/http/MessageReader.kt
+++ b/src/main/kotlin/glenspool/http/MessageReader.kt
@@ -20,7 +20,11 @@
     /** Null: the message does not say. Two lengths that differ make it unclear where the next message begins. */
     val contentLength: Int?
         get() {
-            val lengths = all.filter { it.first.equals("Content-Length", ignoreCase = true) }.map { it.second }.distinct()
+            val lengths =
+                all
+                    .filter { it.first.equals("Content-Length", ignoreCase = true) }
+                    .map { it.second }
+                    .distinct()
             if (lengths.isEmpty()) return null
             val length = lengths.singleOrNull()?.toLongOrNull()
             if (length == null || length < 0) throw BadMessage(BAD_REQUEST, "Content-Length: a whole number is needed")
@@ -29,7 +33,14 @@
 
     /** Whether the connection stays open after a message of version 1.1, or of 1.0 if not [persistent]. */
     fun keepAlive(persistent: Boolean): Boolean =
-        this["Connection"].let { if (persistent) !it.equals("close", ignoreCase = true) else it.equals("keep-alive", ignoreCase = true) }
+        this["Connection"].let {
+            if (persistent) {
+                !it.equals("close", ignoreCase = true)
+            } else {
+                it
+                    .equals("keep-alive", ignoreCase = true)
+            }
+        }
 
     companion object {
         const val BAD_REQUEST = 400
@@ -38,14 +49,18 @@
     }
 }
 
-/** The parts of the start line, two or three, and the header fields. [end]: where the body begins in the reader's buffer. */
+/**
+ * The parts of the start line, two or three, and the header fields. [end]: where the body begins in the reader's
+ * buffer.
+ */
 class MessageHead(val startLine: List<String>, val fields: HeaderFields, val end: Int) {
     /** Whether [version] is 1.1, whose connections stay open unless somebody says otherwise. */
-    fun persistent(version: String): Boolean = when (version) {
-        "HTTP/1.1" -> true
-        "HTTP/1.0" -> false
-        else -> throw BadMessage(HeaderFields.BAD_REQUEST, "unknown version")
-    }
+    fun persistent(version: String): Boolean =
+        when (version) {
+            "HTTP/1.1" -> true
+            "HTTP/1.0" -> false
+            else -> throw BadMessage(HeaderFields.BAD_REQUEST, "unknown version")
+        }
 }
 
 /** A body, and where it ends in the reader's buffer. */
@@ -88,7 +103,11 @@
     private fun endOfHead(): Int {
         var i = scanned
         while (i + END_OF_HEAD.size <= length) {
-            if (buffer[i] == END_OF_HEAD[0] && END_OF_HEAD.indices.all { buffer[i + it] == END_OF_HEAD[it] }) return i + END_OF_HEAD.size
+            if (buffer[i] == END_OF_HEAD[0] &&
+                END_OF_HEAD.indices.all { buffer[i + it] == END_OF_HEAD[it] }
+            ) {
+                return i + END_OF_HEAD.size
+            }
             i++
         }
         scanned = i
--- a/src/main/kotlin/glenspool/http/PassTimer.kt
+++ b/src/main/kotlin/glenspool/http/PassTimer.kt
@@ -3,8 +3,8 @@
 import kotlin.time.Duration
 
 /**
- * Times the passes of a thread that serves everything that is ready, one after the other, and then looks again. What comes in
- * waits for the rest of one pass and for its turn in the next. [clock]: any steady time.
+ * Times the passes of a thread that serves everything that is ready, one after the other, and then looks again. What
+ * comes in waits for the rest of one pass and for its turn in the next. [clock]: any steady time.
  */
 internal class PassTimer(private val clock: () -> Duration) {
     @Volatile
--- a/src/main/kotlin/glenspool/http/RequestParser.kt
+++ b/src/main/kotlin/glenspool/http/RequestParser.kt
@@ -9,7 +9,9 @@
 /** A request as it was read, and whether its connection stays open once it is answered. */
 class ParsedRequest(val request: Request, val keepAlive: Boolean)
 
-/** Reads requests from bytes as they arrive. It is told of each piece by [add] and asked for a whole request by [next]. */
+/**
+ * Reads requests from bytes as they arrive. It is told of each piece by [add] and asked for a whole request by [next].
+ */
 class RequestParser(maxBody: Int) {
     private val reader = MessageReader(maxBody)
     private var head: MessageHead? = null
@@ -22,7 +24,9 @@
     val size: Int get() = reader.size
 
     /** The client waits for word that it may send the body. */
-    val awaitsContinue: Boolean get() = !continued && head?.fields?.get("Expect").equals("100-continue", ignoreCase = true)
+    val awaitsContinue: Boolean get() =
+        !continued &&
+            head?.fields?.get("Expect").equals("100-continue", ignoreCase = true)
 
     fun add(bytes: ByteBuffer) = reader.add(bytes)
 
@@ -32,8 +36,12 @@
         if (h.startLine.size != PARTS) throw BadMessage(HeaderFields.BAD_REQUEST, "no request line")
         val (method, target, version) = h.startLine
         val keepAlive = h.fields.keepAlive(h.persistent(version))
-        val known = Method.values().firstOrNull { it.name == method } ?: throw BadMessage(HeaderFields.NOT_IMPLEMENTED, "unknown method")
-        val body = (if (h.fields.chunked) reader.chunkedBody(h) else reader.body(h, h.fields.contentLength ?: 0)) ?: return null
+        val known =
+            Method.values().firstOrNull { it.name == method }
+                ?: throw BadMessage(HeaderFields.NOT_IMPLEMENTED, "unknown method")
+        val body =
+            (if (h.fields.chunked) reader.chunkedBody(h) else reader.body(h, h.fields.contentLength ?: 0))
+                ?: return null
         reader.consume(body.end)
         head = null
         continued = false
--- a/src/main/kotlin/glenspool/http/ResponseParser.kt
+++ b/src/main/kotlin/glenspool/http/ResponseParser.kt
@@ -31,12 +31,13 @@
 
     private fun read(head: MessageHead, status: Int, keepAlive: Boolean, ended: Boolean): ParsedResponse? {
         val length = head.fields.contentLength
-        val body = when {
-            status == NO_CONTENT || status == NOT_MODIFIED -> BodyBytes(ByteArray(0), head.end)
-            head.fields.chunked -> reader.chunkedBody(head)
-            length != null -> reader.body(head, length)
-            else -> if (ended) reader.bodyToEnd(head) else null
-        } ?: return null
+        val body =
+            when {
+                status == NO_CONTENT || status == NOT_MODIFIED -> BodyBytes(ByteArray(0), head.end)
+                head.fields.chunked -> reader.chunkedBody(head)
+                length != null -> reader.body(head, length)
+                else -> if (ended) reader.bodyToEnd(head) else null
+            } ?: return null
         reader.consume(body.end)
         return ParsedResponse(status, body.bytes, keepAlive && !ended && !reader.started)
     }
--- a/src/main/kotlin/glenspool/http/ResponseWriter.kt
+++ b/src/main/kotlin/glenspool/http/ResponseWriter.kt
@@ -16,11 +16,28 @@
     fun write(response: Response, keepAlive: Boolean, withBody: Boolean): ByteBuffer {
         val body = response.body.payload
         val head = StringBuilder(HEAD_SIZE)
-        head.append("HTTP/1.1 ").append(response.status.code).append(' ').append(response.status.description).append(LINE_END)
-        for ((name, value) in response.headers) if (!name.equals("Content-Length", true)) head.append(name).append(": ").append(value).append(LINE_END)
+        head
+            .append("HTTP/1.1 ")
+            .append(response.status.code)
+            .append(' ')
+            .append(response.status.description)
+            .append(LINE_END)
+        for ((name, value) in response.headers) {
+            if (!name.equals("Content-Length", true)) {
+                head
+                    .append(name)
+                    .append(": ")
+                    .append(value)
+                    .append(LINE_END)
+            }
+        }
         head.append("Date: ").append(date()).append(LINE_END)
         if (!keepAlive && response.header("Connection") == null) head.append("Connection: close").append(LINE_END)
-        head.append("Content-Length: ").append(body.remaining()).append(LINE_END).append(LINE_END)
+        head
+            .append("Content-Length: ")
+            .append(body.remaining())
+            .append(LINE_END)
+            .append(LINE_END)
         val headBytes = head.toString().toByteArray(Charsets.ISO_8859_1)
         val out = ByteBuffer.allocate(headBytes.size + if (withBody) body.remaining() else 0)
         out.put(headBytes)
@@ -28,7 +45,10 @@
         return out.flip()
     }
 
-    /** The time of day as HTTP writes it. The JDK's formatter would load two hundred classes for it before the first answer. */
+    /**
+     * The time of day as HTTP writes it. The JDK's formatter would load two hundred classes for it before the first
+     * answer.
+     */
     private fun date(): String {
         val second = clock.millis() / MILLIS
         if (second != dateSecond) {
--- a/src/main/kotlin/glenspool/logging/Logging.kt
+++ b/src/main/kotlin/glenspool/logging/Logging.kt
@@ -7,8 +7,9 @@
 import org.slf4j.helpers.MessageFormatter
 
 /**
- * The logger of a class. SLF4J's own factory searches for a provider and formats a message about it, and slf4j-simple then
- * searches the class path for its settings: together 30 ms of processor time before a controller has done anything.
+ * The logger of a class. SLF4J's own factory searches for a provider and formats a message about it, and slf4j-simple
+ * then searches the class path for its settings: together 30 ms of processor time before a controller has done
+ * anything.
  */
 fun loggerOf(type: Class<*>): Logger = StandardErrorLogger(type.simpleName, LogLevel.configured)
 
@@ -19,7 +20,8 @@
     /** Read once; what is not a level counts as [Level.INFO]. */
     val configured: Level by lazy { parse(System.getenv(VARIABLE)) }
 
-    fun parse(text: String?): Level = Level.values().firstOrNull { it.name.equals(text, ignoreCase = true) } ?: Level.INFO
+    fun parse(text: String?): Level =
+        Level.values().firstOrNull { it.name.equals(text, ignoreCase = true) } ?: Level.INFO
 }
 
 /** Writes one line a message to standard error, `LEVEL Name - text`, and a stack trace after it if there is one. */
@@ -42,10 +44,17 @@
 
     override fun getFullyQualifiedCallerName(): String? = null
 
-    override fun handleNormalizedLoggingCall(level: Level, marker: Marker?, pattern: String?, arguments: Array<out Any?>?, failure: Throwable?) {
+    override fun handleNormalizedLoggingCall(
+        level: Level,
+        marker: Marker?,
+        pattern: String?,
+        arguments: Array<out Any?>?,
+        failure: Throwable?,
+    ) {
         val text = MessageFormatter.basicArrayFormat(pattern, arguments)
         // One call for the whole line, so that lines of several threads do not mix.
-        val line = "$level $name - $text" + (failure?.let { System.lineSeparator() + it.stackTraceToString().trimEnd() } ?: "")
+        val line =
+            "$level $name - $text" + (failure?.let { System.lineSeparator() + it.stackTraceToString().trimEnd() } ?: "")
         System.err.println(line)
     }
 }
--- a/src/main/kotlin/glenspool/peer/Peers.kt
+++ b/src/main/kotlin/glenspool/peer/Peers.kt
@@ -34,9 +34,14 @@
     }
 }
 
-/** The token of the first leader's term that a controller's process has lived through; null if it has lived through none. */
+/**
+ * The token of the first leader's term that a controller's process has lived through; null if it has lived through
+ * none.
+ */
 @Serializable
-data class PeerWitness(@SerialName("firstToken") val firstToken: Long? = null)
+data class PeerWitness(
+    @SerialName("firstToken") val firstToken: Long? = null,
+)
 
 /** What a controller shows of its build as evidence for a rollout. [boot] differs between any two processes. */
 @Serializable
@@ -54,11 +59,19 @@
 
 /** A user's request, passed on by a node that has lost the state service alone. */
 @Serializable
-data class RelayRequest(@SerialName("method") val method: String, @SerialName("path") val path: String, @SerialName("body") val body: ByteArray)
+data class RelayRequest(
+    @SerialName("method") val method: String,
+    @SerialName("path") val path: String,
+    @SerialName("body") val body: ByteArray,
+)
 
 /** What the user is to be answered. */
 @Serializable
-data class RelayAnswer(@SerialName("status") val status: Int, @SerialName("body") val body: ByteArray, @SerialName("retryAfter") val retryAfter: String?)
+data class RelayAnswer(
+    @SerialName("status") val status: Int,
+    @SerialName("body") val body: ByteArray,
+    @SerialName("retryAfter") val retryAfter: String?,
+)
 
 /** See `glenspool.core.cluster.CancelNews`; spans and times of day are in milliseconds. */
 @Serializable
@@ -76,7 +89,11 @@
     @SerialName("heardUpTo") val heardUpTo: Long,
 ) {
     @Serializable
-    data class Entry(@SerialName("job") val job: String, @SerialName("at") val at: Long, @SerialName("version") val version: Long)
+    data class Entry(
+        @SerialName("job") val job: String,
+        @SerialName("at") val at: Long,
+        @SerialName("version") val version: Long,
+    )
 }
 
 /** Where controllers ask each other. A path that a version does not know gets 404, and the next one is asked. */
@@ -138,9 +155,10 @@
 class PeerClient(private val members: List<Member>) {
     private val http = HttpCaller(CONNECT_TIMEOUT)
 
-    fun statuses(): List<PeerStatus> = members.mapNotNull { m ->
-        call(m, PeerPaths.STATUS, null, 700.milliseconds, PeerWire::status)
-    }
+    fun statuses(): List<PeerStatus> =
+        members.mapNotNull { m ->
+            call(m, PeerPaths.STATUS, null, 700.milliseconds, PeerWire::status)
+        }
 
     /** How an exchange of what is known of cancellations ended. */
     sealed interface Exchange {
@@ -153,7 +171,9 @@
     }
 
     fun exchange(with: Member, message: CancelMessage): Exchange {
-        val (status, answer) = request(with, PeerPaths.CANCELLATIONS, PeerWire.encode(message), EXCHANGE_TIMEOUT, PeerWire::cancellations) ?: return Exchange.None
+        val (status, answer) =
+            request(with, PeerPaths.CANCELLATIONS, PeerWire.encode(message), EXCHANGE_TIMEOUT, PeerWire::cancellations)
+                ?: return Exchange.None
         return when {
             answer != null -> Exchange.Answered(answer)
             status == NOT_FOUND -> Exchange.Old
@@ -161,7 +181,10 @@
         }
     }
 
-    /** Asks the others in turn; the first that took the request answers for all. [path]: which versions take it, see [PeerPaths]. */
+    /**
+     * Asks the others in turn; the first that took the request answers for all. [path]: which versions take it, see
+     * [PeerPaths].
+     */
     fun relay(r: RelayRequest, timeout: Duration, path: String = PeerPaths.RELAY): RelayAnswer? {
         val bytes = PeerWire.encode(r)
         for (m in members) {
@@ -171,10 +194,18 @@
         return null
     }
 
-    private fun <T> call(m: Member, path: String, body: ByteArray?, timeout: Duration, read: (ByteArray) -> T): T? = request(m, path, body, timeout, read)?.second
+    private fun <T> call(m: Member, path: String, body: ByteArray?, timeout: Duration, read: (ByteArray) -> T): T? =
+        request(m, path, body, timeout, read)
+            ?.second
 
     /** The status, and what was read of a 200. Null: no answer, or one that can't be read. */
-    private fun <T> request(m: Member, path: String, body: ByteArray?, timeout: Duration, read: (ByteArray) -> T): Pair<Int, T?>? {
+    private fun <T> request(
+        m: Member,
+        path: String,
+        body: ByteArray?,
+        timeout: Duration,
+        read: (ByteArray) -> T,
+    ): Pair<Int, T?>? {
         val r = http.callRaw(if (body == null) "GET" else "POST", m.addr.hostPort(), path, body, timeout)
         if (r !is RawResult.Answer) {
             log.debug("peer {} did not answer: {}", m.name, r)
--- a/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
@@ -24,9 +24,14 @@
 
 /** An operator's question or order. [by] names the operator in the log. */
 @Serializable
-data class RecoveryRequest(@SerialName("verb") val verb: RecoveryVerb, @SerialName("by") val by: String? = null)
+data class RecoveryRequest(
+    @SerialName("verb") val verb: RecoveryVerb,
+    @SerialName("by") val by: String? = null,
+)
 
-/** The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again. */
+/**
+ * The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again.
+ */
 @Serializable
 data class RecoveryReply(
     @SerialName("accepted") val accepted: Boolean,
@@ -74,7 +79,17 @@
 
 /** Differences by name. [total]: how many there are, of which [listed] holds the first. */
 @Serializable
-data class DifferenceList(@SerialName("total") val total: Int, @SerialName("listed") val listed: List<Entry>) {
+data class DifferenceList(
+    @SerialName("total") val total: Int,
+    @SerialName("listed") val listed: List<Entry>,
+) {
     @Serializable
-    data class Entry(@SerialName("kind") val kind: String, @SerialName("machine") val machine: String, @SerialName("task") val task: String?, @SerialName("detail") val detail: String, @SerialName("source") val source: String, @SerialName("ageSeconds") val ageSeconds: Double)
+    data class Entry(
+        @SerialName("kind") val kind: String,
+        @SerialName("machine") val machine: String,
+        @SerialName("task") val task: String?,
+        @SerialName("detail") val detail: String,
+        @SerialName("source") val source: String,
+        @SerialName("ageSeconds") val ageSeconds: Double,
+    )
 }
--- a/src/main/kotlin/glenspool/peer/RolloutMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RolloutMessages.kt
@@ -30,9 +30,16 @@
 
 /** An operator's question or order. [by] names the operator in what is recorded. */
 @Serializable
-data class RolloutRequest(@SerialName("verb") val verb: RolloutVerb, @SerialName("level") val level: Int? = null, @SerialName("member") val member: String? = null, @SerialName("by") val by: String? = null)
+data class RolloutRequest(
+    @SerialName("verb") val verb: RolloutVerb,
+    @SerialName("level") val level: Int? = null,
+    @SerialName("member") val member: String? = null,
+    @SerialName("by") val by: String? = null,
+)
 
-/** The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again. */
+/**
+ * The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again.
+ */
 @Serializable
 data class RolloutReply(
     @SerialName("accepted") val accepted: Boolean,
--- a/src/main/kotlin/glenspool/reconcile/Continuity.kt
+++ b/src/main/kotlin/glenspool/reconcile/Continuity.kt
@@ -3,12 +3,14 @@
 import kotlin.time.Duration
 
 /**
- * Which leaders' terms a controller's process has lived through. A process that was alive while somebody led proves that not all
- * controllers were down since; process identities and steady time show that, no comparison of wall clocks could.
+ * Which leaders' terms a controller's process has lived through. A process that was alive while somebody led proves
+ * that not all controllers were down since; process identities and steady time show that, no comparison of wall clocks
+ * could.
  *
- * A leadership record that is there when the process first reads the state may be a remainder: its lease outlives the leader by a
- * moment. It counts only once the record has stayed for [remainder] while the state service was read without a gap, since nobody
- * but a living leader renews the lease, and an outage gives every lease its full time again.
+ * A leadership record that is there when the process first reads the state may be a remainder: its lease outlives the
+ * leader by a moment. It counts only once the record has stayed for [remainder] while the state service was read
+ * without a gap, since nobody but a living leader renews the lease, and an outage gives every lease its full time
+ * again.
  */
 class ContinuityWitness(private val remainder: Duration) {
     private var isFirstLook = true
@@ -64,14 +66,17 @@
     UNKNOWN,
 }
 
-/** What a controller said of itself: the first term that its process lived through; [answered] is false if it can't be asked. */
+/**
+ * What a controller said of itself: the first term that its process lived through; [answered] is false if it can't be
+ * asked.
+ */
 data class MemberWitness(val answered: Boolean, val firstToken: Long?)
 
 /** Judges how a term began. Nothing is guessed: without proof either way it stays [StartKind.UNKNOWN]. */
 object StartJudgement {
     /**
-     * [own]: the first term that this process lived through. [members]: what all other controllers said. [token]: of the new term.
-     * [recovery]: the stored record of the last recovery.
+     * [own]: the first term that this process lived through. [members]: what all other controllers said. [token]: of
+     * the new term. [recovery]: the stored record of the last recovery.
      */
     fun judge(token: Long, own: Long?, members: List<MemberWitness>, recovery: StoredRecovery): StartKind {
         if (recovery.isOpen(token)) return StartKind.CONTINUED
--- a/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
+++ b/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
@@ -7,8 +7,9 @@
 import kotlin.time.Duration
 
 /**
- * What was learnt and is not compared yet. In the first seconds after a cold start a small machine has no processor time to spare for
- * comparing, so that is done by and by; of several reports of a machine only the newest is kept meanwhile.
+ * What was learnt and is not compared yet. In the first seconds after a cold start a small machine has no processor
+ * time to spare for comparing, so that is done by and by; of several reports of a machine only the newest is kept
+ * meanwhile.
  */
 class DeferredUpdates(private val tracker: DifferenceTracker) {
     private class Observation(val report: Report, val source: ReportSource, val trusted: Boolean, val at: Duration)
--- a/src/main/kotlin/glenspool/reconcile/Difference.kt
+++ b/src/main/kotlin/glenspool/reconcile/Difference.kt
@@ -19,7 +19,12 @@
 }
 
 /** A stored place whose machine shows that the task is not there. */
-data class MissingTask(override val machine: String, override val task: TaskKey, val attempt: Long, override val evidence: Evidence) : Difference
+data class MissingTask(
+    override val machine: String,
+    override val task: TaskKey,
+    val attempt: Long,
+    override val evidence: Evidence,
+) : Difference
 
 /** A task without a stored place on its machine. [recorded]: whether its job is known to the state service. */
 data class OrphanTask(
@@ -31,16 +36,24 @@
 ) : Difference
 
 /** A task that several machines show at once. */
-data class DuplicateTask(override val machine: String, override val task: TaskKey, val machines: Set<String>, override val evidence: Evidence) : Difference
+data class DuplicateTask(
+    override val machine: String,
+    override val task: TaskKey,
+    val machines: Set<String>,
+    override val evidence: Evidence,
+) : Difference
 
 /** A task of a cancelled job that is still there. */
-data class CancelledTask(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
+data class CancelledTask(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
+    Difference
 
 /** A task that is done, whose result is not stored yet. */
-data class UnrecordedResult(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
+data class UnrecordedResult(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
+    Difference
 
 /** A stored place of a task whose result is stored. */
-data class ObsoletePlace(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
+data class ObsoletePlace(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
+    Difference
 
 /** A machine that the cloud lists no more, or never listed, though a place or a report names it. */
 data class DelistedMachine(override val machine: String, override val evidence: Evidence) : Difference
@@ -65,21 +78,26 @@
     ;
 
     /** Whether a recovery lasts until there are none: orders end them, and they do not come and go on any day. */
-    val isMended: Boolean get() = this == MISSING_TASK || this == ORPHAN_TASK || this == DUPLICATE_TASK || this == OBSOLETE_PLACE
+    val isMended: Boolean get() =
+        this == MISSING_TASK ||
+            this == ORPHAN_TASK ||
+            this == DUPLICATE_TASK ||
+            this == OBSOLETE_PLACE
 
     /** The name as operators read it. */
     val label: String get() = name.lowercase().replace('_', '-')
 }
 
 val Difference.kind: DifferenceKind
-    get() = when (this) {
-        is MissingTask -> DifferenceKind.MISSING_TASK
-        is OrphanTask -> DifferenceKind.ORPHAN_TASK
-        is DuplicateTask -> DifferenceKind.DUPLICATE_TASK
-        is CancelledTask -> DifferenceKind.CANCELLED_TASK
-        is UnrecordedResult -> DifferenceKind.UNRECORDED_RESULT
-        is ObsoletePlace -> DifferenceKind.OBSOLETE_PLACE
-        is DelistedMachine -> DifferenceKind.DELISTED_MACHINE
-        is UnheardMachine -> DifferenceKind.UNHEARD_MACHINE
-        is UnreportingMachine -> DifferenceKind.UNREPORTING_MACHINE
-    }
+    get() =
+        when (this) {
+            is MissingTask -> DifferenceKind.MISSING_TASK
+            is OrphanTask -> DifferenceKind.ORPHAN_TASK
+            is DuplicateTask -> DifferenceKind.DUPLICATE_TASK
+            is CancelledTask -> DifferenceKind.CANCELLED_TASK
+            is UnrecordedResult -> DifferenceKind.UNRECORDED_RESULT
+            is ObsoletePlace -> DifferenceKind.OBSOLETE_PLACE
+            is DelistedMachine -> DifferenceKind.DELISTED_MACHINE
+            is UnheardMachine -> DifferenceKind.UNHEARD_MACHINE
+            is UnreportingMachine -> DifferenceKind.UNREPORTING_MACHINE
+        }
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -14,8 +14,8 @@
 }
 
 /**
- * Keeps the views and what comparing them shows, event by event: only machines that an event concerns are compared again. The
- * result always equals [MachineComparison.all] of the views.
+ * Keeps the views and what comparing them shows, event by event: only machines that an event concerns are compared
+ * again. The result always equals [MachineComparison.all] of the views.
  */
 class DifferenceTracker {
     var views = ClusterViews()
@@ -30,7 +30,14 @@
     var comparisons = 0L
         private set
 
-    fun totals() = DifferenceTotals(DifferenceKind.entries.filter { counts[it.ordinal] > 0 }.associateWith { counts[it.ordinal] }, confirmed, adopted)
+    fun totals() =
+        DifferenceTotals(
+            DifferenceKind.entries
+                .filter {
+                    counts[it.ordinal] > 0
+                }.associateWith { counts[it.ordinal] },
+            confirmed, adopted,
+        )
 
     fun jobStored(record: JobRecord, adopted: Boolean) {
         val isNew = record.spec.id !in views.desired.jobs
@@ -41,7 +48,11 @@
         val concerned = HashSet<String>()
         change.removed.mapTo(concerned) { it.machine }
         change.added.filter { matters(it, record) }.mapTo(concerned) { it.machine }
-        if (change.finished.isNotEmpty()) machinesOf(record.spec.id).filterTo(concerned) { concernsAny(it, record.spec.id, change.finished) }
+        if (change.finished.isNotEmpty()) {
+            machinesOf(record.spec.id).filterTo(concerned) {
+                concernsAny(it, record.spec.id, change.finished)
+            }
+        }
         compareAll(concerned)
     }
 
@@ -49,15 +60,26 @@
 
     fun jobEnded(job: String) = changeJob(job) { it.without(job) }
 
-    /** A place that this leader has just stored differs from nothing, unless the task is there already or its result is stored. */
+    /**
+     * A place that this leader has just stored differs from nothing, unless the task is there already or its result is
+     * stored.
+     */
     private fun matters(place: StoredPlace, record: JobRecord): Boolean {
         val observed = views.observed.machines[place.machine]
-        return place.adopted || observed == null || record.done[place.key.task] || observed.tasks.any { it.key == place.key }
+        return place.adopted ||
+            observed == null ||
+            record.done[place.key.task] ||
+            observed.tasks.any { it.key == place.key }
     }
 
     private fun concernsAny(machine: String, job: String, tasks: Set<Int>): Boolean =
-        views.desired.placesOn[machine].orEmpty().any { it.job == job && it.task in tasks } ||
-            views.observed.machines[machine]?.tasks.orEmpty().any { it.key.job == job && it.key.task in tasks }
+        views.desired.placesOn[machine]
+            .orEmpty()
+            .any { it.job == job && it.task in tasks } ||
+            views.observed.machines[machine]
+                ?.tasks
+                .orEmpty()
+                .any { it.key.job == job && it.key.task in tasks }
 
     fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) {
         if (!views.observed.isNews(report, source, trusted)) return
--- a/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
@@ -19,7 +19,17 @@
         /** [listed]: the cloud's newest list. [heard]: machines whose workers have shown this leader's token. */
         fun of(listed: List<ListedMachine>, heard: Set<String>): GatheringProgress {
             val groups = listed.filter { it.stage == MachineStage.RUNNING }.groupBy { Pair(it.zone, it.type) }
-            return GatheringProgress(groups.map { (place, machines) -> Group(place.first, place.second, machines.size, machines.count { it.id in heard }) })
+            return GatheringProgress(
+                groups.map { (place, machines) ->
+                    Group(
+                        place.first, place.second, machines.size,
+                        machines.count {
+                            it.id in
+                                heard
+                        },
+                    )
+                },
+            )
         }
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -8,7 +8,10 @@
 import glenspool.core.model.TaskState
 import kotlin.time.Duration
 
-/** What comparing the views showed of one machine. [confirmed]: adopted places whose task is there; [adopted]: all adopted places. */
+/**
+ * What comparing the views showed of one machine. [confirmed]: adopted places whose task is there; [adopted]: all
+ * adopted places.
+ */
 data class MachineFindings(val differences: List<Difference>, val confirmed: Int, val adopted: Int) {
     val isEmpty: Boolean get() = differences.isEmpty() && adopted == 0
 
@@ -20,17 +23,25 @@
 /** Compares desired, observed and rented state, machine by machine. Nothing here depends on anything but the views. */
 object MachineComparison {
     /** The findings at every machine that any view knows; machines without findings are left out. */
-    fun all(views: ClusterViews): Map<String, MachineFindings> = views.machines().associateWith { compare(it, views) }.filterValues { !it.isEmpty }
+    fun all(views: ClusterViews): Map<String, MachineFindings> =
+        views.machines().associateWith { compare(it, views) }.filterValues { !it.isEmpty }
 
     fun compare(machine: String, views: ClusterViews): MachineFindings {
-        val places = views.desired.placesOn[machine].orEmpty().mapNotNull { views.desired.placeOf(it) }
+        val places =
+            views.desired.placesOn[machine]
+                .orEmpty()
+                .mapNotNull { views.desired.placeOf(it) }
         val observed = views.observed.machines[machine]
         val differences = ArrayList<Difference>()
         listed(machine, places.any { it.adopted }, views)?.let(differences::add)
         if (observed == null) {
             unheard(machine, places.size, views)?.let(differences::add)
         } else {
-            if (observed.reportedAt == null) differences.add(UnreportingMachine(machine, Evidence(EvidenceSource.ANSWER, observed.observedAt)))
+            if (observed.reportedAt ==
+                null
+            ) {
+                differences.add(UnreportingMachine(machine, Evidence(EvidenceSource.ANSWER, observed.observedAt)))
+            }
             observed.tasks.flatMapTo(differences) { reported(observed, it, views) }
             places.mapNotNullTo(differences) { missing(it, observed, views) }
         }
@@ -41,7 +52,8 @@
     }
 
     /** Findings are lists whose order must not depend on the order in which things were learnt. */
-    private val order = compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
+    private val order =
+        compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
 
     private fun evidenceOf(observed: ObservedMachine) =
         Evidence(if (observed.reportedAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER, observed.observedAt)
@@ -58,13 +70,27 @@
         val entry = views.rented.machines[machine]
         val isUp = entry != null && entry.stage == MachineStage.RUNNING && entry.missingSince == null
         if (places == 0 && !isUp) return null
-        val evidence = if (places > 0) Evidence(EvidenceSource.STATE_SERVICE, Duration.ZERO) else Evidence(EvidenceSource.CLOUD_LIST, views.rented.firstReadAt ?: Duration.ZERO)
+        val evidence =
+            if (places >
+                0
+            ) {
+                Evidence(EvidenceSource.STATE_SERVICE, Duration.ZERO)
+            } else {
+                Evidence(
+                    EvidenceSource.CLOUD_LIST,
+                    views.rented.firstReadAt ?: Duration.ZERO,
+                )
+            }
         return UnheardMachine(machine, places, evidence)
     }
 
     private fun reported(observed: ObservedMachine, task: ReportedTask, views: ClusterViews): List<Difference> {
         val job = views.desired.jobs[task.key.job]
-        if (task.state == TaskState.EXITED) return listOfNotNull(unrecorded(observed.id, task, job, evidenceOf(observed)))
+        if (task.state ==
+            TaskState.EXITED
+        ) {
+            return listOfNotNull(unrecorded(observed.id, task, job, evidenceOf(observed)))
+        }
         return listOfNotNull(misplaced(observed, task, job), duplicate(observed, task, views))
     }
 
@@ -80,11 +106,24 @@
 
     private fun duplicate(observed: ObservedMachine, task: ReportedTask, views: ClusterViews): Difference? {
         val claims = views.observed.claims[task.key] ?: return null
-        return if (claims.size > 1) DuplicateTask(observed.id, task.key, claims.toSortedSet(), evidenceOf(observed)) else null
+        return if (claims.size >
+            1
+        ) {
+            DuplicateTask(observed.id, task.key, claims.toSortedSet(), evidenceOf(observed))
+        } else {
+            null
+        }
     }
 
     private fun unrecorded(machine: String, task: ReportedTask, job: DesiredJob?, evidence: Evidence): Difference? {
-        if (task.exit != Exit.DONE || job == null || job.kind == JobKind.SERVICE || job.cancelled || job.done[task.key.task]) return null
+        if (task.exit != Exit.DONE ||
+            job == null ||
+            job.kind == JobKind.SERVICE ||
+            job.cancelled ||
+            job.done[task.key.task]
+        ) {
+            return null
+        }
         return UnrecordedResult(machine, task.key, evidence)
     }
 
@@ -98,5 +137,9 @@
         return MissingTask(place.machine, key, place.attempt, evidenceOf(observed))
     }
 
-    private fun isPresent(place: StoredPlace, observed: ObservedMachine) = observed.tasks.any { it.key == place.key && it.attempt == place.attempt }
+    private fun isPresent(place: StoredPlace, observed: ObservedMachine) =
+        observed.tasks.any {
+            it.key == place.key &&
+                it.attempt == place.attempt
+        }
 }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -48,9 +48,9 @@
 }
 
 /**
- * Recovery in one term: watches what the scheduler learns, decides which of its orders have to wait, and in which phase the term
- * is. Owned by the thread that owns the scheduler; [snapshot] may be read by any. There is none in a term that began as usual, and
- * in the normal phase it costs nothing.
+ * Recovery in one term: watches what the scheduler learns, decides which of its orders have to wait, and in which phase
+ * the term is. Owned by the thread that owns the scheduler; [snapshot] may be read by any. There is none in a term that
+ * began as usual, and in the normal phase it costs nothing.
  */
 class RecoveryEngine(
     private val policy: RecoveryPolicy,
@@ -59,7 +59,8 @@
     private val startedAt: Duration,
     startKind: StartKind,
     record: RecoveryRecord? = null,
-) : OrderGate, ClusterObserver {
+) : OrderGate,
+    ClusterObserver {
     private var tracker = DifferenceTracker()
     private var updates = DeferredUpdates(tracker)
     private val phases = PhaseMachine(policy, setting, startedAt)
@@ -112,36 +113,41 @@
 
     // ---- what the scheduler learns ----
 
-    override fun jobRead(record: JobRecord) = whileActive {
-        knownJobs.add(record.spec.id)
-        updates.jobStored(record, adopted = true)
-    }
+    override fun jobRead(record: JobRecord) =
+        whileActive {
+            knownJobs.add(record.spec.id)
+            updates.jobStored(record, adopted = true)
+        }
 
     override fun jobStored(record: JobRecord) = whileActive { updates.jobStored(record, adopted = false) }
 
-    override fun jobEnded(job: String) = whileActive {
-        knownJobs.remove(job)
-        updates.jobEnded(job)
-    }
+    override fun jobEnded(job: String) =
+        whileActive {
+            knownJobs.remove(job)
+            updates.jobEnded(job)
+        }
 
     override fun jobCancelled(job: String) = whileActive { updates.jobCancelled(job) }
 
-    override fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) = whileActive {
-        if (trusted) heard.add(report.machine)
-        updates.machineObserved(report, source, trusted, at)
-        noteUnrecorded(report, at)
-    }
+    override fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) =
+        whileActive {
+            if (trusted) heard.add(report.machine)
+            updates.machineObserved(report, source, trusted, at)
+            noteUnrecorded(report, at)
+        }
 
-    override fun machinesListed(machines: List<ListedMachine>, at: Duration) = whileActive {
-        listed = machines
-        updates.machinesListed(machines, at)
-    }
+    override fun machinesListed(machines: List<ListedMachine>, at: Duration) =
+        whileActive {
+            listed = machines
+            updates.machinesListed(machines, at)
+        }
 
-    override fun machineDeleted(machine: String) = whileActive {
-        heard.remove(machine)
-        updates.machineDeleted(machine)
-        unrecordedSince.keys.removeIf { it.machine == machine }
-    }
+    override fun machineDeleted(machine: String) =
+        whileActive {
+            heard.remove(machine)
+            updates.machineDeleted(machine)
+            unrecordedSince.keys.removeIf { it.machine == machine }
+        }
 
     private inline fun whileActive(body: () -> Unit) {
         if (isActive) body()
@@ -149,7 +155,11 @@
 
     private fun noteUnrecorded(report: Report, at: Duration) {
         if (report.tasks.isEmpty() && unrecordedSince.isEmpty()) return
-        val seen = report.tasks.filter { it.key.job !in knownJobs && it.state != TaskState.EXITED }.mapTo(HashSet()) { UnrecordedTask(report.machine, it.key) }
+        val seen =
+            report.tasks
+                .filter {
+                    it.key.job !in knownJobs && it.state != TaskState.EXITED
+                }.mapTo(HashSet()) { UnrecordedTask(report.machine, it.key) }
         if (seen.isEmpty() && unrecordedSince.isEmpty()) return
         unrecordedSince.keys.removeIf { it.machine == report.machine && it !in seen }
         seen.forEach { unrecordedSince.putIfAbsent(it, at) }
@@ -179,15 +189,18 @@
         return stateReadUpTo > since
     }
 
-    private fun absenceRule(): AbsenceRule = when {
-        !isActive -> AbsenceRule.PLACE_ANEW
-        phase <= RecoveryPhase.GATHERING -> AbsenceRule.RESTORE_AND_WAIT
-        else -> AbsenceRule.RESTORE
-    }
+    private fun absenceRule(): AbsenceRule =
+        when {
+            !isActive -> AbsenceRule.PLACE_ANEW
+            phase <= RecoveryPhase.GATHERING -> AbsenceRule.RESTORE_AND_WAIT
+            else -> AbsenceRule.RESTORE
+        }
 
     // ---- operators and peers ----
 
-    /** What the other controllers said changes how this term is seen; proof of an ordinary take-over ends the recovery. */
+    /**
+     * What the other controllers said changes how this term is seen; proof of an ordinary take-over ends the recovery.
+     */
     fun startJudged(kind: StartKind) {
         if (startKind == StartKind.UNKNOWN) startKind = kind
     }
@@ -250,12 +263,13 @@
     }
 
     /** Machines that would be deleted as silent, or have tasks stopped that nobody placed there. */
-    private fun threatened(): Int = tracker.findings.values.count { found ->
-        val kinds = found.differences.mapTo(HashSet()) { it.kind }
-        // A machine that the cloud lists no more is gone whatever is ordered.
-        val unheard = DifferenceKind.UNHEARD_MACHINE in kinds && DifferenceKind.DELISTED_MACHINE !in kinds
-        unheard || DifferenceKind.ORPHAN_TASK in kinds || DifferenceKind.DUPLICATE_TASK in kinds
-    }
+    private fun threatened(): Int =
+        tracker.findings.values.count { found ->
+            val kinds = found.differences.mapTo(HashSet()) { it.kind }
+            // A machine that the cloud lists no more is gone whatever is ordered.
+            val unheard = DifferenceKind.UNHEARD_MACHINE in kinds && DifferenceKind.DELISTED_MACHINE !in kinds
+            unheard || DifferenceKind.ORPHAN_TASK in kinds || DifferenceKind.DUPLICATE_TASK in kinds
+        }
 
     /** As far as it is known: what the cloud lists, or else what was heard. */
     private fun fleet(): Int = maxOf(listed?.size ?: 0, heard.size)
@@ -272,10 +286,11 @@
         return if (adoptedAtFirst == 0) 1.0 else 1.0 - (totals.adopted - totals.confirmed).toDouble() / adoptedAtFirst
     }
 
-    private fun makeSnapshot() = RecoverySnapshot(
-        token, startKind, phases.state, phases.until, now, isPaused, isApproved, gathering, tracker.totals(), settledShare(), breaker.state,
-        budget.perSecond.mapKeys { it.key.name.lowercase() }, tracker.findings,
-    )
+    private fun makeSnapshot() =
+        RecoverySnapshot(
+            token, startKind, phases.state, phases.until, now, isPaused, isApproved, gathering, tracker.totals(), settledShare(), breaker.state,
+            budget.perSecond.mapKeys { it.key.name.lowercase() }, tracker.findings,
+        )
 
     /** Nothing is kept beyond the recovery. */
     private fun forget() {
@@ -291,7 +306,10 @@
     private companion object {
         val JUDGE_EVERY = 1.seconds
 
-        /** So many updates are compared at a tick, and so many while the process is behind; never less than a share of all. */
+        /**
+         * So many updates are compared at a tick, and so many while the process is behind; never less than a share of
+         * all.
+         */
         const val APPLIED_AT_ONCE = 60
         const val APPLIED_BEHIND = 4
         const val APPLIED_SHARE = 40
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPhase.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPhase.kt
@@ -8,7 +8,10 @@
 import glenspool.core.StopCause
 import kotlin.time.Duration
 
-/** The phases of a recovery, in order. Each may be left for [NORMAL] at once if the start turns out to be an ordinary take-over. */
+/**
+ * The phases of a recovery, in order. Each may be left for [NORMAL] at once if the start turns out to be an ordinary
+ * take-over.
+ */
 enum class RecoveryPhase {
     /** Until the cloud's first list is there, or a bounded time: what is stored is known already. */
     READING,
@@ -26,13 +29,17 @@
     NORMAL,
 }
 
-/** Which orders that can wait may be given in a phase. Leases, cancellations and answers to users are served in all of them. */
-fun RecoveryPhase.admits(cause: OrderCause): Boolean = when (cause) {
-    is StartCause -> this != RecoveryPhase.READING
-    is RentalCause -> this >= RecoveryPhase.ADOPTING
-    is StopCause, is DeletionCause -> this >= RecoveryPhase.REPAIRING
-    is ForgetCause -> true
-}
+/**
+ * Which orders that can wait may be given in a phase. Leases, cancellations and answers to users are served in all of
+ * them.
+ */
+fun RecoveryPhase.admits(cause: OrderCause): Boolean =
+    when (cause) {
+        is StartCause -> this != RecoveryPhase.READING
+        is RentalCause -> this >= RecoveryPhase.ADOPTING
+        is StopCause, is DeletionCause -> this >= RecoveryPhase.REPAIRING
+        is ForgetCause -> true
+    }
 
 /** What the phases are judged by. */
 data class PhaseFacts(
@@ -69,7 +76,11 @@
 
     private fun next(facts: PhaseFacts): PhaseState? {
         if (state.phase == RecoveryPhase.NORMAL) return null
-        if (facts.startKind == StartKind.TAKE_OVER || facts.startKind == StartKind.FIRST) return enter(RecoveryPhase.NORMAL, facts, PhaseEnd.ORDINARY_START)
+        if (facts.startKind == StartKind.TAKE_OVER ||
+            facts.startKind == StartKind.FIRST
+        ) {
+            return enter(RecoveryPhase.NORMAL, facts, PhaseEnd.ORDINARY_START)
+        }
         if (facts.isPaused) return null
         val complete = isComplete(facts)
         if (!complete && !isOver(facts.now)) return null
@@ -78,22 +89,24 @@
 
     private fun enter(phase: RecoveryPhase, facts: PhaseFacts, end: PhaseEnd) = PhaseState(phase, facts.now, end)
 
-    private fun isComplete(facts: PhaseFacts): Boolean = when (state.phase) {
-        RecoveryPhase.READING -> facts.listRead
-        // Without a list it is not known whom to wait for.
-        RecoveryPhase.GATHERING -> facts.listRead && facts.gathering.lacking(policy.gatherShare).isEmpty()
-        RecoveryPhase.ADOPTING -> facts.isCompared && !facts.breaker.isOpen
-        RecoveryPhase.REPAIRING -> facts.isCompared && facts.repairable == 0 && facts.unsettled == 0
-        RecoveryPhase.NORMAL -> false
-    }
+    private fun isComplete(facts: PhaseFacts): Boolean =
+        when (state.phase) {
+            RecoveryPhase.READING -> facts.listRead
+            // Without a list it is not known whom to wait for.
+            RecoveryPhase.GATHERING -> facts.listRead && facts.gathering.lacking(policy.gatherShare).isEmpty()
+            RecoveryPhase.ADOPTING -> facts.isCompared && !facts.breaker.isOpen
+            RecoveryPhase.REPAIRING -> facts.isCompared && facts.repairable == 0 && facts.unsettled == 0
+            RecoveryPhase.NORMAL -> false
+        }
 
     private fun isOver(now: Duration): Boolean = until.let { it != null && now >= it }
 
-    private fun limit(): Duration? = when (state.phase) {
-        RecoveryPhase.READING -> minOf(setting.report, setting.listLag)
-        RecoveryPhase.GATHERING -> setting.lease * policy.gatherLeaseShare
-        RecoveryPhase.REPAIRING -> setting.lease * policy.repairLeaseShare
-        // The breaker has a time of its own.
-        RecoveryPhase.ADOPTING, RecoveryPhase.NORMAL -> null
-    }
+    private fun limit(): Duration? =
+        when (state.phase) {
+            RecoveryPhase.READING -> minOf(setting.report, setting.listLag)
+            RecoveryPhase.GATHERING -> setting.lease * policy.gatherLeaseShare
+            RecoveryPhase.REPAIRING -> setting.lease * policy.repairLeaseShare
+            // The breaker has a time of its own.
+            RecoveryPhase.ADOPTING, RecoveryPhase.NORMAL -> null
+        }
 }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
@@ -3,8 +3,9 @@
 import kotlin.time.Duration
 
 /**
- * What later leaders must know of a recovery. [token]: the term that stored it. [startedAt]: when the recovery began, by the time of
- * day. Written with the election wherever it is not certain that the start is an ordinary take-over, so that no leader acts before.
+ * What later leaders must know of a recovery. [token]: the term that stored it. [startedAt]: when the recovery began,
+ * by the time of day. Written with the election wherever it is not certain that the start is an ordinary take-over, so
+ * that no leader acts before.
  */
 data class RecoveryRecord(
     val token: Long,
--- a/src/main/kotlin/glenspool/reconcile/Views.kt
+++ b/src/main/kotlin/glenspool/reconcile/Views.kt
@@ -19,15 +19,24 @@
 import kotlin.time.Duration
 
 /**
- * Where the state service says that a task belongs. [adopted]: an earlier leader stored it, so that this one has to find out whether
- * the task is there; what this leader stores itself it follows by its own commands.
+ * Where the state service says that a task belongs. [adopted]: an earlier leader stored it, so that this one has to
+ * find out whether the task is there; what this leader stores itself it follows by its own commands.
  */
 data class StoredPlace(val key: TaskKey, val attempt: Long, val machine: String, val adopted: Boolean)
 
 /** A live job as it is stored. [done] is never changed once it is here. */
-data class DesiredJob(val id: String, val kind: JobKind, val done: BitSet, val cancelled: Boolean, val places: PersistentMap<Int, StoredPlace>)
+data class DesiredJob(
+    val id: String,
+    val kind: JobKind,
+    val done: BitSet,
+    val cancelled: Boolean,
+    val places: PersistentMap<Int, StoredPlace>,
+)
 
-/** What a record that was stored anew changes: places that are no more, that are new, and tasks whose result is stored now. */
+/**
+ * What a record that was stored anew changes: places that are no more, that are new, and tasks whose result is stored
+ * now.
+ */
 data class JobChange(val removed: List<StoredPlace>, val added: List<StoredPlace>, val finished: Set<Int>)
 
 /** What should be: the stored jobs, and their places by machine. */
@@ -41,8 +50,18 @@
     fun changeOf(record: JobRecord, adopted: Boolean): JobChange {
         val before = jobs[record.spec.id]
         val newest = newestIntents(record)
-        val added = newest.values.filterNot { it.isSameAs(before?.places?.get(it.task)) }.map { StoredPlace(TaskKey(record.spec.id, it.task), it.attempt, it.machine, adopted) }
-        val removed = before?.places?.values.orEmpty().filterNot { place -> newest[place.key.task].let { it != null && it.isSameAs(place) } }
+        val added =
+            newest.values
+                .filterNot {
+                    it.isSameAs(before?.places?.get(it.task))
+                }.map { StoredPlace(TaskKey(record.spec.id, it.task), it.attempt, it.machine, adopted) }
+        val removed =
+            before?.places?.values.orEmpty().filterNot { place ->
+                newest[place.key.task].let {
+                    it != null &&
+                        it.isSameAs(place)
+                }
+            }
         return JobChange(removed, added, finished(before, record))
     }
 
@@ -50,15 +69,21 @@
     fun with(record: JobRecord, change: JobChange): DesiredView {
         val id = record.spec.id
         val before = jobs[id]
-        val places = (before?.places ?: persistentHashMapOf()).mutate { result ->
-            change.removed.forEach { result.remove(it.key.task) }
-            change.added.forEach { result[it.key.task] = it }
-        }
-        val index = placesOn.mutate { result ->
-            change.removed.forEach { result.removeFrom(it.machine, it.key) }
-            change.added.forEach { result[it.machine] = (result[it.machine] ?: persistentHashSetOf()).add(it.key) }
-        }
-        return DesiredView(jobs.put(id, DesiredJob(id, record.spec.kind, record.done, before?.cancelled ?: false, places)), index)
+        val places =
+            (before?.places ?: persistentHashMapOf()).mutate { result ->
+                change.removed.forEach { result.remove(it.key.task) }
+                change.added.forEach { result[it.key.task] = it }
+            }
+        val index =
+            placesOn.mutate { result ->
+                change.removed.forEach { result.removeFrom(it.machine, it.key) }
+                change.added.forEach { result[it.machine] = (result[it.machine] ?: persistentHashSetOf()).add(it.key) }
+            }
+        return DesiredView(
+            jobs
+                .put(id, DesiredJob(id, record.spec.kind, record.done, before?.cancelled ?: false, places)),
+            index,
+        )
     }
 
     fun withCancelled(job: String): DesiredView {
@@ -72,16 +97,30 @@
         return DesiredView(jobs.remove(job), index)
     }
 
-    /** Parts of a record are not all stored at the same moment: of two places of a task the one with the higher attempt counts. */
+    /**
+     * Parts of a record are not all stored at the same moment: of two places of a task the one with the higher attempt
+     * counts.
+     */
     private fun newestIntents(record: JobRecord): Map<Int, Intent> {
         val result = HashMap<Int, Intent>()
-        fun take(intent: Intent) = result.merge(intent.task, intent) { one, other -> if (other.attempt > one.attempt) other else one }
+
+        fun take(intent: Intent) =
+            result.merge(intent.task, intent) { one, other ->
+                if (other.attempt >
+                    one.attempt
+                ) {
+                    other
+                } else {
+                    one
+                }
+            }
         record.intents.forEach(::take)
         record.shelved.values.forEach { part -> part.forEach(::take) }
         return result
     }
 
-    private fun Intent.isSameAs(place: StoredPlace?) = place != null && place.attempt == attempt && place.machine == machine
+    private fun Intent.isSameAs(place: StoredPlace?) =
+        place != null && place.attempt == attempt && place.machine == machine
 
     private fun finished(before: DesiredJob?, record: JobRecord): Set<Int> {
         if (before == null || before.done == record.done) return emptySet()
@@ -92,9 +131,9 @@
 }
 
 /**
- * A machine as its newest report shows it. [trusted]: the worker has seen this leader's token, so what the report does not show is
- * not there. [observedAt]: since when it has shown this. [reportedAt]: when a report of its own first came; null: it only answered
- * questions or commands.
+ * A machine as its newest report shows it. [trusted]: the worker has seen this leader's token, so what the report does
+ * not show is not there. [observedAt]: since when it has shown this. [reportedAt]: when a report of its own first came;
+ * null: it only answered questions or commands.
  */
 data class ObservedMachine(
     val id: String,
@@ -119,7 +158,8 @@
     fun with(report: Report, source: ReportSource, trusted: Boolean, at: Duration): ObservedView {
         val before = machines[report.machine]
         val own = before?.reportedAt ?: at.takeIf { source == ReportSource.WORKER }
-        val machine = ObservedMachine(report.machine, report.type, report.zone, report.session, report.seq, trusted, report.tasks, at, own)
+        val machine =
+            ObservedMachine(report.machine, report.type, report.zone, report.session, report.seq, trusted, report.tasks, at, own)
         return ObservedView(machines.put(machine.id, machine), claimed(claims.without(before), machine))
     }
 
@@ -135,14 +175,19 @@
         return ObservedView(machines.remove(machine), claims.without(before))
     }
 
-    private fun claimed(index: PersistentMap<TaskKey, PersistentSet<String>>, machine: ObservedMachine): PersistentMap<TaskKey, PersistentSet<String>> {
+    private fun claimed(
+        index: PersistentMap<TaskKey, PersistentSet<String>>,
+        machine: ObservedMachine,
+    ): PersistentMap<TaskKey, PersistentSet<String>> {
         if (machine.tasks.isEmpty()) return index
         return index.mutate { result ->
             for (task in machine.present) result[task.key] = (result[task.key] ?: persistentHashSetOf()).add(machine.id)
         }
     }
 
-    private fun PersistentMap<TaskKey, PersistentSet<String>>.without(machine: ObservedMachine?): PersistentMap<TaskKey, PersistentSet<String>> {
+    private fun PersistentMap<TaskKey, PersistentSet<String>>.without(
+        machine: ObservedMachine?,
+    ): PersistentMap<TaskKey, PersistentSet<String>> {
         if (machine == null || machine.tasks.isEmpty()) return this
         return mutate { result -> machine.present.forEach { result.removeFrom(it.key, machine.id) } }
     }
@@ -153,29 +198,53 @@
     if (left.isEmpty()) remove(key) else this[key] = left
 }
 
-/** A machine as the cloud lists it. [missingSince]: when a list first came without it, after one that had it; lists lag. */
-data class RentedMachine(val id: String, val type: String, val zone: String, val stage: MachineStage, val missingSince: Duration?)
+/**
+ * A machine as the cloud lists it. [missingSince]: when a list first came without it, after one that had it; lists lag.
+ */
+data class RentedMachine(
+    val id: String,
+    val type: String,
+    val zone: String,
+    val stage: MachineStage,
+    val missingSince: Duration?,
+)
 
 /** What is paid for. [firstReadAt]: when the first list of this term came; null: none did. */
-data class RentedView(val machines: PersistentMap<String, RentedMachine> = persistentHashMapOf(), val firstReadAt: Duration? = null) {
+data class RentedView(
+    val machines: PersistentMap<String, RentedMachine> = persistentHashMapOf(),
+    val firstReadAt: Duration? = null,
+) {
     /** The view after another list. Only machines that differ are entered anew. */
     fun with(list: List<ListedMachine>, at: Duration): RentedView {
         val listed = list.mapTo(HashSet(list.size * 2)) { it.id }
-        val next = machines.mutate { result ->
-            for (machine in list) {
-                val entry = RentedMachine(machine.id, machine.type, machine.zone, machine.stage, null)
-                if (result[machine.id] != entry) result[machine.id] = entry
+        val next =
+            machines.mutate { result ->
+                for (machine in list) {
+                    val entry = RentedMachine(machine.id, machine.type, machine.zone, machine.stage, null)
+                    if (result[machine.id] != entry) result[machine.id] = entry
+                }
+                for (gone in machines.values) {
+                    if (gone.missingSince == null &&
+                        gone.id !in listed
+                    ) {
+                        result[gone.id] = gone.copy(missingSince = at)
+                    }
+                }
             }
-            for (gone in machines.values) if (gone.missingSince == null && gone.id !in listed) result[gone.id] = gone.copy(missingSince = at)
-        }
         return RentedView(next, firstReadAt ?: at)
     }
 
     fun without(machine: String): RentedView = copy(machines = machines.remove(machine))
 }
 
-/** Desired, observed and rented state at one moment. Immutable: whoever holds it sees that moment, whatever comes after. */
-data class ClusterViews(val desired: DesiredView = DesiredView(), val observed: ObservedView = ObservedView(), val rented: RentedView = RentedView()) {
+/**
+ * Desired, observed and rented state at one moment. Immutable: whoever holds it sees that moment, whatever comes after.
+ */
+data class ClusterViews(
+    val desired: DesiredView = DesiredView(),
+    val observed: ObservedView = ObservedView(),
+    val rented: RentedView = RentedView(),
+) {
     /** All machines that any of the views knows. */
     fun machines(): Set<String> = desired.placesOn.keys + observed.machines.keys + rented.machines.keys
 }
--- a/src/main/kotlin/glenspool/rollout/ActivationRule.kt
+++ b/src/main/kotlin/glenspool/rollout/ActivationRule.kt
@@ -40,13 +40,18 @@
 }
 
 /**
- * The rule for activation. Levels become active one at a time. Every configured member that is not excluded must be heard now,
- * in a process whose build reads the level and which has been ready for the settling time. Absence of evidence always holds.
+ * The rule for activation. Levels become active one at a time. Every configured member that is not excluded must be
+ * heard now, in a process whose build reads the level and which has been ready for the settling time. Absence of
+ * evidence always holds.
  */
 object ActivationRule {
     fun judge(input: ActivationInput): ActivationVerdict {
         val current = currentLevel(input.level)
-        val highestSeen = maxOf(input.registry.highest, input.members.mapNotNull { it.report?.levels?.highest }.maxOrNull() ?: 0)
+        val highestSeen =
+            maxOf(
+                input.registry.highest,
+                input.members.mapNotNull { it.report?.levels?.highest }.maxOrNull() ?: 0,
+            )
         if (current != null && highestSeen <= current) return ActivationVerdict.NothingHigher
         val target = (current ?: FeatureRegistry.BASE) + 1
         val hold = storedFacts(input, target) ?: operators(input, target) ?: members(input, target) ?: health(input)
@@ -54,20 +59,22 @@
     }
 
     /** The active level; null if it is not known. */
-    fun currentLevel(level: Stored<LevelRecord>): Int? = when (level) {
-        is Stored.Present -> level.value.level
-        Stored.Absent -> FeatureRegistry.BASE
-        Stored.NotRead, is Stored.Unreadable -> null
-    }
+    fun currentLevel(level: Stored<LevelRecord>): Int? =
+        when (level) {
+            is Stored.Present -> level.value.level
+            Stored.Absent -> FeatureRegistry.BASE
+            Stored.NotRead, is Stored.Unreadable -> null
+        }
 
-    private fun storedFacts(input: ActivationInput, target: Int): Hold? = when {
-        input.level is Stored.Unreadable -> Hold(HoldCause.LEVEL_UNREADABLE, detail = input.level.reason)
-        input.level is Stored.NotRead -> Hold(HoldCause.LEVEL_NOT_READ)
-        input.registry.find(target) == null -> Hold(HoldCause.LEVEL_UNKNOWN_TO_BUILD)
-        input.orders is Stored.Unreadable -> Hold(HoldCause.ORDERS_UNREADABLE, detail = input.orders.reason)
-        input.orders is Stored.NotRead -> Hold(HoldCause.LEVEL_NOT_READ)
-        else -> null
-    }
+    private fun storedFacts(input: ActivationInput, target: Int): Hold? =
+        when {
+            input.level is Stored.Unreadable -> Hold(HoldCause.LEVEL_UNREADABLE, detail = input.level.reason)
+            input.level is Stored.NotRead -> Hold(HoldCause.LEVEL_NOT_READ)
+            input.registry.find(target) == null -> Hold(HoldCause.LEVEL_UNKNOWN_TO_BUILD)
+            input.orders is Stored.Unreadable -> Hold(HoldCause.ORDERS_UNREADABLE, detail = input.orders.reason)
+            input.orders is Stored.NotRead -> Hold(HoldCause.LEVEL_NOT_READ)
+            else -> null
+        }
 
     private fun operators(input: ActivationInput, target: Int): Hold? {
         val orders = input.orders.valueOrNull() ?: OperatorOrders()
@@ -75,18 +82,22 @@
         return when {
             orders.lowerTo != null -> Hold(HoldCause.LOWERED_BY_OPERATOR)
             approved -> null
-            else -> when (orders.mode ?: input.policy.mode) {
-                ActivationMode.AUTOMATIC -> null
-                ActivationMode.MANUAL -> Hold(HoldCause.AWAITING_OPERATOR)
-                ActivationMode.HOLD -> Hold(HoldCause.POLICY)
-            }
+            else ->
+                when (orders.mode ?: input.policy.mode) {
+                    ActivationMode.AUTOMATIC -> null
+                    ActivationMode.MANUAL -> Hold(HoldCause.AWAITING_OPERATOR)
+                    ActivationMode.HOLD -> Hold(HoldCause.POLICY)
+                }
         }
     }
 
     private fun members(input: ActivationInput, target: Int): Hold? {
         val orders = input.orders.valueOrNull() ?: OperatorOrders()
         // What an operator has to do something about is named before what passes by itself.
-        return input.members.filterNot { orders.excludes(it.member) }.mapNotNull { member(it, target, input.policy) }.minByOrNull { it.cause }
+        return input.members
+            .filterNot { orders.excludes(it.member) }
+            .mapNotNull { member(it, target, input.policy) }
+            .minByOrNull { it.cause }
     }
 
     private fun member(view: MemberView, target: Int, policy: RolloutPolicy): Hold? {
@@ -100,5 +111,13 @@
         }
     }
 
-    private fun health(input: ActivationInput): Hold? = input.health.firstOrNull()?.let { Hold(HoldCause.HEALTH, detail = it.toString()) }
+    private fun health(input: ActivationInput): Hold? =
+        input.health.firstOrNull()?.let {
+            Hold(
+                HoldCause.HEALTH,
+                detail =
+                    it
+                        .toString(),
+            )
+        }
 }
--- a/src/main/kotlin/glenspool/rollout/FeatureGate.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureGate.kt
@@ -31,9 +31,9 @@
 }
 
 /**
- * What the stored level means for this process. The level is read anew at each question, so it is as new as the replica. A
- * permit carries the record's version: a write that arrives after the level was left fails on that condition, however late
- * it is.
+ * What the stored level means for this process. The level is read anew at each question, so it is as new as the
+ * replica. A permit carries the record's version: a write that arrives after the level was left fails on that
+ * condition, however late it is.
  */
 class FeatureGate(private val own: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
     override fun inUse(level: Int): Boolean = permit(level) != null
@@ -44,13 +44,17 @@
         return WritePermit(record.version)
     }
 
-    /** Null: this process may serve. What can't be read names no level, so it fences nobody; it only forbids higher forms. */
+    /**
+     * Null: this process may serve. What can't be read names no level, so it fences nobody; it only forbids higher
+     * forms.
+     */
     fun fence(): Fence? {
-        val record = when (val fact = stored()) {
-            is Stored.Present -> fact.value
-            Stored.Absent -> return if (own.reads(FeatureRegistry.BASE)) null else Fence(FeatureRegistry.BASE, FeatureRegistry.BASE_NAME, own)
-            Stored.NotRead, is Stored.Unreadable -> return null
-        }
+        val record =
+            when (val fact = stored()) {
+                is Stored.Present -> fact.value
+                Stored.Absent -> return if (own.reads(FeatureRegistry.BASE)) null else Fence(FeatureRegistry.BASE, FeatureRegistry.BASE_NAME, own)
+                Stored.NotRead, is Stored.Unreadable -> return null
+            }
         return if (own.reads(record.level)) null else Fence(record.level, record.name, own)
     }
 }
--- a/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
@@ -20,7 +20,11 @@
 /** The levels that a build knows, in ascending order without gaps. */
 class FeatureRegistry(private val levels: List<FeatureLevel>, val lowestRead: Int = BASE) {
     init {
-        require(levels.map { it.number } == (BASE + 1..BASE + levels.size).toList()) { "levels must be numbered without gaps" }
+        require(
+            levels.map {
+                it.number
+            } == (BASE + 1..BASE + levels.size).toList(),
+        ) { "levels must be numbered without gaps" }
         require(lowestRead in BASE..BASE + levels.size) { "the lowest level that is read must be a known one" }
     }
 
@@ -42,15 +46,16 @@
         const val SEALED_RECORDS = 1
 
         /** What this build knows. */
-        val CURRENT = FeatureRegistry(
-            listOf(
-                FeatureLevel(
-                    SEALED_RECORDS,
-                    "sealed-records",
-                    "records split into several values, and jobs that wait for others",
-                    WayDown.REWRITE,
+        val CURRENT =
+            FeatureRegistry(
+                listOf(
+                    FeatureLevel(
+                        SEALED_RECORDS,
+                        "sealed-records",
+                        "records split into several values, and jobs that wait for others",
+                        WayDown.REWRITE,
+                    ),
                 ),
-            ),
-        )
+            )
     }
 }
--- a/src/main/kotlin/glenspool/rollout/HealthGate.kt
+++ b/src/main/kotlin/glenspool/rollout/HealthGate.kt
@@ -5,20 +5,22 @@
 
 /** What went wrong in a process since its start. */
 data class HealthCounts(val takeOvers: Long, val leasesExpired: Long, val refusals: Long, val rejectedWrites: Long) {
-    operator fun plus(other: HealthCounts) = HealthCounts(
-        takeOvers + other.takeOvers,
-        leasesExpired + other.leasesExpired,
-        refusals + other.refusals,
-        rejectedWrites + other.rejectedWrites,
-    )
+    operator fun plus(other: HealthCounts) =
+        HealthCounts(
+            takeOvers + other.takeOvers,
+            leasesExpired + other.leasesExpired,
+            refusals + other.refusals,
+            rejectedWrites + other.rejectedWrites,
+        )
 
     /** What was added since [earlier] of the same process. */
-    operator fun minus(earlier: HealthCounts) = HealthCounts(
-        takeOvers - earlier.takeOvers,
-        leasesExpired - earlier.leasesExpired,
-        refusals - earlier.refusals,
-        rejectedWrites - earlier.rejectedWrites,
-    )
+    operator fun minus(earlier: HealthCounts) =
+        HealthCounts(
+            takeOvers - earlier.takeOvers,
+            leasesExpired - earlier.leasesExpired,
+            refusals - earlier.refusals,
+            rejectedWrites - earlier.rejectedWrites,
+        )
 
     companion object {
         val NONE = HealthCounts(0, 0, 0, 0)
@@ -32,7 +34,8 @@
 
 /**
  * Compares the time since the last step of an upgrade with the time before it. Counts are summed over all members; a
- * process that began anew counts from zero. Samples are kept for as long as they can be compared, and are bounded in number.
+ * process that began anew counts from zero. Samples are kept for as long as they can be compared, and are bounded in
+ * number.
  */
 class HealthGate(private val limits: HealthLimits) {
     private class Sample(val at: Duration, val total: HealthCounts)
--- a/src/main/kotlin/glenspool/rollout/MemberTracker.kt
+++ b/src/main/kotlin/glenspool/rollout/MemberTracker.kt
@@ -27,8 +27,9 @@
 )
 
 /**
- * The leader's evidence about all members. It counts from the moment a question was sent, so an answer that was held up is
- * as old as its question, and one that was overtaken is ignored. Another process in a member's place begins from nothing.
+ * The leader's evidence about all members. It counts from the moment a question was sent, so an answer that was held up
+ * is as old as its question, and one that was overtaken is ignored. Another process in a member's place begins from
+ * nothing.
  */
 class MemberTracker(members: Collection<String>, private val evidenceAge: Duration, begun: Duration) {
     private class Known(var changedAt: Duration) {
--- a/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
@@ -41,7 +41,10 @@
     val hold: Hold? = (verdict as? ActivationVerdict.Held)?.hold
 }
 
-/** Decides about levels for the leader: evidence and time in, actions out. It performs nothing itself. One instance serves one term. */
+/**
+ * Decides about levels for the leader: evidence and time in, actions out. It performs nothing itself. One instance
+ * serves one term.
+ */
 class RolloutEngine(
     private val registry: FeatureRegistry,
     private val policy: RolloutPolicy,
@@ -62,22 +65,30 @@
     fun step(input: RolloutInput): List<RolloutAction> {
         health.sample(input.now)
         val overview = overview(input)
-        return leftBehind(input, overview) + changeOfHold(overview) + listOfNotNull(changeLevel(input, overview), saveState(input, overview))
+        return leftBehind(input, overview) + changeOfHold(overview) +
+            listOfNotNull(changeLevel(input, overview), saveState(input, overview))
     }
 
     fun overview(input: RolloutInput): RolloutOverview {
         val views = tracker.view(input.now)
         val failures = failures(views, input.now)
-        val verdict = ActivationRule.judge(ActivationInput(registry, policy, input.level, input.orders, views, failures))
+        val verdict =
+            ActivationRule
+                .judge(ActivationInput(registry, policy, input.level, input.orders, views, failures))
         val target = targetOf(input, verdict)
-        return RolloutOverview(input.level, input.orders, verdict, target, views, failures, RolloutPlan.of(views, input.leader, target, verdict, failures))
+        return RolloutOverview(
+            input.level, input.orders, verdict, target, views, failures,
+            RolloutPlan
+                .of(views, input.leader, target, verdict, failures),
+        )
     }
 
-    private fun targetOf(input: RolloutInput, verdict: ActivationVerdict): Int = when (verdict) {
-        is ActivationVerdict.Due -> verdict.target
-        is ActivationVerdict.Held -> verdict.target
-        ActivationVerdict.NothingHigher -> ActivationRule.currentLevel(input.level) ?: FeatureRegistry.BASE
-    }
+    private fun targetOf(input: RolloutInput, verdict: ActivationVerdict): Int =
+        when (verdict) {
+            is ActivationVerdict.Due -> verdict.target
+            is ActivationVerdict.Held -> verdict.target
+            ActivationVerdict.NothingHigher -> ActivationRule.currentLevel(input.level) ?: FeatureRegistry.BASE
+        }
 
     /** The last step of the upgrade is the last time another process or build was found at a member. */
     private fun failures(views: List<MemberView>, now: Duration): List<HealthFailure> {
@@ -101,12 +112,16 @@
         val lowerTo = input.orders.valueOrNull()?.lowerTo ?: return null
         if (lowerTo >= record.level || registry.find(record.level)?.wayDown != WayDown.REWRITE) return null
         if (record.stage == LevelStage.ACTIVE) return store(record.level, LevelStage.LEAVING, input, version)
-        // The replica shows this stage, so it shows all that was written before it; nothing has taken on the form since.
+        // The replica shows this stage, so it shows all that was written before it; nothing has taken on the form
+        // since.
         if (input.recordsIn(record.level) > 0 || !allManaged(input, overview)) return null
         return store(record.level - 1, LevelStage.ACTIVE, input, version)
     }
 
-    /** A build that knows nothing of levels would go on writing the form, without the condition that refuses it after this. */
+    /**
+     * A build that knows nothing of levels would go on writing the form, without the condition that refuses it after
+     * this.
+     */
     private fun allManaged(input: RolloutInput, overview: RolloutOverview): Boolean {
         val orders = input.orders.valueOrNull() ?: OperatorOrders()
         return overview.members.all { orders.excludes(it.member) || it.reachable && it.report?.boot != null }
@@ -115,7 +130,12 @@
     /** The operator has changed his mind while the level was being left. */
     private fun returnToLevel(input: RolloutInput, version: Long): RolloutAction? {
         val record = input.level.valueOrNull() ?: return null
-        if (record.stage != LevelStage.LEAVING || input.orders !is Stored.Present || input.orders.value.lowerTo != null) return null
+        if (record.stage != LevelStage.LEAVING ||
+            input.orders !is Stored.Present ||
+            input.orders.value.lowerTo != null
+        ) {
+            return null
+        }
         return store(record.level, LevelStage.ACTIVE, input, version)
     }
 
@@ -125,7 +145,14 @@
     private fun saveState(input: RolloutInput, overview: RolloutOverview): RolloutAction? {
         val version = input.state.replaceableVersion() ?: return null
         val before = input.state.valueOrNull()
-        val next = RolloutState(overview.target, overview.members.mapNotNull { seen(it, input.wall) }, steady(overview.hold), input.wall)
+        val next =
+            RolloutState(
+                overview.target,
+                overview.members.mapNotNull {
+                    seen(it, input.wall)
+                },
+                steady(overview.hold), input.wall,
+            )
         if (before != null && before.sameAs(next)) return null
         val heldSince = if (before?.hold == next.hold) before?.heldSince else input.wall
         return RolloutAction.StoreState(next.copy(heldSince = heldSince.takeIf { next.hold != null }), version)
@@ -141,22 +168,39 @@
         val hold = overview.hold
         if (hold == lastHold) return emptyList()
         lastHold = hold
-        val text = if (hold == null) "nothing holds level ${overview.target}" else "level ${overview.target} is held: ${hold.cause}${hold.member?.let { " member=$it" } ?: ""}"
+        val text =
+            if (hold ==
+                null
+            ) {
+                "nothing holds level ${overview.target}"
+            } else {
+                "level ${overview.target} is held: ${hold.cause}${hold.member?.let { " member=$it" } ?: ""}"
+            }
         return listOf(RolloutAction.Notice(text))
     }
 
-    /** Members that hold the rollout back, or that serve as an older build than the active level, are named with their time. */
-    private fun leftBehind(input: RolloutInput, overview: RolloutOverview): List<RolloutAction> = overview.members.mapNotNull { view ->
-        val problem = problemOf(view, input, overview)
-        if (problem == null) {
-            lastNotice.remove(view.member)
-            return@mapNotNull null
+    /**
+     * Members that hold the rollout back, or that serve as an older build than the active level, are named with their
+     * time.
+     */
+    private fun leftBehind(input: RolloutInput, overview: RolloutOverview): List<RolloutAction> =
+        overview.members.mapNotNull { view ->
+            val problem = problemOf(view, input, overview)
+            if (problem == null) {
+                lastNotice.remove(view.member)
+                return@mapNotNull null
+            }
+            val last = lastNotice[view.member]
+            if (view.unchangedFor < policy.leftBehindAfter ||
+                last != null &&
+                input.now - last < policy.leftBehindAfter
+            ) {
+                return@mapNotNull null
+            }
+            lastNotice[view.member] = input.now
+            RolloutAction
+                .Notice("member ${view.member} is left behind: $problem for ${view.unchangedFor.inWholeSeconds} s", warning = true)
         }
-        val last = lastNotice[view.member]
-        if (view.unchangedFor < policy.leftBehindAfter || last != null && input.now - last < policy.leftBehindAfter) return@mapNotNull null
-        lastNotice[view.member] = input.now
-        RolloutAction.Notice("member ${view.member} is left behind: $problem for ${view.unchangedFor.inWholeSeconds} s", warning = true)
-    }
 
     private fun problemOf(view: MemberView, input: RolloutInput, overview: RolloutOverview): String? {
         val levels = view.report?.levels
--- a/src/main/kotlin/glenspool/rollout/RolloutPolicy.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutPolicy.kt
@@ -37,7 +37,10 @@
     val settle: Duration = 20.seconds,
     /** What was heard of a member longer ago than this proves nothing. */
     val evidenceAge: Duration = 10.seconds,
-    /** After this time a member that holds the rollout back is reported to the operators, and again each time it has passed. */
+    /**
+     * After this time a member that holds the rollout back is reported to the operators, and again each time it has
+     * passed.
+     */
     val leftBehindAfter: Duration = 10.minutes,
     val health: HealthLimits = HealthLimits(),
 )
--- a/src/main/kotlin/glenspool/rollout/StoredRecords.kt
+++ b/src/main/kotlin/glenspool/rollout/StoredRecords.kt
@@ -19,11 +19,12 @@
 fun <T> Stored<T>.valueOrNull(): T? = (this as? Stored.Present)?.value
 
 /** The version on which a transaction that replaces the record is conditioned; null: it must not be replaced. */
-fun Stored<*>.replaceableVersion(): Long? = when (this) {
-    Stored.NotRead, is Stored.Unreadable -> null
-    Stored.Absent -> 0L
-    is Stored.Present -> version
-}
+fun Stored<*>.replaceableVersion(): Long? =
+    when (this) {
+        Stored.NotRead, is Stored.Unreadable -> null
+        Stored.Absent -> 0L
+        is Stored.Present -> version
+    }
 
 /** Whether the forms of the active level may still be written. */
 enum class LevelStage {
@@ -34,7 +35,13 @@
 }
 
 /** The one stored fact about levels. [changedAt] is a time of day, [token] that of the leader which stored it. */
-data class LevelRecord(val level: Int, val name: String, val stage: LevelStage, val token: Long, val changedAt: Duration) {
+data class LevelRecord(
+    val level: Int,
+    val name: String,
+    val stage: LevelStage,
+    val token: Long,
+    val changedAt: Duration,
+) {
     /** The highest level whose forms may be written anew. */
     val written: Int get() = if (stage == LevelStage.ACTIVE) level else level - 1
 }
@@ -57,7 +64,9 @@
 /** A member as the leader last saw it. [since] is the time of day from which this process was seen. */
 data class MemberSeen(val member: String, val build: String, val highest: Int, val since: Duration)
 
-/** The rollout as the leader records it, so that the next leader and operators know how it came to stand where it is. */
+/**
+ * The rollout as the leader records it, so that the next leader and operators know how it came to stand where it is.
+ */
 data class RolloutState(
     val target: Int,
     val members: List<MemberSeen>,
@@ -66,8 +75,9 @@
     val heldSince: Duration?,
 ) {
     /** Whether the other one says the same to a reader, times apart. */
-    fun sameAs(other: RolloutState): Boolean = target == other.target &&
-        hold == other.hold &&
-        members.map { it.copy(since = Duration.ZERO) } ==
-        other.members.map { it.copy(since = Duration.ZERO) }
+    fun sameAs(other: RolloutState): Boolean =
+        target == other.target &&
+            hold == other.hold &&
+            members.map { it.copy(since = Duration.ZERO) } ==
+            other.members.map { it.copy(since = Duration.ZERO) }
 }
--- a/src/main/kotlin/glenspool/state/Keys.kt
+++ b/src/main/kotlin/glenspool/state/Keys.kt
@@ -27,8 +27,9 @@
     const val FINAL = "f/"
 
     /**
-     * The rollout's records. All other live keys sort before this prefix, and that must stay so: a replica that is loaded page
-     * by page reads the active level last, so it never holds a record of a level without the record of that level.
+     * The rollout's records. All other live keys sort before this prefix, and that must stay so: a replica that is
+     * loaded page by page reads the active level last, so it never holds a record of a level without the record of that
+     * level.
      */
     const val ROLLOUT = "g/version/"
 
@@ -53,5 +54,12 @@
 
     fun shelf(id: String, n: Int) = "$SHELF$id/$n"
 
-    fun chunkCount(tasks: Int): Int = if (tasks <= RecordWire.INLINE_TASKS) 0 else (tasks + RecordWire.CHUNK_TASKS - 1) / RecordWire.CHUNK_TASKS
+    fun chunkCount(tasks: Int): Int =
+        if (tasks <=
+            RecordWire.INLINE_TASKS
+        ) {
+            0
+        } else {
+            (tasks + RecordWire.CHUNK_TASKS - 1) / RecordWire.CHUNK_TASKS
+        }
 }
--- a/src/main/kotlin/glenspool/state/Replica.kt
+++ b/src/main/kotlin/glenspool/state/Replica.kt
@@ -52,7 +52,10 @@
 
     override fun <T> atOnce(read: () -> T): T = synchronized(this) { read() }
 
-    override fun under(prefix: String): Collection<StateWire.Item> = entries.subMap(prefix, prefix + Char.MAX_VALUE).values
+    override fun under(prefix: String): Collection<StateWire.Item> =
+        entries
+            .subMap(prefix, prefix + Char.MAX_VALUE)
+            .values
 
     /** Brings the copy to a state later than this call. False: the state service did not answer in time. */
     fun sync(timeout: Duration): Boolean {
@@ -121,8 +124,8 @@
     }
 
     private fun put(e: StateWire.Change) {
-        // Pages are newer than the revision that the load began at. An answer from between the two, to the other duty, must not
-        // take a key back: a record could then be held without the level that it was written under.
+        // Pages are newer than the revision that the load began at. An answer from between the two, to the other duty,
+        // must not take a key back: a record could then be held without the level that it was written under.
         if (entries[e.key].let { it != null && it.version > e.version }) return
         val value = e.value
         if (value == null) entries.remove(e.key) else entries[e.key] = StateWire.Item(e.key, value, e.version)
@@ -135,10 +138,11 @@
         var after: String? = null
         var first = -1L
         while (true) {
-            val page = when (val r = client.list(Keys.LIVE, after)) {
-                is StateResult.Ok -> r.value
-                else -> return false
-            }
+            val page =
+                when (val r = client.list(Keys.LIVE, after)) {
+                    is StateResult.Ok -> r.value
+                    else -> return false
+                }
             if (first < 0) first = page.revision
             page.items.forEach { all[it.key] = it }
             if (!page.more || page.items.isEmpty()) break
@@ -148,7 +152,13 @@
             if (first <= revision) return true
             val changes = ArrayList<StateWire.Change>()
             for (k in entries.keys) if (k !in all) changes.add(StateWire.Change(k, null, first))
-            for (i in all.values) if (entries[i.key]?.version != i.version) changes.add(StateWire.Change(i.key, i.value, i.version))
+            for (i in all.values) {
+                if (entries[i.key]?.version !=
+                    i.version
+                ) {
+                    changes.add(StateWire.Change(i.key, i.value, i.version))
+                }
+            }
             changes.forEach(::put)
             revision = first
             changed(changes, first)
--- a/src/main/kotlin/glenspool/state/RolloutRecords.kt
+++ b/src/main/kotlin/glenspool/state/RolloutRecords.kt
@@ -26,22 +26,38 @@
 
     fun state(): Stored<RolloutState> = read(Keys.ROLLOUT_STATE, RolloutWire::state)
 
-    /** How many records are stored in a form of the level `sealed-records`: split ones, ones that wait, and what belongs to them. */
-    fun sealedRecords(): Int = keys.atOnce {
-        keys.under(Keys.JOB).count { RecordWire.isSealed(it.value) } + keys.under(Keys.PIECE).size + keys.under(Keys.SHELF).size
-    }
+    /**
+     * How many records are stored in a form of the level `sealed-records`: split ones, ones that wait, and what belongs
+     * to them.
+     */
+    fun sealedRecords(): Int =
+        keys.atOnce {
+            keys.under(Keys.JOB).count { RecordWire.isSealed(it.value) } + keys.under(Keys.PIECE).size +
+                keys.under(Keys.SHELF).size
+        }
 
     @Suppress("UNCHECKED_CAST")
     private fun <T> read(key: String, decode: (Fields) -> T): Stored<T> {
         val item = keys.get(key) ?: return if (loaded()) Stored.Absent else Stored.NotRead
         val last = decoded[key]
-        if (last is Stored.Present && last.version == item.version || last is Stored.Unreadable && last.version == item.version) return last as Stored<T>
-        val fresh = try {
-            Stored.Present(decode(item.value), item.version)
-        } catch (e: MalformedMessage) {
-            if (reported.put(key, item.version) != item.version) log.error("stored record {} is not readable: {}", key, e.message)
-            Stored.Unreadable(item.version, e.message ?: "malformed")
+        if (last is Stored.Present &&
+            last.version == item.version ||
+            last is Stored.Unreadable &&
+            last.version == item.version
+        ) {
+            return last as Stored<T>
         }
+        val fresh =
+            try {
+                Stored.Present(decode(item.value), item.version)
+            } catch (e: MalformedMessage) {
+                if (reported.put(key, item.version) !=
+                    item.version
+                ) {
+                    log.error("stored record {} is not readable: {}", key, e.message)
+                }
+                Stored.Unreadable(item.version, e.message ?: "malformed")
+            }
         decoded[key] = fresh
         return fresh
     }
--- a/src/main/kotlin/glenspool/wire/Cbor.kt
+++ b/src/main/kotlin/glenspool/wire/Cbor.kt
@@ -43,25 +43,26 @@
         }
     }
 
-    private fun read(p: JsonParser, depth: Int): Any? = when (p.currentToken()) {
-        JsonToken.START_OBJECT -> readMap(p, depth + 1)
-        JsonToken.START_ARRAY -> {
-            if (depth > MAX_DEPTH) throw MalformedMessage("nested too deeply")
-            val list = ArrayList<Any?>()
-            while (p.nextToken() != JsonToken.END_ARRAY) {
-                if (p.currentToken() == null) throw MalformedMessage("truncated")
-                list.add(read(p, depth + 1))
+    private fun read(p: JsonParser, depth: Int): Any? =
+        when (p.currentToken()) {
+            JsonToken.START_OBJECT -> readMap(p, depth + 1)
+            JsonToken.START_ARRAY -> {
+                if (depth > MAX_DEPTH) throw MalformedMessage("nested too deeply")
+                val list = ArrayList<Any?>()
+                while (p.nextToken() != JsonToken.END_ARRAY) {
+                    if (p.currentToken() == null) throw MalformedMessage("truncated")
+                    list.add(read(p, depth + 1))
+                }
+                list
             }
-            list
+            JsonToken.VALUE_STRING -> p.text
+            JsonToken.VALUE_NUMBER_INT -> p.numberValue.let { if (it is java.math.BigInteger) it else it.toLong() }
+            JsonToken.VALUE_NUMBER_FLOAT -> p.doubleValue
+            JsonToken.VALUE_TRUE -> true
+            JsonToken.VALUE_FALSE -> false
+            JsonToken.VALUE_NULL -> null
+            else -> throw MalformedMessage("unexpected ${p.currentToken()}")
         }
-        JsonToken.VALUE_STRING -> p.text
-        JsonToken.VALUE_NUMBER_INT -> p.numberValue.let { if (it is java.math.BigInteger) it else it.toLong() }
-        JsonToken.VALUE_NUMBER_FLOAT -> p.doubleValue
-        JsonToken.VALUE_TRUE -> true
-        JsonToken.VALUE_FALSE -> false
-        JsonToken.VALUE_NULL -> null
-        else -> throw MalformedMessage("unexpected ${p.currentToken()}")
-    }
 
     private fun readMap(p: JsonParser, depth: Int): Fields {
         if (depth > MAX_DEPTH) throw MalformedMessage("nested too deeply")
@@ -77,17 +78,18 @@
 
     /** How many bytes the value takes as JSON, which is how the state service counts. */
     fun jsonBytes(value: Any?): Int {
-        val count = object : OutputStream() {
-            var bytes = 0
+        val count =
+            object : OutputStream() {
+                var bytes = 0
 
-            override fun write(b: Int) {
-                bytes++
-            }
+                override fun write(b: Int) {
+                    bytes++
+                }
 
-            override fun write(b: ByteArray, off: Int, len: Int) {
-                bytes += len
+                override fun write(b: ByteArray, off: Int, len: Int) {
+                    bytes += len
+                }
             }
-        }
         jsonFactory.createGenerator(count).use { write(it, value) }
         return count.bytes
     }
--- a/src/main/kotlin/glenspool/wire/Fields.kt
+++ b/src/main/kotlin/glenspool/wire/Fields.kt
@@ -9,11 +9,12 @@
 
 fun Fields.text(name: String): String = this[name] as? String ?: throw MalformedMessage("$name: a text is needed")
 
-fun Fields.textOrNull(name: String): String? = when (val v = this[name]) {
-    null -> null
-    is String -> v
-    else -> throw MalformedMessage("$name: a text or null is needed")
-}
+fun Fields.textOrNull(name: String): String? =
+    when (val v = this[name]) {
+        null -> null
+        is String -> v
+        else -> throw MalformedMessage("$name: a text or null is needed")
+    }
 
 fun Fields.amount(name: String): Double {
     val d = (this[name] as? Number)?.toDouble() ?: throw MalformedMessage("$name: a number is needed")
@@ -30,7 +31,8 @@
     throw MalformedMessage("$name: a whole number is needed")
 }
 
-fun Fields.flag(name: String): Boolean = this[name] as? Boolean ?: throw MalformedMessage("$name: true or false is needed")
+fun Fields.flag(name: String): Boolean =
+    this[name] as? Boolean ?: throw MalformedMessage("$name: true or false is needed")
 
 fun Fields.flagOr(name: String, default: Boolean): Boolean = this[name] as? Boolean ?: default
 
@@ -54,4 +56,5 @@
 internal fun Duration.toSeconds(): Double = toDouble(DurationUnit.SECONDS)
 
 /** The value that a word stands for. */
-internal fun <T> Map<String, T>.pick(name: String, value: String): T = this[value] ?: throw MalformedMessage("$name: unknown value")
+internal fun <T> Map<String, T>.pick(name: String, value: String): T =
+    this[value] ?: throw MalformedMessage("$name: unknown value")
--- a/src/main/kotlin/glenspool/wire/JobWire.kt
+++ b/src/main/kotlin/glenspool/wire/JobWire.kt
@@ -12,12 +12,13 @@
 const val MAX_TASKS = 100_000L
 
 private val kinds = mapOf("batch" to JobKind.ARRAY, "gang" to JobKind.GANG, "daemon" to JobKind.SERVICE)
-private val priorities = mapOf(
-    "critical" to Priority.CRITICAL,
-    "urgent" to Priority.URGENT,
-    "standard" to Priority.STANDARD,
-    "idle" to Priority.IDLE,
-)
+private val priorities =
+    mapOf(
+        "critical" to Priority.CRITICAL,
+        "urgent" to Priority.URGENT,
+        "standard" to Priority.STANDARD,
+        "idle" to Priority.IDLE,
+    )
 private val kindNames = kinds.entries.associate { it.value to it.key }
 private val priorityNames = priorities.entries.associate { it.value to it.key }
 
@@ -62,34 +63,42 @@
         return named.distinct()
     }
 
-    fun encode(j: JobSpec): Fields = linkedMapOf(
-        "uid" to j.id,
-        "lot" to j.jobClass,
-        "crew" to j.team,
-        "weave" to kindNames.getValue(j.kind),
-        "urgency" to priorityNames.getValue(j.priority),
-        "threads" to j.tasks,
-        "cpus" to j.need.cpus,
-        "accelerators" to j.need.gpus,
-        "memory_gb" to j.need.memoryGb,
-        "pattern" to j.image,
-        "size_gb" to j.imageGb,
-        "frames" to j.types,
-        "hall" to j.zone,
-        "same_place" to j.sameZone,
-        "apart" to j.spread,
-        "loaners" to j.spot,
-        "expected_s" to j.estimate.toSeconds(),
-        "knot_s" to j.checkpoint.toSeconds(),
-        "knotting_s" to j.save.toSeconds(),
-        "due_s" to j.deadline?.toSeconds(),
-    )
+    fun encode(j: JobSpec): Fields =
+        linkedMapOf(
+            "uid" to j.id,
+            "lot" to j.jobClass,
+            "crew" to j.team,
+            "weave" to kindNames.getValue(j.kind),
+            "urgency" to priorityNames.getValue(j.priority),
+            "threads" to j.tasks,
+            "cpus" to j.need.cpus,
+            "accelerators" to j.need.gpus,
+            "memory_gb" to j.need.memoryGb,
+            "pattern" to j.image,
+            "size_gb" to j.imageGb,
+            "frames" to j.types,
+            "hall" to j.zone,
+            "same_place" to j.sameZone,
+            "apart" to j.spread,
+            "loaners" to j.spot,
+            "expected_s" to j.estimate.toSeconds(),
+            "knot_s" to j.checkpoint.toSeconds(),
+            "knotting_s" to j.save.toSeconds(),
+            "due_s" to j.deadline?.toSeconds(),
+        )
 
     /**
      * The answer to a user. [stage] is the service's word for it, see [Stage]. [awaits]: jobs that it waits for;
      * [cutBy]: the cancelled job that it needed.
      */
-    fun status(id: String, stage: Stage, done: Int? = null, running: Int? = null, awaits: List<String> = emptyList(), cutBy: String? = null): Fields {
+    fun status(
+        id: String,
+        stage: Stage,
+        done: Int? = null,
+        running: Int? = null,
+        awaits: List<String> = emptyList(),
+        cutBy: String? = null,
+    ): Fields {
         val m = linkedMapOf<String, Any?>("uid" to id, "stage" to stage.word)
         if (done != null) m["done"] = done
         if (running != null) m["running"] = running
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -45,10 +45,19 @@
 
     /** The description cut into pieces of at most [bytes] as stored, for a record that would be too long with it. */
     fun encodePieces(r: JobRecord, bytes: Int): List<Fields> =
-        Base64.getEncoder().encodeToString(Cbor.encode(description(r))).chunked(bytes - PIECE_MARKS).map { mapOf("piece" to it) }
+        Base64.getEncoder().encodeToString(Cbor.encode(description(r))).chunked(bytes - PIECE_MARKS).map {
+            mapOf(
+                "piece" to it,
+            )
+        }
 
     fun encodePlaces(places: List<Intent>): Fields =
-        mapOf("on" to places.groupBy { it.machine }.mapValues { (_, l) -> l.flatMap { listOf(it.task.toLong(), it.attempt) } })
+        mapOf(
+            "on" to
+                places.groupBy { it.machine }.mapValues { (_, l) ->
+                    l.flatMap { listOf(it.task.toLong(), it.attempt) }
+                },
+        )
 
     /** A place is stored as two numbers, the task and its attempt, under its machine's name. */
     fun decodePlaces(m: Fields): List<Intent> {
@@ -56,11 +65,14 @@
         if (on !is Map<*, *>) throw MalformedMessage("on: a map is needed")
         return on.entries.flatMap { (machine, numbers) ->
             if (numbers !is List<*> || numbers.size % 2 != 0) throw MalformedMessage("on: pairs of numbers are needed")
-            numbers.chunked(2).map { (task, attempt) -> Intent(boundedNumber("on", task, MAX_TASKS), number("on", attempt), machine.toString()) }
+            numbers.chunked(2).map { (task, attempt) ->
+                Intent(boundedNumber("on", task, MAX_TASKS), number("on", attempt), machine.toString())
+            }
         }
     }
 
-    private fun number(name: String, value: Any?): Long = (value as? Long)?.takeIf { it >= 0 } ?: throw MalformedMessage("$name: a whole number is needed")
+    private fun number(name: String, value: Any?): Long =
+        (value as? Long)?.takeIf { it >= 0 } ?: throw MalformedMessage("$name: a whole number is needed")
 
     private fun boundedNumber(name: String, value: Any?, bound: Long): Int =
         number(name, value).takeIf { it < bound }?.toInt() ?: throw MalformedMessage("$name: out of range")
@@ -85,8 +97,23 @@
     fun decode(m: Fields, apart: Apart): JobRecord {
         @Suppress("UNCHECKED_CAST")
         val sealed = m["sealed"] as? Fields
-        val pieces = if (sealed != null && "pieces" in sealed) boundedNumber("pieces", sealed["pieces"], MAX_PARTS) else 0
-        val described = if (pieces > 0) join((0 until pieces).map { apart.piece(it) ?: throw MalformedMessage("piece $it: missing") }) else sealed ?: m
+        val pieces =
+            if (sealed != null &&
+                "pieces" in sealed
+            ) {
+                boundedNumber("pieces", sealed["pieces"], MAX_PARTS)
+            } else {
+                0
+            }
+        val described =
+            if (pieces >
+                0
+            ) {
+                join((0 until pieces).map { apart.piece(it) ?: throw MalformedMessage("piece $it: missing") })
+            } else {
+                sealed
+                    ?: m
+            }
 
         @Suppress("UNCHECKED_CAST")
         val job = JobWire.decode(described["job"] as? Fields ?: throw MalformedMessage("job: missing"))
@@ -98,17 +125,21 @@
             intents = decodePlaces(m),
             needs = if (waits(m)) described.textsOrNull("awaits").orEmpty() else emptyList(),
             ready = if ("ready" in m) m.count("ready").milliseconds else null,
-            shelved = (sealed?.get("shelves") as? List<*>).orEmpty().map { boundedNumber("shelves", it, MAX_PARTS) }
-                .associateWith { n -> apart.shelf(n)?.let(::decodePlaces).orEmpty() },
+            shelved =
+                (sealed?.get("shelves") as? List<*>)
+                    .orEmpty()
+                    .map { boundedNumber("shelves", it, MAX_PARTS) }
+                    .associateWith { n -> apart.shelf(n)?.let(::decodePlaces).orEmpty() },
             pieces = pieces,
         )
     }
 
-    private fun join(pieces: List<Fields>): Fields = try {
-        Cbor.decodeMap(Base64.getDecoder().decode(pieces.joinToString("") { it.text("piece") }))
-    } catch (e: IllegalArgumentException) {
-        throw MalformedMessage("pieces: ${e.message}")
-    }
+    private fun join(pieces: List<Fields>): Fields =
+        try {
+            Cbor.decodeMap(Base64.getDecoder().decode(pieces.joinToString("") { it.text("piece") }))
+        } catch (e: IllegalArgumentException) {
+            throw MalformedMessage("pieces: ${e.message}")
+        }
 
     /** A record has fewer parts of each kind under keys of their own; a higher number is damage. */
     private const val MAX_PARTS = 10_000L
@@ -118,9 +149,10 @@
 
     fun encodeBits(b: BitSet): String = Base64.getEncoder().encodeToString(b.toByteArray())
 
-    fun decodeBits(s: String): BitSet = try {
-        BitSet.valueOf(Base64.getDecoder().decode(s))
-    } catch (e: IllegalArgumentException) {
-        throw MalformedMessage("bits: ${e.message}")
-    }
+    fun decodeBits(s: String): BitSet =
+        try {
+            BitSet.valueOf(Base64.getDecoder().decode(s))
+        } catch (e: IllegalArgumentException) {
+            throw MalformedMessage("bits: ${e.message}")
+        }
 }
--- a/src/main/kotlin/glenspool/wire/RecoveryWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecoveryWire.kt
@@ -8,19 +8,21 @@
 object RecoveryWire {
     private val phases = RecoveryPhase.entries.associateBy { it.name.lowercase() }
 
-    fun encode(record: RecoveryRecord): Fields = linkedMapOf(
-        "token" to record.token,
-        "phase" to record.phase.name.lowercase(),
-        "started" to record.startedAt.inWholeMilliseconds,
-        "paused" to record.isPaused,
-        "approved" to record.isApproved,
-    )
+    fun encode(record: RecoveryRecord): Fields =
+        linkedMapOf(
+            "token" to record.token,
+            "phase" to record.phase.name.lowercase(),
+            "started" to record.startedAt.inWholeMilliseconds,
+            "paused" to record.isPaused,
+            "approved" to record.isApproved,
+        )
 
-    fun decode(fields: Fields) = RecoveryRecord(
-        token = fields.count("token"),
-        phase = phases.pick("phase", fields.text("phase")),
-        startedAt = fields.count("started").milliseconds,
-        isPaused = fields.flag("paused"),
-        isApproved = fields.flag("approved"),
-    )
+    fun decode(fields: Fields) =
+        RecoveryRecord(
+            token = fields.count("token"),
+            phase = phases.pick("phase", fields.text("phase")),
+            startedAt = fields.count("started").milliseconds,
+            isPaused = fields.flag("paused"),
+            isApproved = fields.flag("approved"),
+        )
 }
--- a/src/main/kotlin/glenspool/wire/StateWire.kt
+++ b/src/main/kotlin/glenspool/wire/StateWire.kt
@@ -10,7 +10,11 @@
     data class Change(val key: String, val value: Fields?, val version: Long)
 
     @Suppress("UNCHECKED_CAST")
-    fun item(m: Fields): Item = Item(m.text("key"), m["data"] as? Fields ?: throw MalformedMessage("data: a map is needed"), m.count("mark"))
+    fun item(m: Fields): Item =
+        Item(
+            m.text("key"),
+            m["data"] as? Fields ?: throw MalformedMessage("data: a map is needed"), m.count("mark"),
+        )
 
     fun items(m: Fields): List<Item> = m.maps("rows").map(::item)
 
@@ -25,16 +29,25 @@
     fun newLease(ttl: Duration): Fields = mapOf("life_ms" to ttl.inWholeMilliseconds)
 
     @Suppress("UNCHECKED_CAST")
-    fun changes(m: Fields): List<Change> = m.maps("log").map { e ->
-        val removed = e.textOrNull("remove")
-        if (removed != null) {
-            Change(removed, null, e.count("mark"))
-        } else {
-            Change(e.text("set"), e["data"] as? Fields ?: throw MalformedMessage("data: a map is needed"), e.count("mark"))
+    fun changes(m: Fields): List<Change> =
+        m.maps("log").map { e ->
+            val removed = e.textOrNull("remove")
+            if (removed != null) {
+                Change(removed, null, e.count("mark"))
+            } else {
+                Change(
+                    e.text("set"), e["data"] as? Fields ?: throw MalformedMessage("data: a map is needed"),
+                    e
+                        .count("mark"),
+                )
+            }
         }
-    }
 
-    fun transaction(conditions: Map<String, Long>, puts: List<Triple<String, Fields, Long?>>, removes: List<String>): Fields {
+    fun transaction(
+        conditions: Map<String, Long>,
+        puts: List<Triple<String, Fields, Long?>>,
+        removes: List<String>,
+    ): Fields {
         val ops = ArrayList<Fields>(puts.size + removes.size)
         for ((key, value, lease) in puts) {
             val op = linkedMapOf<String, Any?>("set" to key, "data" to value)
--- a/src/main/kotlin/glenspool/worker/WorkerClient.kt
+++ b/src/main/kotlin/glenspool/worker/WorkerClient.kt
@@ -33,12 +33,13 @@
         return if (r is CallResult.Answer && r.status == 200) report(r.body) else null
     }
 
-    private fun report(m: Fields): Report? = try {
-        WorkerWire.decodeReport(m)
-    } catch (e: MalformedMessage) {
-        log.warn("worker report not understood: {}", e.message)
-        null
-    }
+    private fun report(m: Fields): Report? =
+        try {
+            WorkerWire.decodeReport(m)
+        } catch (e: MalformedMessage) {
+            log.warn("worker report not understood: {}", e.message)
+            null
+        }
 
     companion object {
         private val log = loggerOf(WorkerClient::class.java)
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -42,11 +42,12 @@
     private val http = HttpCaller(2.seconds)
     private val seen = ArrayList<Pair<String, Fields>>()
     private var answer: (Request) -> Response = { cbor(Status.OK, emptyMap()) }
-    private val other = HttpListener(InetSocketAddress("127.0.0.1", 0), "other", 64, { r ->
-        val body = r.body.stream.readAllBytes()
-        synchronized(seen) { seen += r.uri.toString() to if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body) }
-        answer(r)
-    })
+    private val other =
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "other", 64, { r ->
+            val body = r.body.stream.readAllBytes()
+            synchronized(seen) { seen += r.uri.toString() to if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body) }
+            answer(r)
+        })
     private val addr = "127.0.0.1:${other.port}"
 
     @AfterEach
@@ -54,10 +55,11 @@
 
     private fun says(status: Int, body: Fields): (Request) -> Response = { cbor(Status(status, null), body) }
 
-    private val report = mapOf(
-        "spindle" to "i-1", "addr" to "10.0.0.9:9000", "frame" to "g8", "hall" to "a", "loaners" to false,
-        "shift" to 2, "stitch" to 7, "baton" to 4, "recall_s" to 3.5, "threads" to emptyList<Any>(),
-    )
+    private val report =
+        mapOf(
+            "spindle" to "i-1", "addr" to "10.0.0.9:9000", "frame" to "g8", "hall" to "a", "loaners" to false,
+            "shift" to 2, "stitch" to 7, "baton" to 4, "recall_s" to 3.5, "threads" to emptyList<Any>(),
+        )
 
     @Test
     fun `the cloud's answers to a rental are told apart`() {
@@ -65,7 +67,12 @@
         val rent = Rent("r-1-1", "g8", "a", true, mapOf(RentalCause.BACKLOG to 3))
         answer = says(200, mapOf("spindles" to listOf("i-1", "i-2")))
         assertEquals(RentOutcome.Rented(listOf("i-1", "i-2")), cloud.rent(rent))
-        assertEquals(mapOf("hire" to "r-1-1", "frame" to "g8", "hall" to "a", "loaners" to true, "number" to 3L), seen.last().second)
+        assertEquals(
+            mapOf("hire" to "r-1-1", "frame" to "g8", "hall" to "a", "loaners" to true, "number" to 3L),
+            seen
+                .last()
+                .second,
+        )
         answer = says(503, mapOf("error" to "no capacity"))
         assertEquals(RentOutcome.Refused, cloud.rent(rent))
         for (status in listOf(429, 500)) {
@@ -90,7 +97,11 @@
         val cloud = CloudClient(addr, http, 1000.0)
         answer = { r ->
             val first = r.query("after") == null
-            val one = mapOf("uid" to if (first) "i-1" else "i-2", "addr" to "10.0.0.9:1", "frame" to "g8", "hall" to "a", "loaners" to true, "stage" to "running", "held_s" to 2.5)
+            val one =
+                mapOf(
+                    "uid" to if (first) "i-1" else "i-2", "addr" to "10.0.0.9:1", "frame" to "g8", "hall" to "a",
+                    "loaners" to true, "stage" to "running", "held_s" to 2.5,
+                )
             cbor(Status.OK, mapOf("spindles" to listOf(one), "has_next" to first))
         }
         assertEquals(listOf("i-1", "i-2"), cloud.machines()?.map { it.id })
@@ -141,12 +152,13 @@
 
     @Test
     fun `peers that stall in the middle of a request keep nobody else out`() {
-        val stalled = List(20) {
-            Socket("127.0.0.1", other.port).also { s ->
-                s.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
-                s.getOutputStream().flush()
+        val stalled =
+            List(20) {
+                Socket("127.0.0.1", other.port).also { s ->
+                    s.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
+                    s.getOutputStream().flush()
+                }
             }
-        }
         repeat(20) { assertEquals(200, (http.get(addr, "/ready", 10.seconds) as CallResult.Answer).status) }
         stalled.forEach { it.close() }
     }
