--- a/src/test/kotlin/glenspool/api/ChainedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/ChainedApiTest.kt
@@ -15,7 +15,11 @@
 import org.junit.jupiter.api.Test
 
 /** Submissions that wait for others, at the smallest limits of the sites: 2 KiB a value, 4 changes a transaction. */
-class ChainedApiTest : ServedApi(SettingsTest.GOOD.replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]")) {
+class ChainedApiTest :
+    ServedApi(
+        SettingsTest.GOOD
+            .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]"),
+    ) {
     private fun needs(id: String) = record(id).needs
 
     private fun record(id: String): JobRecord = StoredJob(state).read(id, state.entries.getValue(Keys.job(id)).value)
@@ -25,13 +29,25 @@
     @Test
     fun `a job that waits is taken in a form that the version in production leaves alone`() {
         submit(spec("run-1"))
-        assertEquals(201 to "pending", submit(spec("run-2"), listOf("run-1", "run-1")).let { it.status to it.body["stage"] })
+        assertEquals(
+            201 to "pending",
+            submit(spec("run-2"), listOf("run-1", "run-1")).let {
+                it.status to
+                    it.body["stage"]
+            },
+        )
         assertEquals(listOf("run-1"), needs("run-2"))
         assertNull(OldVersion.reads(state.entries.getValue(Keys.job("run-2")).value))
         assertEquals("pending" to listOf("run-1"), show("run-2").body.let { it["stage"] to it["awaits"] })
         end("run-1", "done")
         assertEquals("pending" to null, show("run-2").body.let { it["stage"] to it["awaits"] })
-        for (nothing in listOf(null, emptyList<String>())) assertEquals(emptyList<String>(), submit(spec("run-9$nothing"), nothing).let { needs("run-9$nothing") })
+        for (nothing in listOf(null, emptyList<String>())) {
+            assertEquals(
+                emptyList<String>(),
+                submit(spec("run-9$nothing"), nothing)
+                    .let { needs("run-9$nothing") },
+            )
+        }
     }
 
     @Test
@@ -43,11 +59,29 @@
         assertEquals(422, submit(spec("run-4"), listOf("run-1", "run-99")).status)
         assertEquals(422, submit(spec("run-4"), listOf("run-3")).status)
         assertEquals(422, submit(spec("run-4"), listOf("run-4")).status)
-        for (bad in listOf("run-1", listOf(1), listOf("a b"), listOf(""))) assertEquals(400, submit(spec("run-4"), bad).status, "$bad")
+        for (bad in listOf("run-1", listOf(1), listOf("a b"), listOf(""))) {
+            assertEquals(
+                400,
+                submit(spec("run-4"), bad)
+                    .status,
+                "$bad",
+            )
+        }
         assertEquals(404, show("run-4").status)
         assertEquals(201, submit(spec("run-4"), listOf("run-1", "run-2")).status)
         // Named by another node a moment ago: a copy in memory would not know it.
-        state.transact(emptyMap(), listOf(Put(Keys.job("run-5"), RecordWire.encode(record("run-1").copy(spec = spec("run-5"))))), emptyList())
+        state
+            .transact(
+                emptyMap(),
+                listOf(
+                    Put(
+                        Keys.job("run-5"),
+                        RecordWire
+                            .encode(record("run-1").copy(spec = spec("run-5"))),
+                    ),
+                ),
+                emptyList(),
+            )
         assertEquals(201, submit(spec("run-6"), listOf("run-5")).status)
     }
 
@@ -71,7 +105,15 @@
         submit(spec("run-3"), listOf("run-2"))
         assertEquals("pending", stage("run-3"))
         assertEquals("aborted", withdraw("run-1").body["stage"])
-        for (id in listOf("run-2", "run-3")) assertEquals("aborted" to "run-1", show(id).body.let { it["stage"] to it["aborted_with"] })
+        for (id in listOf("run-2", "run-3")) {
+            assertEquals(
+                "aborted" to "run-1",
+                show(id).body.let {
+                    it["stage"] to
+                        it["aborted_with"]
+                },
+            )
+        }
         // Accepted all the same, and told how it stands; its own withdrawal has nothing left to store.
         assertEquals(201 to "aborted", submit(spec("run-4"), listOf("run-3")).let { it.status to it.body["stage"] })
         assertEquals("aborted", withdraw("run-4").body["stage"])
--- a/src/test/kotlin/glenspool/api/GatedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/GatedApiTest.kt
@@ -24,7 +24,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Submissions at a controller whose levels are managed. */
-class GatedApiTest : ServedApi(SettingsTest.GOOD.replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]")) {
+class GatedApiTest :
+    ServedApi(
+        SettingsTest.GOOD
+            .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]"),
+    ) {
     private val gate = FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(state) { true }::level)
 
     @BeforeEach
@@ -33,7 +37,18 @@
     }
 
     private fun store(stage: LevelStage, level: Int = 1) =
-        state.transact(emptyMap(), listOf(Put(Keys.LEVEL, RolloutWire.encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)))), emptyList())
+        state
+            .transact(
+                emptyMap(),
+                listOf(
+                    Put(
+                        Keys.LEVEL,
+                        RolloutWire
+                            .encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)),
+                    ),
+                ),
+                emptyList(),
+            )
 
     @Test
     fun `a job that waits is refused at once, and with when to come back, until its level is active`() {
@@ -78,6 +93,7 @@
         var refusals = 0
         val door = refusalFilter { refusals++ }.then(fenceFilter(gate::fence)).then { Response(Status.OK) }
         val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 2, door)
+
         fun ask(path: String) = http.get("127.0.0.1:${listener.port}", path, 2.seconds) as CallResult.Answer
         assertEquals(200, ask("/ready").status)
         store(LevelStage.ACTIVE, level = 2)
--- a/src/test/kotlin/glenspool/api/LeaseKeeperTest.kt
+++ b/src/test/kotlin/glenspool/api/LeaseKeeperTest.kt
@@ -12,7 +12,17 @@
 /** For how long a node without a leader keeps workers' leases, in simulated time. */
 class LeaseKeeperTest {
     private var now = Duration.ZERO
-    private fun keeper(lease: Duration = 24.seconds) = LeaseKeeper(WorkerSettings(4.seconds, lease, 30.seconds, 8.seconds, 49.seconds), 2) { now }
+
+    private fun keeper(lease: Duration = 24.seconds) =
+        LeaseKeeper(
+            WorkerSettings(
+                4.seconds, lease, 30.seconds,
+                8
+                    .seconds,
+                49.seconds,
+            ),
+            2,
+        ) { now }
 
     @Test
     fun `a node that lost everything but its workers lets each go once, and keeps one that comes back`() {
@@ -53,7 +63,8 @@
     @Test
     fun `a worker that found nobody elsewhere is kept at once`() {
         val k = keeper()
-        // Cut off with its zone it has waited for two nodes in vain already; another vain round would outlast its lease.
+        // Cut off with its zone it has waited for two nodes in vain already; another vain round would outlast its
+        // lease.
         assertTrue(k.keeps("m1", complete = now, isolated = true))
         k.served("m1")
         now += 4.seconds
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -114,8 +114,17 @@
         val peersClient = StateClient("127.0.0.1:${reachable.port}", http)
         val peersReplica = Replica(peersClient, 1000.0) { _, _ -> }
         val peersSyncs = syncing(peersReplica)
-        val peersApi = UserApi(settings, peersClient, peersReplica, PeerClient(emptyList()), { false }, UnmanagedFeatures { true }, { true }) { types }
-        val peer = HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 4, PeerServer({ PeerStatus("n1", false, null, true) }, { null }, peersApi::local))
+        val peersApi =
+            UserApi(settings, peersClient, peersReplica, PeerClient(emptyList()), {
+                false
+            }, UnmanagedFeatures { true }, { true }) { types }
+        val peer =
+            HttpListener(
+                InetSocketAddress("127.0.0.1", 0), "peer", 4,
+                PeerServer({
+                    PeerStatus("n1", false, null, true)
+                }, { null }, peersApi::local),
+            )
         members = listOf(Member("n1", "here", InetSocketAddress("127.0.0.1", peer.port)))
         outside.close()
         assertEquals(201, submit(spec("run-1")).status)
--- a/src/test/kotlin/glenspool/cli/CommandLineTest.kt
+++ b/src/test/kotlin/glenspool/cli/CommandLineTest.kt
@@ -21,10 +21,11 @@
 
     @Test
     fun `wrong usage is told on standard error with code 2`() {
-        val wrong = listOf(
-            emptyList(), listOf("dance"), listOf("serve"), listOf("serve", "--config"), listOf("serve", "--colour", "x", "--config", "y"), listOf("check-config"),
-            listOf("job"), listOf("job", "show", "run-1"), listOf("job", "show", "--node", "nowhere", "run-1"), listOf("job", "sing", "--node", "127.0.0.1:1", "x"),
-        )
+        val wrong =
+            listOf(
+                emptyList(), listOf("dance"), listOf("serve"), listOf("serve", "--config"), listOf("serve", "--colour", "x", "--config", "y"), listOf("check-config"),
+                listOf("job"), listOf("job", "show", "run-1"), listOf("job", "show", "--node", "nowhere", "run-1"), listOf("job", "sing", "--node", "127.0.0.1:1", "x"),
+            )
         for (args in wrong) {
             val r = run(*args.toTypedArray())
             assertEquals(2, r.code, "$args")
@@ -53,23 +54,24 @@
 
     @Test
     fun `explain adds up what a log tells`() {
-        val log = File(dir, "log").also {
-            it.writeText(
-                """
-                    1.0 n0 INFO Leadership - elected token=1 revision=1
-                    2.0 n0 DEBUG CoreLoop - place task=run-1/0 attempt=1 class=scan machine=i-1 cached=false waited=1s
-                    3.0 n0 DEBUG CoreLoop - stop task=run-1/0 attempt=1 machine=i-1 reason=PREEMPTED grace=0s
-                    4.0 n0 DEBUG CoreLoop - off task=run-1/0 attempt=1 machine=i-1 was=RUNNING
-                    9.5 n0 DEBUG CoreLoop - place task=run-1/0 attempt=2 class=scan machine=i-2 cached=true waited=8.5s
-                    12.0 n1 INFO Leadership - elected token=2 revision=9
-                    13.0 n1 INFO CoreLoop - give-up machine=i-2 reason=silent tasks=1 heard=null now=1s
-                    14.0 n1 DEBUG CoreLoop - ready task=run-2 class=label held-s=3.5
-                    14.5 n1 DEBUG CoreLoop - ready task=run-3 class=label held-s=4.5
-                    15.0 n1 DEBUG CoreLoop - cut task=run-4 class=label by=run-1
-                not a log line
-                """.trimIndent(),
-            )
-        }
+        val log =
+            File(dir, "log").also {
+                it.writeText(
+                    """
+                        1.0 n0 INFO Leadership - elected token=1 revision=1
+                        2.0 n0 DEBUG CoreLoop - place task=run-1/0 attempt=1 class=scan machine=i-1 cached=false waited=1s
+                        3.0 n0 DEBUG CoreLoop - stop task=run-1/0 attempt=1 machine=i-1 reason=PREEMPTED grace=0s
+                        4.0 n0 DEBUG CoreLoop - off task=run-1/0 attempt=1 machine=i-1 was=RUNNING
+                        9.5 n0 DEBUG CoreLoop - place task=run-1/0 attempt=2 class=scan machine=i-2 cached=true waited=8.5s
+                        12.0 n1 INFO Leadership - elected token=2 revision=9
+                        13.0 n1 INFO CoreLoop - give-up machine=i-2 reason=silent tasks=1 heard=null now=1s
+                        14.0 n1 DEBUG CoreLoop - ready task=run-2 class=label held-s=3.5
+                        14.5 n1 DEBUG CoreLoop - ready task=run-3 class=label held-s=4.5
+                        15.0 n1 DEBUG CoreLoop - cut task=run-4 class=label by=run-1
+                    not a log line
+                    """.trimIndent(),
+                )
+            }
         val r = log.useLines { Explain.read(it) }
         val scan = r.classes.getValue("scan")
         assertEquals(listOf(2, 1, 1), listOf(scan.places, scan.uncached, scan.again))
@@ -89,7 +91,16 @@
         HttpListener(InetSocketAddress("127.0.0.1", 0), "node", 4, { r ->
             seen += "${r.method} ${r.uri.path}"
             if (r.uri.path == "/api/jobs") Cbor.decodeMap(r.body.stream.readAllBytes())
-            if (r.uri.path.endsWith("nobody")) cbor(Status.NOT_FOUND, mapOf("error" to "no such job")) else cbor(Status.OK, mapOf("stage" to "pending"))
+            if (r.uri.path.endsWith("nobody")) {
+                cbor(Status.NOT_FOUND, mapOf("error" to "no such job"))
+            } else {
+                cbor(
+                    Status.OK,
+                    mapOf(
+                        "stage" to "pending",
+                    ),
+                )
+            }
         }).use { node ->
             val addr = "127.0.0.1:${node.port}"
             val file = File(dir, "job.json").also { it.writeText("""{"uid":"run-1"}""") }
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -27,18 +27,32 @@
 import kotlin.time.Duration.Companion.seconds
 
 class RecoveryCommandTest {
-    private val snapshot = RecoverySnapshot(
-        7, StartKind.COLD, PhaseState(RecoveryPhase.ADOPTING, 8.seconds), 12.seconds, 10.seconds, isPaused = true, isApproved = false,
-        GatheringProgress(listOf(GatheringProgress.Group("a", "big", 4, 1))), DifferenceTotals(mapOf(DifferenceKind.ORPHAN_TASK to 2), 3, 4), 0.75,
-        BreakerState(true, 3, 4, 8.seconds, null), mapOf("stop" to 1L), persistentHashMapOf(),
-    )
-    private val status = RecoveryStatus("bobbin-0", "bobbin-0", true, mapOf("start.restored" to 3L), RecoveryReplies.recovery(snapshot, RecoveryPolicy()))
+    private val snapshot =
+        RecoverySnapshot(
+            7, StartKind.COLD, PhaseState(RecoveryPhase.ADOPTING, 8.seconds), 12.seconds, 10.seconds, isPaused = true, isApproved = false,
+            GatheringProgress(listOf(GatheringProgress.Group("a", "big", 4, 1))),
+            DifferenceTotals(
+                mapOf(
+                    DifferenceKind.ORPHAN_TASK to 2,
+                ),
+                3, 4,
+            ),
+            0.75,
+            BreakerState(true, 3, 4, 8.seconds, null), mapOf("stop" to 1L), persistentHashMapOf(),
+        )
+    private val status =
+        RecoveryStatus(
+            "bobbin-0", "bobbin-0", true, mapOf("start.restored" to 3L),
+            RecoveryReplies
+                .recovery(snapshot, RecoveryPolicy()),
+        )
     private val asked = ArrayList<RecoveryRequest>()
     private var reply = RecoveryReply(true, status = status)
-    private val server = RecoveryServer { request ->
-        asked.add(request)
-        reply
-    }
+    private val server =
+        RecoveryServer { request ->
+            asked.add(request)
+            reply
+        }
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 2, { server(it) })
     private val node = "127.0.0.1:${listener.port}"
 
@@ -50,12 +64,21 @@
     @Test
     fun `status says what was ordered, the phase, what lacks and what is held, in words and in JSON`() {
         val text = run("status", "--node", node).out
-        val parts = listOf(
-            "start.restored 3", "term 7 began as cold; phase adopting for 2.0 s, 2.0 s left at most", "PAUSED", "too few of a/big: 1 of 4", "3 of 4 stored places; settled 75%",
-            "orphan-task: 2", "3 of 4 machines would get them", "at most each second: stop 1",
-        )
+        val parts =
+            listOf(
+                "start.restored 3", "term 7 began as cold; phase adopting for 2.0 s, 2.0 s left at most", "PAUSED", "too few of a/big: 1 of 4", "3 of 4 stored places; settled 75%",
+                "orphan-task: 2", "3 of 4 machines would get them", "at most each second: stop 1",
+            )
         parts.forEach { assertTrue(it in text, "$it in $text") }
-        assertEquals("adopting", ObjectMapper().readTree(run("status", "--json", "--node", node).out).path("status").path("recovery").path("phase").asText())
+        assertEquals(
+            "adopting",
+            ObjectMapper()
+                .readTree(run("status", "--json", "--node", node).out)
+                .path("status")
+                .path("recovery")
+                .path("phase")
+                .asText(),
+        )
     }
 
     @Test
@@ -65,12 +88,16 @@
         reply = RecoveryReply(false, "bobbin-1 does not lead; ask bobbin-0", 2)
         val refused = run("pause", "--node", node)
         assertEquals(1, refused.code)
-        assertEquals("" to "glenspool: bobbin-1 does not lead; ask bobbin-0; try again in 2 s\n", refused.out to refused.err)
+        assertEquals(
+            "" to "glenspool: bobbin-1 does not lead; ask bobbin-0; try again in 2 s\n",
+            refused.out to refused.err,
+        )
     }
 
     @Test
     fun `wrong usage is refused before anybody is asked`() {
-        val wrong = listOf(listOf(), listOf("mend", "--node", node), listOf("status"), listOf("status", "--node", "nowhere"), listOf("pause", "--node", node, "x"))
+        val wrong =
+            listOf(listOf(), listOf("mend", "--node", node), listOf("status"), listOf("status", "--node", "nowhere"), listOf("pause", "--node", node, "x"))
         for (args in wrong) assertEquals(2, run(*args.toTypedArray()).code, "$args")
         assertEquals(emptyList<RecoveryRequest>(), asked)
     }
--- a/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
@@ -23,11 +23,21 @@
 class RolloutCommandTest {
     private val asked = ArrayList<RolloutRequest>()
     private var reply = RolloutReply(true, status = STATUS)
-    private val server = RolloutServer { request ->
-        asked.add(request)
-        reply
-    }
-    private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 2, { if (it.uri.path == "/peer/rollout") server(it) else Response(Status.NOT_FOUND) })
+    private val server =
+        RolloutServer { request ->
+            asked.add(request)
+            reply
+        }
+    private val listener =
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 2, {
+            if (it.uri.path ==
+                "/peer/rollout"
+            ) {
+                server(it)
+            } else {
+                Response(Status.NOT_FOUND)
+            }
+        })
     private val node = "127.0.0.1:${listener.port}"
 
     @AfterEach
@@ -40,11 +50,16 @@
         val status = run("status", "--node", node)
         val text = status.out
         assertEquals(0, status.code)
-        val parts = listOf(
-            "active level 1 (sealed-records, active)", "target 2", "held: member_old_build by bobbin-2 (build-1)", "bobbin-2: build-1, highest level 1, ready for 7 s",
-        )
+        val parts =
+            listOf(
+                "active level 1 (sealed-records, active)", "target 2", "held: member_old_build by bobbin-2 (build-1)", "bobbin-2: build-1, highest level 1, ready for 7 s",
+            )
         parts.forEach { assertTrue(it in text, "$it in $text") }
-        assertEquals("1. replace bobbin-2\n2. replace bobbin-0 (it leads, so it comes last)\n", run("plan", "--node", node).out)
+        assertEquals(
+            "1. replace bobbin-2\n2. replace bobbin-0 (it leads, so it comes last)\n",
+            run("plan", "--node", node)
+                .out,
+        )
         val json = ObjectMapper().readTree(run("status", "--json", "--node", node).out)
         assertEquals("bobbin-2", json.path("status").path("holdMember").asText())
         assertEquals(1, json.path("status").path("level").asInt())
@@ -64,10 +79,11 @@
 
     @Test
     fun `wrong usage is refused before anybody is asked`() {
-        val wrong = listOf(
-            listOf(), listOf("dance", "--node", node), listOf("status"), listOf("status", "--node", "nowhere"), listOf("status", "--node", node, "x"),
-            listOf("activate", "--node", node), listOf("activate", "--node", node, "one"), listOf("activate", "--node", node, "0"), listOf("exclude", "--node", node),
-        )
+        val wrong =
+            listOf(
+                listOf(), listOf("dance", "--node", node), listOf("status"), listOf("status", "--node", "nowhere"), listOf("status", "--node", node, "x"),
+                listOf("activate", "--node", node), listOf("activate", "--node", node, "one"), listOf("activate", "--node", node, "0"), listOf("exclude", "--node", node),
+            )
         for (args in wrong) assertEquals(2, run(*args.toTypedArray()).code, "$args")
         assertEquals(emptyList<RolloutRequest>(), asked)
     }
@@ -97,7 +113,14 @@
         val watched = DefaultVirtualTerminal(TerminalSize(100, 20))
         // The screen is left when the view ends, so it is read while it is shown.
         RolloutView.run(watched) {
-            shown = (0 until 20).joinToString("\n") { row -> (0 until 100).joinToString("") { column -> watched.getCharacter(column, row).characterString } }
+            shown =
+                (0 until 20).joinToString("\n") { row ->
+                    (0 until 100).joinToString("") { column ->
+                        watched
+                            .getCharacter(column, row)
+                            .characterString
+                    }
+                }
             if (shown.isNotBlank()) watched.addInput(KeyStroke.fromString("q"))
             OperatorAnswer.Replied(RolloutReply(true, status = STATUS))
         }
@@ -107,12 +130,13 @@
     }
 
     private companion object {
-        val STATUS = RolloutStatus(
-            node = "bobbin-0", leader = "bobbin-0", build = "build-2", lowest = 0, highest = 2, level = 1, levelName = "sealed-records", stage = "active",
-            levelChangedAt = 5, levelProblem = null, fence = null, target = 2, mode = "automatic", approvedLevel = null, lowerTo = null, excluded = emptyList(),
-            hold = "member_old_build", holdMember = "bobbin-2", holdDetail = "build-1", heldSince = 5,
-            members = listOf(RolloutStatus.Member("bobbin-2", "build-1", 1, true, 7, 9, 0)), health = emptyList(),
-            plan = listOf("replace bobbin-2", "replace bobbin-0 (it leads, so it comes last)"), recordsInLevel = 3,
-        )
+        val STATUS =
+            RolloutStatus(
+                node = "bobbin-0", leader = "bobbin-0", build = "build-2", lowest = 0, highest = 2, level = 1, levelName = "sealed-records", stage = "active",
+                levelChangedAt = 5, levelProblem = null, fence = null, target = 2, mode = "automatic", approvedLevel = null, lowerTo = null, excluded = emptyList(),
+                hold = "member_old_build", holdMember = "bobbin-2", holdDetail = "build-1", heldSince = 5,
+                members = listOf(RolloutStatus.Member("bobbin-2", "build-1", 1, true, 7, 9, 0)), health = emptyList(),
+                plan = listOf("replace bobbin-2", "replace bobbin-0 (it leads, so it comes last)"), recordsInLevel = 3,
+            )
     }
 }
--- a/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
+++ b/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
@@ -20,7 +20,9 @@
         script = OperatorScript(SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) }))
     }
 
-    private fun problems(source: String) = assertThrows(SettingsError::class.java) { script.run(source, "tune.lua") }.problems
+    private fun problems(source: String) =
+        assertThrows(SettingsError::class.java) { script.run(source, "tune.lua") }
+            .problems
 
     @Test
     fun `named values are set and the rest keep their defaults`() {
@@ -33,7 +35,11 @@
     fun `unknown names and impossible values are refused together`() {
         val p = problems("tuning.colour = 1\ntuning.headroom = -1\ntuning.silence_share = 'much'\n")
         assertEquals(3, p.size)
-        assertTrue(p.any { "tuning.colour" in it } && p.any { "tuning.headroom" in it } && p.any { "tuning.silence_share" in it })
+        assertTrue(
+            p.any { "tuning.colour" in it } &&
+                p.any { "tuning.headroom" in it } &&
+                p.any { "tuning.silence_share" in it },
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/config/RolloutSettingsReaderTest.kt
+++ b/src/test/kotlin/glenspool/config/RolloutSettingsReaderTest.kt
@@ -25,18 +25,37 @@
 
     @Test
     fun `each setting is taken`() {
-        val policy = read("mode = \"hold\"\nfenced = \"exit\"\nsettle_s = 1\nevidence_s = 6.5\nleft_behind_s = 3\n[health]\nwindow_s = 9\ntolerated = 4\nfactor = 1.5")
-        assertEquals(listOf(ActivationMode.HOLD, FencedReaction.EXIT, 1.seconds, 6.5.seconds, 3.seconds), policy.run { listOf(mode, fenced, settle, evidenceAge, leftBehindAfter) })
+        val policy =
+            read("mode = \"hold\"\nfenced = \"exit\"\nsettle_s = 1\nevidence_s = 6.5\nleft_behind_s = 3\n[health]\nwindow_s = 9\ntolerated = 4\nfactor = 1.5")
+        assertEquals(
+            listOf(ActivationMode.HOLD, FencedReaction.EXIT, 1.seconds, 6.5.seconds, 3.seconds),
+            policy.run {
+                listOf(mode, fenced, settle, evidenceAge, leftBehindAfter)
+            },
+        )
         assertEquals(listOf(9.seconds, 4L, 1.5), policy.health.run { listOf(window, tolerated, factor) })
     }
 
     @Test
     fun `every fault is named with its path and what would do`() {
-        val error = assertThrows(SettingsError::class.java) { read("mode = \"sometimes\"\nfenced = 3\nsettle_s = -1\nevidence_s = 2\npolicy = 1\n[health]\nfactor = 0.5\nx = 1") }
+        val error =
+            assertThrows(SettingsError::class.java) {
+                read("mode = \"sometimes\"\nfenced = 3\nsettle_s = -1\nevidence_s = 2\npolicy = 1\n[health]\nfactor = 0.5\nx = 1")
+            }
         val faults = error.problems.map { it.substringAfter("rollout.toml: ") }
-        assertEquals(setOf("policy", "health.x", "mode", "fenced", "settle_s", "evidence_s", "health.factor"), faults.map { it.substringBefore(':') }.toSet())
+        assertEquals(
+            setOf("policy", "health.x", "mode", "fenced", "settle_s", "evidence_s", "health.factor"),
+            faults
+                .map { it.substringBefore(':') }
+                .toSet(),
+        )
         assertTrue("mode: one of automatic, manual, hold is needed" in faults)
-        assertTrue(assertThrows(SettingsError::class.java) { read("health = 4") }.problems.single().endsWith("health: a table is needed"))
+        assertTrue(
+            assertThrows(SettingsError::class.java) { read("health = 4") }
+                .problems
+                .single()
+                .endsWith("health: a table is needed"),
+        )
         assertThrows(SettingsError::class.java) { RolloutSettingsReader().read(File(dir, "absent.toml")) }
     }
 }
--- a/src/test/kotlin/glenspool/config/SettingsTest.kt
+++ b/src/test/kotlin/glenspool/config/SettingsTest.kt
@@ -19,12 +19,22 @@
     fun `limits that will hold some day are kept from the start, and what they leave out stays as it is`() {
         assertEquals(null, read(GOOD).stateLimits.next)
         assertEquals(read(GOOD).stateLimits.now, read(GOOD).stateLimits.safe)
-        val s = read(GOOD.replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 90\n[settings.cloud]")).stateLimits
+        val s =
+            read(
+                GOOD
+                    .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 90\n[settings.cloud]"),
+            ).stateLimits
         assertEquals(s.now.copy(valueBytes = 2048), s.safe)
         assertEquals(s.now.copy(valueBytes = 2048, txnOps = 90), s.next)
-        val bad = GOOD.replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 0.5\ntxn_ops = 2\nwrite_rps = \"x\"\n[settings.cloud]")
+        val bad =
+            GOOD
+                .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 0.5\ntxn_ops = 2\nwrite_rps = \"x\"\n[settings.cloud]")
         val e = assertThrows(SettingsError::class.java) { read(bad) }
-        assertEquals(listOf("settings.state.next.write_rps", "settings.state.next.value_kb", "settings.state.next.txn_ops"), e.problems.map { it.substringBefore(':') })
+        assertEquals(
+            listOf("settings.state.next.write_rps", "settings.state.next.value_kb", "settings.state.next.txn_ops"),
+            e.problems
+                .map { it.substringBefore(':') },
+        )
     }
 
     @Test
@@ -43,14 +53,23 @@
 
     @Test
     fun `every fault is named by its path, all at once`() {
-        val bad = GOOD.replace("report_s = 1.5", "report_s = \"often\"").replace("txn_ops = 24", "").replace("cloud = \"10.2.0.2:8443\"", "cloud = \"nowhere\"")
-            .replace("gpus_max = 36.0", "gpus_max = -1.0")
+        val bad =
+            GOOD
+                .replace("report_s = 1.5", "report_s = \"often\"")
+                .replace("txn_ops = 24", "")
+                .replace("cloud = \"10.2.0.2:8443\"", "cloud = \"nowhere\"")
+                .replace("gpus_max = 36.0", "gpus_max = -1.0")
         val e = assertThrows(SettingsError::class.java) { read(bad) }
         for (path in listOf("settings.workers.report_s", "settings.state.txn_ops", "outside.cloud", "settings.teams[0].gpus_max")) {
             assertTrue(e.problems.any { it.startsWith("$path:") }, "$path in ${e.problems}")
         }
         assertEquals(4, e.problems.size)
-        assertTrue(assertThrows(SettingsError::class.java) { read(GOOD.replace("txn_ops = 24", "txn_ops = 2")) }.problems.single().startsWith("settings.state.txn_ops:"))
+        assertTrue(
+            assertThrows(SettingsError::class.java) { read(GOOD.replace("txn_ops = 24", "txn_ops = 2")) }
+                .problems
+                .single()
+                .startsWith("settings.state.txn_ops:"),
+        )
     }
 
     @Test
@@ -60,7 +79,8 @@
     }
 
     companion object {
-        val GOOD = """
+        val GOOD =
+            """
             host_name = "bobbin-0"
             location = "here"
             api_addr = "10.0.0.1:8080"
@@ -105,6 +125,6 @@
             cores = 0.17
             ram_mb = 181.0
             fd_limit = 900
-        """.trimIndent()
+            """.trimIndent()
     }
 }
--- a/src/test/kotlin/glenspool/controller/CancelExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancelExchangeTest.kt
@@ -31,7 +31,13 @@
     private val heard = LinkedBlockingQueue<Cancellation>()
     private val open = ArrayList<AutoCloseable>()
 
-    private inner class Side(name: String, other: String, client: PeerClient, learnt: (List<Cancellation>) -> Unit = {}) {
+    private inner class Side(
+        name: String,
+        other: String,
+        client: PeerClient,
+        learnt: (List<Cancellation>) -> Unit = {
+        },
+    ) {
         val known = Cancellations("$name-1", listOf(other), 100.seconds, { now }) { now }
         val exchange = CancelExchange(name, known, client, { now }, { false }, learnt)
     }
@@ -41,13 +47,14 @@
     private fun stored(job: String) = listOf(StateWire.Change(Keys.cancel(job), mapOf("at" to 0L), 7))
 
     private fun serving(x: CancelExchange, m: Member) {
-        val t = thread(isDaemon = true) {
-            try {
-                x.run(m)
-            } catch (e: InterruptedException) {
-                Thread.currentThread().interrupt()
+        val t =
+            thread(isDaemon = true) {
+                try {
+                    x.run(m)
+                } catch (e: InterruptedException) {
+                    Thread.currentThread().interrupt()
+                }
             }
-        }
         open.add(AutoCloseable { t.interrupt() })
     }
 
@@ -58,10 +65,13 @@
     fun `another controller is told before a user is`() {
         val b = Side("b", "a", PeerClient(emptyList())) { heard.addAll(it) }
         val gate = CountDownLatch(1)
-        val server = HttpListener(
-            InetSocketAddress("127.0.0.1", 0), "b", 4,
-            PeerServer({ PeerStatus("b", false, null, true) }, { m -> gate.await().let { b.exchange.answer(m) } }) { RelayAnswer(500, ByteArray(0), null) },
-        )
+        val server =
+            HttpListener(
+                InetSocketAddress("127.0.0.1", 0), "b", 4,
+                PeerServer({
+                    PeerStatus("b", false, null, true)
+                }, { m -> gate.await().let { b.exchange.answer(m) } }) { RelayAnswer(500, ByteArray(0), null) },
+            )
         open.add(server)
         val m = member(server.port)
         val a = Side("a", "b", PeerClient(listOf(m)))
@@ -78,14 +88,21 @@
     fun `duties that were answered do not wake each other`() {
         val asked = LinkedBlockingQueue<String>()
         val answers = listOf("b", "c").associateWith { Side(it, "a", PeerClient(emptyList())) }
-        val members = answers.map { (name, side) ->
-            val server = HttpListener(
-                InetSocketAddress("127.0.0.1", 0), name, 4,
-                PeerServer({ PeerStatus(name, false, null, true) }, { m -> side.exchange.answer(m).also { asked.add(name) } }) { RelayAnswer(500, ByteArray(0), null) },
-            )
-            open.add(server)
-            Member(name, "here", InetSocketAddress("127.0.0.1", server.port))
-        }
+        val members =
+            answers.map { (name, side) ->
+                val server =
+                    HttpListener(
+                        InetSocketAddress("127.0.0.1", 0), name, 4,
+                        PeerServer({ PeerStatus(name, false, null, true) }, { m ->
+                            side.exchange.answer(m).also {
+                                asked
+                                    .add(name)
+                            }
+                        }) { RelayAnswer(500, ByteArray(0), null) },
+                    )
+                open.add(server)
+                Member(name, "here", InetSocketAddress("127.0.0.1", server.port))
+            }
         val known = Cancellations("a-1", members.map { it.name }, 100.seconds, { now }) { now }
         val a = CancelExchange("a", known, PeerClient(members), { now }, { false }) {}
         members.forEach { serving(a, it) }
--- a/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
@@ -34,22 +34,26 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A leader's writes and its election while levels are managed, over loopback against a stand-in for the state service. */
+/**
+ * A leader's writes and its election while levels are managed, over loopback against a stand-in for the state service.
+ */
 class GuardedWritesTest {
     private val state = StateStandIn()
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
     private val client = StateClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
     private val replica = Replica(client, 1000.0) { _, _ -> }
-    private val gate = FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(replica) { replica.age() != null }::level)
+    private val gate =
+        FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(replica) { replica.age() != null }::level)
     private val elected = LinkedBlockingQueue<Term>()
     private val outcomes = LinkedBlockingQueue<StoreOutcome>()
     private val leadership = Leadership("a", "boot", client, replica, { elected.add(it) }, {}) { gate.fence() == null }
     private val writer = StateWriter(LIMITS, client, replica, leadership, gate) { outcome, _ -> outcomes.add(outcome) }
-    private val duties = Duties({}).also { duties ->
-        duties.start("syncs") { replica.serveSyncs() }
-        duties.start("leadership") { leadership.run() }
-        duties.start("writer") { writer.run() }
-    }
+    private val duties =
+        Duties({}).also { duties ->
+            duties.start("syncs") { replica.serveSyncs() }
+            duties.start("leadership") { leadership.run() }
+            duties.start("writer") { writer.run() }
+        }
 
     @AfterEach
     fun close() {
@@ -58,16 +62,47 @@
     }
 
     private fun store(level: Int, stage: LevelStage) {
-        state.transact(emptyMap(), listOf(Put(Keys.LEVEL, RolloutWire.encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)))), emptyList())
+        state
+            .transact(
+                emptyMap(),
+                listOf(
+                    Put(
+                        Keys.LEVEL,
+                        RolloutWire
+                            .encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)),
+                    ),
+                ),
+                emptyList(),
+            )
         assertTrue(replica.sync(2.seconds))
     }
 
-    private val split = JobRecord(job("a", tasks = 9), Duration.ZERO, 3, BitSet(), listOf(Intent(1, 1, "i-1")), shelved = mapOf(0 to listOf(Intent(2, 3, "i-2"))))
+    private val split =
+        JobRecord(
+            job("a", tasks = 9), Duration.ZERO, 3, BitSet(), listOf(Intent(1, 1, "i-1")),
+            shelved =
+                mapOf(
+                    0 to listOf(Intent(2, 3, "i-2")),
+                ),
+        )
 
     private fun save(term: Term, record: JobRecord): StoreOutcome? {
         val version = state.get(Keys.job("a"))?.version ?: 0L
         assertTrue(replica.sync(2.seconds))
-        writer.offer(term, Store(listOf(SaveJob("a", version, record, emptyList(), 1, false, record.shelved.mapValues { 1L }))))
+        writer
+            .offer(
+                term,
+                Store(
+                    listOf(
+                        SaveJob(
+                            "a", version, record, emptyList(), 1, false,
+                            record.shelved.mapValues {
+                                1L
+                            },
+                        ),
+                    ),
+                ),
+            )
         return outcomes.poll(5, TimeUnit.SECONDS)
     }
 
--- a/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
@@ -16,7 +16,8 @@
     private val posted = ArrayDeque<PendingReport>()
     private val intake = ReportIntake(pending, { term }) { posted.add(it) }.also { it.begun = term }
 
-    private fun report(machine: Int) = Report("i-%06d".format(machine), "addr", "big", "a", false, 1, 1, 1, null, emptyList())
+    private fun report(machine: Int) =
+        Report("i-%06d".format(machine), "addr", "big", "a", false, 1, 1, 1, null, emptyList())
 
     /** The core takes in so many reports a second; the answers, and how many of them had the core's orders. */
     private fun play(coreTakes: Int): Pair<Int, Int> {
--- a/src/test/kotlin/glenspool/controller/LeadershipTest.kt
+++ b/src/test/kotlin/glenspool/controller/LeadershipTest.kt
@@ -69,13 +69,26 @@
     fun `the done bits of a large job come back from their chunks`() {
         val mark = lead()
         val big = job("a", tasks = 20_000)
-        val done = BitSet().apply {
-            set(3)
-            set(9_000)
-            set(19_999)
-        }
-        state.transact(emptyMap(), listOf(Put(Keys.job("a"), RecordWire.encode(JobRecord(big, Duration.ZERO, 0, BitSet(), emptyList())))), emptyList())
-        val write = SaveJob("a", state.revision, JobRecord(big, Duration.ZERO, 5, done, emptyList()), listOf(0, 1, 2), 1, false)
+        val done =
+            BitSet().apply {
+                set(3)
+                set(9_000)
+                set(19_999)
+            }
+        state
+            .transact(
+                emptyMap(),
+                listOf(
+                    Put(
+                        Keys.job("a"),
+                        RecordWire
+                            .encode(JobRecord(big, Duration.ZERO, 0, BitSet(), emptyList())),
+                    ),
+                ),
+                emptyList(),
+            )
+        val write =
+            SaveJob("a", state.revision, JobRecord(big, Duration.ZERO, 5, done, emptyList()), listOf(0, 1, 2), 1, false)
         assertEquals(null, apply(transactionOf(mark, Store(listOf(write)))))
         assertEquals(done, StoredJob(state).read("a", state.entries.getValue(Keys.job("a")).value).done)
     }
--- a/src/test/kotlin/glenspool/controller/PendingReportsTest.kt
+++ b/src/test/kotlin/glenspool/controller/PendingReportsTest.kt
@@ -9,14 +9,21 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A core that is behind must cost no worker its lease: what waits is bounded by count and by time, and answered once. */
+/**
+ * A core that is behind must cost no worker its lease: what waits is bounded by count and by time, and answered once.
+ */
 class PendingReportsTest {
     private var now = Duration.ZERO
     private val reports = PendingReports { now }
     private val answers = ArrayList<Pair<String, WorkerOrders?>>()
     private val orders = WorkerOrders(3, emptyList())
 
-    private fun add(machine: String) = reports.add(Report(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) { answers.add(machine to it) }
+    private fun add(machine: String) =
+        reports.add(Report(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
+            answers.add(
+                machine to it,
+            )
+        }
 
     private fun take(pending: PendingReport) {
         reports.take(pending)
--- a/src/test/kotlin/glenspool/controller/ReportIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/ReportIntakeTest.kt
@@ -16,7 +16,12 @@
     private val intake = ReportIntake(pending, { term }, posted::add)
     private val orders = WorkerOrders(3, emptyList())
 
-    private fun take(machine: String) = intake.take(Report(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) { answers.add(machine to it) }
+    private fun take(machine: String) =
+        intake.take(Report(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
+            answers.add(
+                machine to it,
+            )
+        }
 
     @Test
     fun `a report waits for the core only once the core has begun this node's term`() {
--- a/src/test/kotlin/glenspool/controller/SweepTest.kt
+++ b/src/test/kotlin/glenspool/controller/SweepTest.kt
@@ -14,15 +14,22 @@
 
 class SweepTest {
     private val state = StateStandIn()
-    private val sweep = Sweep(state, 3) { conditions, puts, removes ->
-        state.transact(conditions, puts, removes)?.let { StateResult.Conflict(it) } ?: StateResult.Ok(state.revision)
-    }
+    private val sweep =
+        Sweep(state, 3) { conditions, puts, removes ->
+            state.transact(conditions, puts, removes)?.let { StateResult.Conflict(it) }
+                ?: StateResult.Ok(state.revision)
+        }
 
     private fun put(key: String, value: Map<String, Any?> = emptyMap()) {
         state.transact(emptyMap(), listOf(Put(key, value)), emptyList())
     }
 
-    private fun accept(id: String) = put(Keys.job(id), RecordWire.encode(JobRecord(job(id), Duration.ZERO, 0, BitSet(), emptyList())))
+    private fun accept(id: String) =
+        put(
+            Keys.job(id),
+            RecordWire
+                .encode(JobRecord(job(id), Duration.ZERO, 0, BitSet(), emptyList())),
+        )
 
     @Test
     fun `only what has had no record for two looks goes, a little at a time`() {
@@ -38,7 +45,14 @@
         assertEquals(2, state.under(Keys.CHUNK).size)
         accept("coming")
         repeat(3) { sweep.look(mark) }
-        assertEquals(setOf(Keys.LEAD, Keys.job("live"), Keys.job("coming"), Keys.shelf("live", 0), Keys.piece("coming", 0)), state.entries.keys)
+        assertEquals(
+            setOf(
+                Keys.LEAD, Keys.job("live"), Keys.job("coming"), Keys.shelf("live", 0),
+                Keys
+                    .piece("coming", 0),
+            ),
+            state.entries.keys,
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -58,7 +58,10 @@
         }.use { itself ->
             var served = 0L
             var looks = 0
-            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, { (served + 1000).also { served = it } }) { looks++ >= 2 }.run()
+            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, { (served + 1000).also { served = it } }) {
+                looks++ >=
+                    2
+            }.run()
             assertEquals(2, asked.get())
         }
     }
@@ -67,7 +70,16 @@
     fun `the answer to a made-up report orders nothing and vouches for nothing but its own token`() {
         val fleet = Rehearsing(config())
         fleet.turn()
-        val r = WarmUp.answer(Request(Method.POST, WarmUp.PATH).body(Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastReport))))))
-        assertEquals(WorkerWire.answer(fleet.lastReport.token, emptyList()), Cbor.decodeMap(r.body.stream.readAllBytes()))
+        val r =
+            WarmUp
+                .answer(
+                    Request(Method.POST, WarmUp.PATH)
+                        .body(Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastReport))))),
+                )
+        assertEquals(
+            WorkerWire.answer(fleet.lastReport.token, emptyList()),
+            Cbor
+                .decodeMap(r.body.stream.readAllBytes()),
+        )
     }
 }
--- a/src/test/kotlin/glenspool/core/CancelledWorkTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTest.kt
@@ -23,14 +23,25 @@
     fun `machines are asked when their time is half over, and only about what was cancelled`() {
         assertEquals(emptyList<String>(), due(15).map { it.machine })
         assertEquals(listOf("m1" to setOf("a"), "m2" to setOf("a")), due(17).map { it.machine to it.jobs })
-        assertEquals(listOf("m1" to setOf("a"), "m2" to setOf("a", "b"), "m3" to setOf("b")), due(21).map { it.machine to it.jobs })
+        assertEquals(
+            listOf("m1" to setOf("a"), "m2" to setOf("a", "b"), "m3" to setOf("b")),
+            due(21).map {
+                it.machine to
+                    it.jobs
+            },
+        )
     }
 
     @Test
     fun `what still runs is stopped, and a machine that was seen to be rid of it is left alone`() {
         val (m1, m2, m3) = due(21)
-        assertEquals(emptyList<StopTask>(), work.seen(m1, report("m1", listOf(task("a", 0, 1, TaskState.EXITED, Exit.STOPPED), task("other", 0, 1, TaskState.RUNNING)))))
-        val running = report("m2", listOf(task("a", 1, 7, TaskState.RUNNING), task("b", 0, 3, TaskState.EXITED, Exit.DONE)))
+        assertEquals(
+            emptyList<StopTask>(),
+            work
+                .seen(m1, report("m1", listOf(task("a", 0, 1, TaskState.EXITED, Exit.STOPPED), task("other", 0, 1, TaskState.RUNNING)))),
+        )
+        val running =
+            report("m2", listOf(task("a", 1, 7, TaskState.RUNNING), task("b", 0, 3, TaskState.EXITED, Exit.DONE)))
         assertEquals(listOf("a" to 7L), work.seen(m2, running).map { it.key.job to it.attempt })
         assertEquals(emptyList<StopTask>(), work.seen(m3, null))
         assertEquals(listOf("m2" to setOf("a"), "m3" to setOf("b")), due(22).map { it.machine to it.jobs })
@@ -66,11 +77,25 @@
     fun `a leader that hears of a cancellation from another controller stops the work at once`() {
         val running = busy(1)
         val (machine, task) = running.entries.single()
-        val stops = step { jobCancelled("a", 900, now) }.filterIsInstance<Direct>().flatMap { it.commands }.filterIsInstance<StopTask>()
+        val stops =
+            step { jobCancelled("a", 900, now) }
+                .filterIsInstance<Direct>()
+                .flatMap { it.commands }
+                .filterIsInstance<StopTask>()
         assertEquals(listOf(StopTask(task.key, task.attempt, Duration.ZERO, StopCause.CANCELLED)), stops)
-        // The state service tells the same later: nothing changes but its version, which a final record is conditioned on.
+        // The state service tells the same later: nothing changes but its version, which a final record is conditioned
+        // on.
         assertEquals(emptyList<Direct>(), step { jobCancelled("a", 901, now) }.filterIsInstance<Direct>())
-        val after = say(report(machine, listOf(task.copy(state = TaskState.EXITED, exit = Exit.STOPPED)))).second + wait(1.seconds)
-        assertEquals(listOf<Long?>(901), after.filterIsInstance<Store>().flatMap { it.writes }.filterIsInstance<FinishJob>().map { it.cancelVersion })
+        val after =
+            say(report(machine, listOf(task.copy(state = TaskState.EXITED, exit = Exit.STOPPED)))).second +
+                wait(1.seconds)
+        assertEquals(
+            listOf<Long?>(901),
+            after
+                .filterIsInstance<Store>()
+                .flatMap { it.writes }
+                .filterIsInstance<FinishJob>()
+                .map { it.cancelVersion },
+        )
     }
 }
--- a/src/test/kotlin/glenspool/core/ChainsTest.kt
+++ b/src/test/kotlin/glenspool/core/ChainsTest.kt
@@ -33,7 +33,9 @@
         val sent = confirm().filterIsInstance<Direct>().single()
         val start = sent.commands.single()
         assertEquals("a", start.key.job)
-        step { directEnded("m1", sent, DirectOutcome.DONE, report("m1", listOf(task("a", 0, start.attempt, TaskState.RUNNING)))) }
+        step {
+            directEnded("m1", sent, DirectOutcome.DONE, report("m1", listOf(task("a", 0, start.attempt, TaskState.RUNNING))))
+        }
         // Neither the worker's result nor the change that is on its way is enough.
         val (_, seen) = say(report("m1", listOf(task("a", 0, start.attempt, TaskState.EXITED, Exit.DONE))))
         val before = seen + wait(3.seconds)
@@ -107,7 +109,9 @@
         assertNull(a.due)
     }
 
-    private fun record(id: String, needs: List<String>) = glenspool.core.model.JobRecord(job(id), now, 0, java.util.BitSet(), emptyList(), needs)
+    private fun record(id: String, needs: List<String>) =
+        glenspool.core.model
+            .JobRecord(job(id), now, 0, java.util.BitSet(), emptyList(), needs)
 
     /** Users' jobs in the order of their acceptance, and what is stored of them. */
     private class Model(seed: Long) {
@@ -117,11 +121,12 @@
         val cancelled = HashSet<String>()
         val priority = HashMap<String, Priority>()
 
-        fun aborted(id: String): Boolean = when (ends[id]) {
-            JobEnd.DONE -> false
-            JobEnd.CANCELLED -> true
-            null -> id in cancelled || needs.getValue(id).any(::aborted)
-        }
+        fun aborted(id: String): Boolean =
+            when (ends[id]) {
+                JobEnd.DONE -> false
+                JobEnd.CANCELLED -> true
+                null -> id in cancelled || needs.getValue(id).any(::aborted)
+            }
 
         fun ready(id: String): Boolean = needs.getValue(id).all { ends[it] == JobEnd.DONE }
 
@@ -141,11 +146,29 @@
         val before = ArrayList<String>()
         repeat(120) { n ->
             val id = "j-${m.random.nextInt(1000)}-$n"
-            val candidates = m.needs.keys.toList().takeLast(8)
+            val candidates =
+                m.needs.keys
+                    .toList()
+                    .takeLast(8)
             val alone = candidates.isEmpty() || m.random.nextInt(3) == 0
-            m.needs[id] = if (alone) emptyList() else List(1 + m.random.nextInt(3)) { candidates[m.random.nextInt(candidates.size)] }.distinct()
+            m.needs[id] =
+                if (alone) {
+                    emptyList()
+                } else {
+                    List(1 + m.random.nextInt(3)) {
+                        candidates[m.random.nextInt(candidates.size)]
+                    }.distinct()
+                }
             m.priority[id] = Priority.entries[m.random.nextInt(3)]
-            fun tell(who: String) = step { jobStored(record(who, m.needs.getValue(who)).copy(spec = job(who, priority = m.priority.getValue(who))), ++revision) }
+
+            fun tell(who: String) =
+                step {
+                    jobStored(
+                        record(who, m.needs.getValue(who))
+                            .copy(spec = job(who, priority = m.priority.getValue(who))),
+                        ++revision,
+                    )
+                }
             if (n < 40) before.add(id) else tell(id)
             if (n == 39) {
                 for (b in before.sorted()) if (b !in m.ends) tell(b)
@@ -161,20 +184,23 @@
     private fun happen(m: Model, tell: Boolean) {
         val live = m.needs.keys.filter { it !in m.ends }
         when (m.random.nextInt(5)) {
-            0, 1, 2 -> m.pick(live.filter { m.ready(it) && !m.aborted(it) })?.let { id ->
-                m.ends[id] = JobEnd.DONE
-                if (tell) step { jobGone(id) }
-            }
-            3 -> m.pick(live.filter { m.aborted(it) })?.let { id ->
-                m.ends[id] = JobEnd.CANCELLED
-                if (tell) step { jobGone(id) }
-            }
-            else -> if (m.random.nextInt(3) == 0) {
-                m.pick(live.filter { !m.aborted(it) })?.let { id ->
-                    m.cancelled.add(id)
-                    if (tell) step { jobCancelled(id, ++revision, now) }
+            0, 1, 2 ->
+                m.pick(live.filter { m.ready(it) && !m.aborted(it) })?.let { id ->
+                    m.ends[id] = JobEnd.DONE
+                    if (tell) step { jobGone(id) }
+                }
+            3 ->
+                m.pick(live.filter { m.aborted(it) })?.let { id ->
+                    m.ends[id] = JobEnd.CANCELLED
+                    if (tell) step { jobGone(id) }
+                }
+            else ->
+                if (m.random.nextInt(3) == 0) {
+                    m.pick(live.filter { !m.aborted(it) })?.let { id ->
+                        m.cancelled.add(id)
+                        if (tell) step { jobCancelled(id, ++revision, now) }
+                    }
                 }
-            }
         }
         if (!tell) return
         // Some answers get lost; in the end all arrive.
@@ -183,7 +209,16 @@
         while (acts.asked().isNotEmpty()) {
             val asked = acts.asked()
             assertTrue(++times < 200, "asked without end for $asked")
-            acts = step { endsRead(asked, asked.filter { m.random.nextInt(4) > 0 && it in m.ends }.associateWith { m.ends.getValue(it) }) } + wait(2.seconds)
+            acts =
+                step {
+                    endsRead(
+                        asked,
+                        asked.filter { m.random.nextInt(4) > 0 && it in m.ends }.associateWith {
+                            m.ends
+                                .getValue(it)
+                        },
+                    )
+                } + wait(2.seconds)
         }
     }
 
@@ -193,7 +228,11 @@
             val waits = m.needs.getValue(id).isNotEmpty() && !m.ready(id)
             assertEquals(waits, held != null, "$where: $id waits")
             assertEquals(!waits, id in core.jobs, "$where: $id is released")
-            if (held != null) assertEquals(m.needs.getValue(id).any(m::aborted), held.cutBy != null, "$where: $id is cut off")
+            if (held !=
+                null
+            ) {
+                assertEquals(m.needs.getValue(id).any(m::aborted), held.cutBy != null, "$where: $id is cut off")
+            }
             if (held == null || held.cutBy == null) assertEquals(m.rank(id), core.job(id)?.rank, "$where: rank of $id")
         }
     }
--- a/src/test/kotlin/glenspool/core/FleetGuardsTest.kt
+++ b/src/test/kotlin/glenspool/core/FleetGuardsTest.kt
@@ -34,7 +34,13 @@
         // Not all of them are heard again at the same moment.
         assertEquals(emptySet<String>(), live(4.seconds, running - zone.drop(1).toSet(), zone.drop(1).toSet()).deleted())
         assertEquals(emptySet<String>(), live(20.seconds, running, emptySet()).deleted())
-        assertEquals(12, core.jobs.getValue("a").placements.values.count { it.attempt == running.getValue(it.machine).attempt })
+        assertEquals(
+            12,
+            core.jobs.getValue("a").placements.values.count {
+                it.attempt ==
+                    running.getValue(it.machine).attempt
+            },
+        )
     }
 
     @Test
@@ -55,7 +61,12 @@
     @Test
     fun `machines that are lost one after the other share a call to the cloud, whose calls are few`() {
         val running = busy(6, others = 6)
-        assertEquals(listOf(listOf("m1")), list(running.keys, failed = setOf("m1")).filterIsInstance<Delete>().map { it.machines })
+        assertEquals(
+            listOf(listOf("m1")),
+            list(running.keys, failed = setOf("m1")).filterIsInstance<Delete>().map {
+                it.machines
+            },
+        )
         // Within the pause nothing is sent, and what came meanwhile goes together.
         assertTrue(list(running.keys, failed = setOf("m1", "m2")).none { it is Delete })
         now += 200.milliseconds
@@ -88,7 +99,18 @@
         submit(job("b"))
         step { jobCancelled("a", ++revision, now) }
         // The stop is carried out on m1 and m2; m3 is not heard any more.
-        for (m in listOf("m1", "m2")) say(report(m, listOf(running.getValue(m).copy(state = TaskState.EXITED, exit = Exit.STOPPED))))
+        for (m in listOf("m1", "m2")) {
+            say(
+                report(
+                    m,
+                    listOf(
+                        running
+                            .getValue(m)
+                            .copy(state = TaskState.EXITED, exit = Exit.STOPPED),
+                    ),
+                ),
+            )
+        }
         val cancelled = now
         assertEquals(emptyList<String>(), core.overdue(cancelled + 31.seconds).map { it.machine })
         assertEquals(listOf("m3" to setOf("a")), core.overdue(cancelled + 33.seconds).map { it.machine to it.jobs })
@@ -102,10 +124,18 @@
     fun `a spread service whose zone is full gets a machine in another zone`() {
         started(1, others = 1)
         // Zone a has its share of the service, and the machine in zone b is full.
-        submit(job("full", need = Amount(15.0, 4.0, 60.0), zone = "b", priority = Priority.CRITICAL, estimate = 1000.seconds))
+        submit(
+            job(
+                "full", need = Amount(15.0, 4.0, 60.0), zone = "b", priority = Priority.CRITICAL,
+                estimate =
+                    1000
+                        .seconds,
+            ),
+        )
         wait(1.seconds)
         assertEquals(setOf("z1"), carriedOut().keys)
-        val first = submit(job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL, spread = true), listOf(Intent(0, 1, "m1")), last = 1)
+        val first =
+            submit(job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL, spread = true), listOf(Intent(0, 1, "m1")), last = 1)
         val rented = (first + wait(4.seconds)).filterIsInstance<Rent>()
         assertTrue(rented.isNotEmpty() && rented.all { it.zone == "b" }, "$rented")
     }
@@ -129,9 +159,16 @@
         val small = carriedOut()
         // One task of the gang is gone with its machine about to be taken; the other is still there for a while.
         val (lost, left) = gang.keys.toList()
-        val (_, told) = say(report(lost, listOf(gang.getValue(lost).copy(state = TaskState.EXITED, exit = Exit.PEERS))).copy(notice = 10.seconds))
-        val stops = (told + live(4.seconds, small + (left to gang.getValue(left)), emptySet()))
-            .filterIsInstance<Direct>().flatMap { it.commands }.filterIsInstance<StopTask>()
+        val (_, told) =
+            say(
+                report(lost, listOf(gang.getValue(lost).copy(state = TaskState.EXITED, exit = Exit.PEERS)))
+                    .copy(notice = 10.seconds),
+            )
+        val stops =
+            (told + live(4.seconds, small + (left to gang.getValue(left)), emptySet()))
+                .filterIsInstance<Direct>()
+                .flatMap { it.commands }
+                .filterIsInstance<StopTask>()
         assertTrue(stops.none { it.key.job == "small" }, "the room is of no use yet: $stops")
     }
 
@@ -143,15 +180,40 @@
         val gang = carriedOut()
         submit(job("small", tasks = 4, need = whole))
         val (first, second) = gang.keys.toList()
-        fun breaks(m: String) = say(report(m, listOf(gang.getValue(m).copy(state = TaskState.EXITED, exit = Exit.PEERS))))
+
+        fun breaks(m: String) =
+            say(report(m, listOf(gang.getValue(m).copy(state = TaskState.EXITED, exit = Exit.PEERS))))
         breaks(first)
         val meanwhile = wait(2.seconds)
-        assertTrue(core.machines.getValue(first).placements.isEmpty(), "small work took the room")
-        assertTrue(meanwhile.filterIsInstance<Direct>().flatMap { it.commands }.none { it is StopTask && it.key.job == "small" })
+        assertTrue(
+            core.machines
+                .getValue(first)
+                .placements
+                .isEmpty(),
+            "small work took the room",
+        )
+        assertTrue(
+            meanwhile.filterIsInstance<Direct>().flatMap { it.commands }.none {
+                it is StopTask &&
+                    it.key.job == "small"
+            },
+        )
         breaks(second)
         wait(2.seconds)
-        assertEquals(setOf(2L), core.jobs.getValue("gang").placements.values.map { it.attempt }.toSet())
-        assertEquals(0, core.jobs.getValue("small").placements.size)
+        assertEquals(
+            setOf(2L),
+            core.jobs
+                .getValue("gang")
+                .placements.values
+                .map { it.attempt }
+                .toSet(),
+        )
+        assertEquals(
+            0,
+            core.jobs
+                .getValue("small")
+                .placements.size,
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/GuardsTest.kt
+++ b/src/test/kotlin/glenspool/core/GuardsTest.kt
@@ -33,14 +33,31 @@
         say(report("m1", listOf(task("a", 0, 7, TaskState.RUNNING))))
         submit(job("a", tasks = 2))
         wait(2.seconds)
-        assertEquals(setOf(1), core.jobs.getValue("a").placements.keys, "task 0 runs on m1")
-        assertEquals(setOf(TaskKey("a", 0)), core.jobs.getValue("a").orphans.keys)
-        // Both count for room: the task that was placed beside it, and the orphan until the machine shows that it is gone.
+        assertEquals(
+            setOf(1),
+            core.jobs
+                .getValue("a")
+                .placements.keys,
+            "task 0 runs on m1",
+        )
+        assertEquals(
+            setOf(TaskKey("a", 0)),
+            core.jobs
+                .getValue("a")
+                .orphans.keys,
+        )
+        // Both count for room: the task that was placed beside it, and the orphan until the machine shows that it is
+        // gone.
         assertEquals(Amount(12.0, 2.0, 48.0), core.machines.getValue("m1").free(bigType))
         say(report("m1"))
         wait(2.seconds)
         confirm()
-        assertEquals(setOf(0, 1), core.jobs.getValue("a").placements.keys)
+        assertEquals(
+            setOf(0, 1),
+            core.jobs
+                .getValue("a")
+                .placements.keys,
+        )
     }
 
     @Test
@@ -71,7 +88,14 @@
         say(report("m1", token = TOKEN - 1))
         say(report("m2"))
         assertTrue(wait(2.seconds).filterIsInstance<Store>().isEmpty())
-        assertEquals("m1", core.jobs.getValue("a").placements.getValue(0).machine)
+        assertEquals(
+            "m1",
+            core.jobs
+                .getValue("a")
+                .placements
+                .getValue(0)
+                .machine,
+        )
         val (_, actions) = say(report("m1"))
         assertTrue((actions + wait(2.seconds)).any { it is Store })
     }
@@ -82,15 +106,34 @@
         now += 3.seconds
         step { directEnded("m1", direct, DirectOutcome.UNKNOWN, null) }
         say(report("m1"))
-        assertEquals(1, core.jobs.getValue("a").placements.size)
+        assertEquals(
+            1,
+            core.jobs
+                .getValue("a")
+                .placements.size,
+        )
         val raised = wait(2.seconds)
         assertTrue(raised.any { it is RaiseToken })
         step { tokenRaised(TOKEN + 1) }
         say(report("m1", token = TOKEN))
-        assertEquals(1, core.jobs.getValue("a").placements.getValue(0).attempt)
+        assertEquals(
+            1,
+            core.jobs
+                .getValue("a")
+                .placements
+                .getValue(0)
+                .attempt,
+        )
         say(report("m1", token = TOKEN + 1))
         wait(2.seconds)
-        assertEquals(2, core.jobs.getValue("a").placements.getValue(0).attempt)
+        assertEquals(
+            2,
+            core.jobs
+                .getValue("a")
+                .placements
+                .getValue(0)
+                .attempt,
+        )
     }
 
     @Test
@@ -110,13 +153,19 @@
         submit(job("a", tasks = 2))
         wait(1.seconds)
         val d = confirm().filterIsInstance<Direct>().single()
-        step { directEnded("m1", d, DirectOutcome.DONE, report("m1", listOf(task("a", 0, 1, TaskState.RUNNING), task("a", 1, 2, TaskState.RUNNING)))) }
+        step {
+            directEnded("m1", d, DirectOutcome.DONE, report("m1", listOf(task("a", 0, 1, TaskState.RUNNING), task("a", 1, 2, TaskState.RUNNING))))
+        }
         val done = listOf(task("a", 0, 1, TaskState.EXITED, Exit.DONE), task("a", 1, 2, TaskState.RUNNING))
         val (early, _) = say(report("m1", done))
         assertTrue(early.isEmpty())
         assertTrue((store(wait(3.seconds)).writes.single() as SaveJob).record.done[0])
         confirm()
-        assertEquals(listOf<Command>(ForgetTask(TaskKey("a", 0), 1, ForgetCause.RECORDED)), say(report("m1", done)).first)
+        assertEquals(
+            listOf<Command>(ForgetTask(TaskKey("a", 0), 1, ForgetCause.RECORDED)),
+            say(report("m1", done))
+                .first,
+        )
     }
 
     @Test
@@ -141,7 +190,12 @@
         val d = confirm().filterIsInstance<Direct>().single()
         step { directEnded("m1", d, DirectOutcome.DONE, report("m1", listOf(task("a", 0, 1, TaskState.RUNNING)))) }
         say(old)
-        assertEquals(1, core.jobs.getValue("a").placements.size)
+        assertEquals(
+            1,
+            core.jobs
+                .getValue("a")
+                .placements.size,
+        )
     }
 
     @Test
@@ -162,7 +216,12 @@
         confirm()
         step { jobCancelled("a", ++revision, now) }
         val told = now
-        val host = core.jobs.getValue("a").placements.getValue(0).machine
+        val host =
+            core.jobs
+                .getValue("a")
+                .placements
+                .getValue(0)
+                .machine
         val actions = wait(30.seconds)
         assertTrue(actions.filterIsInstance<Delete>().any { host in it.machines })
         assertTrue(now - told < core.config.cancel)
@@ -201,15 +260,24 @@
     @Test
     fun `a machine that runs its tasks slowly is noticed`() {
         started(2)
+
         fun runOn(id: String, took: Duration) {
             submit(job(id, need = Amount(14.0, 4.0, 50.0)))
             submit(job("$id-other", need = Amount(14.0, 4.0, 50.0)))
             wait(1.seconds)
             for (d in confirm().filterIsInstance<Direct>()) {
                 val key = d.commands.filterIsInstance<StartTask>().single()
-                step { directEnded(d.machine, d, DirectOutcome.DONE, report(d.machine, listOf(task(key.key.job, 0, key.attempt, TaskState.RUNNING)))) }
+                step {
+                    directEnded(d.machine, d, DirectOutcome.DONE, report(d.machine, listOf(task(key.key.job, 0, key.attempt, TaskState.RUNNING))))
+                }
             }
-            val held = listOf(id, "$id-other").associate { j -> core.jobs.getValue(j).placements.getValue(0).let { it.machine to it } }
+            val held =
+                listOf(id, "$id-other").associate { j ->
+                    core.jobs.getValue(j).placements.getValue(0).let {
+                        it.machine to
+                            it
+                    }
+                }
             now += took
             for (m in listOf("m2", "m1")) {
                 if (m == "m1") now += took * 3
@@ -261,7 +329,12 @@
         step { directEnded("m1", direct, DirectOutcome.UNKNOWN, null) }
         say(report("m1", listOf(task("a", 0, 1, TaskState.EXITED, Exit.ERROR))))
         wait(4.seconds)
-        assertTrue(core.jobs.getValue("a").placements.isEmpty())
+        assertTrue(
+            core.jobs
+                .getValue("a")
+                .placements
+                .isEmpty(),
+        )
     }
 
     @Test
@@ -295,14 +368,28 @@
         for (d in directs) {
             val c = by.getValue(d.machine)
             val state = if (d.machine == "m1") TaskState.WAITING else TaskState.FETCHING
-            step { directEnded(d.machine, d, DirectOutcome.DONE, report(d.machine, listOf(task("g", c.key.task, c.attempt, state)))) }
+            step {
+                directEnded(d.machine, d, DirectOutcome.DONE, report(d.machine, listOf(task("g", c.key.task, c.attempt, state))))
+            }
         }
         val gaveUp = by.getValue("m1")
-        val after = say(report("m1", listOf(task("g", gaveUp.key.task, gaveUp.attempt, TaskState.EXITED, Exit.ALONE)))).second + wait(3.seconds)
+        val after =
+            say(report("m1", listOf(task("g", gaveUp.key.task, gaveUp.attempt, TaskState.EXITED, Exit.ALONE)))).second +
+                wait(3.seconds)
         assertTrue(after.filterIsInstance<Direct>().flatMap { it.commands }.none { it is StopTask })
         val other = by.getValue("m2")
-        val ready = say(report("m2", listOf(task("g", other.key.task, other.attempt, TaskState.WAITING)))).second + wait(1.seconds)
-        assertEquals(listOf(other.key), ready.filterIsInstance<Direct>().flatMap { it.commands }.filterIsInstance<StopTask>().map { it.key }.distinct())
+        val ready =
+            say(report("m2", listOf(task("g", other.key.task, other.attempt, TaskState.WAITING)))).second +
+                wait(1.seconds)
+        assertEquals(
+            listOf(other.key),
+            ready
+                .filterIsInstance<Direct>()
+                .flatMap { it.commands }
+                .filterIsInstance<StopTask>()
+                .map { it.key }
+                .distinct(),
+        )
     }
 
     @Test
@@ -317,7 +404,10 @@
                 when (val a = actions.removeAt(0)) {
                     is Store -> actions += confirm()
                     is Direct -> {
-                        val failed = a.commands.filterIsInstance<StartTask>().map { task("bad", it.key.task, it.attempt, TaskState.EXITED, Exit.ERROR) }
+                        val failed =
+                            a.commands.filterIsInstance<StartTask>().map {
+                                task("bad", it.key.task, it.attempt, TaskState.EXITED, Exit.ERROR)
+                            }
                         starts += failed.size
                         actions += step { directEnded(a.machine, a, DirectOutcome.DONE, report(a.machine, failed)) }
                     }
@@ -398,12 +488,18 @@
         assertTrue("m1" !in core.machines)
         // The next leader does not remember the deletion; but the copy can't show its token.
         val next = Scheduler(config(), TOKEN + 1, now)
-        val actions = next.step(now, now) {
-            typesKnown(listOf(bigType))
-            reported(last)
-            jobStored(JobRecord(job("a", JobKind.SERVICE, priority = Priority.CRITICAL), now, 0, BitSet(), emptyList()), 1)
-        } + next.step(now + 2.seconds, now + 2.seconds) { tick() }
-        assertTrue(next.jobs.getValue("a").placements.isEmpty())
+        val actions =
+            next.step(now, now) {
+                typesKnown(listOf(bigType))
+                reported(last)
+                jobStored(JobRecord(job("a", JobKind.SERVICE, priority = Priority.CRITICAL), now, 0, BitSet(), emptyList()), 1)
+            } + next.step(now + 2.seconds, now + 2.seconds) { tick() }
+        assertTrue(
+            next.jobs
+                .getValue("a")
+                .placements
+                .isEmpty(),
+        )
         // Nor is it counted as a machine that will soon be there.
         val later = (3..8).flatMap { n -> next.step(now + n.seconds, now + n.seconds) { tick() } }
         assertTrue((actions + later).any { it is Rent })
@@ -412,12 +508,26 @@
     @Test
     fun `a worker that forgot the token proves nothing gone, whatever its count`() {
         // It began anew: commands of an earlier leader that are still on their way would be carried out again.
-        commanded().let { d -> step { directEnded("m1", d, DirectOutcome.DONE, report("m1", listOf(task("a", 0, 1, TaskState.RUNNING)))) } }
+        commanded().let { d ->
+            step { directEnded("m1", d, DirectOutcome.DONE, report("m1", listOf(task("a", 0, 1, TaskState.RUNNING)))) }
+        }
         say(report("m1", token = 0))
-        assertEquals(1L, core.jobs.getValue("a").placements.getValue(0).attempt)
+        assertEquals(
+            1L,
+            core.jobs
+                .getValue("a")
+                .placements
+                .getValue(0)
+                .attempt,
+        )
         say(report("m1"))
         wait(1.seconds)
-        assertTrue(core.jobs.getValue("a").placements.values.none { it.attempt == 1L })
+        assertTrue(
+            core.jobs
+                .getValue("a")
+                .placements.values
+                .none { it.attempt == 1L },
+        )
     }
 
     @Test
@@ -430,7 +540,13 @@
             deleted += live(2.seconds, others, emptySet())
             say(report(m).copy(session = 1, seq = n.toLong() % 3))
         }
-        assertEquals(1, core.jobs.getValue("a").placements.values.count { it.machine == m })
+        assertEquals(
+            1,
+            core.jobs
+                .getValue("a")
+                .placements.values
+                .count { it.machine == m },
+        )
         assertEquals(listOf(m), deleted.filterIsInstance<Delete>().flatMap { it.machines }.distinct())
     }
 
@@ -441,7 +557,10 @@
         submit(job("a", tasks = 6), machines.mapIndexed { i, m -> Intent(i, i + 1L, m) }, last = 6)
         list(machines)
         val all = ArrayList<Action>()
-        val first = machines.take(4).associateWith { m -> task("a", m.drop(1).toInt() - 1, m.drop(1).toLong(), TaskState.RUNNING) }
+        val first =
+            machines.take(4).associateWith { m ->
+                task("a", m.drop(1).toInt() - 1, m.drop(1).toLong(), TaskState.RUNNING)
+            }
         // Four have found it and vouch for nothing: the others may be held by nodes that have just started.
         repeat(6) { all += live(2.seconds, first, emptySet()) }
         assertTrue(all.none { it is Delete })
@@ -465,10 +584,16 @@
         started(2)
         submit(job("small", tasks = 2, need = Amount(14.0, 4.0, 50.0)))
         wait(1.seconds)
-        val running = confirm().filterIsInstance<Direct>().associate { d -> d.machine to d.commands.filterIsInstance<StartTask>().single() }
+        val running =
+            confirm().filterIsInstance<Direct>().associate { d ->
+                d.machine to
+                    d.commands.filterIsInstance<StartTask>().single()
+            }
         for ((m, c) in running) {
             val sent = Direct(m, "addr-$m", TOKEN, 1, listOf(c))
-            step { directEnded(m, sent, DirectOutcome.DONE, report(m, listOf(task("small", c.key.task, c.attempt, TaskState.RUNNING)))) }
+            step {
+                directEnded(m, sent, DirectOutcome.DONE, report(m, listOf(task("small", c.key.task, c.attempt, TaskState.RUNNING))))
+            }
         }
         submit(job("more", tasks = 8, need = Amount(14.0, 4.0, 50.0)))
         submit(job("gang", JobKind.GANG, 2, Amount(14.0, 4.0, 50.0), priority = Priority.URGENT))
@@ -477,10 +602,20 @@
         val (m, c) = running.entries.first()
         say(report(m, listOf(task("small", c.key.task, c.attempt, TaskState.EXITED, Exit.STOPPED))))
         wait(2.seconds)
-        assertTrue(core.machines.getValue(m).placements.isEmpty())
+        assertTrue(
+            core.machines
+                .getValue(m)
+                .placements
+                .isEmpty(),
+        )
         val (m2, c2) = running.entries.last()
         say(report(m2, listOf(task("small", c2.key.task, c2.attempt, TaskState.EXITED, Exit.STOPPED))))
         wait(2.seconds)
-        assertEquals(2, core.jobs.getValue("gang").placements.size)
+        assertEquals(
+            2,
+            core.jobs
+                .getValue("gang")
+                .placements.size,
+        )
     }
 }
--- a/src/test/kotlin/glenspool/core/LargeFleetTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetTest.kt
@@ -39,9 +39,18 @@
     private var deletions = 0
     private var questions = 0
 
-    private fun report(m: String): Report = Report(
-        m, "addr-$m", "big", if (m.hashCode() % 2 == 0) "a" else "b", false, 1, seqs.merge(m, 1, Long::plus) ?: 1, 5, null, on[m]?.values?.toList().orEmpty(),
-    )
+    private fun report(m: String): Report =
+        Report(
+            m, "addr-$m", "big",
+            if (m.hashCode() % 2 ==
+                0
+            ) {
+                "a"
+            } else {
+                "b"
+            },
+            false, 1, seqs.merge(m, 1, Long::plus) ?: 1, 5, null, on[m]?.values?.toList().orEmpty(),
+        )
 
     private fun step(body: Scheduler.() -> Unit) {
         val pending = ArrayDeque(core.step(now, now, body))
@@ -56,9 +65,15 @@
                     for (c in a.commands) {
                         if (c !is StartTask) continue
                         started++
-                        on.getOrPut(a.machine) { HashMap() }[c.key] = ReportedTask(c.key, c.attempt, TaskState.RUNNING, null, false)
+                        on.getOrPut(a.machine) { HashMap() }[c.key] =
+                            ReportedTask(c.key, c.attempt, TaskState.RUNNING, null, false)
                     }
-                    pending.addAll(core.step(now, now) { directEnded(a.machine, a, DirectOutcome.DONE, report(a.machine)) })
+                    pending
+                        .addAll(
+                            core.step(now, now) {
+                                directEnded(a.machine, a, DirectOutcome.DONE, report(a.machine))
+                            },
+                        )
                 }
                 is Delete -> deletions += a.machines.size
                 is Probe -> questions++
@@ -72,7 +87,16 @@
         for (i in 1..machines) step { reported(report("m$i")) }
         // Tasks as large as a quarter of a machine, and twice as many of them as there are places.
         for (j in 1..jobs) {
-            val spec = job("j$j", tasks = 8, need = Amount(4.0, 1.0, 16.0), image = "i${j % 7}", priority = Priority.entries[j % 2], estimate = 100.seconds)
+            val spec =
+                job(
+                    "j$j", tasks = 8, need = Amount(4.0, 1.0, 16.0), image = "i${j % 7}",
+                    priority =
+                        Priority.entries[
+                            j %
+                                2,
+                        ],
+                    estimate = 100.seconds,
+                )
             step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
         }
         repeat(120) {
@@ -113,7 +137,12 @@
             val intents = (0 until 8).map { Intent(it, it + 1L, "m${n * 8 + it}") }
             val spec = job("j$n", tasks = 8, need = Amount(14.0, 4.0, 50.0), estimate = 1000.seconds)
             step { jobStored(JobRecord(spec, now, 8, BitSet(), intents), ++revision) }
-            for (intent in intents) TaskKey(spec.id, intent.task).let { on[intent.machine] = hashMapOf(it to ReportedTask(it, intent.attempt, TaskState.RUNNING, null, false)) }
+            for (intent in intents) {
+                TaskKey(spec.id, intent.task).let {
+                    on[intent.machine] =
+                        hashMapOf(it to ReportedTask(it, intent.attempt, TaskState.RUNNING, null, false))
+                }
+            }
         }
         val before = core.effort.total
         for (n in 0 until machines) {
@@ -133,7 +162,13 @@
 
     @Test
     fun `a job on four thousand machines at once is stored whole in values that fit`() {
-        val wide = job("wide", tasks = 4000, need = Amount(14.0, 4.0, 50.0), priority = Priority.URGENT, estimate = 1000.seconds)
+        val wide =
+            job(
+                "wide", tasks = 4000, need = Amount(14.0, 4.0, 50.0), priority = Priority.URGENT,
+                estimate =
+                    1000
+                        .seconds,
+            )
         step {
             membersKnown(true)
             typesKnown(listOf(bigType))
@@ -160,12 +195,19 @@
         step { typesKnown(listOf(bigType)) }
         for ((n, part) in all.chunked(8).withIndex()) {
             val intents = part.mapIndexed { i, m -> Intent(i, i + 1L, m) }
-            val spec = job("j$n", tasks = 8, need = Amount(14.0, 4.0, 50.0), image = "i${n % 7}", estimate = 1000.seconds)
+            val spec =
+                job("j$n", tasks = 8, need = Amount(14.0, 4.0, 50.0), image = "i${n % 7}", estimate = 1000.seconds)
             step { jobStored(JobRecord(spec, now, 8, BitSet(), intents), ++revision) }
-            for (i in intents) TaskKey(spec.id, i.task).let { on[i.machine] = hashMapOf(it to ReportedTask(it, i.attempt, TaskState.RUNNING, null, false)) }
+            for (i in intents) {
+                TaskKey(spec.id, i.task).let {
+                    on[i.machine] =
+                        hashMapOf(it to ReportedTask(it, i.attempt, TaskState.RUNNING, null, false))
+                }
+            }
         }
         step { listed(all.map { ListedMachine(it, "addr-$it", "big", "a", false, MachineStage.RUNNING, 100.seconds) }) }
-        // They find the new leader by and by, a tenth of them in each half second, and report every two seconds from then on.
+        // They find the new leader by and by, a tenth of them in each half second, and report every two seconds from
+        // then on.
         repeat(60) { n ->
             all.filterIndexed { i, _ -> i % 10 <= n && (i + n) % 4 == 0 }.forEach { m -> step { reported(report(m)) } }
             now += 500.milliseconds
--- a/src/test/kotlin/glenspool/core/OrderCountsTest.kt
+++ b/src/test/kotlin/glenspool/core/OrderCountsTest.kt
@@ -25,11 +25,17 @@
         step { jobCancelled("a", ++revision, now) }
         wait(1.seconds)
         list(running.keys, failed = setOf("m1"))
-        val expected = mapOf(
-            StartCause.PLACED to 2L, StopCause.CANCELLED to 1L, StopCause.ORPHANED to 1L, StopCause.UNRECORDED to 1L, ForgetCause.NO_RESULT to 1L, DeletionCause.FAILED to 1L,
-        )
+        val expected =
+            mapOf(
+                StartCause.PLACED to 2L, StopCause.CANCELLED to 1L, StopCause.ORPHANED to 1L, StopCause.UNRECORDED to 1L,
+                ForgetCause.NO_RESULT to 1L, DeletionCause.FAILED to 1L,
+            )
         assertEquals(expected, counts)
-        assertEquals("start.placed=2 stop.cancelled=1 stop.orphaned=1 stop.unrecorded=1 forget.no-result=1 deletion.failed=1", core.counts.toString())
+        assertEquals(
+            "start.placed=2 stop.cancelled=1 stop.orphaned=1 stop.unrecorded=1 forget.no-result=1 deletion.failed=1",
+            core.counts
+                .toString(),
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -39,6 +39,7 @@
         val running = busy(10)
         val heard = now
         val others = running - LOST
+
         fun silentFor(quiet: Duration, backlog: Duration): Set<String> {
             val all = ArrayList<Action>()
             while (now < heard + quiet) {
--- a/src/test/kotlin/glenspool/core/OwnReportTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnReportTest.kt
@@ -9,11 +9,18 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** PROTOCOL: "Direct commands do not renew the lease." What a worker is given that can't report is lost with its lease. */
+/**
+ * PROTOCOL: "Direct commands do not renew the lease." What a worker is given that can't report is lost with its lease.
+ */
 class OwnReportTest : Driven(config(), SchedulerHooks(newWorkNeedsOwnReport = true)) {
     private val whole = Amount(14.0, 4.0, 50.0)
 
-    private fun placed() = core.jobs.getValue("a").placements.values.map { it.machine }.toSet()
+    private fun placed() =
+        core.jobs
+            .getValue("a")
+            .placements.values
+            .map { it.machine }
+            .toSet()
 
     @Test
     fun `a machine that only answers questions gets no work until its own report comes`() {
--- a/src/test/kotlin/glenspool/core/PacedStartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PacedStartsTest.kt
@@ -19,14 +19,25 @@
     }
 
     private fun placed(id: String, priority: Priority, deadline: Int) {
-        submit(job(id, need = Amount(14.0, 4.0, 50.0), priority = priority, deadline = deadline.seconds, estimate = 1.seconds))
+        submit(
+            job(
+                id, need = Amount(14.0, 4.0, 50.0), priority = priority, deadline = deadline.seconds,
+                estimate =
+                    1
+                        .seconds,
+            ),
+        )
         wait(1.seconds)
         confirm()
     }
 
     private fun next(): String {
         allowed.starts = 1
-        return wait(1.seconds).starts().single().key.job.also { allowed.starts = 0 }
+        return wait(1.seconds)
+            .starts()
+            .single()
+            .key.job
+            .also { allowed.starts = 0 }
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/RecordMergingTest.kt
+++ b/src/test/kotlin/glenspool/core/RecordMergingTest.kt
@@ -49,7 +49,12 @@
     private fun stored() = state.entries.getValue(Keys.job("wide")).value
 
     private fun places(): Map<Int, String> =
-        StoredJob(state).read("wide", stored()).let { record -> (record.intents + record.shelved.values.flatten()).associate { it.task to it.machine } }
+        StoredJob(state).read("wide", stored()).let { record ->
+            (record.intents + record.shelved.values.flatten()).associate {
+                it.task to
+                    it.machine
+            }
+        }
 
     @Test
     fun `places are brought back as results make room, within the rate, and none is lost`() {
@@ -64,7 +69,11 @@
         // Not all of them fit as long as they all run.
         assertEquals(before, places())
         assertTrue(RecordWire.isSealed(stored()))
-        val running = core.jobs.getValue("wide").placements.values.toList()
+        val running =
+            core.jobs
+                .getValue("wide")
+                .placements.values
+                .toList()
         for (place in running.drop(20)) {
             say(report(place.machine, listOf(task("wide", place.task, place.attempt, glenspool.core.model.TaskState.EXITED, glenspool.core.model.Exit.DONE))))
         }
@@ -104,10 +113,11 @@
         val shelved = mapOf(0 to (3..9).map { Intent(it, 1, "i-00000$it") })
         val record = JobRecord(wide, now, 9, BitSet(), listOf(Intent(1, 1, "i-000001")), shelved = shelved)
         step { typesKnown(listOf(glenspool.standin.bigType)) }
-        val actions = step {
-            jobStored(record, ++revision)
-            splittingForbidden(true)
-        }
+        val actions =
+            step {
+                jobStored(record, ++revision)
+                splittingForbidden(true)
+            }
         storeAll(actions, 10)
         assertFalse(RecordWire.isSealed(stored()))
         assertEquals((listOf(1) + (3..9)).toSet(), places().keys)
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -12,7 +12,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** A stored place whose task is gone from its machine is used again, if the machine's own reports arrive. */
-class RestoreInPlaceTest : Driven(config(), SchedulerHooks(newWorkNeedsOwnReport = true, absence = { AbsenceRule.RESTORE })) {
+class RestoreInPlaceTest :
+    Driven(
+        config(),
+        SchedulerHooks(newWorkNeedsOwnReport = true, absence = {
+            AbsenceRule.RESTORE
+        }),
+    ) {
     private val again = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
 
     private fun placedBefore() {
--- a/src/test/kotlin/glenspool/core/RoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/RoundModelTest.kt
@@ -35,7 +35,8 @@
 
         override fun zoneOf(machine: String) = all.first { it.id == machine }.zone
 
-        override fun teamRoom(job: Job) = (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
+        override fun teamRoom(job: Job) =
+            (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
 
         override fun withinGuarantee(job: Job) = false
 
@@ -67,9 +68,22 @@
         val kind = JobKind.entries[r.nextInt(3)]
         val gpu = if (r.nextBoolean()) 1.0 + r.nextInt(2) else 0.0
         return job(
-            "j$n", kind, 1 + r.nextInt(6), Amount(1.0 + r.nextInt(6), gpu, 2.0 + r.nextInt(30)), "t${r.nextInt(3)}", Priority.entries[r.nextInt(4)],
-            types = listOf(null, null, listOf("big"), listOf("lean"))[r.nextInt(4)], zone = listOf(null, null, "a", "b")[r.nextInt(4)],
-            sameZone = kind == JobKind.GANG && r.nextBoolean(), spread = kind == JobKind.SERVICE && r.nextBoolean(), spot = r.nextBoolean(), image = "i${r.nextInt(3)}",
+            "j$n", kind, 1 + r.nextInt(6), Amount(1.0 + r.nextInt(6), gpu, 2.0 + r.nextInt(30)), "t${r.nextInt(3)}",
+            Priority.entries[
+                r
+                    .nextInt(4),
+            ],
+            types = listOf(null, null, listOf("big"), listOf("lean"))[r.nextInt(4)],
+            zone =
+                listOf(null, null, "a", "b")[
+                    r
+                        .nextInt(4),
+                ],
+            sameZone = kind == JobKind.GANG && r.nextBoolean(), spread = kind == JobKind.SERVICE && r.nextBoolean(),
+            spot =
+                r
+                    .nextBoolean(),
+            image = "i${r.nextInt(3)}",
         )
     }
 
@@ -77,11 +91,23 @@
         val r = Random(seed)
         val view = Plain(mapOf("t1" to 4, "t2" to 9))
         for (i in 0 until 1 + r.nextInt(8)) {
-            val m = Machine("m$i", if (r.nextInt(3) == 0) "lean" else "big", if (r.nextBoolean()) "a" else "b", r.nextBoolean(), Duration.ZERO)
+            val m =
+                Machine(
+                    "m$i",
+                    if (r.nextInt(3) ==
+                        0
+                    ) {
+                        "lean"
+                    } else {
+                        "big"
+                    },
+                    if (r.nextBoolean()) "a" else "b", r.nextBoolean(), Duration.ZERO,
+                )
             if (r.nextBoolean()) m.sawImage("i${r.nextInt(3)}", 1.0, 100.0)
             view.all.add(m)
         }
-        val jobs = List(1 + r.nextInt(12)) { Job(JobRecord(randomSpec(r, it), Duration.ZERO, 0, BitSet(), emptyList()), 1) }
+        val jobs =
+            List(1 + r.nextInt(12)) { Job(JobRecord(randomSpec(r, it), Duration.ZERO, 0, BitSet(), emptyList()), 1) }
         if (r.nextInt(4) == 0) jobs[0].failedOn.add("m0")
         Round(view, view.all, jobs).run { false }
         return view to jobs
@@ -109,7 +135,13 @@
             for ((i, p) in view.placed.withIndex()) {
                 assertTrue(legal(view, p.first, p.third, view.placed.subList(0, i)), "seed $seed: ${p.first.spec} on ${p.third.id}")
             }
-            assertEquals(view.placed.size, view.placed.map { it.first.spec.id to it.second }.distinct().size)
+            assertEquals(
+                view.placed.size,
+                view.placed
+                    .map { it.first.spec.id to it.second }
+                    .distinct()
+                    .size,
+            )
             for (j in jobs) {
                 if (j.spec.kind == JobKind.GANG) {
                     assertTrue(j.placements.size == 0 || j.placements.size == j.spec.tasks, "seed $seed: half a gang")
@@ -137,7 +169,10 @@
         val slow = Machine("slow", "big", "a", false, Duration.ZERO).also { it.slowness = 3.0 }
         val sound = Machine("sound", "big", "a", false, Duration.ZERO)
         view.all += listOf(slow, sound)
-        val jobs = List(2) { Job(JobRecord(job("a$it", need = Amount(10.0, 3.0, 40.0)), Duration.ZERO, 0, BitSet(), emptyList()), 1) }
+        val jobs =
+            List(2) {
+                Job(JobRecord(job("a$it", need = Amount(10.0, 3.0, 40.0)), Duration.ZERO, 0, BitSet(), emptyList()), 1)
+            }
         Round(view, view.all, jobs).run { false }
         assertEquals(listOf("sound", "slow"), jobs.map { it.placements.getValue(0).machine })
     }
--- a/src/test/kotlin/glenspool/core/SmallValuesTest.kt
+++ b/src/test/kotlin/glenspool/core/SmallValuesTest.kt
@@ -19,10 +19,11 @@
 
 /** Values of at most 2 KiB, and 4 changes a transaction: the smallest limits of the sites. */
 class SmallValuesTest : Driven(config(txnOps = 4, peerZones = setOf("b")).copy(valueBytes = LIMIT)) {
-    private val state = StateStandIn().also {
-        it.valueLimit = LIMIT
-        it.opsLimit = 4
-    }
+    private val state =
+        StateStandIn().also {
+            it.valueLimit = LIMIT
+            it.opsLimit = 4
+        }
     private val wide = job("wide", tasks = 160, need = Amount(14.0, 4.0, 60.0), estimate = 1000.seconds)
 
     /** Carries out what is to be stored, as the state service does; what it refuses for its size, and how often. */
@@ -34,19 +35,20 @@
         repeat(rounds) {
             val s = acts.filterIsInstance<Store>().singleOrNull()
             others.addAll(acts.filter { it !is Store })
-            acts = if (s == null) {
-                wait(1.seconds)
-            } else {
-                val t = transactionOf(0, s)
-                assertTrue(t.puts.size + t.removes.size <= 4)
-                if (t.puts.any(state::tooLarge)) {
-                    tooLarge++
-                    step { stored(StoreOutcome.TooLarge()) }
+            acts =
+                if (s == null) {
+                    wait(1.seconds)
                 } else {
-                    state.transact(emptyMap(), t.puts, t.removes)
-                    confirm()
+                    val t = transactionOf(0, s)
+                    assertTrue(t.puts.size + t.removes.size <= 4)
+                    if (t.puts.any(state::tooLarge)) {
+                        tooLarge++
+                        step { stored(StoreOutcome.TooLarge()) }
+                    } else {
+                        state.transact(emptyMap(), t.puts, t.removes)
+                        confirm()
+                    }
                 }
-            }
         }
         return others
     }
@@ -70,7 +72,16 @@
         // A later leader, of the same picture.
         val later = Scheduler(core.config, TOKEN + 1, now)
         later.step(now, now) { jobStored(r, 1) }
-        assertEquals(core.jobs.getValue("wide").placements.mapValues { it.value.machine }, later.jobs.getValue("wide").placements.mapValues { it.value.machine })
+        assertEquals(
+            core.jobs
+                .getValue("wide")
+                .placements
+                .mapValues { it.value.machine },
+            later.jobs
+                .getValue("wide")
+                .placements
+                .mapValues { it.value.machine },
+        )
     }
 
     @Test
@@ -79,7 +90,13 @@
         fleet(400)
         val first = store(submit(wide.copy(tasks = 400)) + wait(2.seconds)).writes.single() as SaveJob
         assertTrue(first.shelves.size == 3 && first.record.shelved.size > 3, "all of it went into the first transaction")
-        val inFirst = first.record.intents.size + first.shelves.keys.sumOf { first.record.shelved.getValue(it).size }
+        val inFirst =
+            first.record.intents.size +
+                first.shelves.keys.sumOf {
+                    first.record.shelved
+                        .getValue(it)
+                        .size
+                }
         assertEquals(inFirst, confirm().starts().size)
     }
 
@@ -99,11 +116,21 @@
 
     @Test
     fun `of two stored places of a task the newer one counts, whichever shelf it is on`() {
-        val shelved = mapOf(0 to listOf(Intent(3, 1, "i-000001"), Intent(4, 9, "i-000004")), 1 to listOf(Intent(3, 7, "i-000002"), Intent(4, 2, "i-000003")))
+        val shelved =
+            mapOf(
+                0 to listOf(Intent(3, 1, "i-000001"), Intent(4, 9, "i-000004")),
+                1 to listOf(Intent(3, 7, "i-000002"), Intent(4, 2, "i-000003")),
+            )
         step { jobStored(JobRecord(wide, now, 9, BitSet(), emptyList(), shelved = shelved), ++revision) }
         val places = core.jobs.getValue("wide").placements
         assertEquals(mapOf(3 to "i-000002", 4 to "i-000004"), places.mapValues { it.value.machine })
-        assertEquals(setOf("i-000002", "i-000004"), core.machines.values.filter { it.placements.isNotEmpty() }.map { it.id }.toSet())
+        assertEquals(
+            setOf("i-000002", "i-000004"),
+            core.machines.values
+                .filter { it.placements.isNotEmpty() }
+                .map { it.id }
+                .toSet(),
+        )
     }
 
     @Test
@@ -111,18 +138,33 @@
         val large = job("large", tasks = 30_000)
         step { typesKnown(listOf(glenspool.standin.bigType)) }
         submit(large, listOf(0, 9_000, 18_000, 27_000).map { Intent(it, 1, "i-000001") }, last = 1)
-        val ended = listOf(0, 9_000, 18_000, 27_000).map { task("large", it, 1, glenspool.core.model.TaskState.EXITED, glenspool.core.model.Exit.DONE) }
+        val ended =
+            listOf(0, 9_000, 18_000, 27_000).map {
+                task("large", it, 1, glenspool.core.model.TaskState.EXITED, glenspool.core.model.Exit.DONE)
+            }
         say(report("i-000001", ended))
         val write = store(wait(3.seconds)).writes.single() as SaveJob
         confirm()
-        val forgotten = say(report("i-000001", ended)).first.filterIsInstance<glenspool.core.model.ForgetTask>().map { it.key.task }
+        val forgotten =
+            say(report("i-000001", ended)).first.filterIsInstance<glenspool.core.model.ForgetTask>().map {
+                it.key.task
+            }
         assertEquals(write.chunks, forgotten.map { it / CHUNK })
         assertEquals(2, forgotten.size)
     }
 
-    private fun inherited(): List<Action> = step {
-        jobStored(JobRecord(wide, now, 400, BitSet(), (0 until 120).map { Intent(it, 100L + it, "i-%06d".format(it + 1)) }), ++revision)
-    }
+    private fun inherited(): List<Action> =
+        step {
+            jobStored(
+                JobRecord(
+                    wide, now, 400, BitSet(),
+                    (0 until 120).map {
+                        Intent(it, 100L + it, "i-%06d".format(it + 1))
+                    },
+                ),
+                ++revision,
+            )
+        }
 
     @Test
     fun `a record that an old controller left too large is split when it is written again`() {
@@ -132,7 +174,13 @@
         storeAll(wait(1.seconds))
         assertEquals(1, tooLarge)
         val r = stored()
-        assertEquals((0 until 120).associateWith { "i-%06d".format(it + 1) }, (r.intents + r.shelved.values.flatten()).associate { it.task to it.machine })
+        assertEquals(
+            (0 until 120).associateWith { "i-%06d".format(it + 1) },
+            (r.intents + r.shelved.values.flatten()).associate {
+                it.task to
+                    it.machine
+            },
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -17,11 +17,17 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** A full fleet that can't grow, a stream of small work that would fill it for ever, and one largest job of each kind. */
+/**
+ * A full fleet that can't grow, a stream of small work that would fill it for ever, and one largest job of each kind.
+ */
 class StarvationTest {
     private val machines = 6
 
-    private fun play(largest: List<JobSpec>, objectives: List<Objective> = emptyList(), small: (Int) -> JobSpec): World {
+    private fun play(
+        largest: List<JobSpec>,
+        objectives: List<Objective> = emptyList(),
+        small: (Int) -> JobSpec,
+    ): World {
         val w = World(7, config(objectives = objectives), listOf(bigType), Weather(), maxMachines = machines)
         repeat(machines) { w.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
         w.elect()
@@ -47,24 +53,35 @@
     }
 
     /** More work than the fleet can do: each takes a third of a machine for longer than a third of the pause. */
-    private fun small(n: Int, priority: Priority) = job("small-$n", tasks = 6, priority = priority, estimate = 14.seconds, checkpoint = 5.seconds, image = "i${n % 3}")
+    private fun small(n: Int, priority: Priority) =
+        job("small-$n", tasks = 6, priority = priority, estimate = 14.seconds, checkpoint = 5.seconds, image = "i${n % 3}")
 
     @Test
     fun `the largest array, too late for its aim from the first, begins among small ones that can still meet it`() {
         val aim = Objective("finished", "class-ARRAY", 30.seconds, 0.9)
-        val large = job("large", tasks = 90, need = Amount(4.0, 1.0, 16.0), estimate = 100.seconds, checkpoint = 5.seconds, image = "large")
+        val large =
+            job("large", tasks = 90, need = Amount(4.0, 1.0, 16.0), estimate = 100.seconds, checkpoint = 5.seconds, image = "large")
         play(listOf(large), listOf(aim)) { small(it, Priority.STANDARD) }
     }
 
     @Test
     fun `a gang that takes the whole fleet begins among small work of its own priority`() {
-        play(listOf(job("large", JobKind.GANG, machines, Amount(14.0, 4.0, 50.0), priority = Priority.STANDARD))) { small(it, Priority.STANDARD) }
+        play(listOf(job("large", JobKind.GANG, machines, Amount(14.0, 4.0, 50.0), priority = Priority.STANDARD))) {
+            small(it, Priority.STANDARD)
+        }
     }
 
     @Test
     fun `the largest gang and service begin among small work below them`() {
-        val gang = job("large-gang", JobKind.GANG, machines - 2, Amount(14.0, 4.0, 50.0), priority = Priority.URGENT, estimate = 40.seconds)
-        val service = job("large-service", JobKind.SERVICE, 6, Amount(2.0, 1.0, 8.0), priority = Priority.CRITICAL, spread = true)
+        val gang =
+            job(
+                "large-gang", JobKind.GANG, machines - 2, Amount(14.0, 4.0, 50.0), priority = Priority.URGENT,
+                estimate =
+                    40
+                        .seconds,
+            )
+        val service =
+            job("large-service", JobKind.SERVICE, 6, Amount(2.0, 1.0, 8.0), priority = Priority.CRITICAL, spread = true)
         play(listOf(gang, service)) { small(it, Priority.STANDARD) }
     }
 }
--- a/src/test/kotlin/glenspool/core/WorldTest.kt
+++ b/src/test/kotlin/glenspool/core/WorldTest.kt
@@ -27,41 +27,77 @@
 
 /** Whole days in simulated time, with every rule checked at every start and every tick. */
 class WorldTest {
-    private val teams = listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 12.0), Team("t2", 0.0, 0.0, null, 6.0))
+    private val teams =
+        listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 12.0), Team("t2", 0.0, 0.0, null, 6.0))
 
     private fun world(seed: Long, weather: Weather, valueBytes: Int, coldStarts: Boolean): World {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = valueBytes)
         val setting = RecoverySetting(deployment.lease, deployment.report, deployment.listLag)
-        val recoverer = { token: Long, at: Duration, kind: StartKind -> RecoveryEngine(RecoveryPolicy(), setting, token, at, kind) }
+        val recoverer = {
+            token: Long,
+            at: Duration,
+            kind: StartKind,
+            ->
+            RecoveryEngine(RecoveryPolicy(), setting, token, at, kind)
+        }
         val w = World(seed, deployment, listOf(bigType, leanType), weather, recoverer = recoverer.takeIf { coldStarts })
         w.state.valueLimit = valueBytes
-        for (i in 0 until 6) w.addMachine(if (i % 3 == 2) leanType else bigType, if (i % 2 == 0) "a" else "b", false, Duration.ZERO)
+        for (i in 0 until 6) {
+            w.addMachine(
+                if (i % 3 ==
+                    2
+                ) {
+                    leanType
+                } else {
+                    bigType
+                },
+                if (i % 2 == 0) "a" else "b", false, Duration.ZERO,
+            )
+        }
         w.elect()
         return w
     }
 
-    private fun randomJob(r: Random, n: Int) = when (r.nextInt(4)) {
-        0 -> job("s-$n", JobKind.SERVICE, 1 + r.nextInt(3), team = "t${r.nextInt(3)}", priority = Priority.CRITICAL, spread = r.nextBoolean(), image = "i${r.nextInt(3)}")
-        1 -> job(
-            "g-$n", JobKind.GANG, 1 + r.nextInt(4),
-            Amount(4.0, 2.0, 16.0).let {
-                if (r.nextBoolean()) it else Amount(2.0, 1.0, 4.0)
-            },
-            "t0", Priority.URGENT, sameZone = r.nextBoolean(), image = "i${r.nextInt(3)}",
-            imageGb =
-            1.0 + r.nextInt(9),
-        )
-        2 -> job(
-            "c-$n", JobKind.ARRAY, 1 + r.nextInt(5), Amount(2.0, 0.0, 20.0), "t${r.nextInt(3)}", Priority.IDLE,
-            zone = listOf(null, "a", "b")[r.nextInt(3)], spot = true, checkpoint = 3.seconds,
-        )
-        else -> job(
-            "a-$n", JobKind.ARRAY, 1 + r.nextInt(6), team = "t${r.nextInt(3)}",
-            types = if (r.nextBoolean()) null else listOf("big"), spot = r.nextBoolean(), image = "i${r.nextInt(3)}",
-        )
-    }
+    private fun randomJob(r: Random, n: Int) =
+        when (r.nextInt(4)) {
+            0 ->
+                job(
+                    "s-$n", JobKind.SERVICE, 1 + r.nextInt(3), team = "t${r.nextInt(3)}", priority = Priority.CRITICAL,
+                    spread =
+                        r
+                            .nextBoolean(),
+                    image = "i${r.nextInt(3)}",
+                )
+            1 ->
+                job(
+                    "g-$n", JobKind.GANG, 1 + r.nextInt(4),
+                    Amount(4.0, 2.0, 16.0).let {
+                        if (r.nextBoolean()) it else Amount(2.0, 1.0, 4.0)
+                    },
+                    "t0", Priority.URGENT, sameZone = r.nextBoolean(), image = "i${r.nextInt(3)}",
+                    imageGb =
+                        1.0 + r.nextInt(9),
+                )
+            2 ->
+                job(
+                    "c-$n", JobKind.ARRAY, 1 + r.nextInt(5), Amount(2.0, 0.0, 20.0), "t${r.nextInt(3)}", Priority.IDLE,
+                    zone = listOf(null, "a", "b")[r.nextInt(3)], spot = true, checkpoint = 3.seconds,
+                )
+            else ->
+                job(
+                    "a-$n", JobKind.ARRAY, 1 + r.nextInt(6), team = "t${r.nextInt(3)}",
+                    types = if (r.nextBoolean()) null else listOf("big"), spot = r.nextBoolean(), image = "i${r.nextInt(3)}",
+                )
+        }
 
-    private fun play(seed: Long, weather: Weather, chained: Boolean = false, allNew: Boolean = false, valueBytes: Int = 4096, coldStarts: Boolean = false): World {
+    private fun play(
+        seed: Long,
+        weather: Weather,
+        chained: Boolean = false,
+        allNew: Boolean = false,
+        valueBytes: Int = 4096,
+        coldStarts: Boolean = false,
+    ): World {
         val w = world(seed, weather, valueBytes, coldStarts)
         w.allNew = allNew
         val r = Random(seed * 31)
@@ -72,7 +108,8 @@
             ids.add(j.id)
             w.run(w.now + (r.nextInt(8)).seconds)
             if (r.nextInt(5) == 0) w.cancel(ids[r.nextInt(ids.size)])
-            // Nobody looks after cancelled work on hung machines here while nobody leads: with all troubles the controllers are soon back.
+            // Nobody looks after cancelled work on hung machines here while nobody leads: with all troubles the
+            // controllers are soon back.
             if (coldStarts && r.nextInt(6) == 0) w.allAway((1 + r.nextInt(if (weather.hangs > 0) 5 else 24)).seconds)
         }
         w.run(w.now + 200.seconds)
@@ -83,14 +120,29 @@
         for (id in ids.filter { it.startsWith("s-") }) {
             // What it needs may in turn wait for the limit of a team whose services run on.
             val held = w.needsOf[id].orEmpty().any { w.end(it) == null }
-            val whole = w.end(id) == "cancelled" || w.runningReplicas(id) == w.specs.getValue(id).tasks || w.teamIsFull(id) || held
+            val whole =
+                w.end(id) == "cancelled" ||
+                    w.runningReplicas(id) == w.specs.getValue(id).tasks ||
+                    w.teamIsFull(id) ||
+                    held
             assertTrue(whole, "seed $seed: $id has ${w.runningReplicas(id)} replicas of ${w.specs.getValue(id).tasks}: ${w.describe(id)}")
             if (w.live(id)) assertTrue(w.cancel(id))
         }
         w.run(w.now + 400.seconds, calm = true)
         assertEquals(emptyList<String>(), w.violations, "seed $seed")
         for (id in ids) assertTrue(w.end(id) != null, "seed $seed: $id has not ended, done ${w.trulyDone[id]}: ${w.describe(id)}")
-        for (id in ids) assertEquals(if (w.abortedSince(id) == null) "done" else "cancelled", w.end(id), "seed $seed: $id")
+        for (id in ids) {
+            assertEquals(
+                if (w.abortedSince(id) ==
+                    null
+                ) {
+                    "done"
+                } else {
+                    "cancelled"
+                },
+                w.end(id), "seed $seed: $id",
+            )
+        }
         return w
     }
 
@@ -132,7 +184,8 @@
     @ValueSource(longs = [131, 132, 133, 134])
     fun `places on shelves break no rule amid take-overs`(seed: Long) {
         // So small a value that hardly any place fits into a record.
-        val w = play(seed, Weather(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01), chained = seed % 2 == 0L, allNew = true, valueBytes = 800)
+        val w =
+            play(seed, Weather(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01), chained = seed % 2 == 0L, allNew = true, valueBytes = 800)
         assertEquals(0, w.refusedForSize)
         assertTrue(w.state.log.any { it.first.startsWith("g/p/") }, "nothing was shelved")
     }
@@ -177,25 +230,62 @@
     @ValueSource(longs = [71, 72, 73, 74, 75, 76])
     fun `a leader apart with its workers breaks no rule, alone and with everything else`(seed: Long) {
         val alone = Weather(apart = 0.03)
-        play(seed, if (seed % 2 == 0L) alone else alone.copy(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, outages = 0.01, hangs = 0.02, restarts = 0.01))
+        play(
+            seed,
+            if (seed % 2 ==
+                0L
+            ) {
+                alone
+            } else {
+                alone
+                    .copy(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, outages = 0.01, hangs = 0.02, restarts = 0.01)
+            },
+        )
     }
 
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83, 84])
     fun `a zone cut off with its controller breaks no rule, alone and with everything else`(seed: Long) {
         val alone = Weather(zoneCuts = 0.03)
-        play(seed, if (seed % 2 == 0L) alone else alone.copy(lost = 0.05, held = 0.05, copies = 0.1, takeovers = 0.02, deaths = 0.01, hangs = 0.02))
+        play(
+            seed,
+            if (seed % 2 ==
+                0L
+            ) {
+                alone
+            } else {
+                alone.copy(lost = 0.05, held = 0.05, copies = 0.1, takeovers = 0.02, deaths = 0.01, hangs = 0.02)
+            },
+        )
     }
 
     @ParameterizedTest
     @ValueSource(longs = [141, 142, 143, 144, 145, 146, 147, 148, 149, 150])
     fun `recoveries after cold starts break no rule, alone and with everything else`(seed: Long) {
-        val all = Weather(
-            lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, takeovers = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02, restarts = 0.01,
-            apart = 0.01, mute = 0.02, forNext = 0.05, zoneCuts = 0.005,
+        val all =
+            Weather(
+                lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, takeovers = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02, restarts = 0.01,
+                apart = 0.01, mute = 0.02, forNext = 0.05, zoneCuts = 0.005,
+            )
+        val w =
+            play(
+                seed,
+                if (seed % 2 ==
+                    0L
+                ) {
+                    Weather(mute = 0.02, deaths = 0.01)
+                } else {
+                    all
+                },
+                chained = seed % 3 == 0L, allNew = true, coldStarts = true,
+            )
+        assertTrue(
+            w.recoveryNotices.any {
+                it is RecoveryNotice.PhaseEntered &&
+                    it.state.phase >= RecoveryPhase.GATHERING
+            },
+            "no recovery was begun",
         )
-        val w = play(seed, if (seed % 2 == 0L) Weather(mute = 0.02, deaths = 0.01) else all, chained = seed % 3 == 0L, allNew = true, coldStarts = true)
-        assertTrue(w.recoveryNotices.any { it is RecoveryNotice.PhaseEntered && it.state.phase >= RecoveryPhase.GATHERING }, "no recovery was begun")
     }
 
     @Test
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -23,8 +23,8 @@
 import kotlin.time.Duration
 
 /**
- * All that a scheduler decided, as a digest. It is spelled here field by field and in the stored forms, so that renaming a type or a
- * field changes nothing, while any other order, at any other time, does.
+ * All that a scheduler decided, as a digest. It is spelled here field by field and in the stored forms, so that
+ * renaming a type or a field changes nothing, while any other order, at any other time, does.
  */
 class DecisionTrace {
     private val hasher = Hashing.sha256().newHasher()
@@ -36,34 +36,42 @@
     }
 
     /** [transaction]: what a [Store] comes to; other actions have none. Lines of the log are no decisions. */
-    fun action(at: Duration, action: Action, transaction: (Store) -> Transaction) = when (action) {
-        is Direct -> add(at, "direct ${action.machine} ${action.addr} ${action.token} ${action.session} ${spelled(action.commands)}")
-        is Probe -> add(at, "probe ${action.machine} ${action.addr}")
-        is Rent -> {
-            val causes = action.causes.entries.joinToString { (cause, number) -> "${cause.label}:$number" }
-            add(at, "rent ${action.request} ${action.type} ${action.zone} ${action.spot} $causes")
+    fun action(at: Duration, action: Action, transaction: (Store) -> Transaction) =
+        when (action) {
+            is Direct -> add(at, "direct ${action.machine} ${action.addr} ${action.token} ${action.session} ${spelled(action.commands)}")
+            is Probe -> add(at, "probe ${action.machine} ${action.addr}")
+            is Rent -> {
+                val causes = action.causes.entries.joinToString { (cause, number) -> "${cause.label}:$number" }
+                add(at, "rent ${action.request} ${action.type} ${action.zone} ${action.spot} $causes")
+            }
+            is Delete ->
+                add(
+                    at,
+                    "delete " + action.causes.entries.joinToString { (machine, cause) -> "$machine:${cause.label}" },
+                )
+            is RaiseToken -> add(at, "raise")
+            is Resign -> add(at, "resign ${action.why}")
+            is SaveImages -> add(at, "images ${action.part} ${stored(ImagesWire.encode(action.images))}")
+            is AskEnds -> add(at, "ends ${action.jobs}")
+            is Note -> Unit
+            is Store -> add(at, "store ${spelled(transaction(action))}")
         }
-        is Delete -> add(at, "delete " + action.causes.entries.joinToString { (machine, cause) -> "$machine:${cause.label}" })
-        is RaiseToken -> add(at, "raise")
-        is Resign -> add(at, "resign ${action.why}")
-        is SaveImages -> add(at, "images ${action.part} ${stored(ImagesWire.encode(action.images))}")
-        is AskEnds -> add(at, "ends ${action.jobs}")
-        is Note -> Unit
-        is Store -> add(at, "store ${spelled(transaction(action))}")
-    }
 
     /** What a worker was answered. */
-    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) = add(at, "answer $machine $token ${spelled(commands)}")
+    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) =
+        add(at, "answer $machine $token ${spelled(commands)}")
 
-    fun effort(effort: Effort) = add(Duration.ZERO, "effort ${effort.scores} ${effort.storeLooks} ${effort.orderLooks} ${effort.rounds}")
+    fun effort(effort: Effort) =
+        add(Duration.ZERO, "effort ${effort.scores} ${effort.storeLooks} ${effort.orderLooks} ${effort.rounds}")
 
-    private fun spelled(commands: List<Command>) = commands.joinToString {
-        when (it) {
-            is StartTask -> "start ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
-            is StopTask -> "stop ${it.key.job}/${it.key.task}#${it.attempt} ${it.grace.inWholeMicroseconds} ${it.cause.label}"
-            is ForgetTask -> "forget ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
+    private fun spelled(commands: List<Command>) =
+        commands.joinToString {
+            when (it) {
+                is StartTask -> "start ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
+                is StopTask -> "stop ${it.key.job}/${it.key.task}#${it.attempt} ${it.grace.inWholeMicroseconds} ${it.cause.label}"
+                is ForgetTask -> "forget ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
+            }
         }
-    }
 
     private fun spelled(transaction: Transaction): String {
         val puts = transaction.puts.joinToString { "${it.key}=${stored(it.value)}" }
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -35,59 +35,116 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Seeded days whose every decision is recorded as a digest. A change that is not meant to change behaviour leaves them as they are;
- * one that is meant to records them anew, see CONTRIBUTING.md.
+ * Seeded days whose every decision is recorded as a digest. A change that is not meant to change behaviour leaves them
+ * as they are; one that is meant to records them anew, see CONTRIBUTING.md.
  */
 class FrozenDecisionsTest {
-    private val teams = listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 12.0), Team("t2", 0.0, 0.0, null, 6.0))
+    private val teams =
+        listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 12.0), Team("t2", 0.0, 0.0, null, 6.0))
 
-    private class Day(val seed: Long, val weather: Weather, val chained: Boolean = false, val valueBytes: Int = 4096, val coldStarts: Boolean = false)
-
-    private val days = mapOf(
-        "ordinary" to Day(1, Weather()),
-        "lost and held messages" to Day(2, Weather(lost = 0.1, held = 0.1)),
-        "leaders change" to Day(3, Weather(lost = 0.05, held = 0.05, takeovers = 0.04, forNext = 0.05)),
-        "machines fail" to Day(4, Weather(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05, restarts = 0.02)),
-        "zones are cut off" to Day(5, Weather(zoneCuts = 0.03, lost = 0.03)),
-        "the store is out" to Day(6, Weather(outages = 0.04, lost = 0.05, atOnce = 0.3)),
-        "one way only" to Day(7, Weather(oneWay = 0.05, mute = 0.03, apart = 0.02)),
-        "cancellations" to Day(8, Weather(storms = 0.05, hangs = 0.02, takeovers = 0.02)),
-        "dependencies" to Day(9, Weather(lost = 0.05, takeovers = 0.03, deaths = 0.01), chained = true),
-        "split records" to Day(10, Weather(lost = 0.03, takeovers = 0.03), valueBytes = 800),
-        "an upgrade" to Day(11, Weather(lost = 0.03, takeovers = 0.05, olds = 0.5), chained = true),
-        "cold starts" to Day(12, Weather(mute = 0.02, deaths = 0.01), coldStarts = true),
-        "cold starts amid all troubles" to
-            Day(13, Weather(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02), chained = true, coldStarts = true),
+    private class Day(
+        val seed: Long,
+        val weather: Weather,
+        val chained: Boolean = false,
+        val valueBytes: Int = 4096,
+        val coldStarts: Boolean = false,
     )
 
-    private fun jobOf(random: Random, number: Int) = when (number % 4) {
-        0 -> job(
-            "service-$number", JobKind.SERVICE, 1 + random.nextInt(3), team = "t${random.nextInt(3)}", priority = Priority.CRITICAL,
-            spread = random.nextBoolean(), image = "i${random.nextInt(3)}",
-        )
-        1 -> job(
-            "gang-$number", JobKind.GANG, 1 + random.nextInt(4), Amount(4.0, 2.0, 16.0), "t0", Priority.URGENT, sameZone = random.nextBoolean(),
-            image = "i${random.nextInt(3)}", imageGb = 1.0 + random.nextInt(9),
-        )
-        2 -> job(
-            "cheap-$number", JobKind.ARRAY, 1 + random.nextInt(5), Amount(2.0, 0.0, 20.0), "t${random.nextInt(3)}", Priority.IDLE,
-            zone = listOf(null, "a", "b")[random.nextInt(3)], spot = true, checkpoint = 3.seconds,
+    private val days =
+        mapOf(
+            "ordinary" to Day(1, Weather()),
+            "lost and held messages" to Day(2, Weather(lost = 0.1, held = 0.1)),
+            "leaders change" to Day(3, Weather(lost = 0.05, held = 0.05, takeovers = 0.04, forNext = 0.05)),
+            "machines fail" to
+                Day(4, Weather(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05, restarts = 0.02)),
+            "zones are cut off" to Day(5, Weather(zoneCuts = 0.03, lost = 0.03)),
+            "the store is out" to Day(6, Weather(outages = 0.04, lost = 0.05, atOnce = 0.3)),
+            "one way only" to Day(7, Weather(oneWay = 0.05, mute = 0.03, apart = 0.02)),
+            "cancellations" to Day(8, Weather(storms = 0.05, hangs = 0.02, takeovers = 0.02)),
+            "dependencies" to Day(9, Weather(lost = 0.05, takeovers = 0.03, deaths = 0.01), chained = true),
+            "split records" to Day(10, Weather(lost = 0.03, takeovers = 0.03), valueBytes = 800),
+            "an upgrade" to Day(11, Weather(lost = 0.03, takeovers = 0.05, olds = 0.5), chained = true),
+            "cold starts" to Day(12, Weather(mute = 0.02, deaths = 0.01), coldStarts = true),
+            "cold starts amid all troubles" to
+                Day(13, Weather(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02), chained = true, coldStarts = true),
         )
-        else -> job(
-            "array-$number", JobKind.ARRAY, 1 + random.nextInt(9), team = "t${random.nextInt(3)}", types = if (random.nextBoolean()) null else listOf("big"),
-            spot = random.nextBoolean(), image = "i${random.nextInt(3)}", deadline = if (random.nextBoolean()) 60.seconds else null,
-        )
-    }
+
+    private fun jobOf(random: Random, number: Int) =
+        when (number % 4) {
+            0 ->
+                job(
+                    "service-$number", JobKind.SERVICE, 1 + random.nextInt(3), team = "t${random.nextInt(3)}", priority = Priority.CRITICAL,
+                    spread = random.nextBoolean(), image = "i${random.nextInt(3)}",
+                )
+            1 ->
+                job(
+                    "gang-$number", JobKind.GANG, 1 + random.nextInt(4), Amount(4.0, 2.0, 16.0), "t0", Priority.URGENT,
+                    sameZone =
+                        random
+                            .nextBoolean(),
+                    image = "i${random.nextInt(3)}", imageGb = 1.0 + random.nextInt(9),
+                )
+            2 ->
+                job(
+                    "cheap-$number", JobKind.ARRAY, 1 + random.nextInt(5), Amount(2.0, 0.0, 20.0), "t${random.nextInt(3)}", Priority.IDLE,
+                    zone = listOf(null, "a", "b")[random.nextInt(3)], spot = true, checkpoint = 3.seconds,
+                )
+            else ->
+                job(
+                    "array-$number", JobKind.ARRAY, 1 + random.nextInt(9), team = "t${random.nextInt(3)}",
+                    types =
+                        if (random
+                                .nextBoolean()
+                        ) {
+                            null
+                        } else {
+                            listOf("big")
+                        },
+                    spot = random.nextBoolean(), image = "i${random.nextInt(3)}",
+                    deadline =
+                        if (random.nextBoolean()) {
+                            60
+                                .seconds
+                        } else {
+                            null
+                        },
+                )
+        }
 
     private fun play(day: Day): String {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = day.valueBytes)
         val setting = RecoverySetting(deployment.lease, deployment.report, deployment.listLag)
-        val recoverer = { token: Long, at: Duration, kind: StartKind -> RecoveryEngine(RecoveryPolicy(), setting, token, at, kind) }
+        val recoverer = {
+            token: Long,
+            at: Duration,
+            kind: StartKind,
+            ->
+            RecoveryEngine(RecoveryPolicy(), setting, token, at, kind)
+        }
         val trace = DecisionTrace()
-        val world = World(day.seed, deployment, listOf(bigType, leanType), day.weather, recoverer = recoverer.takeIf { day.coldStarts }, trace = trace)
+        val world =
+            World(
+                day.seed, deployment, listOf(bigType, leanType), day.weather,
+                recoverer =
+                    recoverer.takeIf {
+                        day.coldStarts
+                    },
+                trace = trace,
+            )
         world.state.valueLimit = day.valueBytes
         world.allNew = day.weather.olds == 0.0
-        for (number in 0 until 6) world.addMachine(if (number % 3 == 2) leanType else bigType, if (number % 2 == 0) "a" else "b", false, Duration.ZERO)
+        for (number in 0 until 6) {
+            world.addMachine(
+                if (number % 3 ==
+                    2
+                ) {
+                    leanType
+                } else {
+                    bigType
+                },
+                if (number % 2 == 0) "a" else "b", false, Duration.ZERO,
+            )
+        }
         world.elect()
         submitAll(world, day)
         world.run(world.now + 120.seconds)
@@ -103,7 +160,15 @@
         for (number in 0 until 24) {
             val next = jobOf(random, number)
             val earlier = ids.filterNot { it.startsWith("service") }
-            val needs = if (day.chained && earlier.isNotEmpty() && random.nextInt(3) > 0) listOf(earlier[random.nextInt(earlier.size)]) else emptyList()
+            val needs =
+                if (day.chained &&
+                    earlier.isNotEmpty() &&
+                    random.nextInt(3) > 0
+                ) {
+                    listOf(earlier[random.nextInt(earlier.size)])
+                } else {
+                    emptyList()
+                }
             world.submit(next, needs)
             ids.add(next.id)
             world.run(world.now + random.nextInt(7).seconds)
@@ -121,10 +186,19 @@
         val running = HashMap<String, HashMap<TaskKey, ReportedTask>>()
         val sequences = HashMap<String, Long>()
 
-        fun report(machine: String) = Report(
-            machine, "addr-$machine", "big", if (machine.length % 2 == 0) "a" else "b", false, 1, sequences.merge(machine, 1, Long::plus) ?: 1, 5, null,
-            running[machine]?.values?.toList().orEmpty(),
-        )
+        fun report(machine: String) =
+            Report(
+                machine, "addr-$machine", "big",
+                if (machine.length % 2 ==
+                    0
+                ) {
+                    "a"
+                } else {
+                    "b"
+                },
+                false, 1, sequences.merge(machine, 1, Long::plus) ?: 1, 5, null,
+                running[machine]?.values?.toList().orEmpty(),
+            )
 
         fun step(event: Scheduler.() -> Unit) {
             val open = ArrayDeque(core.step(now, now, event))
@@ -134,14 +208,28 @@
                 if (action is Store) open.addAll(core.step(now, now) { stored(StoreOutcome.Stored(++revision)) })
                 if (action !is Direct) continue
                 for (start in action.commands.filterIsInstance<StartTask>()) {
-                    running.getOrPut(action.machine) { HashMap() }[start.key] = ReportedTask(start.key, start.attempt, TaskState.RUNNING, null, false)
+                    running.getOrPut(action.machine) { HashMap() }[start.key] =
+                        ReportedTask(start.key, start.attempt, TaskState.RUNNING, null, false)
                 }
-                open.addAll(core.step(now, now) { directEnded(action.machine, action, DirectOutcome.DONE, report(action.machine)) })
+                open
+                    .addAll(
+                        core.step(now, now) {
+                            directEnded(action.machine, action, DirectOutcome.DONE, report(action.machine))
+                        },
+                    )
             }
         }
         step { typesKnown(listOf(bigType)) }
         for (number in 1..400) {
-            val spec = job("j$number", tasks = 16, need = Amount(4.0, 1.0, 16.0), image = "i${number % 7}", priority = Priority.entries[number % 2])
+            val spec =
+                job(
+                    "j$number", tasks = 16, need = Amount(4.0, 1.0, 16.0), image = "i${number % 7}",
+                    priority =
+                        Priority.entries[
+                            number %
+                                2,
+                        ],
+                )
             step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
         }
         repeat(8) { turn ->
--- a/src/test/kotlin/glenspool/frozen/GoldenFile.kt
+++ b/src/test/kotlin/glenspool/frozen/GoldenFile.kt
@@ -4,13 +4,15 @@
 import java.io.File
 
 /**
- * A file of named lines that a test compares with what the code produces now. With `-Dglenspool.record=true` the file is written
- * instead, which is the way to change it on purpose; see CONTRIBUTING.md.
+ * A file of named lines that a test compares with what the code produces now. With `-Dglenspool.record=true` the file
+ * is written instead, which is the way to change it on purpose; see CONTRIBUTING.md.
  */
 class GoldenFile(private val name: String) {
     fun check(actual: Map<String, String>) {
         if (System.getProperty(RECORD) == "true") {
-            File(SOURCES, name).apply { parentFile.mkdirs() }.writeText(actual.entries.joinToString("") { (key, value) -> "$key\t$value\n" })
+            File(SOURCES, name)
+                .apply { parentFile.mkdirs() }
+                .writeText(actual.entries.joinToString("") { (key, value) -> "$key\t$value\n" })
             return
         }
         assertEquals(recorded().keys.sorted(), actual.keys.sorted(), "the entries of $name")
@@ -18,8 +20,16 @@
     }
 
     private fun recorded(): Map<String, String> {
-        val resource = checkNotNull(javaClass.getResourceAsStream("/frozen/$name")) { "$name was never recorded; see CONTRIBUTING.md" }
-        return resource.bufferedReader().useLines { lines -> lines.associate { it.substringBefore('\t') to it.substringAfter('\t') } }
+        val resource =
+            checkNotNull(javaClass.getResourceAsStream("/frozen/$name")) {
+                "$name was never recorded; see CONTRIBUTING.md"
+            }
+        return resource.bufferedReader().useLines { lines ->
+            lines.associate {
+                it.substringBefore('\t') to
+                    it.substringAfter('\t')
+            }
+        }
     }
 
     private companion object {
--- a/src/test/kotlin/glenspool/http/CallPoolTest.kt
+++ b/src/test/kotlin/glenspool/http/CallPoolTest.kt
@@ -7,7 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.CountDownLatch
 
-/** Machines that do not answer hold threads; calls to others must neither fail for it nor take threads without bound. */
+/**
+ * Machines that do not answer hold threads; calls to others must neither fail for it nor take threads without bound.
+ */
 class CallPoolTest {
     @Test
     fun `slow calls take threads up to the bound, further ones wait in turn, and only then is one refused`() {
--- a/src/test/kotlin/glenspool/http/ConnectionTest.kt
+++ b/src/test/kotlin/glenspool/http/ConnectionTest.kt
@@ -17,18 +17,20 @@
 /** The server as a client on loopback sees it. */
 class ConnectionTest {
     private val waiting = LinkedBlockingQueue<(Response) -> Unit>()
-    private val server = HttpListener(InetSocketAddress("127.0.0.1", 0), "test", 2, ::direct, {}) { r ->
-        if (r.uri.path == "/fails") throw IllegalStateException("as a broken handler would")
-        Response(Status.OK).body(if (r.uri.path == "/large") "x".repeat(LARGE) else r.bodyString())
-    }
+    private val server =
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "test", 2, ::direct, {}) { r ->
+            if (r.uri.path == "/fails") throw IllegalStateException("as a broken handler would")
+            Response(Status.OK).body(if (r.uri.path == "/large") "x".repeat(LARGE) else r.bodyString())
+        }
     private val socket = Socket("127.0.0.1", server.port)
 
-    private fun direct(request: Request): AsyncHandler? = when (request.uri.path) {
-        "/later" -> AsyncHandler { _, respond -> waiting.add(respond) }
-        "/at-once" -> AsyncHandler { _, respond -> respond(Response(Status.OK)) }
-        "/fails-at-once" -> AsyncHandler { _, _ -> throw IllegalStateException("as a broken handler would") }
-        else -> null
-    }
+    private fun direct(request: Request): AsyncHandler? =
+        when (request.uri.path) {
+            "/later" -> AsyncHandler { _, respond -> waiting.add(respond) }
+            "/at-once" -> AsyncHandler { _, respond -> respond(Response(Status.OK)) }
+            "/fails-at-once" -> AsyncHandler { _, _ -> throw IllegalStateException("as a broken handler would") }
+            else -> null
+        }
 
     @AfterEach
     fun close() {
@@ -44,8 +46,16 @@
 
     private fun read(from: InputStream = socket.getInputStream()): Answer {
         val head = StringBuilder()
-        while (!head.endsWith("\r\n\r\n")) head.append(from.read().also { check(it >= 0) { "the connection ended: $head" } }.toChar())
-        val length = head.lines().first { it.startsWith("Content-Length: ") }.substringAfter(": ").toInt()
+        while (!head.endsWith("\r\n\r\n")) {
+            head
+                .append(from.read().also { check(it >= 0) { "the connection ended: $head" } }.toChar())
+        }
+        val length =
+            head
+                .lines()
+                .first { it.startsWith("Content-Length: ") }
+                .substringAfter(": ")
+                .toInt()
         return Answer(head.split(' ')[1].toInt(), head.toString(), String(from.readNBytes(length)))
     }
 
--- a/src/test/kotlin/glenspool/http/HttpCallerTest.kt
+++ b/src/test/kotlin/glenspool/http/HttpCallerTest.kt
@@ -30,12 +30,13 @@
         thread(isDaemon = true) {
             var number = 0
             while (!server.isClosed) {
-                val socket = try {
-                    server.accept()
-                } catch (e: java.net.SocketException) {
-                    // The test is over.
-                    break
-                }
+                val socket =
+                    try {
+                        server.accept()
+                    } catch (e: java.net.SocketException) {
+                        // The test is over.
+                        break
+                    }
                 val n = ++number
                 thread(isDaemon = true) { socket.use { serve(it, n) } }
             }
@@ -66,7 +67,12 @@
 
     private fun post() = http.callRaw("POST", to, "/x", byteArrayOf(1, 2, 3), 5.seconds)
 
-    private fun assertBody(text: String, result: RawResult) = assertArrayEquals(text.toByteArray(), (result as RawResult.Answer).body)
+    private fun assertBody(text: String, result: RawResult) =
+        assertArrayEquals(
+            text.toByteArray(),
+            (result as RawResult.Answer)
+                .body,
+        )
 
     @Test
     fun `responses with a length, in chunks, after word to go on, and up to the connection's end are read`() {
@@ -120,7 +126,12 @@
         // Not the server's own port: one that is just being closed may still take a connection.
         val unused = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         assertTrue(http.callRaw("GET", "127.0.0.1:$unused", "/x", null, 5.seconds) is RawResult.NotSent)
-        for (wrong in listOf("nowhere", "127.0.0.1:99999", "127.0.0.1:")) assertTrue(http.callRaw("GET", wrong, "/x", null, 5.seconds) is RawResult.NotSent)
+        for (wrong in listOf("nowhere", "127.0.0.1:99999", "127.0.0.1:")) {
+            assertTrue(
+                http
+                    .callRaw("GET", wrong, "/x", null, 5.seconds) is RawResult.NotSent,
+            )
+        }
         assertTrue(http.callRaw("GET", to, "/x HTTP/1.1\r\nSmuggled: 1", null, 5.seconds) is RawResult.NotSent)
     }
 }
--- a/src/test/kotlin/glenspool/http/ListenerTest.kt
+++ b/src/test/kotlin/glenspool/http/ListenerTest.kt
@@ -23,7 +23,17 @@
             val cut = CountDownLatch(TOO_MANY)
             val served = AtomicInteger()
             // One thread and eight places in the waiting room.
-            val askers = List(9 + TOO_MANY) { thread { if (answered(server.port, "/slow")) served.incrementAndGet() else cut.countDown() } }
+            val askers =
+                List(9 + TOO_MANY) {
+                    thread {
+                        if (answered(server.port, "/slow")) {
+                            served.incrementAndGet()
+                        } else {
+                            cut
+                                .countDown()
+                        }
+                    }
+                }
             cut.await()
             slow.countDown()
             askers.forEach { it.join() }
@@ -32,15 +42,16 @@
         }
     }
 
-    private fun answered(port: Int, path: String): Boolean = try {
-        Socket("127.0.0.1", port).use {
-            it.getOutputStream().write("GET $path HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
-            it.getInputStream().read() >= 0
+    private fun answered(port: Int, path: String): Boolean =
+        try {
+            Socket("127.0.0.1", port).use {
+                it.getOutputStream().write("GET $path HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
+                it.getInputStream().read() >= 0
+            }
+        } catch (e: IOException) {
+            // A connection that was cut off: that is what is counted.
+            false
         }
-    } catch (e: IOException) {
-        // A connection that was cut off: that is what is counted.
-        false
-    }
 
     private companion object {
         const val TOO_MANY = 3
--- a/src/test/kotlin/glenspool/http/ReadAheadTest.kt
+++ b/src/test/kotlin/glenspool/http/ReadAheadTest.kt
@@ -24,24 +24,38 @@
         ServerSocketChannel.open().bind(InetSocketAddress("127.0.0.1", 0)).use { server ->
             SocketChannel.open(server.localAddress).use { client ->
                 val text = "POST /x HTTP/1.1\r\nContent-Length: $BODY\r\n\r\n" + "y".repeat(BODY)
-                val sender = thread {
-                    val bytes = ByteBuffer.wrap(text.repeat(COUNT).toByteArray())
-                    while (bytes.hasRemaining()) client.write(bytes)
-                }
+                val sender =
+                    thread {
+                        val bytes = ByteBuffer.wrap(text.repeat(COUNT).toByteArray())
+                        while (bytes.hasRemaining()) client.write(bytes)
+                    }
                 server.accept().use { serve(it) }
                 sender.join()
             }
         }
         assertEquals(COUNT, handed.size)
-        assertTrue(handed.all { it.first.body.payload.remaining() == BODY })
+        assertTrue(
+            handed.all {
+                it.first.body.payload
+                    .remaining() == BODY
+            },
+        )
     }
 
     private fun serve(channel: SocketChannel) {
         channel.configureBlocking(false)
         Selector.open().use { selector ->
             val key = channel.register(selector, SelectionKey.OP_READ)
-            val connection = Connection(channel, key, ResponseWriter(), { AsyncHandler { request, respond -> handed.add(request to respond) } }, { Duration.ZERO })
+            val connection =
+                Connection(channel, key, ResponseWriter(), {
+                    AsyncHandler { request, respond ->
+                        handed.add(
+                            request to respond,
+                        )
+                    }
+                }, { Duration.ZERO })
             val input = ByteBuffer.allocate(READ)
+
             fun read() {
                 selector.select()
                 selector.selectedKeys().clear()
--- a/src/test/kotlin/glenspool/http/RequestParserTest.kt
+++ b/src/test/kotlin/glenspool/http/RequestParserTest.kt
@@ -17,16 +17,22 @@
 
     private fun parser(text: String = "") = RequestParser(MAX_BODY).also { it.add(bytes(text)) }
 
-    private fun Request.text() = String(body.payload.let { b -> ByteArray(b.remaining()).also { b.duplicate().get(it) } })
+    private fun Request.text() =
+        String(
+            body.payload.let { b ->
+                ByteArray(b.remaining()).also { b.duplicate().get(it) }
+            },
+        )
 
     @Test
     fun `a request is the same however it is cut into pieces`() {
-        val requests = listOf(
-            "POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\nhello world",
-            "GET /api/jobs/run-1?full=yes HTTP/1.1\r\nHost: x\r\n\r\n",
-            "POST /api/jobs HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n5;note=1\r\nhello\r\n6\r\n world\r\n0\r\nTrailer: 1\r\n\r\n",
-            "POST /empty HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
-        )
+        val requests =
+            listOf(
+                "POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: 11\r\n\r\nhello world",
+                "GET /api/jobs/run-1?full=yes HTTP/1.1\r\nHost: x\r\n\r\n",
+                "POST /api/jobs HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n5;note=1\r\nhello\r\n6\r\n world\r\n0\r\nTrailer: 1\r\n\r\n",
+                "POST /empty HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+            )
         val stream = requests.joinToString("").toByteArray(Charsets.ISO_8859_1)
         val random = Random(7)
         repeat(200) {
@@ -39,7 +45,12 @@
                 at += size
                 while (true) found.add(parser.next() ?: break)
             }
-            assertEquals(listOf("/checkin", "/api/jobs/run-1", "/api/jobs", "/empty"), found.map { it.request.uri.path })
+            assertEquals(
+                listOf("/checkin", "/api/jobs/run-1", "/api/jobs", "/empty"),
+                found.map {
+                    it.request.uri.path
+                },
+            )
             assertEquals(listOf("hello world", "", "hello world", ""), found.map { it.request.text() })
             assertEquals(listOf(Method.POST, Method.GET, Method.POST, Method.POST), found.map { it.request.method })
             assertEquals("full=yes", found[1].request.uri.query)
@@ -68,21 +79,29 @@
 
     @Test
     fun `what is no request, or unclear, is refused`() {
-        val refused = mapOf(
-            "nonsense\r\n\r\n" to 400,
-            "GET / HTTP/2.0\r\n\r\n" to 400,
-            "JUGGLE / HTTP/1.1\r\n\r\n" to 501,
-            "GET / HTTP/1.1\r\nno colon\r\n\r\n" to 400,
-            "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n" to 400,
-            "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n" to 400,
-            "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n" to 501,
-            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n" to 400,
-            "POST / HTTP/1.1\r\nContent-Length: ${MAX_BODY + 1}\r\n\r\n" to 400,
-            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n${(MAX_BODY + 1).toString(16)}\r\n" to 400,
-            "GET / HTTP/1.1\r\nX: ${"y".repeat(17_000)}" to 431,
-        )
+        val refused =
+            mapOf(
+                "nonsense\r\n\r\n" to 400,
+                "GET / HTTP/2.0\r\n\r\n" to 400,
+                "JUGGLE / HTTP/1.1\r\n\r\n" to 501,
+                "GET / HTTP/1.1\r\nno colon\r\n\r\n" to 400,
+                "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n" to 400,
+                "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n" to 400,
+                "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n" to 501,
+                "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n" to 400,
+                "POST / HTTP/1.1\r\nContent-Length: ${MAX_BODY + 1}\r\n\r\n" to 400,
+                "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n${(MAX_BODY + 1).toString(16)}\r\n" to 400,
+                "GET / HTTP/1.1\r\nX: ${"y".repeat(17_000)}" to 431,
+            )
         for ((text, status) in refused) {
-            assertEquals(status, assertThrows(BadMessage::class.java, { parser(text).next() }, text.take(60)).status, text.take(60))
+            assertEquals(
+                status,
+                assertThrows(BadMessage::class.java, {
+                    parser(text).next()
+                }, text.take(60)).status,
+                text
+                    .take(60),
+            )
         }
     }
 }
--- a/src/test/kotlin/glenspool/http/SocketLimitTest.kt
+++ b/src/test/kotlin/glenspool/http/SocketLimitTest.kt
@@ -17,8 +17,15 @@
     @Test
     fun `connections over the limit are closed, those within it are served, and room is used again`() {
         val java = File(System.getProperty("java.home"), "bin/java").path
-        val p = ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), SocketLimit::class.java.name).redirectErrorStream(true).start()
-        val said = p.inputStream.bufferedReader().readText().trim()
+        val p =
+            ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), SocketLimit::class.java.name)
+                .redirectErrorStream(true)
+                .start()
+        val said =
+            p.inputStream
+                .bufferedReader()
+                .readText()
+                .trim()
         assertEquals(0, p.waitFor(), said)
         assertEquals("served=30 again=10", said)
     }
@@ -49,11 +56,12 @@
         }
     }
 
-    private fun answered(s: Socket): Boolean = try {
-        s.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
-        s.getInputStream().read() >= 0
-    } catch (e: IOException) {
-        // Refused by the server's bound, as it should be: that is what is counted.
-        false
-    }
+    private fun answered(s: Socket): Boolean =
+        try {
+            s.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
+            s.getInputStream().read() >= 0
+        } catch (e: IOException) {
+            // Refused by the server's bound, as it should be: that is what is counted.
+            false
+        }
 }
--- a/src/test/kotlin/glenspool/meetings/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/meetings/CancellationGapTest.kt
@@ -12,9 +12,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, then the state service is out for
- * all, for longer than a cancellation has, while workers report to the old leader. Cancelled work must be gone in time
- * all the same, and nothing else may be lost.
+ * The state service refuses the leader alone, another controller confirms cancellations, then the state service is out
+ * for all, for longer than a cancellation has, while workers report to the old leader. Cancelled work must be gone in
+ * time all the same, and nothing else may be lost.
  */
 class CancellationGapTest {
     private val mill = WorkerSettings(1.5.seconds, 14.seconds, 30.seconds, 8.seconds, 44.seconds)
@@ -35,7 +35,19 @@
         val (leader, b, c) = t.members
         leader.refusedUntil = 44.seconds
         t.at(32.seconds) { t.stateOutUntil = 93.seconds }
-        for ((i, w) in t.workers.withIndex()) t.at(30.seconds + (100 + i * 100).milliseconds) { (if (i % 2 == 0) b else c).cancel("cancelled-${w.name}") }
+        for ((i, w) in t.workers.withIndex()) {
+            t.at(30.seconds + (100 + i * 100).milliseconds) {
+                (
+                    if (i % 2 ==
+                        0
+                    ) {
+                        b
+                    } else {
+                        c
+                    }
+                ).cancel("cancelled-${w.name}")
+            }
+        }
         t.more()
         t.run(200.seconds)
         assertEquals(emptyList<String>(), t.violations, "seed $seed")
@@ -57,12 +69,13 @@
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15])
     fun `the node that confirmed ends at once`(seed: Long) {
-        val t = gap(seed) {
-            at(31.9.seconds) {
-                members[1].stop(6.seconds)
-                members[2].stop(200.milliseconds)
+        val t =
+            gap(seed) {
+                at(31.9.seconds) {
+                    members[1].stop(6.seconds)
+                    members[2].stop(200.milliseconds)
+                }
             }
-        }
         assertTrue(t.confirmed.size > 3, "${t.confirmed.size} confirmed")
         assertEquals(emptyList<String>(), t.killed.filter { it.startsWith("healthy") }, "seed $seed")
     }
@@ -79,7 +92,8 @@
     @ValueSource(longs = [31, 32, 33, 34, 35])
     fun `the old leader is cut from the others as well`(seed: Long) {
         for (span in listOf(20.seconds, 90.seconds)) {
-            // The cancellations come while nobody can be sure that the old leader hears nothing: users are asked to come back.
+            // The cancellations come while nobody can be sure that the old leader hears nothing: users are asked to
+            // come back.
             val soon = gap(seed) { members[0].peersCutUntil = 30.seconds + span }
             assertEquals(0, soon.confirmed.size)
             assertTrue(soon.postponed > 0)
@@ -123,7 +137,12 @@
                 t.workers.forEach { it.jobs += listOf("cancelled-$round-${it.name}", "healthy-$round-${it.name}") }
             }
             t.at(from + 1.seconds) { t.members[round].refusedUntil = from + 15.seconds }
-            for (w in t.workers) t.at(from + 2.seconds) { t.members[(round + 1) % 3].cancel("cancelled-$round-${w.name}") }
+            for (w in t.workers) {
+                t.at(from + 2.seconds) {
+                    t.members[(round + 1) % 3]
+                        .cancel("cancelled-$round-${w.name}")
+                }
+            }
             t.at(from + 3.seconds) { t.stateOutUntil = from + 64.seconds }
         }
         t.run(260.seconds)
@@ -139,14 +158,28 @@
         for (w in t.workers) w.jobs += "healthy-${w.name}"
         t.run(30.seconds)
         t.stateOutUntil = 200.seconds
-        for (n in 0..5) t.at((50 + n * 20).seconds) { t.members[n % 3].stop(if (n % 2 == 0) 8.seconds else 300.milliseconds) }
+        for (n in 0..5) {
+            t.at((50 + n * 20).seconds) {
+                t.members[n % 3].stop(
+                    if (n % 2 ==
+                        0
+                    ) {
+                        8.seconds
+                    } else {
+                        300.milliseconds
+                    },
+                )
+            }
+        }
         t.run(250.seconds)
         assertEquals(emptyList<String>(), t.killed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63])
-    fun `a node whose peers are of the production version keeps leases only as long as they can't hide a cancellation`(seed: Long) {
+    fun `a node whose peers are of the production version keeps leases only as long as they can't hide a cancellation`(
+        seed: Long,
+    ) {
         val t = atOldLeader(seed, Trio.SETTINGS, "cancelled")
         t.members[1].old = true
         t.members[2].old = true
@@ -154,7 +187,8 @@
         t.members[0].refusedUntil = 44.seconds
         for (w in t.workers) t.at(31.seconds) { t.members[1].cancel("cancelled-${w.name}") }
         t.at(32.seconds) { t.stateOutUntil = 93.seconds }
-        // Workers that are let go must not come to a node of the old version, which keeps them for ever: that is how it is.
+        // Workers that are let go must not come to a node of the old version, which keeps them for ever: that is how it
+        // is.
         t.at(33.seconds) { t.members.drop(1).forEach { it.downUntil = 150.seconds } }
         t.run(200.seconds)
         assertEquals(emptyList<String>(), t.violations)
@@ -195,10 +229,11 @@
     @ParameterizedTest
     @ValueSource(longs = [91, 92, 93])
     fun `the state service is slow instead of out`(seed: Long) {
-        val t = gap(seed) {
-            at(29.seconds) { stateSlowUntil = 120.seconds }
-            at(33.seconds) { stateOutUntil = 33.seconds }
-        }
+        val t =
+            gap(seed) {
+                at(29.seconds) { stateSlowUntil = 120.seconds }
+                at(33.seconds) { stateOutUntil = 33.seconds }
+            }
         assertEquals(t.workers.size, t.confirmed.size)
         assertEquals(emptyList<String>(), t.killed, "seed $seed")
     }
--- a/src/test/kotlin/glenspool/meetings/CloseLooksTest.kt
+++ b/src/test/kotlin/glenspool/meetings/CloseLooksTest.kt
@@ -42,8 +42,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Users ask at all nodes at once, repeat submissions and cancel, right when jobs are accepted, end or are cancelled, while
- * answers of the state service are lost: no node may answer anything older than what any user was told before.
+ * Users ask at all nodes at once, repeat submissions and cancel, right when jobs are accepted, end or are cancelled,
+ * while answers of the state service are lost: no node may answer anything older than what any user was told before.
  */
 class CloseLooksTest {
     @TempDir
@@ -61,15 +61,18 @@
         val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
         val client = StateClient("127.0.0.1:${outside.port}", HttpCaller(2.seconds))
         val replica = Replica(client, 2000.0) { _, _ -> }
-        val duty = thread(isDaemon = true) {
-            try {
-                replica.serveSyncs()
-            } catch (e: InterruptedException) {
-                Thread.currentThread().interrupt()
+        val duty =
+            thread(isDaemon = true) {
+                try {
+                    replica.serveSyncs()
+                } catch (e: InterruptedException) {
+                    Thread.currentThread().interrupt()
+                }
             }
-        }
         open.add(AutoCloseable { duty.interrupt() })
-        return UserApi(settings, client, replica, PeerClient(emptyList()), { false }, UnmanagedFeatures { true }, { true }) { listOf(bigType) }
+        return UserApi(settings, client, replica, PeerClient(emptyList()), {
+            false
+        }, UnmanagedFeatures { true }, { true }) { listOf(bigType) }
     }
 
     @AfterEach
@@ -87,7 +90,16 @@
             if (before != null) wrong.add("$id was $before and is unknown at $node")
             return
         }
-        val now = Cbor.decodeMap(r.body.stream.readAllBytes())["stage"].toString().let { if (it == "pending" || it == "running") "accepted" else it }
+        val now =
+            Cbor.decodeMap(r.body.stream.readAllBytes())["stage"].toString().let {
+                if (it == "pending" ||
+                    it == "running"
+                ) {
+                    "accepted"
+                } else {
+                    it
+                }
+            }
         if (before != null && before != "accepted" && now != before) wrong.add("$id was $before and is $now at $node")
         // Two answers that were under way together may come in any order; a final one stays.
         told.merge(id, now) { old, new ->
@@ -96,7 +108,9 @@
         }
     }
 
-    private fun submission(s: JobSpec) = Request(Method.POST, "/api/jobs").body(Body(ByteBuffer.wrap(Cbor.encode(JobWire.encode(s)))))
+    private fun submission(s: JobSpec) =
+        Request(Method.POST, "/api/jobs")
+            .body(Body(ByteBuffer.wrap(Cbor.encode(JobWire.encode(s)))))
 
     private fun look(id: String) = Request(Method.GET, "/api/jobs/$id")
 
@@ -106,7 +120,21 @@
     private fun end(id: String) {
         synchronized(state) {
             val record = state.get(Keys.job(id)) ?: return
-            val t = transactionOf(state.get(Keys.LEAD)?.version ?: 0, Store(listOf(FinishJob(id, record.version, state.get(Keys.cancel(id))?.version, 1))))
+            val t =
+                transactionOf(
+                    state.get(Keys.LEAD)?.version ?: 0,
+                    Store(
+                        listOf(
+                            FinishJob(
+                                id, record.version,
+                                state
+                                    .get(Keys.cancel(id))
+                                    ?.version,
+                                1,
+                            ),
+                        ),
+                    ),
+                )
             state.transact(t.conditions, t.puts, t.removes)
         }
     }
@@ -136,17 +164,23 @@
             users.invokeAll((0..8).map { n -> Callable { ask(id, look(id), n % 3) } }).forEach { it.get() }
         }
         assertEquals(emptyList<String>(), wrong.toList())
-        assertTrue(told.values.toSet().containsAll(listOf("accepted", "done", "aborted")), "${told.values.groupingBy { it }.eachCount()}")
+        assertTrue(
+            told.values.toSet().containsAll(listOf("accepted", "done", "aborted")),
+            "${told.values.groupingBy {
+                it
+            }.eachCount()}",
+        )
         // Each job was accepted, and by the records it is what users were told.
         for (id in ids) {
             val end = state.get(Keys.final(id))?.value?.get("end")
-            val stored = if (end == "done") {
-                "done"
-            } else if (end == "cancelled" || state.get(Keys.cancel(id)) != null) {
-                "aborted"
-            } else {
-                "accepted"
-            }
+            val stored =
+                if (end == "done") {
+                    "done"
+                } else if (end == "cancelled" || state.get(Keys.cancel(id)) != null) {
+                    "aborted"
+                } else {
+                    "accepted"
+                }
             if (told[id] != "accepted") assertEquals(stored, told[id], id)
         }
     }
--- a/src/test/kotlin/glenspool/meetings/MeetingsTest.kt
+++ b/src/test/kotlin/glenspool/meetings/MeetingsTest.kt
@@ -25,7 +25,8 @@
  * and tick, and whether everything ends once the troubles are over.
  */
 class MeetingsTest {
-    private val teams = listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 8.0), Team("t2", 0.0, 0.0, null, 4.0))
+    private val teams =
+        listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 8.0), Team("t2", 0.0, 0.0, null, 4.0))
     private val ids = ArrayList<String>()
 
     private fun world(seed: Long, weather: Weather = Weather(), machines: Int = 9): World {
@@ -42,18 +43,44 @@
         ids.add(spec.id)
     }
 
-    private fun array(id: String, tasks: Int = 3, team: String = "t0", estimate: Duration = 60.seconds, zone: String? = null, need: Amount = Amount(2.0, 1.0, 8.0)) =
+    private fun array(
+        id: String,
+        tasks: Int = 3,
+        team: String = "t0",
+        estimate: Duration = 60.seconds,
+        zone: String? = null,
+        need: Amount = Amount(2.0, 1.0, 8.0),
+    ) =
         job(id, tasks = tasks, team = team, estimate = estimate, zone = zone, need = need, image = "i${id.hashCode() and 1}")
 
-    private fun service(id: String, tasks: Int = 2, team: String = "t1") = job(id, JobKind.SERVICE, tasks, team = team, priority = Priority.CRITICAL)
+    private fun service(id: String, tasks: Int = 2, team: String = "t1") =
+        job(id, JobKind.SERVICE, tasks, team = team, priority = Priority.CRITICAL)
 
     /** The troubles are over: every job ends as it should, and nobody waits for nothing. */
     private fun World.finish(seed: Long) {
         run(now + 330.seconds, calm = true)
-        for (id in ids) if (specs.getValue(id).kind == JobKind.SERVICE && live(id) && abortedSince(id) == null) assertTrue(cancel(id))
+        for (id in ids) {
+            if (specs.getValue(id).kind == JobKind.SERVICE &&
+                live(id) &&
+                abortedSince(id) == null
+            ) {
+                assertTrue(cancel(id))
+            }
+        }
         run(now + 250.seconds, calm = true)
         assertEquals(emptyList<String>(), violations.take(4), "seed $seed")
-        for (id in ids) assertEquals(if (abortedSince(id) == null) "done" else "cancelled", end(id), "seed $seed: $id ${describe(id)}")
+        for (id in ids) {
+            assertEquals(
+                if (abortedSince(id) ==
+                    null
+                ) {
+                    "done"
+                } else {
+                    "cancelled"
+                },
+                end(id), "seed $seed: $id ${describe(id)}",
+            )
+        }
     }
 
     @ParameterizedTest
@@ -70,7 +97,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15, 16])
-    fun `every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes`(seed: Long) {
+    fun `every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes`(
+        seed: Long,
+    ) {
         val w = world(seed)
         for (n in 0 until 10) w.take(array("a-$n", tasks = 2, team = "t${1 + n % 2}", estimate = 50.seconds))
         w.run(15.seconds)
@@ -86,7 +115,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
-    fun `a team is at its limit when the leader changes, some machines can't be asked, and a cancellation falls into that spell`(seed: Long) {
+    fun `a team is at its limit when the leader changes, some machines can't be asked, and a cancellation falls into that spell`(
+        seed: Long,
+    ) {
         val w = world(seed)
         for (n in 0 until 4) w.take(array("a-$n", tasks = 2, team = "t1", estimate = 60.seconds))
         w.take(service("s-1", 4, "t2"))
@@ -106,7 +137,15 @@
         val w = world(seed, Weather(lost = 0.03))
         for (n in 0 until 3) w.take(array("z-$n", tasks = 4, zone = "b"))
         w.take(job("one-0", tasks = 5, sameZone = true, estimate = 40.seconds))
-        w.take(job("g-0", JobKind.GANG, 3, Amount(4.0, 2.0, 16.0), sameZone = true, estimate = 40.seconds, checkpoint = 5.seconds))
+        w
+            .take(
+                job(
+                    "g-0", JobKind.GANG, 3, Amount(4.0, 2.0, 16.0), sameZone = true, estimate = 40.seconds,
+                    checkpoint =
+                        5
+                            .seconds,
+                ),
+            )
         w.take(job("s-0", JobKind.SERVICE, 3, priority = Priority.CRITICAL, spread = true))
         w.run(25.seconds)
         w.trouble(0.5, if (seed % 2 == 0L) Trouble.DIE else Trouble.CUT, 45.seconds)
@@ -117,7 +156,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44])
-    fun `a zone with workers and a controller is cut off for longer than a lease, and work there is cancelled`(seed: Long) {
+    fun `a zone with workers and a controller is cut off for longer than a lease, and work there is cancelled`(
+        seed: Long,
+    ) {
         val w = world(seed)
         for (n in 0 until 8) w.take(array("a-$n", estimate = 90.seconds, zone = if (n % 2 == 0) "b" else null))
         w.run(20.seconds)
@@ -159,7 +200,10 @@
     @ValueSource(longs = [71, 72, 73, 74])
     fun `jobs of two or three tasks end far apart across a change of leader`(seed: Long) {
         val w = world(seed, Weather(lost = 0.1, atOnce = 0.5))
-        for (n in 0 until 12) w.take(array("a-$n", tasks = 2 + n % 2, estimate = (2 + n).seconds, need = Amount(12.0, 3.0, 40.0)))
+        for (n in 0 until 12) {
+            w
+                .take(array("a-$n", tasks = 2 + n % 2, estimate = (2 + n).seconds, need = Amount(12.0, 3.0, 40.0)))
+        }
         while (w.now < 90.seconds) {
             w.run(w.now + 7.seconds)
             w.changeLeader(if (seed % 2 == 0L) 100.milliseconds else 3.seconds)
@@ -234,7 +278,8 @@
         val w = world(seed, Weather(lost = 0.02, held = 0.02, atOnce = 0.5), machines = 12)
         val r = Random(seed)
         for (n in 0 until 480) {
-            w.take(array("a-$n", tasks = 1, estimate = (2 + r.nextInt(6)).seconds, team = "t${if (n % 8 == 0) 1 else 0}"))
+            w
+                .take(array("a-$n", tasks = 1, estimate = (2 + r.nextInt(6)).seconds, team = "t${if (n % 8 == 0) 1 else 0}"))
             w.run(w.now + 250.milliseconds)
             if (n % 4 == 0) w.cancel("a-${maxOf(0, n - r.nextInt(12))}")
         }
@@ -301,19 +346,50 @@
     @ValueSource(longs = [201, 202, 203, 204, 205, 206, 207, 208, 209, 210, 211, 212, 213, 214, 215, 216, 217, 218, 219, 220])
     fun `all kinds of trouble meet at random`(seed: Long) {
         val r = Random(seed)
-        val all = listOf<Weather.() -> Weather>(
-            { copy(lost = 0.1, atOnce = 0.5) }, { copy(held = 0.1) }, { copy(cuts = 0.04) }, { copy(hangs = 0.04) }, { copy(takeovers = 0.05) },
-            { copy(outages = 0.02) }, { copy(oneWay = 0.03) }, { copy(copies = 0.2) }, { copy(apart = 0.02) }, { copy(zoneCuts = 0.02) },
-            { copy(restarts = 0.02) }, { copy(mute = 0.03) }, { copy(forNext = 0.3) }, { copy(storms = 0.02) }, { copy(cloudLate = 4) }, { copy(deaths = 0.02) },
-        )
+        val all =
+            listOf<Weather.() -> Weather>(
+                {
+                    copy(lost = 0.1, atOnce = 0.5)
+                }, { copy(held = 0.1) }, { copy(cuts = 0.04) }, { copy(hangs = 0.04) }, { copy(takeovers = 0.05) },
+                {
+                    copy(outages = 0.02)
+                }, { copy(oneWay = 0.03) }, { copy(copies = 0.2) }, { copy(apart = 0.02) }, { copy(zoneCuts = 0.02) },
+                {
+                    copy(restarts = 0.02)
+                }, {
+                    copy(mute = 0.03)
+                }, { copy(forNext = 0.3) }, { copy(storms = 0.02) }, { copy(cloudLate = 4) }, { copy(deaths = 0.02) },
+            )
         val weather = all.shuffled(r).take(3 + r.nextInt(2)).fold(Weather()) { x, f -> x.f() }
         val w = world(seed, weather)
         for (n in 0 until 20) {
             when (r.nextInt(6)) {
                 0 -> w.take(service("s-$n", 1 + r.nextInt(2), "t${r.nextInt(3)}"))
-                1 -> w.take(job("g-$n", JobKind.GANG, 2 + r.nextInt(2), Amount(4.0, 2.0, 16.0), sameZone = r.nextBoolean(), estimate = 15.seconds))
+                1 ->
+                    w
+                        .take(
+                            job(
+                                "g-$n", JobKind.GANG, 2 + r.nextInt(2), Amount(4.0, 2.0, 16.0),
+                                sameZone =
+                                    r
+                                        .nextBoolean(),
+                                estimate =
+                                    15
+                                        .seconds,
+                            ),
+                        )
                 2 -> w.take(array("z-$n", zone = "b", estimate = 20.seconds))
-                else -> w.take(array("a-$n", tasks = 1 + r.nextInt(4), team = "t${r.nextInt(3)}", estimate = (3 + r.nextInt(30)).seconds))
+                else ->
+                    w.take(
+                        array(
+                            "a-$n", tasks = 1 + r.nextInt(4), team = "t${r.nextInt(3)}",
+                            estimate =
+                                (
+                                    3 +
+                                        r.nextInt(30)
+                                ).seconds,
+                        ),
+                    )
             }
             w.run(w.now + (1 + r.nextInt(8)).seconds)
             if (r.nextInt(4) == 0) w.cancel(ids[r.nextInt(ids.size)])
--- a/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
@@ -23,27 +23,52 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Three controllers with their real wiring and workers with real connections: all end, and what differs after the return was planted. */
+/**
+ * Three controllers with their real wiring and workers with real connections: all end, and what differs after the
+ * return was planted.
+ */
 class ColdStartOverSocketsTest {
     @TempDir
     lateinit var dir: File
     private val names = listOf("bobbin-0", "bobbin-1", "bobbin-2")
     private val policy = RecoveryPolicy(rates = RepairRates(stops = 0.02))
 
-    private fun LoopbackService.phase(): String? = leader?.let { recovery(it, RecoveryVerb.STATUS).status?.recovery?.phase }
+    private fun LoopbackService.phase(): String? =
+        leader?.let {
+            recovery(it, RecoveryVerb.STATUS)
+                .status
+                ?.recovery
+                ?.phase
+        }
 
-    private fun LoopbackService.ordered(verb: RecoveryVerb): Boolean = leader?.let { recovery(it, verb).accepted } ?: false
+    private fun LoopbackService.ordered(verb: RecoveryVerb): Boolean =
+        leader?.let { recovery(it, verb).accepted } ?: false
 
     /** The names of tasks that the leader lists as unrecorded. */
     private fun LoopbackService.unrecorded(): Set<String> {
         val list = leader?.let { recovery(it, RecoveryVerb.DIFFERENCES).differences } ?: return emptySet()
-        return list.listed.filter { it.kind == "orphan-task" && "knows no such job" in it.detail }.mapNotNull { it.task }.toSet()
+        return list.listed
+            .filter { it.kind == "orphan-task" && "knows no such job" in it.detail }
+            .mapNotNull { it.task }
+            .toSet()
     }
 
     private fun service() =
-        LoopbackService(dir, null, seed = 3, recovery = policy, workers = WORKERS, report = 1500.milliseconds, lease = 30.seconds, runTime = 1.hours, steadyLoad = false)
+        LoopbackService(
+            dir, null, seed = 3, recovery = policy, workers = WORKERS, report = 1500.milliseconds,
+            lease =
+                30
+                    .seconds,
+            runTime = 1.hours, steadyLoad = false,
+        )
 
-    private fun task(n: Int) = job("run-%06d".format(n), JobKind.ARRAY, WORKERS * SLOTS / JOBS, Amount(1.0, 1.0, 4.0), "a", imageGb = 0.0, estimate = 1.hours)
+    private fun task(n: Int) =
+        job(
+            "run-%06d".format(n), JobKind.ARRAY, WORKERS * SLOTS / JOBS, Amount(1.0, 1.0, 4.0), "a", imageGb = 0.0,
+            estimate =
+                1
+                    .hours,
+        )
 
     @Test
     fun `what workers and cloud receive after a cold start is what was planted, each once and at the pace`() {
@@ -51,7 +76,10 @@
         service().use { service ->
             names.forEach { service.start(it) }
             repeat(JOBS) { n -> service.submitJob(task(n)) }
-            service.await("all tasks run", 60.seconds) { service.fleet.names.sumOf { service.fleet.tasksOn(it).size } == WORKERS * SLOTS }
+            service.await("all tasks run", 60.seconds) {
+                service.fleet.names.sumOf { service.fleet.tasksOn(it).size } ==
+                    WORKERS * SLOTS
+            }
             val first = checkNotNull(service.leader)
             assertTrue(service.recovery(first, RecoveryVerb.STATUS).status?.recovery == null, "the first start is no recovery")
 
@@ -61,7 +89,11 @@
             machines.take(6).forEach(service.fleet::loseLease)
             val unrecorded = machines.drop(6).take(5).mapIndexed { n, m -> m to TaskKey("run-9%05d".format(n), 0) }
             unrecorded.forEach { (m, key) -> service.fleet.plant(m, key, 3) }
-            val duplicates = machines.drop(20).take(4).map { m -> m to service.fleet.tasksOn(machines[40 + random.nextInt(20)]).first() }
+            val duplicates =
+                machines.drop(20).take(4).map { m ->
+                    m to
+                        service.fleet.tasksOn(machines[40 + random.nextInt(20)]).first()
+                }
             duplicates.forEach { (m, key) -> service.fleet.plant(m, key, 9) }
             val mute = machines.drop(30).take(3)
             mute.forEach { service.fleet.mute(it, true) }
@@ -72,28 +104,89 @@
             val back = service.now
             names.forEach { service.start(it) }
             service.await("an operator's pause is taken") { service.ordered(RecoveryVerb.PAUSE) }
-            service.await("every unrecorded task is listed by name") { service.unrecorded() == unrecorded.map { (_, key) -> "${key.job}/${key.task}" }.toSet() }
-            // A follower names the leader, and the leader ends in the middle: the next goes on with the recovery, and it is still paused.
+            service.await("every unrecorded task is listed by name") {
+                service.unrecorded() ==
+                    unrecorded.map { (_, key) -> "${key.job}/${key.task}" }.toSet()
+            }
+            // A follower names the leader, and the leader ends in the middle: the next goes on with the recovery, and
+            // it is still paused.
             val leader = checkNotNull(service.leader)
             val follower = names.first { it != leader }
-            assertEquals("$follower does not lead; ask $leader", service.recovery(follower, RecoveryVerb.APPROVE).problem)
+            assertEquals(
+                "$follower does not lead; ask $leader",
+                service
+                    .recovery(follower, RecoveryVerb.APPROVE)
+                    .problem,
+            )
             service.kill(leader)
             service.await("another leads and goes on with the recovery") {
-                service.leader.let { it != null && it != leader } && service.leader?.let { service.recovery(it, RecoveryVerb.STATUS).status?.recovery?.start } == "continued"
+                service.leader.let { it != null && it != leader } &&
+                    service.leader?.let {
+                        service
+                            .recovery(it, RecoveryVerb.STATUS)
+                            .status
+                            ?.recovery
+                            ?.start
+                    } ==
+                    "continued"
             }
-            assertTrue(service.fleet.carriedOut.none { it.verb == "stop" }, "nothing is stopped while the recovery is paused")
+            assertTrue(
+                service.fleet.carriedOut.none {
+                    it.verb == "stop"
+                },
+                "nothing is stopped while the recovery is paused",
+            )
             service.start(leader)
             service.await("an operator's order to go on is taken") { service.ordered(RecoveryVerb.RESUME) }
             mute.forEach { service.fleet.mute(it, false) }
             service.await("the recovery is over", 60.seconds) { service.phase() == "normal" }
             assertFalse(service.ordered(RecoveryVerb.APPROVE), "there is nothing to approve any more")
 
-            println("cold start over sockets: orders of the last term ${service.leader?.let { service.recovery(it, RecoveryVerb.STATUS).status?.orders }}")
+            println(
+                "cold start over sockets: orders of the last term ${service.leader?.let {
+                    service
+                        .recovery(it, RecoveryVerb.STATUS)
+                        .status
+                        ?.orders
+                }}",
+            )
             val received = service.fleet.carriedOut.toList()
-            assertEquals(lost.map { it.toString() }.sorted(), received.filter { it.verb == "run" }.map { (it.machine to it.key).toString() }.sorted())
-            assertEquals((unrecorded + duplicates).map { it.toString() }.sorted(), received.filter { it.verb == "stop" }.map { (it.machine to it.key).toString() }.sorted())
+            assertEquals(
+                lost.map { it.toString() }.sorted(),
+                received
+                    .filter { it.verb == "run" }
+                    .map {
+                        (
+                            it.machine to
+                                it.key
+                        ).toString()
+                    }.sorted(),
+            )
+            assertEquals(
+                (unrecorded + duplicates).map { it.toString() }.sorted(),
+                received
+                    .filter { it.verb == "stop" }
+                    .map {
+                        (
+                            it.machine to
+                                it.key
+                        ).toString()
+                    }.sorted(),
+            )
             assertEquals(0 to 0, service.fleet.deleted.get() to service.fleet.rented.get())
-            val orders = received.map { ReceivedOrder(it.at, if (it.verb == "run") StartCause.PLACED else StopCause.ORPHANED as OrderCause) }
+            val orders =
+                received.map {
+                    ReceivedOrder(
+                        it.at,
+                        if (it.verb ==
+                            "run"
+                        ) {
+                            StartCause.PLACED
+                        } else {
+                            StopCause.ORPHANED as OrderCause
+                        },
+                    )
+                }
             assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, WORKERS).faults(orders))
             println("cold start over sockets: ${received.size} orders for ${lost.size + unrecorded.size + duplicates.size} differences, over ${(service.now - back).rounded()} s")
         }
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -23,8 +23,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * All controllers are down and come back. Each row plants differences and faults, and says what workers and cloud may receive after
- * the return: no order without a difference. Every rule is checked throughout.
+ * All controllers are down and come back. Each row plants differences and faults, and says what workers and cloud may
+ * receive after the return: no order without a difference. Every rule is checked throughout.
  */
 class ColdStartScenariosTest {
     private val policy = RecoveryPolicy()
@@ -68,74 +68,125 @@
 
     private fun orders(vararg of: Pair<OrderKind, Int>) = of.associate { (kind, number) -> kind to number..number }
 
-    private val rows = listOf(
-        Row("nothing differs"),
-        Row("nothing differs, and the restart takes longer than half a lease", away = 9.seconds),
-        Row("a task was lost with its machine's lease", orders = orders(OrderKind.START to 1), plant = { endLeaseOfOneTask() }),
-        Row("all leases ran out", away = 30.seconds, orders = orders(OrderKind.START to tasks)),
-        Row(
-            "a task that the store never recorded", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.ORPHAN_TASK),
-            plant = { plantTask(machineWith("l"), unknown, 0, 3) },
-        ),
-        Row(
-            "its user submits it again meanwhile",
-            orders = mapOf(OrderKind.STOP to 1..1, OrderKind.START to 2..2, OrderKind.RENTAL to 0..1, OrderKind.DELETION to 0..1),
-            listed = setOf(DifferenceKind.ORPHAN_TASK),
-            plant = { plantTask(machineWith("l"), unknown, 0, 3) }, afterReturn = { submit(unknown) },
-        ),
-        Row(
-            "two machines claim one task", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.DUPLICATE_TASK, DifferenceKind.ORPHAN_TASK),
-            plant = { plantTask(machineWithout("a"), array, 0, 9) },
-        ),
-        Row("a machine that reports late", plant = { cut(machineWith("a"), 10.seconds) }),
-        Row("one zone is silent for a while", plant = { machineNames.filterIndexed { i, _ -> i % 2 == 1 }.forEach { cut(it, 11.seconds) } }),
-        Row("workers that report one by one", plant = { machineNames.forEachIndexed { i, m -> cut(m, (5 + i).seconds) } }),
-        Row("a machine that only answers questions", plant = { mute(machineWith("l"), 12.seconds) }),
-        Row(
-            "a cancellation confirmed just before the end", orders = mapOf(OrderKind.STOP to 6..6), plant = { assertTrue(cancel("a")) },
-        ),
-        Row(
-            "part of a gang survived", orders = mapOf(OrderKind.STOP to 0..1, OrderKind.START to 2..8, OrderKind.DELETION to 0..1),
-            plant = { endLease(machineWith("g")) },
-        ),
-        Row(
-            "a machine was taken", orders = mapOf(OrderKind.START to 1..8, OrderKind.STOP to 0..2, OrderKind.DELETION to 1..1, OrderKind.RENTAL to 0..4),
-            listed = setOf(DifferenceKind.UNHEARD_MACHINE), plant = { take(machineWith("a")) },
-        ),
-        Row("the controllers end again at once", afterReturn = { allAway(1.seconds) }),
-        Row(
-            "they end again after the orphan was seen", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.ORPHAN_TASK),
-            plant = { plantTask(machineWith("l"), unknown, 0, 3) },
-            afterReturn = {
-                run(now + 5.seconds, calm = true)
-                allAway(2.seconds)
-            },
-        ),
-        Row(
-            "the leader ends while all leases have run out and half of it is restored", away = 30.seconds, orders = orders(OrderKind.START to tasks),
-            afterReturn = {
-                run(now + 3.seconds, calm = true)
-                changeLeader(1.seconds)
-            },
-        ),
-        Row("the state service is out just after the return", afterReturn = { outage(8.seconds) }),
-        Row(
-            "most of the fleet is silent for longer than gathering lasts",
-            plant = { machineNames.filterNot { m -> tasksOn(m).any { it.job == "g" } }.take(5).forEach { cut(it, 12500.milliseconds) } },
-        ),
-        Row(
-            "a team is at its limit while an orphan of it holds room", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.ORPHAN_TASK),
-            plant = { plantTask(machineWithout("l"), limited, 0, 9) },
-        ),
-    )
+    private val rows =
+        listOf(
+            Row("nothing differs"),
+            Row("nothing differs, and the restart takes longer than half a lease", away = 9.seconds),
+            Row("a task was lost with its machine's lease", orders = orders(OrderKind.START to 1), plant = {
+                endLeaseOfOneTask()
+            }),
+            Row("all leases ran out", away = 30.seconds, orders = orders(OrderKind.START to tasks)),
+            Row(
+                "a task that the store never recorded", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.ORPHAN_TASK),
+                plant = { plantTask(machineWith("l"), unknown, 0, 3) },
+            ),
+            Row(
+                "its user submits it again meanwhile",
+                orders =
+                    mapOf(
+                        OrderKind.STOP to 1..1, OrderKind.START to 2..2, OrderKind.RENTAL to 0..1,
+                        OrderKind.DELETION to 0..1,
+                    ),
+                listed = setOf(DifferenceKind.ORPHAN_TASK),
+                plant = { plantTask(machineWith("l"), unknown, 0, 3) }, afterReturn = { submit(unknown) },
+            ),
+            Row(
+                "two machines claim one task", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.DUPLICATE_TASK, DifferenceKind.ORPHAN_TASK),
+                plant = { plantTask(machineWithout("a"), array, 0, 9) },
+            ),
+            Row("a machine that reports late", plant = { cut(machineWith("a"), 10.seconds) }),
+            Row("one zone is silent for a while", plant = {
+                machineNames
+                    .filterIndexed {
+                        i,
+                        _,
+                        ->
+                        i % 2 == 1
+                    }.forEach { cut(it, 11.seconds) }
+            }),
+            Row("workers that report one by one", plant = {
+                machineNames.forEachIndexed {
+                    i,
+                    m,
+                    ->
+                    cut(m, (5 + i).seconds)
+                }
+            }),
+            Row("a machine that only answers questions", plant = { mute(machineWith("l"), 12.seconds) }),
+            Row(
+                "a cancellation confirmed just before the end", orders = mapOf(OrderKind.STOP to 6..6), plant = {
+                    assertTrue(cancel("a"))
+                },
+            ),
+            Row(
+                "part of a gang survived",
+                orders =
+                    mapOf(
+                        OrderKind.STOP to 0..1, OrderKind.START to 2..8,
+                        OrderKind.DELETION to 0..1,
+                    ),
+                plant = { endLease(machineWith("g")) },
+            ),
+            Row(
+                "a machine was taken",
+                orders =
+                    mapOf(
+                        OrderKind.START to 1..8, OrderKind.STOP to 0..2,
+                        OrderKind.DELETION to 1..1, OrderKind.RENTAL to 0..4,
+                    ),
+                listed = setOf(DifferenceKind.UNHEARD_MACHINE), plant = { take(machineWith("a")) },
+            ),
+            Row("the controllers end again at once", afterReturn = { allAway(1.seconds) }),
+            Row(
+                "they end again after the orphan was seen", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.ORPHAN_TASK),
+                plant = { plantTask(machineWith("l"), unknown, 0, 3) },
+                afterReturn = {
+                    run(now + 5.seconds, calm = true)
+                    allAway(2.seconds)
+                },
+            ),
+            Row(
+                "the leader ends while all leases have run out and half of it is restored", away = 30.seconds,
+                orders =
+                    orders(
+                        OrderKind.START to tasks,
+                    ),
+                afterReturn = {
+                    run(now + 3.seconds, calm = true)
+                    changeLeader(1.seconds)
+                },
+            ),
+            Row("the state service is out just after the return", afterReturn = { outage(8.seconds) }),
+            Row(
+                "most of the fleet is silent for longer than gathering lasts",
+                plant = {
+                    machineNames
+                        .filterNot { m ->
+                            tasksOn(m).any { it.job == "g" }
+                        }.take(5)
+                        .forEach { cut(it, 12500.milliseconds) }
+                },
+            ),
+            Row(
+                "a team is at its limit while an orphan of it holds room", orders = orders(OrderKind.STOP to 1), listed = setOf(DifferenceKind.ORPHAN_TASK),
+                plant = { plantTask(machineWithout("l"), limited, 0, 9) },
+            ),
+        )
 
     /** The lease of a machine that has a single task ends. */
     private fun World.endLeaseOfOneTask() {
-        machineNames.filter { tasksOn(it).size == 1 && tasksOn(it).single().job != "g" }.take(1).forEach { endLease(it) }
+        machineNames
+            .filter {
+                tasksOn(it).size == 1 && tasksOn(it).single().job != "g"
+            }.take(1)
+            .forEach { endLease(it) }
     }
 
     @TestFactory
-    fun `after a cold start only real differences are mended`() = rows.map { row -> DynamicTest.dynamicTest(row.name) { play(row) } }
+    fun `after a cold start only real differences are mended`() =
+        rows.map { row ->
+            DynamicTest.dynamicTest(row.name) { play(row) }
+        }
 
     private fun play(row: Row) {
         val world = running()
@@ -148,7 +199,11 @@
         val kinds = HashSet<DifferenceKind>()
         repeat(60) {
             world.run(world.now + 1.seconds, calm = true)
-            world.recovery?.snapshot?.findings?.values?.forEach { found -> found.differences.mapTo(kinds) { it.kind } }
+            world.recovery
+                ?.snapshot
+                ?.findings
+                ?.values
+                ?.forEach { found -> found.differences.mapTo(kinds) { it.kind } }
         }
         assertEquals(emptyList<String>(), world.violations)
         val received = world.received.groupingBy { it.kind }.eachCount()
@@ -186,7 +241,14 @@
         val world = running()
         world.allAway(30.seconds)
         world.run(world.now + 30.seconds, calm = true)
-        val records = { world.state.entries.filterKeys { it == Keys.job("s") || it == Keys.job("a") || it == Keys.job("l") }.mapValues { it.value.version } }
+        val records = {
+            world.state.entries
+                .filterKeys {
+                    it == Keys.job("s") ||
+                        it == Keys.job("a") ||
+                        it == Keys.job("l")
+                }.mapValues { it.value.version }
+        }
         val before = records()
         world.run(world.now + 60.seconds, calm = true)
         assertEquals(before, records())
