--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -33,40 +33,91 @@
     private var sequence = 0L
 
     private fun names(findings: Map<String, MachineFindings>) =
-        findings.values.flatMap { it.differences }.map { d -> "${d.kind} ${d.machine}${d.task?.let { " ${it.job}/${it.task}" } ?: ""}" }.sorted()
+        findings.values
+            .flatMap { it.differences }
+            .map { d ->
+                "${d.kind} ${d.machine}${d.task?.let { " ${it.job}/${it.task}" } ?: ""}"
+            }.sorted()
 
     private fun store(random: Random, id: String, adopted: Boolean) {
         val kind = if (id == "j0") JobKind.SERVICE else JobKind.ARRAY
         val done = BitSet().also { if (kind == JobKind.ARRAY && random.nextInt(3) == 0) it.set(random.nextInt(3)) }
-        val intents = (0 until 3).filter { random.nextBoolean() }.map { Intent(it, 1L + random.nextInt(2), machines[random.nextInt(machines.size)]) }
-        val before = plain.records[id]?.intents.orEmpty().toSet()
+        val intents =
+            (0 until 3)
+                .filter {
+                    random.nextBoolean()
+                }.map {
+                    Intent(
+                        it, 1L + random.nextInt(2),
+                        machines[
+                            random
+                                .nextInt(machines.size),
+                        ],
+                    )
+                }
+        val before =
+            plain.records[id]
+                ?.intents
+                .orEmpty()
+                .toSet()
         val record = JobRecord(job(id, kind, 3), now, 2, done, intents)
         plain.records[id] = record
         for (i in intents) {
             val name = "$id/${i.task}#${i.attempt}@${i.machine}"
-            if (i !in before) if (adopted) plain.adopted.add(name) else plain.adopted.remove(name)
+            if (i !in before) {
+                if (adopted) {
+                    plain.adopted.add(name)
+                } else {
+                    plain.adopted.remove(name)
+                }
+            }
         }
         tracker.jobStored(record, adopted)
     }
 
     private fun observe(random: Random, machine: String) {
-        val tasks = jobs.flatMap { id -> (0 until 3).map { TaskKey(id, it) } }.filter { random.nextInt(5) == 0 }.map { key ->
-            val ended = random.nextInt(3) == 0
-            ReportedTask(key, 1L + random.nextInt(2), if (ended) TaskState.EXITED else TaskState.RUNNING, if (ended) Exit.DONE else null, false)
-        }
+        val tasks =
+            jobs.flatMap { id -> (0 until 3).map { TaskKey(id, it) } }.filter { random.nextInt(5) == 0 }.map { key ->
+                val ended = random.nextInt(3) == 0
+                ReportedTask(key, 1L + random.nextInt(2), if (ended) TaskState.EXITED else TaskState.RUNNING, if (ended) Exit.DONE else null, false)
+            }
         val report = Report(machine, "addr", "big", "a", false, 1, ++sequence, 1, null, tasks)
         val source = if (random.nextInt(3) == 0) ReportSource.DIRECT else ReportSource.WORKER
         val trusted = random.nextInt(4) > 0
-        plain.seen[machine] = PlainDifferences.Seen(report, trusted, source == ReportSource.WORKER || plain.seen[machine]?.reportedItself == true)
+        plain.seen[machine] =
+            PlainDifferences.Seen(
+                report, trusted,
+                source == ReportSource.WORKER || plain.seen[machine]?.reportedItself == true,
+            )
         tracker.machineObserved(report, source, trusted, now)
     }
 
     private fun list(random: Random) {
-        val named = machines.filter { random.nextInt(4) > 0 }.associateWith { if (random.nextInt(4) == 0) MachineStage.BOOTING else MachineStage.RUNNING }
+        val named =
+            machines.filter { random.nextInt(4) > 0 }.associateWith {
+                if (random.nextInt(4) ==
+                    0
+                ) {
+                    MachineStage.BOOTING
+                } else {
+                    MachineStage.RUNNING
+                }
+            }
         plain.listRead = true
-        for ((m, old) in plain.listed.toMap()) if (m !in named) plain.listed[m] = PlainDifferences.Listed(old.stage, true)
+        for ((m, old) in plain.listed.toMap()) {
+            if (m !in
+                named
+            ) {
+                plain.listed[m] = PlainDifferences.Listed(old.stage, true)
+            }
+        }
         for ((m, stage) in named) plain.listed[m] = PlainDifferences.Listed(stage, false)
-        tracker.machinesListed(named.map { (m, stage) -> ListedMachine(m, "addr", "big", "a", false, stage, 9.seconds) }, now)
+        tracker.machinesListed(
+            named.map { (m, stage) ->
+                ListedMachine(m, "addr", "big", "a", false, stage, 9.seconds)
+            },
+            now,
+        )
     }
 
     private fun happen(random: Random) {
@@ -76,10 +127,11 @@
             in 0..2 -> store(random, id, adopted = random.nextBoolean())
             in 3..7 -> observe(random, machine)
             8 -> list(random)
-            9 -> if (plain.records.containsKey(id)) {
-                plain.cancelled.add(id)
-                tracker.jobCancelled(id)
-            }
+            9 ->
+                if (plain.records.containsKey(id)) {
+                    plain.cancelled.add(id)
+                    tracker.jobCancelled(id)
+                }
             10 -> {
                 plain.records.remove(id)
                 plain.cancelled.remove(id)
@@ -95,7 +147,9 @@
     }
 
     @Property(tries = 400)
-    fun `what is kept up equals what comparing everything shows, and the plain model`(@ForAll seed: Long) {
+    fun `what is kept up equals what comparing everything shows, and the plain model`(
+        @ForAll seed: Long,
+    ) {
         val random = Random(seed)
         val test = DifferenceTrackerTest()
         repeat(60) {
@@ -104,20 +158,38 @@
             assertEquals(MachineComparison.all(test.tracker.views), test.tracker.findings.toMap(), "seed $seed")
             assertEquals(test.plain.names(), test.names(test.tracker.findings), "seed $seed")
             val totals = test.tracker.totals()
-            assertEquals(test.tracker.findings.values.sumOf { it.differences.size }, totals.byKind.values.sum())
-            assertEquals(test.tracker.findings.values.sumOf { it.adopted } to test.tracker.findings.values.sumOf { it.confirmed }, totals.adopted to totals.confirmed)
+            assertEquals(
+                test.tracker.findings.values
+                    .sumOf { it.differences.size },
+                totals.byKind.values.sum(),
+            )
+            assertEquals(
+                test.tracker.findings.values
+                    .sumOf { it.adopted } to
+                    test.tracker.findings.values
+                        .sumOf { it.confirmed },
+                totals.adopted to totals.confirmed,
+            )
         }
     }
 
     @Property(tries = 50)
-    fun `learning the same once more changes nothing`(@ForAll seed: Long) {
+    fun `learning the same once more changes nothing`(
+        @ForAll seed: Long,
+    ) {
         val random = Random(seed)
         val test = DifferenceTrackerTest()
         repeat(30) { test.happen(random) }
         val before = test.names(test.tracker.findings)
-        test.plain.records.values.forEach { test.tracker.jobStored(it, adopted = false) }
+        test.plain.records.values
+            .forEach { test.tracker.jobStored(it, adopted = false) }
         for (seen in test.plain.seen.values) {
-            test.tracker.machineObserved(seen.report, if (seen.reportedItself) ReportSource.WORKER else ReportSource.DIRECT, seen.trusted, 99.seconds)
+            test.tracker
+                .machineObserved(
+                    seen.report, if (seen.reportedItself) ReportSource.WORKER else ReportSource.DIRECT, seen.trusted,
+                    99
+                        .seconds,
+                )
         }
         assertEquals(before, test.names(test.tracker.findings), "seed $seed")
     }
@@ -129,9 +201,13 @@
             val intents = (0 until 4).map { Intent(it, 1, "m${(j + it * 7) % fleet}") }
             tracker.jobStored(JobRecord(job("j$j", tasks = 4), Duration.ZERO, 1, BitSet(), intents), adopted = true)
         }
+
         fun report(m: Int, sequence: Long): Report {
             val state = if (sequence > 1) TaskState.SAVING else TaskState.RUNNING
-            val tasks = (0 until 4).map { ReportedTask(TaskKey("j${(m - it * 7).mod(fleet)}", it), 1, state, null, false) }
+            val tasks =
+                (0 until 4).map {
+                    ReportedTask(TaskKey("j${(m - it * 7).mod(fleet)}", it), 1, state, null, false)
+                }
             return Report("m$m", "addr", "big", "a", false, 1, sequence, 1, null, tasks)
         }
         for (m in 0 until fleet) tracker.machineObserved(report(m, 1), ReportSource.WORKER, true, 1.seconds)
@@ -158,6 +234,13 @@
         assertTrue(tracker.findings.values.all { it.differences.isEmpty() })
         tracker.machineObserved(empty, ReportSource.WORKER, trusted = true, 2.seconds)
         assertEquals(listOf("MISSING_TASK m1 a/0"), names(tracker.findings))
-        assertEquals(Evidence(EvidenceSource.REPORT, 2.seconds), tracker.findings.getValue("m1").differences.single().evidence)
+        assertEquals(
+            Evidence(EvidenceSource.REPORT, 2.seconds),
+            tracker.findings
+                .getValue("m1")
+                .differences
+                .single()
+                .evidence,
+        )
     }
 }
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -29,7 +29,13 @@
     private val policy = RecoveryPolicy()
     private val setting = RecoverySetting(16.seconds, 2.seconds, 3.seconds)
 
-    private fun witness(vararg reads: Pair<Long?, Duration>) = ContinuityWitness(4.seconds).also { w -> reads.forEach { (leader, at) -> w.stateRead(leader, at) } }
+    private fun witness(vararg reads: Pair<Long?, Duration>) =
+        ContinuityWitness(4.seconds).also { w ->
+            reads.forEach { (leader, at) ->
+                w
+                    .stateRead(leader, at)
+            }
+        }
 
     @Test
     fun `a process witnesses a term only if it saw it begin or saw its lease renewed`() {
@@ -48,6 +54,7 @@
     @Test
     fun `a cold start is proved, and never guessed`() {
         val nothing = StoredRecovery.Absent
+
         fun said(token: Long?) = MemberWitness(true, token)
         val silent = MemberWitness(false, null)
         assertEquals(StartKind.FIRST, StartJudgement.judge(1, null, listOf(silent, silent), nothing))
@@ -59,25 +66,47 @@
         assertEquals(StartKind.COLD, StartJudgement.judge(5, 5, listOf(said(5), said(null)), nothing))
         val open = RecoveryRecord(4, RecoveryPhase.GATHERING, 1.seconds)
         assertEquals(StartKind.CONTINUED, StartJudgement.judge(5, 4, listOf(said(2)), StoredRecovery.Present(open, 9)))
-        assertEquals(StartKind.TAKE_OVER, StartJudgement.judge(5, 4, listOf(said(2)), StoredRecovery.Present(open.copy(phase = RecoveryPhase.NORMAL), 9)))
-        assertEquals(StartKind.CONTINUED, StartJudgement.judge(5, 4, listOf(said(2)), StoredRecovery.Unreadable(9, "malformed")))
+        assertEquals(
+            StartKind.TAKE_OVER,
+            StartJudgement
+                .judge(5, 4, listOf(said(2)), StoredRecovery.Present(open.copy(phase = RecoveryPhase.NORMAL), 9)),
+        )
+        assertEquals(
+            StartKind.CONTINUED,
+            StartJudgement
+                .judge(5, 4, listOf(said(2)), StoredRecovery.Unreadable(9, "malformed")),
+        )
     }
 
     @Test
     fun `each phase admits what it should`() {
-        val causes: List<OrderCause> = listOf(StartCause.RESTORED, RentalCause.HEADROOM, StopCause.ORPHANED, DeletionCause.SILENT, ForgetCause.RECORDED)
-        val admitted = RecoveryPhase.entries.associateWith { phase -> causes.filter { phase.admits(it) }.map { it.kind } }
-        val expected = mapOf(
-            RecoveryPhase.READING to listOf(OrderKind.FORGET),
-            RecoveryPhase.GATHERING to listOf(OrderKind.START, OrderKind.FORGET),
-            RecoveryPhase.ADOPTING to listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.FORGET),
-            RecoveryPhase.REPAIRING to listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
-            RecoveryPhase.NORMAL to listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
-        )
+        val causes: List<OrderCause> =
+            listOf(StartCause.RESTORED, RentalCause.HEADROOM, StopCause.ORPHANED, DeletionCause.SILENT, ForgetCause.RECORDED)
+        val admitted =
+            RecoveryPhase.entries.associateWith { phase ->
+                causes.filter { phase.admits(it) }.map { it.kind }
+            }
+        val expected =
+            mapOf(
+                RecoveryPhase.READING to listOf(OrderKind.FORGET),
+                RecoveryPhase.GATHERING to listOf(OrderKind.START, OrderKind.FORGET),
+                RecoveryPhase.ADOPTING to listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.FORGET),
+                RecoveryPhase.REPAIRING to
+                    listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
+                RecoveryPhase.NORMAL to
+                    listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
+            )
         assertEquals(expected, admitted)
     }
 
-    private fun facts(now: Duration, kind: StartKind = StartKind.COLD, heard: Int = 0, repairable: Int = 1, paused: Boolean = false, breaker: BreakerState = BreakerState.CLOSED) =
+    private fun facts(
+        now: Duration,
+        kind: StartKind = StartKind.COLD,
+        heard: Int = 0,
+        repairable: Int = 1,
+        paused: Boolean = false,
+        breaker: BreakerState = BreakerState.CLOSED,
+    ) =
         PhaseFacts(now, kind, true, GatheringProgress(listOf(GatheringProgress.Group("a", "big", 10, heard))), repairable, 0, true, breaker, paused)
 
     @Test
@@ -92,12 +121,24 @@
         assertNull(machine.advance(facts(99.seconds, breaker = BreakerState(true, 9, 10, 9.seconds, null))))
         assertEquals(RecoveryPhase.REPAIRING, machine.advance(facts(100.seconds))?.phase)
         assertNull(machine.advance(facts(101.seconds)))
-        assertEquals(PhaseState(RecoveryPhase.NORMAL, 102.seconds, PhaseEnd.COMPLETE), machine.advance(facts(102.seconds, repairable = 0)))
+        assertEquals(
+            PhaseState(RecoveryPhase.NORMAL, 102.seconds, PhaseEnd.COMPLETE),
+            machine
+                .advance(facts(102.seconds, repairable = 0)),
+        )
         val withoutList = PhaseMachine(policy, setting, 0.seconds)
         assertEquals(PhaseEnd.TIME_OVER, withoutList.advance(facts(3.seconds).copy(listRead = false))?.end)
-        assertNull(withoutList.advance(facts(4.seconds).copy(listRead = false, gathering = GatheringProgress(emptyList()))), "nobody to wait for is known")
+        assertNull(
+            withoutList
+                .advance(facts(4.seconds).copy(listRead = false, gathering = GatheringProgress(emptyList()))),
+            "nobody to wait for is known",
+        )
         val ordinary = PhaseMachine(policy, setting, 0.seconds)
-        assertEquals(PhaseState(RecoveryPhase.NORMAL, 1.seconds, PhaseEnd.ORDINARY_START), ordinary.advance(facts(1.seconds, StartKind.TAKE_OVER)))
+        assertEquals(
+            PhaseState(RecoveryPhase.NORMAL, 1.seconds, PhaseEnd.ORDINARY_START),
+            ordinary
+                .advance(facts(1.seconds, StartKind.TAKE_OVER)),
+        )
     }
 
     @Test
@@ -117,6 +158,7 @@
         var now = 0.seconds
         val budget = RepairBudget(RepairRates(stops = 0.1)) { now }
         budget.resize(50)
+
         fun taken() = generateSequence { budget.take(OrderKind.STOP) }.takeWhile { it }.count()
         assertEquals(1, taken(), "what the smallest fleet may do is there at first")
         now += 1.seconds
@@ -133,7 +175,12 @@
         val engine = RecoveryEngine(policy, setting, 2, 0.seconds, StartKind.COLD)
         val order = ProposedOrder(StopCause.UNRECORDED, "m1", TaskKey("u", 0))
         val tasks = listOf(ReportedTask(order.task!!, 1, TaskState.RUNNING, null, false))
-        engine.machineObserved(Report("m1", "addr", "big", "a", false, 1, 1, 2, null, tasks), ReportSource.WORKER, true, 3.seconds)
+        engine
+            .machineObserved(
+                Report("m1", "addr", "big", "a", false, 1, 1, 2, null, tasks), ReportSource.WORKER, true,
+                3
+                    .seconds,
+            )
         engine.machinesListed(emptyList(), 3.seconds)
         (4..9).forEach { engine.tick(it.seconds) }
         assertEquals(RecoveryPhase.REPAIRING, engine.phase)
@@ -150,7 +197,12 @@
     @Test
     fun `the stored record comes back as it was, and nothing else is taken for one`() {
         for (phase in RecoveryPhase.entries) {
-            val record = RecoveryRecord(7, phase, 99.seconds, isPaused = true, isApproved = phase == RecoveryPhase.NORMAL)
+            val record =
+                RecoveryRecord(
+                    7, phase, 99.seconds, isPaused = true,
+                    isApproved =
+                        phase == RecoveryPhase.NORMAL,
+                )
             assertEquals(record, RecoveryWire.decode(RecoveryWire.encode(record)))
         }
         val good = RecoveryWire.encode(RecoveryRecord(7, RecoveryPhase.READING, 99.seconds))
--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -20,7 +20,14 @@
 /** Leaving a level again: each stage, and what happens when it is interrupted there. */
 class DeactivationTest {
     private val scene = RolloutScene()
-    private val split = JobRecord(job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(Intent(1, 1, "i-1")), shelved = mapOf(0 to listOf(Intent(2, 3, "i-2"))))
+    private val split =
+        JobRecord(
+            job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(Intent(1, 1, "i-1")),
+            shelved =
+                mapOf(
+                    0 to listOf(Intent(2, 3, "i-2")),
+                ),
+        )
 
     @BeforeEach
     fun activate() {
@@ -30,9 +37,14 @@
     }
 
     private fun store(record: JobRecord, permit: WritePermit?) =
-        scene.state.transact(permit?.conditions().orEmpty(), listOf(Put(Keys.job(record.spec.id), RecordWire.encode(record))), emptyList())
+        scene.state
+            .transact(permit?.conditions().orEmpty(), listOf(Put(Keys.job(record.spec.id), RecordWire.encode(record))), emptyList())
 
-    private fun stage() = scene.records.level().valueOrNull()?.let { it.level to it.stage }
+    private fun stage() =
+        scene.records
+            .level()
+            .valueOrNull()
+            ?.let { it.level to it.stage }
 
     @Test
     fun `nothing new is written, what is left is waited for, and then the level is lowered and stays so`() {
@@ -120,7 +132,11 @@
         scene.elect("a")
         scene.run(2.minutes)
         assertEquals(3 to LevelStage.ACTIVE, stage())
-        assertTrue((scene.order(OperatorRequest.Deactivate(3)) as OrderOutcome.Refused).reason.contains("can't be deactivated"))
+        assertTrue(
+            (scene.order(OperatorRequest.Deactivate(3)) as OrderOutcome.Refused)
+                .reason
+                .contains("can't be deactivated"),
+        )
         scene.run(1.minutes)
         assertEquals(3 to LevelStage.ACTIVE, stage())
     }
--- a/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
+++ b/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
@@ -11,7 +11,8 @@
 class HealthAndPlanTest {
     private val levels = BuildLevels("new", 0, 1)
 
-    private fun report(boot: String, refusals: Long) = MemberReport("b", boot, levels, true, HealthCounts(0, 0, refusals, 0))
+    private fun report(boot: String, refusals: Long) =
+        MemberReport("b", boot, levels, true, HealthCounts(0, 0, refusals, 0))
 
     @Test
     fun `the time since a step is compared with the time before it, over restarts`() {
@@ -39,12 +40,14 @@
         scene.elect("a")
         val engine = RolloutEngine(scene.leader.registry, scene.policy, listOf("a", "b", "c"), scene.now)
         var refusals = 0L
+
         fun hear(second: Int) {
             val at = scene.now + second.seconds
             for (name in listOf("a", "c")) engine.heard(MemberReport(name, name, levels, true), at)
             val after = second >= 60
             if (after) refusals += 3
-            engine.heard(MemberReport("b", if (after) "b-2" else "b-1", if (after) levels else BuildLevels("old", 0, 0), true, HealthCounts(0, 0, refusals, 0)), at)
+            engine
+                .heard(MemberReport("b", if (after) "b-2" else "b-1", if (after) levels else BuildLevels("old", 0, 0), true, HealthCounts(0, 0, refusals, 0)), at)
             engine.step(scene.input().copy(now = at))
         }
         for (second in 0..100 step 2) hear(second)
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -94,7 +94,14 @@
         val old = BuildLevels("old", 0, 0)
         tracker.heard(MemberReport("b", "b-2", old, true), askedAt = 20.seconds)
         tracker.heard(MemberReport("b", "b-1", new, true), askedAt = 19.seconds)
-        assertEquals(old, tracker.view(21.seconds).single().report?.levels)
+        assertEquals(
+            old,
+            tracker
+                .view(21.seconds)
+                .single()
+                .report
+                ?.levels,
+        )
         // The same build in another process begins its time anew.
         tracker.heard(MemberReport("b", "b-3", new, true), askedAt = 22.seconds)
         tracker.heard(MemberReport("b", "b-4", new, true), askedAt = 30.seconds)
@@ -191,17 +198,43 @@
         scene.order(OperatorRequest.Exclude("c", "an operator"))
         scene.run(4.seconds)
         assertEquals(1, scene.active)
-        assertEquals(listOf("an operator"), scene.records.orders().valueOrNull()?.exclusions?.map { it.by })
+        assertEquals(
+            listOf("an operator"),
+            scene.records
+                .orders()
+                .valueOrNull()
+                ?.exclusions
+                ?.map { it.by },
+        )
         // A build that knows levels stops by itself; the leader names one that does not.
         scene.member("c").restart(0)
-        assertEquals(1, scene.member("c").gate.fence()?.neededLevel)
+        assertEquals(
+            1,
+            scene
+                .member("c")
+                .gate
+                .fence()
+                ?.neededLevel,
+        )
         assertFalse(scene.member("c").report().ready)
         old("c")
         scene.run(11.minutes)
-        assertTrue(scene.notices.any { "member c is left behind: build unmanaged can't read the active level 1" in it }, scene.notices.toString())
+        assertTrue(
+            scene.notices.any {
+                "member c is left behind: build unmanaged can't read the active level 1" in it
+            },
+            scene.notices
+                .toString(),
+        )
         assertTrue(scene.order(OperatorRequest.Exclude("x", "an operator")) is OrderOutcome.Refused)
         scene.order(OperatorRequest.Include("c"))
-        assertEquals(emptyList<Exclusion>(), scene.records.orders().valueOrNull()?.exclusions)
+        assertEquals(
+            emptyList<Exclusion>(),
+            scene.records
+                .orders()
+                .valueOrNull()
+                ?.exclusions,
+        )
     }
 
     @Test
@@ -236,7 +269,14 @@
         val future = mapOf("level" to 9L, "name" to "future", "stage" to "active", "token" to 1L, "changed" to 0L)
         scene.state.transact(emptyMap(), listOf(Put(Keys.LEVEL, future)), emptyList())
         scene.run(1.minutes)
-        assertEquals(9, scene.member("a").gate.fence()?.neededLevel)
+        assertEquals(
+            9,
+            scene
+                .member("a")
+                .gate
+                .fence()
+                ?.neededLevel,
+        )
         assertNull(scene.member("a").gate.permit(1))
         assertEquals(1, scene.levelHistory.size)
         // Without any record it is as before the first activation.
@@ -249,7 +289,19 @@
     @Test
     fun `what is not understood of the rollout itself is never stored over`() {
         scene.elect("a")
-        scene.state.transact(emptyMap(), listOf(Put(Keys.ROLLOUT_STATE, mapOf("target" to "far")), Put(Keys.ROLLOUT_ORDERS, mapOf("mode" to 1L))), emptyList())
+        scene.state.transact(
+            emptyMap(),
+            listOf(
+                Put(Keys.ROLLOUT_STATE, mapOf("target" to "far")),
+                Put(
+                    Keys.ROLLOUT_ORDERS,
+                    mapOf(
+                        "mode" to 1L,
+                    ),
+                ),
+            ),
+            emptyList(),
+        )
         val before = scene.state.entries.filterKeys { it.startsWith(Keys.ROLLOUT) }
         scene.run(1.minutes)
         assertEquals(HoldCause.ORDERS_UNREADABLE, hold()?.cause)
@@ -260,7 +312,14 @@
     @Test
     fun `a build that no longer reads the base forms does not serve before its level is active`() {
         scene.member("a").restart(2, lowest = 1)
-        assertEquals(0, scene.member("a").gate.fence()?.neededLevel)
+        assertEquals(
+            0,
+            scene
+                .member("a")
+                .gate
+                .fence()
+                ?.neededLevel,
+        )
         scene.elect("b")
         scene.run(1.minutes)
         assertEquals(Hold(HoldCause.MEMBER_NOT_READY, "a"), hold())
--- a/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
@@ -21,11 +21,18 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Random interleavings of ends, upgrades, downgrades, cuts, outages, orders, late transactions and replicas that are behind.
- * A slow plain model remembers every process that ever was and judges each activation and each write by that alone.
+ * Random interleavings of ends, upgrades, downgrades, cuts, outages, orders, late transactions and replicas that are
+ * behind. A slow plain model remembers every process that ever was and judges each activation and each write by that
+ * alone.
  */
 class RolloutModelTest {
-    private class Process(val member: String, val boot: String, val registry: FeatureRegistry, val start: Duration, state: StateStandIn) {
+    private class Process(
+        val member: String,
+        val boot: String,
+        val registry: FeatureRegistry,
+        val start: Duration,
+        state: StateStandIn,
+    ) {
         var end: Duration? = null
         val view = LaggingView(state)
         val records = RolloutRecords(view) { view.loaded }
@@ -62,7 +69,8 @@
         fun begin(name: String, highest: Int) {
             live.remove(name)?.let { it.end = now }
             if (leader?.process?.member == name) leader = null
-            val process = Process(name, "$name-${processes.size}", registryUpTo(highest, if (chance(10)) minOf(1, highest) else 0), now, state)
+            val process =
+                Process(name, "$name-${processes.size}", registryUpTo(highest, if (chance(10)) minOf(1, highest) else 0), now, state)
             processes.add(process)
             live[name] = process
             process.view.beginLoad()
@@ -83,10 +91,11 @@
             val kind = random.nextInt(18)
             when (if (calm() && kind < TROUBLES) TROUBLES else kind) {
                 0 -> begin(names.random(random), random.nextInt(1, 4))
-                1 -> names.random(random).let { name ->
-                    live.remove(name)?.let { it.end = now }
-                    if (leader?.process?.member == name) leader = null
-                }
+                1 ->
+                    names.random(random).let { name ->
+                        live.remove(name)?.let { it.end = now }
+                        if (leader?.process?.member == name) leader = null
+                    }
                 2 -> names.random(random).let { if (!cut.remove(it)) cut.add(it) }
                 3 -> outUntil = now + random.nextLong(1, 8).seconds
                 4 -> if (late.isNotEmpty()) late.removeAt(random.nextInt(late.size)).let(::carryOut)
@@ -120,12 +129,19 @@
             process.view.advance(state.revision)
         }
 
-        /** The gate decides what a process makes of the records that it holds: none may be in a form beyond its build unless it is fenced. */
+        /**
+         * The gate decides what a process makes of the records that it holds: none may be in a form beyond its build
+         * unless it is fenced.
+         */
         fun judgeReader(process: Process) {
             if (!process.view.loaded) return
             val forms = process.view.under(FORMS).map { it.value["form"] as Long }
             val highest = forms.maxOrNull() ?: return
-            if (highest > process.levels.highest && process.gate.fence() == null) faults.add("$now ${process.boot} meets form $highest with build ${process.levels} unfenced")
+            if (highest > process.levels.highest &&
+                process.gate.fence() == null
+            ) {
+                faults.add("$now ${process.boot} meets form $highest with build ${process.levels} unfenced")
+            }
         }
 
         fun elect() {
@@ -134,7 +150,8 @@
             catchUp(process)
             if (process.gate.fence() != null) return
             token++
-            state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("node" to process.member, "token" to token))), emptyList())
+            state
+                .transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("node" to process.member, "token" to token))), emptyList())
             val mark = state.revision
             catchUp(process)
             leader = Leader(process, token, mark, RolloutEngine(process.registry, policy, names, now))
@@ -145,33 +162,69 @@
             val process = current.process
             live.values.filter { it === process || it.member !in cut && process.member !in cut }.forEach {
                 // The answer of a process that has ended since is never newer than its question.
-                current.engine.heard(MemberReport(it.member, it.boot, it.levels, it.gate.fence() == null && chance(95)), now)
-            }
-            val input = RolloutInput(now, now, current.token, process.member, process.records.level(), process.records.orders(), process.records.state()) { level ->
-                process.view.under(FORMS).count { it.value["form"] == level.toLong() }
+                current.engine
+                    .heard(MemberReport(it.member, it.boot, it.levels, it.gate.fence() == null && chance(95)), now)
             }
+            val input =
+                RolloutInput(
+                    now, now, current.token, process.member, process.records.level(), process.records.orders(),
+                    process.records
+                        .state(),
+                ) { level ->
+                    process.view.under(FORMS).count { it.value["form"] == level.toLong() }
+                }
             for (action in current.engine.step(input)) {
                 when (action) {
-                    is RolloutAction.StoreLevel -> sendAsLeader(current, Keys.LEVEL, action.version, RolloutWire.encode(action.record))
-                    is RolloutAction.StoreState -> sendAsLeader(current, Keys.ROLLOUT_STATE, action.version, RolloutWire.encode(action.state))
+                    is RolloutAction.StoreLevel ->
+                        sendAsLeader(
+                            current, Keys.LEVEL, action.version,
+                            RolloutWire
+                                .encode(action.record),
+                        )
+                    is RolloutAction.StoreState ->
+                        sendAsLeader(
+                            current, Keys.ROLLOUT_STATE, action.version,
+                            RolloutWire
+                                .encode(action.state),
+                        )
                     is RolloutAction.Notice -> Unit
                 }
             }
         }
 
-        fun sendAsLeader(leader: Leader, key: String, version: Long, value: Fields) = send(mapOf(Keys.LEAD to leader.mark, key to version), key, value)
+        fun sendAsLeader(leader: Leader, key: String, version: Long, value: Fields) =
+            send(
+                mapOf(
+                    Keys.LEAD to leader.mark, key to version,
+                ),
+                key, value,
+            )
 
         fun order() {
             val process = anyLive() ?: return
             if (process.gate.fence() != null) return
             val stored = process.records.orders()
             val level = ActivationRule.currentLevel(process.records.level()) ?: 0
-            val request = listOf(
-                OperatorRequest.Resume, OperatorRequest.Resume, OperatorRequest.Hold, OperatorRequest.Activate(level + 1), OperatorRequest.Deactivate(maxOf(1, level)),
-            ).random(random)
-            val outcome = OrderRule(process.registry, names.toSet()).apply(request, stored.valueOrNull() ?: OperatorOrders(), process.records.level(), now)
+            val request =
+                listOf(
+                    OperatorRequest.Resume, OperatorRequest.Resume, OperatorRequest.Hold,
+                    OperatorRequest
+                        .Activate(level + 1),
+                    OperatorRequest.Deactivate(maxOf(1, level)),
+                ).random(random)
+            val outcome =
+                OrderRule(process.registry, names.toSet()).apply(
+                    request,
+                    stored.valueOrNull() ?: OperatorOrders(), process.records.level(), now,
+                )
             val version = stored.replaceableVersion() ?: return
-            if (outcome is OrderOutcome.Accepted) send(mapOf(Keys.ROLLOUT_ORDERS to version), Keys.ROLLOUT_ORDERS, RolloutWire.encode(outcome.orders))
+            if (outcome is OrderOutcome.Accepted) {
+                send(
+                    mapOf(Keys.ROLLOUT_ORDERS to version), Keys.ROLLOUT_ORDERS,
+                    RolloutWire
+                        .encode(outcome.orders),
+                )
+            }
         }
 
         /** Any process may store a new record in the highest form that it holds a permit for. */
@@ -189,7 +242,12 @@
             val record = process.records.level().valueOrNull() ?: return
             if (record.stage != LevelStage.LEAVING) return
             val item = process.view.under(FORMS).firstOrNull { it.value["form"] == record.level.toLong() } ?: return
-            send(mapOf(Keys.LEAD to checkNotNull(leader).mark, item.key to item.version), item.key, mapOf("form" to (record.level - 1).toLong()))
+            send(
+                mapOf(Keys.LEAD to checkNotNull(leader).mark, item.key to item.version), item.key,
+                mapOf(
+                    "form" to (record.level - 1).toLong(),
+                ),
+            )
         }
 
         fun send(conditions: Map<String, Long>, key: String, value: Fields) {
@@ -219,40 +277,67 @@
         }
 
         fun judgeLevel(before: LevelRecord?, after: LevelRecord) {
-            if (state.entries.getValue(Keys.LEAD).value["token"] != after.token) faults.add("$now $after is not of the leader")
+            if (state.entries.getValue(Keys.LEAD).value["token"] !=
+                after.token
+            ) {
+                faults.add("$now $after is not of the leader")
+            }
             val from = before?.level ?: 0
             when {
                 after.level == from + 1 -> judgeActivation(after)
                 after.level == from -> Unit
                 after.level == from - 1 -> {
-                    val left = state.entries.filter { (key, entry) -> key.startsWith(FORMS) && entry.value["form"] == from.toLong() }
-                    if (before?.stage != LevelStage.LEAVING || left.isNotEmpty()) faults.add("$now $before was lowered with ${left.keys}")
+                    val left =
+                        state.entries.filter { (key, entry) ->
+                            key.startsWith(FORMS) &&
+                                entry.value["form"] == from.toLong()
+                        }
+                    if (before?.stage != LevelStage.LEAVING ||
+                        left.isNotEmpty()
+                    ) {
+                        faults.add("$now $before was lowered with ${left.keys}")
+                    }
                 }
                 else -> faults.add("$now $before became $after")
             }
         }
 
-        /** Plainly: every member had one process that read the level, lived through the settling time, and was there lately. */
+        /**
+         * Plainly: every member had one process that read the level, lived through the settling time, and was there
+         * lately.
+         */
         fun judgeActivation(after: LevelRecord) {
             activated.merge(after.level, 1, Int::plus)
-            // A transaction may be carried out later than it was decided; the guards on it hold that nothing else was decided since.
+            // A transaction may be carried out later than it was decided; the guards on it hold that nothing else was
+            // decided since.
             val decided = after.changedAt
             for (name in names) {
-                val proof = processes.any {
-                    it.member == name &&
-                        it.levels.reads(after.level) &&
-                        it.start <= decided - policy.settle &&
-                        it.end.let { end -> end == null || end >= decided - policy.evidenceAge }
-                }
+                val proof =
+                    processes.any {
+                        it.member == name &&
+                            it.levels.reads(after.level) &&
+                            it.start <= decided - policy.settle &&
+                            it.end.let { end -> end == null || end >= decided - policy.evidenceAge }
+                    }
                 if (!proof) faults.add("$now $after without $name")
             }
         }
     }
 
-    private fun play(seed: Long, steps: Int) = Run(seed).also { run -> repeat(steps) { if (run.faults.isEmpty()) run.step() } }
+    private fun play(seed: Long, steps: Int) =
+        Run(seed).also { run ->
+            repeat(steps) {
+                if (run.faults.isEmpty()) {
+                    run
+                        .step()
+                }
+            }
+        }
 
     @Property(seed = "20261202", shrinking = ShrinkingMode.OFF)
-    fun `no reader meets a form it can't read, and no level changes without evidence`(@ForAll @LongRange(min = 0) seed: Long) {
+    fun `no reader meets a form it can't read, and no level changes without evidence`(
+        @ForAll @LongRange(min = 0) seed: Long,
+    ) {
         val run = play(seed, 700)
         assertEquals(emptyList<String>(), run.faults, "seed $seed")
     }
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -46,7 +46,10 @@
 
     private fun LoopbackService.level() = state.get(Keys.LEVEL)?.value?.let { it["level"] to it["stage"] }
 
-    private fun LoopbackService.awaitLevel(level: Long) = await("level $level is active") { level() == level to "active" }
+    private fun LoopbackService.awaitLevel(level: Long) =
+        await("level $level is active") {
+            level() == level to "active"
+        }
 
     /** Followers first, the leader last, as the plan says. */
     private fun LoopbackService.replaceAll(registry: FeatureRegistry) {
@@ -81,8 +84,18 @@
             val fencedMember = names.first { it != service.leader }
             service.kill(fencedMember)
             service.start(fencedMember, old)
-            service.await("it is fenced") { (service.readiness(fencedMember) as? CallResult.Answer)?.body?.get("needs_level") == 2L }
-            assertTrue(service.ask(fencedMember).status?.fence.orEmpty().contains("level 2 (next-form) is active"))
+            service.await("it is fenced") {
+                (service.readiness(fencedMember) as? CallResult.Answer)?.body?.get("needs_level") ==
+                    2L
+            }
+            assertTrue(
+                service
+                    .ask(fencedMember)
+                    .status
+                    ?.fence
+                    .orEmpty()
+                    .contains("level 2 (next-form) is active"),
+            )
             assertFalse(service.ask(fencedMember, RolloutRequest(RolloutVerb.HOLD)).accepted)
             service.replace(fencedMember, new)
             // Down again under load, by an operator's word at any controller, with the leader ending on the way.
@@ -102,7 +115,15 @@
         }
     }
 
-    private fun history(vararg events: HistoryEvent) = JobHistory { Duration.ZERO }.also { history -> events.forEach { event -> history.add { event } } }
+    private fun history(vararg events: HistoryEvent) =
+        JobHistory {
+            Duration.ZERO
+        }.also { history ->
+            events.forEach { event ->
+                history
+                    .add { event }
+            }
+        }
 
     @Test
     fun `the checker finds a planted duplicate, loss, stall, contradiction and late start`() {
@@ -112,13 +133,43 @@
         val left = HistoryEvent.Left(3.seconds, "a", "i-1", true)
         val told = HistoryEvent.Told(4.seconds, "a", "done")
         assertEquals(emptyList<String>(), faults(accepted, started, left, told))
-        assertEquals(listOf("a started on i-2 while on [i-1]"), faults(accepted, started, HistoryEvent.Started(2.seconds, "a", "i-2"), left, told))
+        assertEquals(
+            listOf("a started on i-2 while on [i-1]"),
+            faults(
+                accepted, started,
+                HistoryEvent
+                    .Started(2.seconds, "a", "i-2"),
+                left, told,
+            ),
+        )
         assertEquals(listOf("a was accepted and has no final state"), faults(accepted, started, left))
-        assertEquals(listOf("a has several final states: [done, aborted]"), faults(accepted, started, left, told, told.copy(stage = "aborted")))
+        assertEquals(
+            listOf("a has several final states: [done, aborted]"),
+            faults(
+                accepted, started, left, told,
+                told
+                    .copy(stage = "aborted"),
+            ),
+        )
         assertEquals(listOf("a is called done and never completed"), faults(accepted, told))
         val later = HistoryEvent.Accepted(10.seconds, "b")
-        assertEquals(listOf("no accepted submission for 9.0 s"), faults(accepted, started, left, told, later, HistoryEvent.Told(10.seconds, "b", "aborted")))
+        assertEquals(
+            listOf("no accepted submission for 9.0 s"),
+            faults(
+                accepted, started, left, told, later,
+                HistoryEvent
+                    .Told(10.seconds, "b", "aborted"),
+            ),
+        )
         val cancelled = HistoryEvent.CancelConfirmed(0.seconds, "a")
-        assertEquals(listOf("a started long after it was cancelled"), faults(accepted, cancelled, started.copy(at = 25.seconds), left, told))
+        assertEquals(
+            listOf("a started long after it was cancelled"),
+            faults(
+                accepted, cancelled,
+                started
+                    .copy(at = 25.seconds),
+                left, told,
+            ),
+        )
     }
 }
--- a/src/test/kotlin/glenspool/standin/Driven.kt
+++ b/src/test/kotlin/glenspool/standin/Driven.kt
@@ -29,7 +29,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The core alone, driven by hand: events go in, what it wants done comes out. */
-abstract class Driven(settings: SchedulerConfig = config(peerZones = setOf("b")), hooks: SchedulerHooks = SchedulerHooks()) {
+abstract class Driven(
+    settings: SchedulerConfig = config(peerZones = setOf("b")),
+    hooks: SchedulerHooks = SchedulerHooks(),
+) {
     protected val core = Scheduler(settings, TOKEN, Duration.ZERO, hooks)
     protected var now = Duration.ZERO
     protected var revision = 100L
@@ -50,14 +53,35 @@
     private fun homeOf(machine: String) = if (machine.startsWith("z")) "b" else "a"
 
     /** What the cloud's list says of the machines. */
-    protected fun list(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> = step {
-        listed(machines.map { ListedMachine(it, "addr-$it", "big", homeOf(it), false, if (it in failed) MachineStage.FAILED else MachineStage.RUNNING, 100.seconds) })
-    }
+    protected fun list(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> =
+        step {
+            listed(
+                machines.map {
+                    ListedMachine(
+                        it, "addr-$it", "big", homeOf(it), false,
+                        if (it in
+                            failed
+                        ) {
+                            MachineStage.FAILED
+                        } else {
+                            MachineStage.RUNNING
+                        },
+                        100.seconds,
+                    )
+                },
+            )
+        }
 
-    protected fun report(machine: String, tasks: List<ReportedTask> = emptyList(), token: Long = TOKEN, session: Long = 1) =
+    protected fun report(
+        machine: String,
+        tasks: List<ReportedTask> = emptyList(),
+        token: Long = TOKEN,
+        session: Long = 1,
+    ) =
         Report(machine, "addr-$machine", "big", homeOf(machine), false, session, seqs.merge(machine, 1, Long::plus) ?: 1, token, null, tasks)
 
-    protected fun task(job: String, n: Int, attempt: Long, state: TaskState, exit: Exit? = null) = ReportedTask(TaskKey(job, n), attempt, state, exit, false)
+    protected fun task(job: String, n: Int, attempt: Long, state: TaskState, exit: Exit? = null) =
+        ReportedTask(TaskKey(job, n), attempt, state, exit, false)
 
     protected fun say(r: Report): Pair<List<Command>, List<Action>> {
         var commands: List<Command> = emptyList()
@@ -65,8 +89,12 @@
         return commands to actions
     }
 
-    protected fun submit(spec: JobSpec, intents: List<Intent> = emptyList(), last: Long = 0, needs: List<String> = emptyList()) =
-        step { jobStored(JobRecord(spec, now, last, BitSet(), intents, needs), ++revision) }
+    protected fun submit(
+        spec: JobSpec,
+        intents: List<Intent> = emptyList(),
+        last: Long = 0,
+        needs: List<String> = emptyList(),
+    ) = step { jobStored(JobRecord(spec, now, last, BitSet(), intents, needs), ++revision) }
 
     /** Machines of zone a, and of zone b where this node's controllers have another. */
     protected fun started(machines: Int = 1, others: Int = 0): Scheduler {
@@ -88,7 +116,10 @@
         return confirm().filterIsInstance<Direct>().single()
     }
 
-    protected fun List<Action>.starts() = filterIsInstance<Direct>().flatMap { it.commands }.filterIsInstance<StartTask>()
+    protected fun List<Action>.starts() =
+        filterIsInstance<Direct>()
+            .flatMap { it.commands }
+            .filterIsInstance<StartTask>()
 
     /** Machines with one large running task each, so that none is returned for want of work. */
     protected fun busy(machines: Int, others: Int = 0): Map<String, ReportedTask> {
@@ -100,8 +131,13 @@
 
     /** What was placed is stored, sent and runs: the task on each machine that was sent one. */
     protected fun carriedOut(): Map<String, ReportedTask> {
-        val running = confirm().filterIsInstance<Direct>().associateWith { d -> d.commands.single().let { task(it.key.job, it.key.task, it.attempt, TaskState.RUNNING) } }
-        running.forEach { (d, t) -> step { directEnded(d.machine, d, DirectOutcome.DONE, report(d.machine, listOf(t))) } }
+        val running =
+            confirm().filterIsInstance<Direct>().associateWith { d ->
+                d.commands.single().let { task(it.key.job, it.key.task, it.attempt, TaskState.RUNNING) }
+            }
+        running.forEach { (d, t) ->
+            step { directEnded(d.machine, d, DirectOutcome.DONE, report(d.machine, listOf(t))) }
+        }
         return running.mapKeys { it.key.machine }
     }
 
@@ -115,15 +151,26 @@
             all += acts
             for (a in acts) {
                 when (a) {
-                    is Probe -> if (a.machine in running ||
-                        a.machine in unreached
-                    ) {
-                        step { probed(a.machine, running[a.machine]?.takeIf { a.machine !in unreached }?.let { report(a.machine, listOf(it)) }) }
-                    }
+                    is Probe ->
+                        if (a.machine in running ||
+                            a.machine in unreached
+                        ) {
+                            step {
+                                probed(
+                                    a.machine,
+                                    running[a.machine]
+                                        ?.takeIf {
+                                            a.machine !in unreached
+                                        }?.let { report(a.machine, listOf(it)) },
+                                )
+                            }
+                        }
                     is Direct -> {
                         val out = a.machine in unreached
                         val answer = if (out) null else report(a.machine, listOfNotNull(running[a.machine]))
-                        step { directEnded(a.machine, a, if (out) DirectOutcome.UNKNOWN else DirectOutcome.DONE, answer) }
+                        step {
+                            directEnded(a.machine, a, if (out) DirectOutcome.UNKNOWN else DirectOutcome.DONE, answer)
+                        }
                     }
                     else -> Unit
                 }
--- a/src/test/kotlin/glenspool/standin/Fixtures.kt
+++ b/src/test/kotlin/glenspool/standin/Fixtures.kt
@@ -34,7 +34,22 @@
     deadline: Duration? = null,
 ) = JobSpec(
     id, "class-$kind", team, kind, priority, tasks, need, image, imageGb, types, zone, sameZone, spread, spot,
-    if (kind == JobKind.SERVICE) Duration.ZERO else estimate, checkpoint, if (checkpoint > Duration.ZERO) 1.seconds else Duration.ZERO, deadline,
+    if (kind ==
+        JobKind.SERVICE
+    ) {
+        Duration.ZERO
+    } else {
+        estimate
+    },
+    checkpoint,
+    if (checkpoint >
+        Duration.ZERO
+    ) {
+        1.seconds
+    } else {
+        Duration.ZERO
+    },
+    deadline,
 )
 
 fun config(
@@ -43,5 +58,9 @@
     txnOps: Int = 8,
     objectives: List<Objective> = emptyList(),
     peerZones: Set<String> = emptySet(),
-) =
-    SchedulerConfig(teams, objectives, listOf("a", "b"), 2.seconds, 16.seconds, 15.seconds, 5.seconds, 40.seconds, 3.seconds, txnOps, 80.0, 4096, tuning, peerZones)
+) = SchedulerConfig(
+    teams, objectives, listOf("a", "b"), 2.seconds, 16.seconds, 15.seconds, 5.seconds, 40.seconds,
+    3
+        .seconds,
+    txnOps, 80.0, 4096, tuning, peerZones,
+)
--- a/src/test/kotlin/glenspool/standin/JobHistory.kt
+++ b/src/test/kotlin/glenspool/standin/JobHistory.kt
@@ -38,9 +38,22 @@
 
     val lastStart: Duration get() = all().lastOrNull { it is HistoryEvent.Started }?.at ?: Duration.ZERO
 
-    /** The longest time without an event of a kind, between the first and the last of it that lie between two moments. */
-    inline fun <reified T : HistoryEvent> longestGap(from: Duration = Duration.ZERO, to: Duration = Duration.INFINITE): Duration =
-        all().filterIsInstance<T>().map { it.at }.filter { it in from..to }.zipWithNext { earlier, later -> later - earlier }.maxOrNull() ?: Duration.ZERO
+    /**
+     * The longest time without an event of a kind, between the first and the last of it that lie between two moments.
+     */
+    inline fun <reified T : HistoryEvent> longestGap(
+        from: Duration = Duration.ZERO,
+        to: Duration = Duration.INFINITE,
+    ): Duration =
+        all()
+            .filterIsInstance<T>()
+            .map { it.at }
+            .filter { it in from..to }
+            .zipWithNext { earlier, later ->
+                later -
+                    earlier
+            }.maxOrNull()
+            ?: Duration.ZERO
 }
 
 /** Checks a history after the troubles are over and everything had time to end. */
@@ -57,7 +70,10 @@
             when (event) {
                 is HistoryEvent.Started -> {
                     val machines = on.getOrPut(event.job) { HashSet() }
-                    if (machines.any { it != event.machine }) faults.add("${event.job} started on ${event.machine} while on $machines")
+                    if (machines.any { it != event.machine }) {
+                        faults
+                            .add("${event.job} started on ${event.machine} while on $machines")
+                    }
                     machines.add(event.machine)
                 }
                 is HistoryEvent.Left -> on[event.job]?.remove(event.machine)
@@ -69,26 +85,58 @@
 
     private fun lost(events: List<HistoryEvent>): List<String> {
         val told = events.filterIsInstance<HistoryEvent.Told>().map { it.job }.toSet()
-        return events.filterIsInstance<HistoryEvent.Accepted>().map { it.job }.distinct().filter { it !in told }.map { "$it was accepted and has no final state" }
+        return events
+            .filterIsInstance<HistoryEvent.Accepted>()
+            .map { it.job }
+            .distinct()
+            .filter { it !in told }
+            .map { "$it was accepted and has no final state" }
     }
 
     private fun contradictions(events: List<HistoryEvent>): List<String> {
         val stages = events.filterIsInstance<HistoryEvent.Told>().groupBy({ it.job }, { it.stage })
-        val several = stages.filterValues { it.distinct().size > 1 }.map { (job, all) -> "$job has several final states: ${all.distinct()}" }
-        val completed = events.filterIsInstance<HistoryEvent.Left>().filter { it.done }.map { it.job }.toSet()
-        return several + stages.filterValues { "done" in it }.keys.filter { it !in completed }.map { "$it is called done and never completed" }
+        val several =
+            stages.filterValues { it.distinct().size > 1 }.map { (job, all) ->
+                "$job has several final states: ${all.distinct()}"
+            }
+        val completed =
+            events
+                .filterIsInstance<HistoryEvent.Left>()
+                .filter { it.done }
+                .map { it.job }
+                .toSet()
+        return several +
+            stages
+                .filterValues { "done" in it }
+                .keys
+                .filter { it !in completed }
+                .map { "$it is called done and never completed" }
     }
 
     private fun cancelledStarts(events: List<HistoryEvent>): List<String> {
-        val cancelled = events.filterIsInstance<HistoryEvent.CancelConfirmed>().groupBy { it.job }.mapValues { (_, all) -> all.minOf { it.at } }
-        return events.filterIsInstance<HistoryEvent.Started>().filter { start -> cancelled[start.job].let { it != null && start.at > it + cancelWithin } }
-            .map { "${it.job} started long after it was cancelled" }
+        val cancelled =
+            events.filterIsInstance<HistoryEvent.CancelConfirmed>().groupBy { it.job }.mapValues { (_, all) ->
+                all.minOf { it.at }
+            }
+        return events
+            .filterIsInstance<HistoryEvent.Started>()
+            .filter { start ->
+                cancelled[start.job].let {
+                    it != null &&
+                        start.at > it + cancelWithin
+                }
+            }.map { "${it.job} started long after it was cancelled" }
     }
 
-    private fun stalls(history: JobHistory): List<String> = listOf(
-        "accepted submission" to history.longestGap<HistoryEvent.Accepted>(),
-        "start" to history.longestGap<HistoryEvent.Started>(),
-    ).filter { (_, gap) -> gap > longestStall }.map { (what, gap) -> "no $what for ${gap.inWholeMilliseconds / MILLISECONDS} s" }
+    private fun stalls(history: JobHistory): List<String> =
+        listOf(
+            "accepted submission" to history.longestGap<HistoryEvent.Accepted>(),
+            "start" to history.longestGap<HistoryEvent.Started>(),
+        ).filter { (_, gap) ->
+            gap > longestStall
+        }.map { (what, gap) ->
+            "no $what for ${gap.inWholeMilliseconds / MILLISECONDS} s"
+        }
 
     private companion object {
         val MILLISECONDS = 1.seconds.inWholeMilliseconds.toDouble()
--- a/src/test/kotlin/glenspool/standin/LaggingView.kt
+++ b/src/test/kotlin/glenspool/standin/LaggingView.kt
@@ -5,7 +5,10 @@
 import glenspool.wire.StateWire
 import java.util.TreeMap
 
-/** A replica that is behind: what the state stand-in held at an earlier revision, or pages of it read one after the other. */
+/**
+ * A replica that is behind: what the state stand-in held at an earlier revision, or pages of it read one after the
+ * other.
+ */
 class LaggingView(private val state: StateStandIn) : LiveKeys {
     private val entries = TreeMap<String, StateWire.Item>()
     var revision = 0L
@@ -18,7 +21,9 @@
         revision = maxOf(revision, to)
     }
 
-    /** Begins to read everything anew, a key range at a time; changes made meanwhile are seen as far as they lie ahead. */
+    /**
+     * Begins to read everything anew, a key range at a time; changes made meanwhile are seen as far as they lie ahead.
+     */
     fun beginLoad() {
         entries.clear()
         revision = state.revision
@@ -28,7 +33,11 @@
     /** Reads the next page; false: all is read. */
     fun loadPage(size: Int): Boolean {
         val after = page ?: return false
-        val next = state.entries.tailMap(after, false).entries.take(size)
+        val next =
+            state.entries
+                .tailMap(after, false)
+                .entries
+                .take(size)
         next.forEach { (key, entry) -> put(key, entry.value, entry.version) }
         page = next.lastOrNull()?.key
         return page != null
@@ -44,7 +53,10 @@
 
     override fun get(key: String): StateWire.Item? = entries[key]
 
-    override fun under(prefix: String): Collection<StateWire.Item> = entries.subMap(prefix, prefix + Char.MAX_VALUE).values
+    override fun under(prefix: String): Collection<StateWire.Item> =
+        entries
+            .subMap(prefix, prefix + Char.MAX_VALUE)
+            .values
 
     override fun <T> atOnce(read: () -> T): T = read()
 }
--- a/src/test/kotlin/glenspool/standin/LoopbackFleet.kt
+++ b/src/test/kotlin/glenspool/standin/LoopbackFleet.kt
@@ -44,7 +44,12 @@
     init {
         repeat(workers) { n -> Worker("i-%06d".format(n + 1), n).let { this.workers[it.name] = it } }
         val period = report.inWholeMilliseconds
-        this.workers.values.forEachIndexed { n, w -> timer.scheduleAtFixedRate(w::report, 100 + period * n / workers, period, TimeUnit.MILLISECONDS) }
+        this.workers.values.forEachIndexed {
+            n,
+            w,
+            ->
+            timer.scheduleAtFixedRate(w::report, 100 + period * n / workers, period, TimeUnit.MILLISECONDS)
+        }
     }
 
     /** What a worker carried out, as it saw it. */
@@ -100,7 +105,20 @@
         @Synchronized
         fun describe(): Report {
             for ((key, task) in tasks) if (task.exit == null && now() >= task.until) leave(key, task, Exit.DONE)
-            val reported = tasks.map { (key, task) -> ReportedTask(key, task.attempt, if (task.exit == null) TaskState.RUNNING else TaskState.EXITED, task.exit, false) }
+            val reported =
+                tasks.map { (key, task) ->
+                    ReportedTask(
+                        key, task.attempt,
+                        if (task.exit ==
+                            null
+                        ) {
+                            TaskState.RUNNING
+                        } else {
+                            TaskState.EXITED
+                        },
+                        task.exit, false,
+                    )
+                }
             return Report(name, "127.0.0.1:${listener.port}", "big", "here", false, session, ++sequence, token, null, reported)
         }
 
@@ -128,10 +146,11 @@
         private fun take(answer: CallResult, report: Report, sent: Duration) {
             val body = (answer as? CallResult.Answer)?.body
             when ((answer as? CallResult.Answer)?.status) {
-                OK -> if (report.session == session && (body?.get("baton") as? Long ?: 0) >= token) {
-                    leaseBegan = sent
-                    obey(checkNotNull(body))
-                }
+                OK ->
+                    if (report.session == session && (body?.get("baton") as? Long ?: 0) >= token) {
+                        leaseBegan = sent
+                        obey(checkNotNull(body))
+                    }
                 MISDIRECTED -> node = body?.get("foreman") as? String
                 else -> node = null
             }
@@ -163,10 +182,11 @@
                     history.add { HistoryEvent.Started(it, key.job, name) }
                 }
                 known == null || known.attempt != attempt -> Unit
-                verb == "stop" -> if (known.exit == null) {
-                    carriedOut.add(CarriedOut(now(), verb, name, key))
-                    leave(key, known, Exit.STOPPED)
-                }
+                verb == "stop" ->
+                    if (known.exit == null) {
+                        carriedOut.add(CarriedOut(now(), verb, name, key))
+                        leave(key, known, Exit.STOPPED)
+                    }
                 verb == "clear" -> if (known.exit != null) tasks.remove(key)
             }
         }
@@ -174,9 +194,10 @@
         private fun serve(request: Request): Response {
             if (request.uri.path == "/show") return cbor(Status.OK, WorkerWire.encode(describe()))
             val body = Cbor.decodeMap(request.body.stream.readAllBytes())
-            val executed = synchronized(this) {
-                (body["baton"] as Long >= token && body["shift"] as Long == session).also { if (it) obey(body) }
-            }
+            val executed =
+                synchronized(this) {
+                    (body["baton"] as Long >= token && body["shift"] as Long == session).also { if (it) obey(body) }
+                }
             return cbor(if (executed) Status.OK else Status.CONFLICT, WorkerWire.encode(describe()))
         }
 
@@ -186,26 +207,36 @@
             listener.close()
         }
 
-        fun listed(): Fields = mapOf(
-            "uid" to name, "addr" to "127.0.0.1:${listener.port}", "frame" to "big", "hall" to "here", "loaners" to false, "stage" to "running", "held_s" to 100.0,
-        )
+        fun listed(): Fields =
+            mapOf(
+                "uid" to name, "addr" to "127.0.0.1:${listener.port}", "frame" to "big", "hall" to "here",
+                "loaners" to false, "stage" to "running", "held_s" to 100.0,
+            )
     }
 
     @Suppress("UNCHECKED_CAST")
-    private fun serveCloud(request: Request): Response = when {
-        request.uri.path == "/flavors" -> cbor(Status.OK, mapOf("frames" to listOf(machineType)))
-        request.uri.path == "/hosts/delete" -> {
-            val names = Cbor.decodeMap(request.body.stream.readAllBytes())["spindles"] as List<String>
-            deleted.addAndGet(names.size)
-            names.forEach { workers.remove(it)?.delete() }
-            cbor(Status.OK, emptyMap())
-        }
-        request.method.name == "POST" -> {
-            rented.incrementAndGet()
-            cbor(Status.SERVICE_UNAVAILABLE, mapOf("error" to "no capacity"))
+    private fun serveCloud(request: Request): Response =
+        when {
+            request.uri.path == "/flavors" -> cbor(Status.OK, mapOf("frames" to listOf(machineType)))
+            request.uri.path == "/hosts/delete" -> {
+                val names = Cbor.decodeMap(request.body.stream.readAllBytes())["spindles"] as List<String>
+                deleted.addAndGet(names.size)
+                names.forEach { workers.remove(it)?.delete() }
+                cbor(Status.OK, emptyMap())
+            }
+            request.method.name == "POST" -> {
+                rented.incrementAndGet()
+                cbor(Status.SERVICE_UNAVAILABLE, mapOf("error" to "no capacity"))
+            }
+            else ->
+                cbor(
+                    Status.OK,
+                    mapOf(
+                        "spindles" to workers.values.sortedBy { it.name }.map { it.listed() },
+                        "has_next" to false,
+                    ),
+                )
         }
-        else -> cbor(Status.OK, mapOf("spindles" to workers.values.sortedBy { it.name }.map { it.listed() }, "has_next" to false))
-    }
 
     val size: Int get() = workers.size
 
@@ -225,9 +256,11 @@
         private const val REPORTERS = 32
         private const val OK = 200
         private const val MISDIRECTED = 421
-        private val machineType = mapOf(
-            "name" to "big", "cpus" to 16.0, "accelerators" to 4.0, "memory_gb" to 64.0, "local_gb" to 100.0, "fetch_gb_per_s" to 1.0,
-            "price" to 8.0, "spot_price" to 2.0, "startup_s" to 20.0, "halls" to listOf("here"),
-        )
+        private val machineType =
+            mapOf(
+                "name" to "big", "cpus" to 16.0, "accelerators" to 4.0, "memory_gb" to 64.0, "local_gb" to 100.0,
+                "fetch_gb_per_s" to 1.0,
+                "price" to 8.0, "spot_price" to 2.0, "startup_s" to 20.0, "halls" to listOf("here"),
+            )
     }
 }
--- a/src/test/kotlin/glenspool/standin/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/standin/LoopbackService.kt
@@ -32,7 +32,10 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** Three controllers with their real wiring on loopback, against stand-ins for everything else, under a steady load of one-task jobs. */
+/**
+ * Three controllers with their real wiring on loopback, against stand-ins for everything else, under a steady load of
+ * one-task jobs.
+ */
 class LoopbackService(
     private val dir: File,
     private val policy: RolloutPolicy?,
@@ -57,7 +60,10 @@
     private val ports = generateSequence { freePort() }.distinct().take(names.size * 2).toList()
     private val apiPorts = names.zip(ports).toMap()
     private val internalPorts = names.zip(ports.drop(names.size)).toMap()
-    val fleet = LoopbackFleet(workers, { apiPorts.mapValues { "127.0.0.1:${it.value}" } }, history, report, lease, runTime, clock::elapsedNow)
+    val fleet =
+        LoopbackFleet(workers, {
+            apiPorts.mapValues { "127.0.0.1:${it.value}" }
+        }, history, report, lease, runTime, clock::elapsedNow)
     private val nodes = HashMap<String, Node>()
     private val http = HttpCaller(300.milliseconds)
     private val failure = AtomicReference<Throwable>()
@@ -75,7 +81,11 @@
 
     fun start(name: String, registry: FeatureRegistry = FeatureRegistry.CURRENT) {
         val file = File(dir, "$name.toml").also { it.writeText(settings(name)) }
-        val node = Node(SettingsReader().read(file), Tuning(), policy, registry, "build-${registry.highest}", recovery) { failure.set(IllegalStateException("$name ended itself")) }
+        val node =
+            Node(SettingsReader().read(file), Tuning(), policy, registry, "build-${registry.highest}", recovery) {
+                failure
+                    .set(IllegalStateException("$name ended itself"))
+            }
         node.start()
         nodes[name] = node
     }
@@ -91,7 +101,10 @@
         kill(name)
         start(name, registry)
         // A listening node is ready at once; one that can say that a job is unknown has read the state.
-        await("$name serves") { (http.get("127.0.0.1:${apiPorts[name]}", "/api/jobs/run-999999", 1.seconds) as? CallResult.Answer)?.status == 404 }
+        await("$name serves") {
+            (http.get("127.0.0.1:${apiPorts[name]}", "/api/jobs/run-999999", 1.seconds) as? CallResult.Answer)?.status ==
+                404
+        }
         val replaced = now
         await("work starts again") { history.lastStart > replaced }
     }
@@ -112,7 +125,9 @@
         await("work starts again after the outage") { history.lastStart > ended }
     }
 
-    fun ask(name: String, request: RolloutRequest = RolloutRequest(RolloutVerb.STATUS)): RolloutReply = checkNotNull(nodes[name]).rolloutAnswer(request)
+    fun ask(name: String, request: RolloutRequest = RolloutRequest(RolloutVerb.STATUS)): RolloutReply =
+        checkNotNull(nodes[name])
+            .rolloutAnswer(request)
 
     /** The status of a controller's users' door. */
     fun readiness(name: String): CallResult = http.get("127.0.0.1:${apiPorts[name]}", "/ready", 1.seconds)
@@ -123,30 +138,41 @@
             failure.get()?.let { throw it }
             check(begun.elapsedNow() < limit) { "not within $limit: $what" }
             Thread.onSpinWait()
-            java.util.concurrent.locks.LockSupport.parkNanos(POLL.inWholeNanoseconds)
+            java.util.concurrent.locks.LockSupport
+                .parkNanos(POLL.inWholeNanoseconds)
         }
     }
 
     /** What a controller answers about its recovery. */
-    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply = checkNotNull(nodes[name]).recoveryAnswer(RecoveryRequest(verb))
+    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply =
+        checkNotNull(nodes[name]).recoveryAnswer(RecoveryRequest(verb))
 
     /** A job as a user submits it, any number of tasks. */
     fun submitJob(spec: JobSpec) {
         val body = JobWire.encode(spec)
-        await("${spec.id} is accepted") { (http.post(anyNode(), "/api/jobs", body, 5.seconds) as? CallResult.Answer)?.status.let { it == 200 || it == 201 } }
+        await("${spec.id} is accepted") {
+            (http.post(anyNode(), "/api/jobs", body, 5.seconds) as? CallResult.Answer)?.status.let {
+                it ==
+                    200 ||
+                    it == 201
+            }
+        }
     }
 
-    private val users = listOf(thread(name = "submissions", block = ::submitAll), thread(name = "polls", block = ::pollAll))
+    private val users =
+        listOf(thread(name = "submissions", block = ::submitAll), thread(name = "polls", block = ::pollAll))
 
-    private fun submitAll() = guarded {
-        var number = 0
-        while (loading) {
-            val id = "run-%06d".format(++number)
-            val awaits = if (number % WAITS_EVERY == 0) listOf("run-%06d".format(number - 1)) else null
-            if (submit(id, awaits) && number % CANCEL_EVERY == 0) cancel(id)
-            java.util.concurrent.locks.LockSupport.parkNanos(SUBMIT_EVERY.inWholeNanoseconds)
+    private fun submitAll() =
+        guarded {
+            var number = 0
+            while (loading) {
+                val id = "run-%06d".format(++number)
+                val awaits = if (number % WAITS_EVERY == 0) listOf("run-%06d".format(number - 1)) else null
+                if (submit(id, awaits) && number % CANCEL_EVERY == 0) cancel(id)
+                java.util.concurrent.locks.LockSupport
+                    .parkNanos(SUBMIT_EVERY.inWholeNanoseconds)
+            }
         }
-    }
 
     private fun guarded(body: () -> Unit) {
         try {
@@ -158,8 +184,9 @@
 
     /** As a user would: any controller, again after a refusal, for a while. */
     private fun submit(id: String, awaits: List<String>?): Boolean {
-        val body = JobWire.encode(job(id, JobKind.ARRAY, 1, Amount(1.0, 1.0, 4.0), "a", estimate = 1.seconds, imageGb = 0.0)) +
-            (if (awaits == null) emptyMap() else mapOf("awaits" to awaits))
+        val body =
+            JobWire.encode(job(id, JobKind.ARRAY, 1, Amount(1.0, 1.0, 4.0), "a", estimate = 1.seconds, imageGb = 0.0)) +
+                (if (awaits == null) emptyMap() else mapOf("awaits" to awaits))
         val begun = TimeSource.Monotonic.markNow()
         while (begun.elapsedNow() < PATIENCE) {
             val status = (http.post(anyNode(), "/api/jobs", body, 5.seconds) as? CallResult.Answer)?.status
@@ -170,7 +197,8 @@
             // A job whose predecessor was cancelled or never accepted is refused for good.
             if (status == 422 || status == 400) return false
             if (status == 503) postponed++
-            java.util.concurrent.locks.LockSupport.parkNanos(RETRY.inWholeNanoseconds)
+            java.util.concurrent.locks.LockSupport
+                .parkNanos(RETRY.inWholeNanoseconds)
         }
         return false
     }
@@ -183,22 +211,29 @@
                 if (answer.body["stage"] == "aborted") history.add { HistoryEvent.CancelConfirmed(it, id) }
                 return
             }
-            java.util.concurrent.locks.LockSupport.parkNanos(RETRY.inWholeNanoseconds)
+            java.util.concurrent.locks.LockSupport
+                .parkNanos(RETRY.inWholeNanoseconds)
         }
     }
 
-    private fun pollAll() = guarded {
-        while (loading || history.accepted.size > history.finished.size) {
-            val open = history.accepted - history.finished
-            for (id in open) {
-                val answer = http.get(anyNode(), "/api/jobs/$id", 2.seconds) as? CallResult.Answer ?: continue
-                check(answer.status != 404) { "$id was accepted and is unknown" }
-                val stage = answer.body["stage"]
-                if (answer.status == 200 && (stage == "done" || stage == "aborted")) history.add { HistoryEvent.Told(it, id, stage as String) }
+    private fun pollAll() =
+        guarded {
+            while (loading || history.accepted.size > history.finished.size) {
+                val open = history.accepted - history.finished
+                for (id in open) {
+                    val answer = http.get(anyNode(), "/api/jobs/$id", 2.seconds) as? CallResult.Answer ?: continue
+                    check(answer.status != 404) { "$id was accepted and is unknown" }
+                    val stage = answer.body["stage"]
+                    if (answer.status == 200 &&
+                        (stage == "done" || stage == "aborted")
+                    ) {
+                        history.add { HistoryEvent.Told(it, id, stage as String) }
+                    }
+                }
+                java.util.concurrent.locks.LockSupport
+                    .parkNanos(POLL.inWholeNanoseconds)
             }
-            java.util.concurrent.locks.LockSupport.parkNanos(POLL.inWholeNanoseconds)
         }
-    }
 
     private fun anyNode() = "127.0.0.1:${apiPorts.getValue(names[random.nextInt(names.size)])}"
 
@@ -217,9 +252,10 @@
     }
 
     private fun settings(name: String): String {
-        val members = names.filter { it != name }.joinToString("\n") {
-            "[[members]]\nhost_name = \"$it\"\nlocation = \"here\"\naddr = \"127.0.0.1:${internalPorts[it]}\""
-        }
+        val members =
+            names.filter { it != name }.joinToString("\n") {
+                "[[members]]\nhost_name = \"$it\"\nlocation = \"here\"\naddr = \"127.0.0.1:${internalPorts[it]}\""
+            }
         return """
             host_name = "$name"
             location = "here"
@@ -257,7 +293,7 @@
             cores = 1.0
             ram_mb = 300.0
             fd_limit = ${900 + workers * 4}
-        """.trimIndent().replace("@members", members)
+            """.trimIndent().replace("@members", members)
     }
 
     private companion object {
@@ -268,16 +304,20 @@
         val PATIENCE = 40.seconds
         val POLL = 50.milliseconds
 
-        /** Below the range from which the system gives ports to connections and to listeners that ask for any: nobody takes it meanwhile. */
+        /**
+         * Below the range from which the system gives ports to connections and to listeners that ask for any: nobody
+         * takes it meanwhile.
+         */
         private val fixedPorts = 20_000..30_000
 
         fun freePort(): Int = generateSequence { fixedPorts.random() }.first(::isFree)
 
-        private fun isFree(port: Int): Boolean = try {
-            ServerSocket(port).close()
-            true
-        } catch (e: BindException) {
-            false
-        }
+        private fun isFree(port: Int): Boolean =
+            try {
+                ServerSocket(port).close()
+                true
+            } catch (e: BindException) {
+                false
+            }
     }
 }
--- a/src/test/kotlin/glenspool/standin/PlainDifferences.kt
+++ b/src/test/kotlin/glenspool/standin/PlainDifferences.kt
@@ -9,8 +9,8 @@
 import glenspool.reconcile.DifferenceKind
 
 /**
- * The slow plain model of differences: plain lists, looked through from one end to the other. It knows the newest record of each job
- * and the newest report of each machine, and names a difference by its kind, machine and task.
+ * The slow plain model of differences: plain lists, looked through from one end to the other. It knows the newest
+ * record of each job and the newest report of each machine, and names a difference by its kind, machine and task.
  */
 class PlainDifferences {
     class Seen(val report: Report, val trusted: Boolean, val reportedItself: Boolean)
@@ -30,53 +30,80 @@
         val name get() = "$job/$task#$attempt@$machine"
     }
 
-    private fun places() = records.values.flatMap { r -> r.intents.map { Place(r.spec.id, it.task, it.attempt, it.machine) } }
+    private fun places() =
+        records.values.flatMap { r ->
+            r.intents.map { Place(r.spec.id, it.task, it.attempt, it.machine) }
+        }
 
     fun names(): List<String> = (ofTasks() + ofPlaces() + ofMachines()).sorted()
 
-    private fun ofTasks(): List<String> = seen.values.flatMap { s ->
-        s.report.tasks.flatMap { t ->
-            val record = records[t.key.job]
-            val what = "${s.report.machine} ${t.key.job}/${t.key.task}"
-            when {
-                t.state == TaskState.EXITED -> {
-                    val result = t.exit == Exit.DONE && record != null && record.spec.kind != JobKind.SERVICE && t.key.job !in cancelled && !record.done[t.key.task]
-                    listOfNotNull("${DifferenceKind.UNRECORDED_RESULT} $what".takeIf { result })
-                }
-                else -> {
-                    val placed = places().any { it.job == t.key.job && it.task == t.key.task && it.attempt == t.attempt && it.machine == s.report.machine }
-                    val others = seen.values.any { o -> o !== s && o.report.tasks.any { it.key == t.key && it.state != TaskState.EXITED } }
-                    val kind = when {
-                        record == null -> DifferenceKind.ORPHAN_TASK
-                        t.key.job in cancelled -> DifferenceKind.CANCELLED_TASK
-                        placed -> null
-                        else -> DifferenceKind.ORPHAN_TASK
+    private fun ofTasks(): List<String> =
+        seen.values.flatMap { s ->
+            s.report.tasks.flatMap { t ->
+                val record = records[t.key.job]
+                val what = "${s.report.machine} ${t.key.job}/${t.key.task}"
+                when {
+                    t.state == TaskState.EXITED -> {
+                        val result =
+                            t.exit == Exit.DONE &&
+                                record != null &&
+                                record.spec.kind != JobKind.SERVICE &&
+                                t.key.job !in cancelled &&
+                                !record.done[t.key.task]
+                        listOfNotNull("${DifferenceKind.UNRECORDED_RESULT} $what".takeIf { result })
+                    }
+                    else -> {
+                        val placed =
+                            places().any {
+                                it.job == t.key.job &&
+                                    it.task == t.key.task &&
+                                    it.attempt == t.attempt &&
+                                    it.machine == s.report.machine
+                            }
+                        val others =
+                            seen.values.any { o ->
+                                o !== s &&
+                                    o.report.tasks.any { it.key == t.key && it.state != TaskState.EXITED }
+                            }
+                        val kind =
+                            when {
+                                record == null -> DifferenceKind.ORPHAN_TASK
+                                t.key.job in cancelled -> DifferenceKind.CANCELLED_TASK
+                                placed -> null
+                                else -> DifferenceKind.ORPHAN_TASK
+                            }
+                        listOfNotNull(
+                            kind?.let {
+                                "$it $what"
+                            },
+                            "${DifferenceKind.DUPLICATE_TASK} $what".takeIf { others },
+                        )
                     }
-                    listOfNotNull(kind?.let { "$it $what" }, "${DifferenceKind.DUPLICATE_TASK} $what".takeIf { others })
                 }
             }
         }
-    }
 
-    private fun ofPlaces(): List<String> = places().mapNotNull { p ->
-        val s = seen[p.machine] ?: return@mapNotNull null
-        val shown = s.report.tasks.any { it.key.job == p.job && it.key.task == p.task && it.attempt == p.attempt }
-        when {
-            records.getValue(p.job).done[p.task] -> "${DifferenceKind.OBSOLETE_PLACE} ${p.machine} ${p.job}/${p.task}"
-            p.name in adopted && s.trusted && !shown && p.job !in cancelled -> "${DifferenceKind.MISSING_TASK} ${p.machine} ${p.job}/${p.task}"
-            else -> null
+    private fun ofPlaces(): List<String> =
+        places().mapNotNull { p ->
+            val s = seen[p.machine] ?: return@mapNotNull null
+            val shown = s.report.tasks.any { it.key.job == p.job && it.key.task == p.task && it.attempt == p.attempt }
+            when {
+                records.getValue(p.job).done[p.task] -> "${DifferenceKind.OBSOLETE_PLACE} ${p.machine} ${p.job}/${p.task}"
+                p.name in adopted && s.trusted && !shown && p.job !in cancelled -> "${DifferenceKind.MISSING_TASK} ${p.machine} ${p.job}/${p.task}"
+                else -> null
+            }
         }
-    }
 
-    private fun ofMachines(): List<String> = (places().map { it.machine } + seen.keys + listed.keys).distinct().flatMap { m ->
-        val entry = listed[m]
-        val placed = places().filter { it.machine == m }
-        val delisted = if (entry != null) entry.missing else listRead && placed.any { it.name in adopted }
-        val up = entry != null && entry.stage == MachineStage.RUNNING && !entry.missing
-        listOfNotNull(
-            "${DifferenceKind.DELISTED_MACHINE} $m".takeIf { delisted },
-            "${DifferenceKind.UNHEARD_MACHINE} $m".takeIf { m !in seen && (placed.isNotEmpty() || up) },
-            "${DifferenceKind.UNREPORTING_MACHINE} $m".takeIf { seen[m]?.reportedItself == false },
-        )
-    }
+    private fun ofMachines(): List<String> =
+        (places().map { it.machine } + seen.keys + listed.keys).distinct().flatMap { m ->
+            val entry = listed[m]
+            val placed = places().filter { it.machine == m }
+            val delisted = if (entry != null) entry.missing else listRead && placed.any { it.name in adopted }
+            val up = entry != null && entry.stage == MachineStage.RUNNING && !entry.missing
+            listOfNotNull(
+                "${DifferenceKind.DELISTED_MACHINE} $m".takeIf { delisted },
+                "${DifferenceKind.UNHEARD_MACHINE} $m".takeIf { m !in seen && (placed.isNotEmpty() || up) },
+                "${DifferenceKind.UNREPORTING_MACHINE} $m".takeIf { seen[m]?.reportedItself == false },
+            )
+        }
 }
--- a/src/test/kotlin/glenspool/standin/RolloutScene.kt
+++ b/src/test/kotlin/glenspool/standin/RolloutScene.kt
@@ -26,18 +26,20 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Levels of a build that does not exist yet: one that can be left again, and one that can't. */
-val FUTURE_LEVELS = listOf(
-    checkNotNull(FeatureRegistry.CURRENT.find(FeatureRegistry.SEALED_RECORDS)),
-    FeatureLevel(2, "next-form", "a form that only tests write", WayDown.REWRITE),
-    FeatureLevel(3, "last-form", "a form without a way down", WayDown.NONE),
-)
+val FUTURE_LEVELS =
+    listOf(
+        checkNotNull(FeatureRegistry.CURRENT.find(FeatureRegistry.SEALED_RECORDS)),
+        FeatureLevel(2, "next-form", "a form that only tests write", WayDown.REWRITE),
+        FeatureLevel(3, "last-form", "a form without a way down", WayDown.NONE),
+    )
 
 /** A build that knows levels up to [highest] of [FUTURE_LEVELS]. */
-fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE) = FeatureRegistry(FUTURE_LEVELS.take(highest), lowest)
+fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE) =
+    FeatureRegistry(FUTURE_LEVELS.take(highest), lowest)
 
 /**
- * A rollout in simulated time: real engines, gates and stored forms against a stand-in for the state service. Members are
- * what the tests say they are.
+ * A rollout in simulated time: real engines, gates and stored forms against a stand-in for the state service. Members
+ * are what the tests say they are.
  */
 class RolloutScene(val policy: RolloutPolicy = RolloutPolicy(), names: List<String> = listOf("a", "b", "c")) {
     inner class Member(val name: String) {
@@ -53,7 +55,13 @@
         private var processes = 0
         val boot get() = "$name-$processes"
 
-        val levels: BuildLevels get() = if (unmanaged) BuildLevels("unmanaged", FeatureRegistry.BASE, registry.highest) else registry.of("build-${registry.highest}")
+        val levels: BuildLevels get() =
+            if (unmanaged) {
+                BuildLevels("unmanaged", FeatureRegistry.BASE, registry.highest)
+            } else {
+                registry
+                    .of("build-${registry.highest}")
+            }
         val gate: FeatureGate get() = FeatureGate(levels, records::level)
 
         fun restart(highest: Int, unmanaged: Boolean = false, lowest: Int = FeatureRegistry.BASE) {
@@ -63,7 +71,11 @@
             up = true
         }
 
-        fun report() = MemberReport(name, if (unmanaged) null else boot, levels, ready && (unmanaged || gate.fence() == null))
+        fun report() =
+            MemberReport(
+                name, if (unmanaged) null else boot, levels,
+                ready && (unmanaged || gate.fence() == null),
+            )
     }
 
     val state = StateStandIn()
@@ -106,10 +118,14 @@
     }
 
     fun hear() {
-        members.filter { it.up && (it === leader || !it.cutFromPeers && !leader.cutFromPeers) }.forEach { engine.heard(it.report(), now) }
+        members.filter { it.up && (it === leader || !it.cutFromPeers && !leader.cutFromPeers) }.forEach {
+            engine
+                .heard(it.report(), now)
+        }
     }
 
-    fun input() = RolloutInput(now, now, token, leader.name, records.level(), records.orders(), records.state(), recordsIn)
+    fun input() =
+        RolloutInput(now, now, token, leader.name, records.level(), records.orders(), records.state(), recordsIn)
 
     fun overview() = engine.overview(input())
 
@@ -125,8 +141,15 @@
     private fun perform(action: RolloutAction) {
         when (action) {
             is RolloutAction.Notice -> notices.add(action.text)
-            is RolloutAction.StoreLevel -> store(Keys.LEVEL, action.version, RolloutWire.encode(action.record)) { levelHistory.add(action.record) }
-            is RolloutAction.StoreState -> store(Keys.ROLLOUT_STATE, action.version, RolloutWire.encode(action.state)) { stateWrites++ }
+            is RolloutAction.StoreLevel ->
+                store(Keys.LEVEL, action.version, RolloutWire.encode(action.record)) {
+                    levelHistory
+                        .add(action.record)
+                }
+            is RolloutAction.StoreState ->
+                store(Keys.ROLLOUT_STATE, action.version, RolloutWire.encode(action.state)) {
+                    stateWrites++
+                }
         }
     }
 
@@ -147,10 +170,17 @@
 
     fun order(request: OperatorRequest): OrderOutcome {
         val stored = records.orders()
-        val outcome = OrderRule(leader.registry, members.map { it.name }.toSet()).apply(request, stored.valueOrNull() ?: OperatorOrders(), records.level(), now)
+        val outcome =
+            OrderRule(leader.registry, members.map { it.name }.toSet()).apply(
+                request,
+                stored.valueOrNull() ?: OperatorOrders(), records.level(), now,
+            )
         if (outcome is OrderOutcome.Accepted) {
             val condition = mapOf(Keys.ROLLOUT_ORDERS to checkNotNull(stored.replaceableVersion()))
-            check(state.transact(condition, listOf(Put(Keys.ROLLOUT_ORDERS, RolloutWire.encode(outcome.orders))), emptyList()) == null)
+            check(
+                state.transact(condition, listOf(Put(Keys.ROLLOUT_ORDERS, RolloutWire.encode(outcome.orders))), emptyList()) ==
+                    null,
+            )
         }
         return outcome
     }
--- a/src/test/kotlin/glenspool/standin/ServedApi.kt
+++ b/src/test/kotlin/glenspool/standin/ServedApi.kt
@@ -44,18 +44,20 @@
     protected var cutOff = false
     protected var confirmable = true
     private val node by lazy {
-        val users = UserApi(settings, client, replica, PeerClient(members), { cutOff }, features, { confirmable }) { types }
+        val users =
+            UserApi(settings, client, replica, PeerClient(members), { cutOff }, features, { confirmable }) { types }
         HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 8, users)
     }
     protected val addr get() = "127.0.0.1:${node.port}"
 
-    protected fun syncing(replica: Replica) = thread(isDaemon = true) {
-        try {
-            replica.serveSyncs()
-        } catch (e: InterruptedException) {
-            Thread.currentThread().interrupt()
+    protected fun syncing(replica: Replica) =
+        thread(isDaemon = true) {
+            try {
+                replica.serveSyncs()
+            } catch (e: InterruptedException) {
+                Thread.currentThread().interrupt()
+            }
         }
-    }
 
     @AfterEach
     fun close() {
@@ -64,16 +66,43 @@
         outside.close()
     }
 
-    protected fun spec(id: String, tasks: Int = 1, need: Amount = Amount(2.0, 1.0, 8.0), kind: JobKind = JobKind.ARRAY, team: String = "a") = job(id, kind, tasks, need, team)
+    protected fun spec(
+        id: String,
+        tasks: Int = 1,
+        need: Amount = Amount(2.0, 1.0, 8.0),
+        kind: JobKind = JobKind.ARRAY,
+        team: String = "a",
+    ) = job(id, kind, tasks, need, team)
 
     protected fun submit(s: JobSpec, awaits: Any? = null) =
-        http.post(addr, "/api/jobs", JobWire.encode(s) + (if (awaits == null) emptyMap() else mapOf("awaits" to awaits)), 20.seconds) as CallResult.Answer
+        http.post(
+            addr, "/api/jobs",
+            JobWire.encode(s) + (
+                if (awaits ==
+                    null
+                ) {
+                    emptyMap()
+                } else {
+                    mapOf("awaits" to awaits)
+                }
+            ),
+            20.seconds,
+        ) as CallResult.Answer
 
     protected fun show(id: String) = http.get(addr, "/api/jobs/$id", 20.seconds) as CallResult.Answer
 
-    protected fun withdraw(id: String) = http.post(addr, "/api/jobs/$id/withdraw", emptyMap(), 10.seconds) as CallResult.Answer
+    protected fun withdraw(id: String) =
+        http.post(addr, "/api/jobs/$id/withdraw", emptyMap(), 10.seconds) as CallResult.Answer
 
     protected fun end(id: String, word: String) {
-        state.transact(emptyMap(), listOf(Put(Keys.final(id), mapOf("end" to word, "tasks" to 1L))), listOf(Keys.job(id), Keys.cancel(id)))
+        state
+            .transact(
+                emptyMap(), listOf(Put(Keys.final(id), mapOf("end" to word, "tasks" to 1L))),
+                listOf(
+                    Keys.job(id),
+                    Keys
+                        .cancel(id),
+                ),
+            )
     }
 }
--- a/src/test/kotlin/glenspool/standin/StateStandIn.kt
+++ b/src/test/kotlin/glenspool/standin/StateStandIn.kt
@@ -36,7 +36,10 @@
     /** What others do just before a transaction is carried out. */
     var beforeTransaction: (List<Put>) -> Unit = {}
 
-    /** Whether the answer to a transaction is lost although it was carried out. It can't be read then, which is no answer. */
+    /**
+     * Whether the answer to a transaction is lost although it was carried out. It can't be read then, which is no
+     * answer.
+     */
     var loses: () -> Boolean = { false }
 
     /** Transactions and reads of single keys that came in. */
@@ -90,7 +93,14 @@
     @Synchronized
     override fun <T> atOnce(read: () -> T): T = read()
 
-    override fun under(prefix: String): List<StateWire.Item> = entries.filterKeys { it.startsWith(prefix) }.map { StateWire.Item(it.key, it.value.value, it.value.version) }
+    override fun under(prefix: String): List<StateWire.Item> =
+        entries
+            .filterKeys {
+                it.startsWith(prefix)
+            }.map {
+                StateWire
+                    .Item(it.key, it.value.value, it.value.version)
+            }
 
     /** The same over HTTP. */
     @Synchronized
@@ -100,9 +110,24 @@
         if (path != "/follow") served++
         return when {
             path == "/multi" && throttled > 0 -> reply(429, emptyMap()).also { throttled-- }
-            path == "/multi" -> multi(Cbor.decodeMap(r.body.stream.readAllBytes())).let { if (loses()) Response(Status.OK).body("\u00ff") else it }
+            path == "/multi" ->
+                multi(Cbor.decodeMap(r.body.stream.readAllBytes())).let {
+                    if (loses()) {
+                        Response(Status.OK)
+                            .body("\u00ff")
+                    } else {
+                        it
+                    }
+                }
             path == "/leases" -> reply(200, mapOf("tenure" to newLease()))
-            path.endsWith("/touch") -> if (path.split('/')[2].toLong() in leases) reply(200, emptyMap()) else reply(404, emptyMap())
+            path.endsWith("/touch") ->
+                if (path.split('/')[2].toLong() in
+                    leases
+                ) {
+                    reply(200, emptyMap())
+                } else {
+                    reply(404, emptyMap())
+                }
             path == "/follow" -> follow(r)
             path == "/store" -> list(r)
             r.method == Method.GET -> item(path.removePrefix("/store/"))
@@ -111,27 +136,42 @@
     }
 
     private fun multi(m: Fields): Response {
-        val apply = (m["apply"] as? List<*> ?: emptyList<Any>()).map {
-            @Suppress("UNCHECKED_CAST")
-            it as Fields
-        }
-        val puts = apply.filter { "set" in it }.map {
-            @Suppress("UNCHECKED_CAST")
-            Put(it.text("set"), it["data"] as Fields, it["tenure"] as Long?)
-        }
+        val apply =
+            (m["apply"] as? List<*> ?: emptyList<Any>()).map {
+                @Suppress("UNCHECKED_CAST")
+                it as Fields
+            }
+        val puts =
+            apply.filter { "set" in it }.map {
+                @Suppress("UNCHECKED_CAST")
+                Put(it.text("set"), it["data"] as Fields, it["tenure"] as Long?)
+            }
         beforeTransaction(puts)
         if (puts.any { tooLarge(it) }) return reply(400, mapOf("error" to "too large"))
         if (puts.any { it.lease != null && it.lease !in leases }) return reply(400, mapOf("error" to "no such lease"))
-        val failed = transact(m.maps("guards").associate { it.text("key") to it.count("mark") }, puts, apply.mapNotNull { it["remove"] as String? })
-        return if (failed == null) reply(200, mapOf("ledger" to revision)) else reply(409, mapOf("failed" to failed, "ledger" to revision))
+        val failed =
+            transact(
+                m.maps("guards").associate {
+                    it.text("key") to it.count("mark")
+                },
+                puts, apply.mapNotNull { it["remove"] as String? },
+            )
+        return if (failed ==
+            null
+        ) {
+            reply(200, mapOf("ledger" to revision))
+        } else {
+            reply(409, mapOf("failed" to failed, "ledger" to revision))
+        }
     }
 
     private fun follow(r: Request): Response {
         val after = r.query("after")?.toLong() ?: 0
         val prefix = r.query("starts") ?: ""
-        val changes = log.filter { it.third > after && it.first.startsWith(prefix) }.map { (k, v, n) ->
-            if (v == null) mapOf("remove" to k, "mark" to n) else mapOf("set" to k, "data" to v, "mark" to n)
-        }
+        val changes =
+            log.filter { it.third > after && it.first.startsWith(prefix) }.map { (k, v, n) ->
+                if (v == null) mapOf("remove" to k, "mark" to n) else mapOf("set" to k, "data" to v, "mark" to n)
+            }
         return reply(200, mapOf("ledger" to revision, "log" to changes))
     }
 
@@ -148,7 +188,9 @@
         return reply(200, mapOf("key" to key, "data" to e.value, "mark" to e.version))
     }
 
-    private fun reply(status: Int, body: Fields) = Response(Status(status, null)).body(Body(ByteBuffer.wrap(Cbor.encode(body))))
+    private fun reply(status: Int, body: Fields) =
+        Response(Status(status, null))
+            .body(Body(ByteBuffer.wrap(Cbor.encode(body))))
 
     companion object {
         /** Small, so that paging is exercised. */
--- a/src/test/kotlin/glenspool/standin/Trio.kt
+++ b/src/test/kotlin/glenspool/standin/Trio.kt
@@ -69,7 +69,8 @@
             lives++
             read.clear()
             readAt = null
-            cancellations = Cancellations("$name-$lives", members.map { it.name } - name, settings.cancel * 4, ::clock) { now }
+            cancellations =
+                Cancellations("$name-$lives", members.map { it.name } - name, settings.cancel * 4, ::clock) { now }
             keeper = LeaseKeeper(settings, 2, ::clock)
             val life = lives
             after(random.nextInt(500).milliseconds) { look(life) }
@@ -96,7 +97,16 @@
 
         private fun exchange(m: Node, life: Int) {
             if (life != lives) return
-            after(if (readAt.let { it == null || now - it > 2.5.seconds }) 500.milliseconds else 2.seconds) { exchange(m, life) }
+            after(
+                if (readAt.let {
+                        it == null || now - it > 2.5.seconds
+                    }
+                ) {
+                    500.milliseconds
+                } else {
+                    2.seconds
+                },
+            ) { exchange(m, life) }
             send(m)
         }
 
@@ -125,7 +135,14 @@
             }
         }
 
-        private fun hear(from: Node, news: CancelNews): CancelNews? = if (!up || old) null else cancellations.answer(from.name, news)?.first
+        private fun hear(from: Node, news: CancelNews): CancelNews? =
+            if (!up ||
+                old
+            ) {
+                null
+            } else {
+                cancellations.answer(from.name, news)?.first
+            }
 
         val isolated get() = now < peersCutUntil && !hasState
 
@@ -223,7 +240,15 @@
     private fun check() {
         for (w in workers) {
             w.expire()
-            for (j in w.jobs) confirmed[j]?.let { if (now - it > settings.cancel) violations += "$now ran_cancelled $j on ${w.name}, confirmed at $it" }
+            for (j in w.jobs) {
+                confirmed[j]?.let {
+                    if (now - it >
+                        settings.cancel
+                    ) {
+                        violations += "$now ran_cancelled $j on ${w.name}, confirmed at $it"
+                    }
+                }
+            }
         }
         for (n in members) {
             if (!n.up || n.old) continue
--- a/src/test/kotlin/glenspool/standin/World.kt
+++ b/src/test/kotlin/glenspool/standin/World.kt
@@ -113,6 +113,7 @@
     private val trace: DecisionTrace? = null,
 ) {
     private val random = Random(seed)
+
     private class Timed(val at: Duration, val order: Long, val body: () -> Unit)
 
     private val queue = PriorityQueue(compareBy<Timed> { it.at }.thenBy { it.order })
@@ -163,10 +164,11 @@
         val rentedAt = now
         val hanging get() = now < hungUntil
 
-        fun report() = Report(
-            id, "addr-$id", type.name, zone, spot, session, ++seq, seen, recallAt?.let { it - now },
-            tasks.map { (k, t) -> ReportedTask(k.key, t.attempt, t.state, t.exit, false) },
-        )
+        fun report() =
+            Report(
+                id, "addr-$id", type.name, zone, spot, session, ++seq, seen, recallAt?.let { it - now },
+                tasks.map { (k, t) -> ReportedTask(k.key, t.attempt, t.state, t.exit, false) },
+            )
     }
 
     /** A worker knows its tasks by attempt, also those that ended, until it is told to forget them. */
@@ -229,7 +231,18 @@
     /** As a node does it; true if the user was told so. */
     fun cancel(id: String): Boolean {
         if (now < stateDownUntil) return false
-        val ok = store(mapOf(Keys.cancel(id) to 0L, Keys.final(id) to 0L), listOf(Put(Keys.cancel(id), mapOf("at" to now.inWholeMilliseconds))))
+        val ok =
+            store(
+                mapOf(Keys.cancel(id) to 0L, Keys.final(id) to 0L),
+                listOf(
+                    Put(
+                        Keys.cancel(id),
+                        mapOf(
+                            "at" to now.inWholeMilliseconds,
+                        ),
+                    ),
+                ),
+            )
         if (ok) cancelled[id] = now
         return ok
     }
@@ -251,9 +264,37 @@
         oldLeads = !allNew && chance(weather.olds)
         val lease = state.newLease()
         token++
-        state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("token" to token), lease), Put(Keys.TERM, mapOf("token" to token))), emptyList())
+        state.transact(
+            emptyMap(),
+            listOf(
+                Put(Keys.LEAD, mapOf("token" to token), lease),
+                Put(
+                    Keys.TERM,
+                    mapOf(
+                        "token" to token,
+                    ),
+                ),
+            ),
+            emptyList(),
+        )
         leadMark = state.revision
-        recovery = if (recoverer != null && recoveryDue) recoverer.invoke(token, now, if (recovery?.isActive == true) StartKind.CONTINUED else StartKind.COLD) else null
+        recovery =
+            if (recoverer != null &&
+                recoveryDue
+            ) {
+                recoverer.invoke(
+                    token, now,
+                    if (recovery?.isActive ==
+                        true
+                    ) {
+                        StartKind.CONTINUED
+                    } else {
+                        StartKind.COLD
+                    },
+                )
+            } else {
+                null
+            }
         val s = Scheduler(config, token, now, recovery?.hooks ?: SchedulerHooks())
         leader = s
         step {
@@ -338,26 +379,31 @@
             is Delete -> {
                 a.causes.values.forEach { count(it) }
                 val fails = chance(weather.lost)
-                after(delay() * 5 + (if (weather.cloudLate > 0) random.nextInt(weather.cloudLate).seconds else Duration.ZERO)) {
+                after(
+                    delay() * 5 +
+                        (if (weather.cloudLate > 0) random.nextInt(weather.cloudLate).seconds else Duration.ZERO),
+                ) {
                     if (!fails || chance(0.5)) a.machines.forEach { id -> workers.remove(id)?.let { it.gone = true } }
                     ifLeading(s) { deletionEnded(a.machines, !fails) }
                 }
             }
-            is RaiseToken -> after(delay()) {
-                val t = token + 1
-                val ok = leader === s && now >= stateDownUntil
-                if (ok) {
-                    token = t
-                    state.transact(emptyMap(), listOf(Put(Keys.TERM, mapOf("token" to t))), emptyList())
+            is RaiseToken ->
+                after(delay()) {
+                    val t = token + 1
+                    val ok = leader === s && now >= stateDownUntil
+                    if (ok) {
+                        token = t
+                        state.transact(emptyMap(), listOf(Put(Keys.TERM, mapOf("token" to t))), emptyList())
+                    }
+                    ifLeading(s) { tokenRaised(if (ok) t else null) }
+                }
+            is AskEnds ->
+                after(delay()) {
+                    val answered = now >= stateDownUntil && !chance(weather.lost)
+                    val found = HashMap<String, JobEnd>()
+                    if (answered) for (id in a.jobs) (ends.read(id) as? Ends.Ended)?.let { found[id] = it.end }
+                    ifLeading(s) { endsRead(a.jobs, found) }
                 }
-                ifLeading(s) { tokenRaised(if (ok) t else null) }
-            }
-            is AskEnds -> after(delay()) {
-                val answered = now >= stateDownUntil && !chance(weather.lost)
-                val found = HashMap<String, JobEnd>()
-                if (answered) for (id in a.jobs) (ends.read(id) as? Ends.Ended)?.let { found[id] = it.end }
-                ifLeading(s) { endsRead(a.jobs, found) }
-            }
             is SaveImages -> check(a.images.values.none { it.isEmpty() })
             is Resign -> {
                 if (leader === s) leader = null
@@ -369,7 +415,10 @@
     }
 
     private fun write(a: Store, s: Scheduler) {
-        val t = transactionOf(leadMark, a).let { if (oldLeads) it.copy(puts = it.puts.map(OldVersion::rewrites)) else it }
+        val t =
+            transactionOf(leadMark, a).let {
+                if (oldLeads) it.copy(puts = it.puts.map(OldVersion::rewrites)) else it
+            }
         if (now < stateDownUntil) {
             after(delay()) { ifLeading(s) { stored(StoreOutcome.Refused(emptySet())) } }
         } else if (t.puts.any(state::tooLarge)) {
@@ -392,7 +441,17 @@
                 val revision = state.revision
                 after(delay()) {
                     if (failed != null) feed()
-                    ifLeading(s) { stored(if (failed == null) StoreOutcome.Stored(revision) else StoreOutcome.Refused(failed.toSet())) }
+                    ifLeading(s) {
+                        stored(
+                            if (failed ==
+                                null
+                            ) {
+                                StoreOutcome.Stored(revision)
+                            } else {
+                                StoreOutcome.Refused(failed.toSet())
+                            },
+                        )
+                    }
                 }
             }
         }
@@ -407,8 +466,16 @@
             for (p in t.puts) {
                 if (!p.key.startsWith(Keys.FINAL)) continue
                 val id = p.key.removePrefix(Keys.FINAL)
-                if (p.value["end"] == "done" && (trulyDone.getValue(id).cardinality() < specs.getValue(id).tasks)) violations += "not_done $id"
-                if (p.value["end"] == "cancelled" && abortedSince(id) == null) violations += "went_back $id was not cancelled"
+                if (p.value["end"] == "done" &&
+                    (trulyDone.getValue(id).cardinality() < specs.getValue(id).tasks)
+                ) {
+                    violations += "not_done $id"
+                }
+                if (p.value["end"] == "cancelled" &&
+                    abortedSince(id) == null
+                ) {
+                    violations += "went_back $id was not cancelled"
+                }
             }
         }
         return failed
@@ -417,22 +484,30 @@
     private fun rent(a: Rent, s: Scheduler) {
         if (a.request !in requests) a.causes.forEach(::count)
         after(delay() * 10) {
-            val names = requests[a.request] ?: run {
-                val n = if (workers.size >= maxMachines) {
-                    0
-                } else if (chance(0.2)) {
-                    random.nextInt(a.count + 1)
-                } else {
-                    a.count
+            val names =
+                requests[a.request] ?: run {
+                    val n =
+                        if (workers.size >= maxMachines) {
+                            0
+                        } else if (chance(0.2)) {
+                            random.nextInt(a.count + 1)
+                        } else {
+                            a.count
+                        }
+                    val type = types.first { it.name == a.type }
+                    List(n) {
+                        // A few never come up.
+                        val boot = if (chance(0.05)) 10_000.seconds else type.boot * (0.6 + random.nextDouble())
+                        addMachine(type, a.zone, a.spot, boot)
+                    }.also { if (n > 0) requests[a.request] = it }
                 }
-                val type = types.first { it.name == a.type }
-                List(n) {
-                    // A few never come up.
-                    val boot = if (chance(0.05)) 10_000.seconds else type.boot * (0.6 + random.nextDouble())
-                    addMachine(type, a.zone, a.spot, boot)
-                }.also { if (n > 0) requests[a.request] = it }
+            if (chance(weather.lost)) {
+                ifLeading(s) {
+                    rentUnknown(a)
+                }
+            } else {
+                ifLeading(s) { if (names.isEmpty()) rentRefused(a) else rented(a, names) }
             }
-            if (chance(weather.lost)) ifLeading(s) { rentUnknown(a) } else ifLeading(s) { if (names.isEmpty()) rentRefused(a) else rented(a, names) }
         }
     }
 
@@ -445,14 +520,20 @@
             return
         }
         if (now < w.unreachedUntil) {
-            after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, if (chance(0.5)) DirectOutcome.UNKNOWN else DirectOutcome.NOT_SENT, null) } }
+            after(3.seconds) {
+                ifLeading(s) {
+                    directEnded(a.machine, a, if (chance(0.5)) DirectOutcome.UNKNOWN else DirectOutcome.NOT_SENT, null)
+                }
+            }
             return
         }
         val life = w.life
         val held = now < w.cutUntil || now < w.zoneCutUntil || w.hanging || chance(weather.held)
         if (held) {
             // Delivered when the cut ends or minutes late, though the sender has long given up.
-            val late = maxOf(w.cutUntil - now, w.zoneCutUntil - now, w.hungUntil - now, Duration.ZERO) + random.nextInt(60).seconds
+            val late =
+                maxOf(w.cutUntil - now, w.zoneCutUntil - now, w.hungUntil - now, Duration.ZERO) +
+                    random.nextInt(60).seconds
             after(late) { if (!w.gone && !w.hanging && w.life == life) execute(w, a) }
             after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.UNKNOWN, null) } }
             return
@@ -464,7 +545,11 @@
                 if (chance(weather.lost)) {
                     after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.UNKNOWN, null) } }
                 } else {
-                    after(delay()) { ifLeading(s) { directEnded(a.machine, a, if (ok) DirectOutcome.DONE else DirectOutcome.REFUSED, report) } }
+                    after(delay()) {
+                        ifLeading(s) {
+                            directEnded(a.machine, a, if (ok) DirectOutcome.DONE else DirectOutcome.REFUSED, report)
+                        }
+                    }
                 }
             } else {
                 after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.UNKNOWN, null) } }
@@ -483,14 +568,16 @@
         val slot = Slot(c.key, c.attempt)
         val t = w.tasks[slot]
         when (c) {
-            is StartTask -> if (t == null) {
-                count(c.cause)
-                w.tasks[slot] = start(w, c)
-            }
-            is StopTask -> if (t != null && t.exit == null) {
-                count(c.cause)
-                exit(t, Exit.STOPPED)
-            }
+            is StartTask ->
+                if (t == null) {
+                    count(c.cause)
+                    w.tasks[slot] = start(w, c)
+                }
+            is StopTask ->
+                if (t != null && t.exit == null) {
+                    count(c.cause)
+                    exit(t, Exit.STOPPED)
+                }
             is ForgetTask -> if (t != null && t.exit != null) w.tasks.remove(slot)
         }
     }
@@ -503,7 +590,14 @@
         val room = live.keys.map { specs.getValue(it.job).need }.fold(spec.need) { x, y -> x + y }
         if (!room.fits(w.type.room)) return Task(c.attempt, TaskState.EXITED, now, Exit.NO_ROOM)
         check(c, spec, w)
-        val fetch = if (spec.image in w.images) Duration.ZERO else (spec.imageGb / w.type.fetchGbPerS).seconds * (0.7 + 0.6 * random.nextDouble())
+        val fetch =
+            if (spec.image in
+                w.images
+            ) {
+                Duration.ZERO
+            } else {
+                (spec.imageGb / w.type.fetchGbPerS).seconds * (0.7 + 0.6 * random.nextDouble())
+            }
         starts++
         firstStart.putIfAbsent(c.key.job, now)
         return Task(c.attempt, TaskState.FETCHING, now + fetch)
@@ -511,7 +605,12 @@
 
     /** The rules that a start can break. */
     private fun check(c: StartTask, spec: JobSpec, w: Worker) {
-        val on = workers.values.flatMap { x -> x.tasks.entries.filter { it.value.exit == null }.map { Triple(x, it.key.key, it.value) } }
+        val on =
+            workers.values.flatMap { x ->
+                x.tasks.entries
+                    .filter { it.value.exit == null }
+                    .map { Triple(x, it.key.key, it.value) }
+            }
         if (on.any { (_, k, _) -> k == c.key }) violations += "$now ran_twice ${c.key}"
         if (spec.types != null &&
             w.type.name !in spec.types ||
@@ -523,10 +622,26 @@
             violations += "$now wrong_place ${c.key} on ${w.id}"
         }
         val mates = on.filter { (_, k, _) -> k.job == spec.id }
-        if (spec.sameZone && mates.any { (x, _, _) -> x.zone != w.zone }) violations += "$now wrong_place same zone ${c.key}"
-        if (spec.spread && mates.count { (x, _, _) -> x.zone == w.zone } + 1 > spec.zoneCap) violations += "$now wrong_place spread ${c.key}"
+        if (spec.sameZone &&
+            mates.any { (x, _, _) -> x.zone != w.zone }
+        ) {
+            violations += "$now wrong_place same zone ${c.key}"
+        }
+        if (spec.spread &&
+            mates.count { (x, _, _) -> x.zone == w.zone } + 1 > spec.zoneCap
+        ) {
+            violations +=
+                "$now wrong_place spread ${c.key}"
+        }
         val team = config.teams.first { it.name == spec.team }
-        val used = on.filter { (_, k, _) -> specs.getValue(k.job).team == spec.team }.sumOf { (_, k, _) -> specs.getValue(k.job).need.gpus } + spec.need.gpus
+        val used =
+            on
+                .filter { (_, k, _) ->
+                    specs.getValue(k.job).team == spec.team
+                }.sumOf { (_, k, _) ->
+                    specs.getValue(k.job).need.gpus
+                } +
+                spec.need.gpus
         if (team.gpusMax != null && used > team.gpusMax + 1e-6) violations += "$now quota ${spec.team}: $used"
         val told = cancelled[spec.id]
         if (told != null && now - told > config.cancel) violations += "$now ran_cancelled start ${c.key}"
@@ -565,7 +680,15 @@
             val answerToken = s.token
             trace?.answer(now, w.id, answerToken, commands)
             after(delay()) {
-                if (w.gone || w.hanging || now < w.cutUntil || now < w.unreachedUntil || r.session != w.session || answerToken < w.seen) return@after
+                if (w.gone ||
+                    w.hanging ||
+                    now < w.cutUntil ||
+                    now < w.unreachedUntil ||
+                    r.session != w.session ||
+                    answerToken < w.seen
+                ) {
+                    return@after
+                }
                 w.seen = answerToken
                 w.answered = sent
                 commands.forEach { command(w, it) }
@@ -586,7 +709,12 @@
         }
         if (answer == "unknown") violations += "$now forgotten $id"
         val before = told.put(id, answer)
-        if (before != null && before != "live" && before != answer) violations += "$now went_back $id from $before to $answer"
+        if (before != null &&
+            before != "live" &&
+            before != answer
+        ) {
+            violations += "$now went_back $id from $before to $answer"
+        }
         val aborted = abortedSince(id)
         if (answer == "cancelled" && aborted == null) violations += "$now went_back $id was not cancelled"
         // An answer is worked out from the records, so it need not wait for anybody to store it.
@@ -612,7 +740,12 @@
         for (w in workers.values) {
             for ((k, t) in w.tasks) {
                 val told = cancelled[k.job]
-                if (t.exit == null && told != null && now - told > config.cancel) violations += "$now ran_cancelled ${k.key} on ${w.id}"
+                if (t.exit == null &&
+                    told != null &&
+                    now - told > config.cancel
+                ) {
+                    violations += "$now ran_cancelled ${k.key} on ${w.id}"
+                }
             }
         }
     }
@@ -633,7 +766,11 @@
     }
 
     private fun gangs() {
-        val all = workers.values.flatMap { w -> w.tasks.entries.map { Triple(w, it.key.key, it.value) } }.filter { specs.getValue(it.second.job).kind == JobKind.GANG }
+        val all =
+            workers.values.flatMap { w -> w.tasks.entries.map { Triple(w, it.key.key, it.value) } }.filter {
+                specs.getValue(it.second.job).kind ==
+                    JobKind.GANG
+            }
         for ((group, members) in all.groupBy { it.second.job to it.third.attempt }) {
             val spec = specs.getValue(group.first)
             val waiting = members.filter { it.third.state == TaskState.WAITING }
@@ -656,7 +793,8 @@
     }
 
     private fun weatherNow() {
-        val w = workers.values.filter { it.up }.let { if (it.isEmpty()) null else it[random.nextInt(it.size)] } ?: return
+        val w =
+            workers.values.filter { it.up }.let { if (it.isEmpty()) null else it[random.nextInt(it.size)] } ?: return
         if (chance(weather.deaths)) {
             w.gone = true
             workers.remove(w.id)
@@ -697,10 +835,22 @@
 
     /** Cancels up to [most] jobs that have work on machines, and lets some of those machines hang. */
     fun storm(most: Int, hang: Boolean) {
-        val running = workers.values.flatMap { w -> w.tasks.entries.filter { it.value.exit == null }.map { it.key.job to w } }.groupBy({ it.first }, { it.second })
+        val running =
+            workers.values
+                .flatMap { w ->
+                    w.tasks.entries.filter { it.value.exit == null }.map {
+                        it.key.job to
+                            w
+                    }
+                }.groupBy({ it.first }, { it.second })
         for ((job, on) in running.entries.shuffled(random).take(most)) {
             after(random.nextInt(200).milliseconds) {
-                if (cancel(job) && hang && chance(0.5)) on.forEach { it.hungUntil = now + (5 + random.nextInt(50)).seconds }
+                if (cancel(job) &&
+                    hang &&
+                    chance(0.5)
+                ) {
+                    on.forEach { it.hungUntil = now + (5 + random.nextInt(50)).seconds }
+                }
             }
         }
     }
@@ -746,20 +896,32 @@
     val machineNames: List<String> get() = workers.values.filter { it.up }.map { it.id }
 
     /** The tasks that run on a machine. */
-    fun tasksOn(machine: String): List<TaskKey> = workers[machine]?.tasks.orEmpty().filterValues { it.exit == null }.keys.map { it.key }
+    fun tasksOn(machine: String): List<TaskKey> =
+        workers[machine]
+            ?.tasks
+            .orEmpty()
+            .filterValues { it.exit == null }
+            .keys
+            .map { it.key }
 
     /** A task that nobody ordered. [spec]: known to the worker, whatever the state service knows. */
     fun plantTask(machine: String, spec: JobSpec, task: Int, attempt: Long) {
         if (spec.id !in specs) unrecorded.add(spec.id)
         specs.putIfAbsent(spec.id, spec)
         trulyDone.putIfAbsent(spec.id, BitSet())
-        workers.getValue(machine).tasks[Slot(TaskKey(spec.id, task), attempt)] = Task(attempt, TaskState.RUNNING, now + 10_000.seconds)
+        workers.getValue(machine).tasks[Slot(TaskKey(spec.id, task), attempt)] =
+            Task(attempt, TaskState.RUNNING, now + 10_000.seconds)
     }
 
     /** Stops a task and starts it again, as a scheduler would that takes it for something else. */
     fun restart(machine: String, key: TaskKey) {
         val w = workers.getValue(machine)
-        val attempt = w.tasks.filter { (slot, task) -> slot.key == key && task.exit == null }.keys.single().attempt
+        val attempt =
+            w.tasks
+                .filter { (slot, task) -> slot.key == key && task.exit == null }
+                .keys
+                .single()
+                .attempt
         command(w, StopTask(key, attempt, Duration.ZERO, StopCause.ORPHANED))
         command(w, StartTask(key, attempt + 1, StartCause.PLACED))
     }
@@ -789,7 +951,9 @@
 
     enum class Trouble { CUT, HANG, DEAF, MUTE, DIE }
 
-    /** Its workers are served by the controller there, which leads nobody; if the leader was there, another is elected. */
+    /**
+     * Its workers are served by the controller there, which leads nobody; if the leader was there, another is elected.
+     */
     fun cutZone(zone: String, span: Duration) {
         for (x in workers.values) {
             if (x.zone != zone) continue
@@ -804,9 +968,13 @@
     }
 
     private fun list() {
-        val all = workers.values.map { w ->
-            ListedMachine(w.id, "addr-${w.id}", w.type.name, w.zone, w.spot, if (w.up) MachineStage.RUNNING else MachineStage.BOOTING, now - w.rentedAt)
-        }
+        val all =
+            workers.values.map { w ->
+                ListedMachine(
+                    w.id, "addr-${w.id}", w.type.name, w.zone, w.spot, if (w.up) MachineStage.RUNNING else MachineStage.BOOTING,
+                    now - w.rentedAt,
+                )
+            }
         lists.add(now to all)
         lists.removeIf { now - it.first > config.listLag * 3 }
         val lag = config.listLag * (0.5 + random.nextDouble() * 1.5)
@@ -839,7 +1007,12 @@
             if (l != null && now < stateDownUntil) {
                 for (o in l.overdue(now)) {
                     val w = workers[o.machine] ?: continue
-                    if (reachable(w) && now >= w.unreachedUntil && w.tasks.none { it.key.job in o.jobs && it.value.exit == null }) continue
+                    if (reachable(w) &&
+                        now >= w.unreachedUntil &&
+                        w.tasks.none { it.key.job in o.jobs && it.value.exit == null }
+                    ) {
+                        continue
+                    }
                     after(delay() * 5) {
                         workers.remove(o.machine)?.gone = true
                         ifLeading(l) { deletionEnded(listOf(o.machine), true) }
@@ -863,28 +1036,52 @@
     private var ticks = 0
     private val waitingSince = HashMap<String, Duration>()
 
-    /** Once all troubles are over, no job waits for 90 s while a machine that it may use has room and its team is under its limit. */
+    /**
+     * Once all troubles are over, no job waits for 90 s while a machine that it may use has room and its team is under
+     * its limit.
+     */
     private fun waitsInVain(spec: JobSpec) {
-        val on = workers.values.flatMap { x -> x.tasks.entries.filter { it.value.exit == null }.map { it.key.key } }
+        val on =
+            workers.values.flatMap { x ->
+                x.tasks.entries
+                    .filter { it.value.exit == null }
+                    .map { it.key.key }
+            }
         val there = on.filter { it.job == spec.id }.map { it.task }.toSet()
         val left = (0 until spec.tasks).count { it !in there && !trulyDone.getValue(spec.id)[it] }
         val team = config.teams.first { it.name == spec.team }
         val used = on.sumOf { k -> specs.getValue(k.job).let { if (it.team == spec.team) it.need.gpus else 0.0 } }
         // Gangs, and jobs bound by where their other tasks are, may wait for more than one place.
-        val simple = spec.kind != JobKind.GANG && !spec.sameZone && !spec.spread && needsOf[spec.id].orEmpty().all { end(it) == "done" }
-        val open = left > 0 && live(spec.id) && abortedSince(spec.id) == null && team.gpusMax.let { it == null || used + spec.need.gpus <= it + 1e-6 }
-        val room = simple &&
-            open &&
-            workers.values.any { w ->
-                val busy = w.tasks.entries.filter { it.value.exit == null }.map { specs.getValue(it.key.job).need }.fold(spec.need) { x, y -> x + y }
-                w.up &&
-                    w.recallAt == null &&
-                    !w.hanging &&
-                    busy.fits(w.type.room) &&
-                    (spec.types == null || w.type.name in spec.types) &&
-                    (spec.zone == null || spec.zone == w.zone) &&
-                    (spec.spot || !w.spot)
-            }
+        val simple =
+            spec.kind != JobKind.GANG &&
+                !spec.sameZone &&
+                !spec.spread &&
+                needsOf[spec.id].orEmpty().all { end(it) == "done" }
+        val open =
+            left > 0 &&
+                live(spec.id) &&
+                abortedSince(spec.id) == null &&
+                team.gpusMax.let { it == null || used + spec.need.gpus <= it + 1e-6 }
+        val room =
+            simple &&
+                open &&
+                workers.values.any { w ->
+                    val busy =
+                        w.tasks.entries
+                            .filter { it.value.exit == null }
+                            .map { specs.getValue(it.key.job).need }
+                            .fold(spec.need) { x, y ->
+                                x +
+                                    y
+                            }
+                    w.up &&
+                        w.recallAt == null &&
+                        !w.hanging &&
+                        busy.fits(w.type.room) &&
+                        (spec.types == null || w.type.name in spec.types) &&
+                        (spec.zone == null || spec.zone == w.zone) &&
+                        (spec.spot || !w.spot)
+                }
         if (!room) {
             waitingSince.remove(spec.id)
         } else if (now - waitingSince.getOrPut(spec.id) { now } > 90.seconds) {
@@ -898,10 +1095,11 @@
     /** What the leader believes of a job, for failure messages. */
     fun describe(id: String): String {
         val j = leader?.jobs?.get(id) ?: return "unknown to the leader"
-        val where = j.placements.values.joinToString { p ->
-            val m = leader?.machines?.get(p.machine)
-            "${p.key.task}#${p.attempt}@${p.machine} ${p.step}/${p.state} sent=${p.startSent} stop=${p.stop} machine[trusted=${m?.trusted} heard=${m?.heard} deleting=${m?.deleting} loose=${m?.loose} busy=${m?.directBusy}]"
-        }
+        val where =
+            j.placements.values.joinToString { p ->
+                val m = leader?.machines?.get(p.machine)
+                "${p.key.task}#${p.attempt}@${p.machine} ${p.step}/${p.state} sent=${p.startSent} stop=${p.stop} machine[trusted=${m?.trusted} heard=${m?.heard} deleting=${m?.deleting} loose=${m?.loose} busy=${m?.directBusy}]"
+            }
         return "now=$now writing=${j.writing} changes=${j.changes}/${j.saved} version=${j.version} orphans=${j.orphans} " +
             "waiting=${j.waiting(9)} notBefore=${j.notBefore} failedOn=${j.failedOn} $where"
     }
@@ -911,7 +1109,13 @@
 
     fun live(id: String) = Keys.job(id) in state.entries
 
-    fun runningReplicas(id: String) = workers.values.sumOf { w -> w.tasks.count { it.key.job == id && it.value.state == TaskState.RUNNING } }
+    fun runningReplicas(id: String) =
+        workers.values.sumOf { w ->
+            w.tasks.count {
+                it.key.job == id &&
+                    it.value.state == TaskState.RUNNING
+            }
+        }
 
     companion object {
         private val TICK = 200.milliseconds
--- a/src/test/kotlin/glenspool/state/ReplicaLoadTest.kt
+++ b/src/test/kotlin/glenspool/state/ReplicaLoadTest.kt
@@ -15,23 +15,33 @@
 class ReplicaLoadTest {
     @Test
     fun `changes from before a page was read take no key of it back`() {
-        val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 4, { request ->
-            val body = if (request.uri.path == "/store") {
-                mapOf("rows" to listOf(mapOf("key" to "g/a", "data" to mapOf("n" to 20L), "mark" to 20L)), "has_next" to false, "ledger" to 14L)
-            } else {
-                val older = mapOf("set" to "g/a", "data" to mapOf("n" to 15L), "mark" to 15L)
-                mapOf("ledger" to 16L, "log" to listOf(older, mapOf("set" to "g/b", "data" to emptyMap<String, Any?>(), "mark" to 16L)))
-            }
-            cbor(Status.OK, body)
-        })
+        val listener =
+            HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 4, { request ->
+                val body =
+                    if (request.uri.path == "/store") {
+                        mapOf(
+                            "rows" to listOf(mapOf("key" to "g/a", "data" to mapOf("n" to 20L), "mark" to 20L)),
+                            "has_next" to false, "ledger" to 14L,
+                        )
+                    } else {
+                        val older = mapOf("set" to "g/a", "data" to mapOf("n" to 15L), "mark" to 15L)
+                        mapOf(
+                            "ledger" to 16L,
+                            "log" to
+                                listOf(older, mapOf("set" to "g/b", "data" to emptyMap<String, Any?>(), "mark" to 16L)),
+                        )
+                    }
+                cbor(Status.OK, body)
+            })
         val replica = Replica(StateClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds)), 1000.0) { _, _ -> }
-        val syncs = thread(isDaemon = true) {
-            try {
-                replica.serveSyncs()
-            } catch (e: InterruptedException) {
-                Thread.currentThread().interrupt()
+        val syncs =
+            thread(isDaemon = true) {
+                try {
+                    replica.serveSyncs()
+                } catch (e: InterruptedException) {
+                    Thread.currentThread().interrupt()
+                }
             }
-        }
         repeat(2) { assertTrue(replica.sync(5.seconds)) }
         assertEquals(listOf("g/a" to 20L, "g/b" to 16L), replica.under("g/").map { it.key to it.version })
         syncs.interrupt()
@@ -40,7 +50,8 @@
 
     @Test
     fun `the active level is read after everything that may be written under it`() {
-        val others = listOf(Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL, Keys.CHUNK, Keys.PIECE, Keys.SHELF)
+        val others =
+            listOf(Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL, Keys.CHUNK, Keys.PIECE, Keys.SHELF)
         assertTrue(others.all { it < Keys.ROLLOUT && it.startsWith(Keys.LIVE) })
         assertTrue(listOf(Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE).all { it.startsWith(Keys.ROLLOUT) })
     }
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -45,7 +45,11 @@
 class UpgradeTest {
     private val state = StateStandIn()
 
-    private fun made(name: String): ByteArray = javaClass.getResourceAsStream("/stored-by-production/$name.cbor").use { checkNotNull(it).readAllBytes() }
+    private fun made(name: String): ByteArray =
+        javaClass.getResourceAsStream("/stored-by-production/$name.cbor").use {
+            checkNotNull(it)
+                .readAllBytes()
+        }
 
     private fun stored(key: String) = Cbor.decodeMap(made(key.replace('/', '~')))
 
@@ -56,16 +60,45 @@
     @Test
     fun `jobs that the version in production stored are read`() {
         val wide = job("run-000412", tasks = 160, priority = Priority.IDLE, spot = true, checkpoint = 15.seconds)
-        assertEquals(JobRecord(wide, 1000.seconds, 400, bits(0, 7, 159), (1..120).map { Intent(it, 200L + it, "i-%06d".format(it)) }), read("run-000412"))
-        for (n in 0..1) state.transact(emptyMap(), listOf(Put(Keys.chunk("run-000413", n), stored(Keys.chunk("run-000413", n)))), emptyList())
+        assertEquals(
+            JobRecord(
+                wide, 1000.seconds, 400, bits(0, 7, 159),
+                (1..120).map {
+                    Intent(
+                        it, 200L + it,
+                        "i-%06d"
+                            .format(it),
+                    )
+                },
+            ),
+            read("run-000412"),
+        )
+        for (n in 0..1) {
+            state
+                .transact(emptyMap(), listOf(Put(Keys.chunk("run-000413", n), stored(Keys.chunk("run-000413", n)))), emptyList())
+        }
         assertEquals(JobRecord(job("run-000413", tasks = 20_000), 1001.seconds, 5, bits(3, 9_000), emptyList()), read("run-000413"))
         val gang = job("run-000414", JobKind.GANG, 3, sameZone = true, zone = "a", types = listOf("big"))
-        assertEquals(JobRecord(gang, 1002.seconds, 2, BitSet(), (0..2).map { Intent(it, 2, "i-000001") }), read("run-000414"))
+        assertEquals(
+            JobRecord(
+                gang, 1002.seconds, 2, BitSet(),
+                (0..2).map {
+                    Intent(it, 2, "i-000001")
+                },
+            ),
+            read("run-000414"),
+        )
     }
 
     @Test
     fun `its ends, cancellations, hints and leadership are read`() {
-        assertEquals(listOf(JobEnd.DONE, JobEnd.CANCELLED), listOf("run-000001", "run-000002").map { FinalWire.end(stored(Keys.final(it))) })
+        assertEquals(
+            listOf(JobEnd.DONE, JobEnd.CANCELLED),
+            listOf("run-000001", "run-000002").map {
+                FinalWire
+                    .end(stored(Keys.final(it)))
+            },
+        )
         assertEquals(4, FinalWire.answer("run-000001", stored(Keys.final("run-000001")))["done"])
         assertEquals(1_003_000L, stored(Keys.cancel("run-000414")).count("at"))
         assertEquals(mapOf("i-000001" to mapOf("img-07" to 6.2)), ImagesWire.decode(stored(Keys.images(3))))
@@ -94,11 +127,20 @@
     }
 
     private fun saved(r: JobRecord, shelves: Map<Int, Long> = emptyMap()) =
-        transactionOf(7, Store(listOf(SaveJob(r.spec.id, 3, r, emptyList(), 1, false, shelves)))).puts.associate { it.key to Cbor.decodeMap(Cbor.encode(it.value)) }
+        transactionOf(7, Store(listOf(SaveJob(r.spec.id, 3, r, emptyList(), 1, false, shelves)))).puts.associate {
+            it.key to
+                Cbor.decodeMap(Cbor.encode(it.value))
+        }
 
     @Test
     fun `a job that may run is stored so that it reads all of it, and loses nothing that a rule needs`() {
-        val r = JobRecord(job("a", tasks = 9), 5.seconds, 3, bits(1), listOf(Intent(2, 3, "i-1")), emptyList(), ready = 7.seconds)
+        val r =
+            JobRecord(
+                job("a", tasks = 9), 5.seconds, 3, bits(1), listOf(Intent(2, 3, "i-1")), emptyList(),
+                ready =
+                    7
+                        .seconds,
+            )
         val seen = OldVersion.reads(saved(r).getValue(Keys.job("a")))
         val back = StoredJob(state).read("a", OldVersion.rewrites(Put(Keys.job("a"), checkNotNull(seen))).value)
         // Only when it became ready is lost, which orders work.
@@ -110,7 +152,14 @@
     fun `a job that waits, or has places or words stored apart, is unreadable to it, so it neither starts nor rewrites it`() {
         val waiting = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), listOf("b"))
         assertNull(OldVersion.reads(RecordWire.encode(waiting)))
-        val shelved = JobRecord(job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(Intent(1, 1, "i-1")), shelved = mapOf(0 to listOf(Intent(2, 3, "i-2"))))
+        val shelved =
+            JobRecord(
+                job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(Intent(1, 1, "i-1")),
+                shelved =
+                    mapOf(
+                        0 to listOf(Intent(2, 3, "i-2")),
+                    ),
+            )
         val puts = saved(shelved, mapOf(0 to 1L))
         assertNull(OldVersion.reads(puts.getValue(Keys.job("a"))))
         state.transact(emptyMap(), puts.map { Put(it.key, it.value) }, emptyList())
@@ -122,15 +171,22 @@
     fun `a submission that waits is not passed to a controller that would start it at once`() {
         val taken = ArrayList<String>()
         // The version in production knows two paths.
-        val old = HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4, { r ->
-            if (r.uri.path == "/peer/status" || r.uri.path == "/peer/relay") {
-                taken.add(r.uri.path)
-                Response(Status.OK).body(PeerWire.encode(RelayAnswer(201, ByteArray(0), null)).inputStream())
-            } else {
-                Response(Status.NOT_FOUND)
-            }
-        })
-        val new = HttpListener(InetSocketAddress("127.0.0.1", 0), "new", 4, PeerServer({ PeerStatus("n", false, null, true) }, { null }) { RelayAnswer(200, ByteArray(0), null) })
+        val old =
+            HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4, { r ->
+                if (r.uri.path == "/peer/status" || r.uri.path == "/peer/relay") {
+                    taken.add(r.uri.path)
+                    Response(Status.OK).body(PeerWire.encode(RelayAnswer(201, ByteArray(0), null)).inputStream())
+                } else {
+                    Response(Status.NOT_FOUND)
+                }
+            })
+        val new =
+            HttpListener(
+                InetSocketAddress("127.0.0.1", 0), "new", 4,
+                PeerServer({
+                    PeerStatus("n", false, null, true)
+                }, { null }) { RelayAnswer(200, ByteArray(0), null) },
+            )
         val members = listOf(old, new).map { Member("n", "here", InetSocketAddress("127.0.0.1", it.port)) }
         val request = RelayRequest("POST", "/api/jobs", ByteArray(0))
         assertEquals(200, PeerClient(members).relay(request, 5.seconds, PeerPaths.RELAY_CHAINED)?.status)
--- a/src/test/kotlin/glenspool/wire/WireTest.kt
+++ b/src/test/kotlin/glenspool/wire/WireTest.kt
@@ -36,7 +36,12 @@
     private fun outside(text: String): Fields = Cbor.decodeMap(cbor.writeValueAsBytes(json.readTree(text)))
 
     private fun assertSays(expected: String, message: Fields) =
-        assertEquals(json.readTree(expected).toPrettyString(), json.readTree(json.writeValueAsString(cbor.readValue(Cbor.encode(message), Map::class.java))).toPrettyString())
+        assertEquals(
+            json.readTree(expected).toPrettyString(),
+            json
+                .readTree(json.writeValueAsString(cbor.readValue(Cbor.encode(message), Map::class.java)))
+                .toPrettyString(),
+        )
 
     private val job = """{"uid":"run-000412","lot":"train","crew":"vision","weave":"gang","urgency":"urgent","threads":16,
      "cpus":8.0,"accelerators":1.0,"memory_gb":64.0,"pattern":"img-07","size_gb":6.2,
@@ -45,7 +50,20 @@
 
     @Test
     fun `a report that is encoded here is decoded as it was`() {
-        val tasks = TaskState.entries.map { ReportedTask(TaskKey("run-1", it.ordinal), 3, it, if (it == TaskState.EXITED) Exit.NO_ROOM else null, false) }
+        val tasks =
+            TaskState.entries.map {
+                ReportedTask(
+                    TaskKey("run-1", it.ordinal), 3, it,
+                    if (it ==
+                        TaskState.EXITED
+                    ) {
+                        Exit.NO_ROOM
+                    } else {
+                        null
+                    },
+                    false,
+                )
+            }
         for (notice in listOf(null, 7.5.seconds)) {
             val r = Report("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, notice, tasks)
             assertEquals(r, WorkerWire.decodeReport(Cbor.decodeMap(Cbor.encode(WorkerWire.encode(r)))))
@@ -77,12 +95,15 @@
     @Test
     fun `absurd jobs are malformed`() {
         val good = outside(job)
-        val bad = listOf(
-            "threads" to 0L, "threads" to 100_001L, "threads" to -1L, "threads" to 2.5, "threads" to BigInteger.ONE.shiftLeft(64), "threads" to null,
-            "cpus" to Double.NaN, "cpus" to -1.0, "memory_gb" to Double.POSITIVE_INFINITY, "accelerators" to "1",
-            "uid" to "", "uid" to "a/b", "uid" to "a b", "uid" to 7L, "weave" to "knit", "urgency" to null, "same_place" to 1L,
-            "frames" to "g8", "frames" to listOf(1L), "expected_s" to -1.0, "due_s" to "soon",
-        )
+        val bad =
+            listOf(
+                "threads" to 0L, "threads" to 100_001L, "threads" to -1L, "threads" to 2.5,
+                "threads" to BigInteger.ONE.shiftLeft(64), "threads" to null,
+                "cpus" to Double.NaN, "cpus" to -1.0, "memory_gb" to Double.POSITIVE_INFINITY, "accelerators" to "1",
+                "uid" to "", "uid" to "a/b", "uid" to "a b", "uid" to 7L, "weave" to "knit", "urgency" to null,
+                "same_place" to 1L,
+                "frames" to "g8", "frames" to listOf(1L), "expected_s" to -1.0, "due_s" to "soon",
+            )
         for ((k, v) in bad) assertThrows(MalformedMessage::class.java, { JobWire.decode(good + (k to v)) }, "$k=$v")
         for (k in listOf("uid", "lot", "crew", "weave", "threads", "cpus", "pattern", "loaners")) {
             assertThrows(MalformedMessage::class.java, { JobWire.decode(good - k) }, k)
@@ -92,23 +113,35 @@
     @Test
     fun `bytes that are no map are malformed, whatever they are`() {
         val whole = Cbor.encode(outside(job))
-        for (n in 0 until whole.size) assertThrows(MalformedMessage::class.java, { Cbor.decodeMap(whole.copyOf(n)) }, "cut at $n")
-        for (b in listOf(byteArrayOf(1), Cbor.encode(listOf("a")), byteArrayOf(0xff.toByte()), ByteArray(2000) { 0x81.toByte() }, whole + whole)) {
+        for (n in 0 until whole.size) {
+            assertThrows(MalformedMessage::class.java, {
+                Cbor.decodeMap(whole.copyOf(n))
+            }, "cut at $n")
+        }
+        for (b in listOf(
+            byteArrayOf(1), Cbor.encode(listOf("a")), byteArrayOf(0xff.toByte()),
+            ByteArray(2000) {
+                0x81
+                    .toByte()
+            },
+            whole + whole,
+        )) {
             assertThrows(MalformedMessage::class.java) { Cbor.decodeMap(b) }
         }
     }
 
     @Test
     fun `a report reads as in the protocol`() {
-        val r = WorkerWire.decodeReport(
-            outside(
-                """{"spindle":"i-000231","addr":"10.1.0.232:9000","frame":"g8","hall":"a","loaners":true,
+        val r =
+            WorkerWire.decodeReport(
+                outside(
+                    """{"spindle":"i-000231","addr":"10.1.0.232:9000","frame":"g8","hall":"a","loaners":true,
                  "shift":1,"stitch":88,"baton":41,"recall_s":null,
                  "threads":[{"thread":"run-000412/3","try":2,"stage":"running"},
                           {"thread":"run-000398/0","try":1,"stage":"ended","cause":"done"},
                           {"thread":"run-000398/1","try":1,"stage":"ended","cause":"stopped","stored":true}]}""",
-            ),
-        )
+                ),
+            )
         assertEquals(1L to 88L, r.session to r.seq)
         assertEquals(TaskKey("run-000412", 3), r.tasks[0].key)
         assertEquals(TaskState.RUNNING, r.tasks[0].state)
@@ -118,11 +151,12 @@
 
     @Test
     fun `orders write as in the protocol`() {
-        val commands = listOf(
-            StartTask(TaskKey("run-000412", 4), 2, StartCause.PLACED),
-            StopTask(TaskKey("run-000377", 1), 1, 10.seconds, StopCause.PREEMPTED),
-            ForgetTask(TaskKey("run-000398", 0), 1, ForgetCause.RECORDED),
-        )
+        val commands =
+            listOf(
+                StartTask(TaskKey("run-000412", 4), 2, StartCause.PLACED),
+                StopTask(TaskKey("run-000377", 1), 1, 10.seconds, StopCause.PREEMPTED),
+                ForgetTask(TaskKey("run-000398", 0), 1, ForgetCause.RECORDED),
+            )
         val orders = """[{"verb":"run","thread":"run-000412/4","try":2},{"verb":"stop","thread":"run-000377/1","try":1,"wind_down_s":10.0},
             {"verb":"clear","thread":"run-000398/0","try":1}]"""
         assertSays("""{"baton":41,"orders":$orders}""", WorkerWire.answer(41, commands))
@@ -136,8 +170,14 @@
             """{"guards":[{"key":"a/b","mark":0}],"apply":[{"set":"a/b","data":{"x":1},"tenure":7},{"remove":"c/d"}]}""",
             StateWire.transaction(mapOf("a/b" to 0L), listOf(Triple("a/b", mapOf("x" to 1L), 7L)), listOf("c/d")),
         )
-        assertSays("""{"guards":[{"key":"a","mark":3}]}""", StateWire.transaction(mapOf("a" to 3L), emptyList(), emptyList()))
-        val changes = StateWire.changes(outside("""{"ledger":433,"log":[{"set":"c/9","data":{},"mark":433},{"remove":"c/d","mark":432}]}"""))
+        assertSays(
+            """{"guards":[{"key":"a","mark":3}]}""",
+            StateWire
+                .transaction(mapOf("a" to 3L), emptyList(), emptyList()),
+        )
+        val changes =
+            StateWire
+                .changes(outside("""{"ledger":433,"log":[{"set":"c/9","data":{},"mark":433},{"remove":"c/d","mark":432}]}"""))
         assertEquals(listOf("c/9", "c/d"), changes.map { it.key })
         assertNull(changes[1].value)
     }
@@ -150,11 +190,13 @@
 
     @Test
     fun `a stored record comes back as it was`() {
-        val done = BitSet().apply {
-            set(0)
-            set(15)
-        }
-        val r = JobRecord(JobWire.decode(outside(job)), 1234.seconds, 9, done, listOf(Intent(1, 8, "i-1"), Intent(2, 9, "i-1"), Intent(3, 9, "i-2")))
+        val done =
+            BitSet().apply {
+                set(0)
+                set(15)
+            }
+        val r =
+            JobRecord(JobWire.decode(outside(job)), 1234.seconds, 9, done, listOf(Intent(1, 8, "i-1"), Intent(2, 9, "i-1"), Intent(3, 9, "i-2")))
         assertEquals(r, StoredJob(StateStandIn()).read(r.spec.id, Cbor.decodeMap(Cbor.encode(RecordWire.encode(r)))))
     }
 }
