--- a/src/main/kotlin/glenspool/api/Ends.kt
+++ b/src/main/kotlin/glenspool/api/FinalStates.kt
@@ -1,19 +1,19 @@
 package glenspool.api
 
 import com.google.common.cache.CacheBuilder
-import glenspool.core.model.JobEnd
+import glenspool.core.model.FinalState
 import glenspool.state.Keys
-import glenspool.state.StateResult
+import glenspool.state.StoreResult
 import glenspool.wire.Fields
 import glenspool.wire.FinalWire
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 
 /** The final states of jobs. They never change, so what was read once is remembered. */
-class Ends(private val get: (String) -> StateResult<StateWire.Item>) {
+class FinalStates(private val get: (String) -> StoreResult<StoreWire.Item>) {
     sealed interface Look
 
     data class Ended(val value: Fields) : Look {
-        val end: JobEnd get() = FinalWire.end(value)
+        val end: FinalState get() = FinalWire.end(value)
     }
 
     data object None : Look
@@ -28,8 +28,8 @@
     fun read(id: String): Look {
         known(id)?.let { return Ended(it) }
         return when (val r = get(Keys.final(id))) {
-            is StateResult.Ok -> Ended(r.value.value.also { remembered.put(id, it) })
-            is StateResult.Missing -> None
+            is StoreResult.Ok -> Ended(r.value.value.also { remembered.put(id, it) })
+            is StoreResult.Missing -> None
             else -> Unreachable
         }
     }
--- a/src/main/kotlin/glenspool/api/LeaseKeeper.kt
+++ b/src/main/kotlin/glenspool/api/LeaseKeeper.kt
@@ -18,7 +18,7 @@
     private val elapsed: () -> Duration,
 ) {
     /** Made when the first worker is let go: loading the cache's classes would delay the start. */
-    private val letGo by lazy {
+    private val released by lazy {
         CacheBuilder
             .newBuilder()
             .ticker(
@@ -43,22 +43,22 @@
      * [complete]: up to which moment this node knows every confirmed cancellation, null if it can't say (see
      * `Cancellations`). [isolated]: it has lost the state service and every other node.
      */
-    fun keeps(machine: String, complete: Duration?, isolated: Boolean): Boolean =
+    fun renewsLease(machine: String, complete: Duration?, isolated: Boolean): Boolean =
         when {
             // It has read nothing yet, and nobody who has could be asked. The worker's lease has not ended, so a node
             // that knew what was cancelled by then has answered it within a lease, and only newer ones may be left to
             // be carried out.
-            complete == null && elapsed() >= workers.cancel - workers.lease * 2 - UNKNOWN_MARGIN -> false
+            complete == null && elapsed() >= workers.cancellationDeadline - workers.lease * 2 - UNKNOWN_MARGIN -> false
             complete == null -> true
             // A lease kept now may last for all its time, and a task cancelled just after that moment has to be gone by
             // then.
-            elapsed() >= complete + workers.cancel * (1 - DRIFT) - workers.lease - MARGIN -> false
+            elapsed() >= complete + workers.cancellationDeadline * (1 - DRIFT) - workers.lease - MARGIN -> false
             // One that comes from elsewhere has just found nobody there, and much of its lease has run out on the way.
-            isolated && mayLetGo() && isServed(machine) -> letGo.asMap().putIfAbsent(machine, true) != null
+            isolated && mayRelease() && isServed(machine) -> released.asMap().putIfAbsent(machine, true) != null
             else -> true
         }
 
-    private fun isServed(machine: String) = served[machine].let { it != null && elapsed() - it <= workers.report * 2 }
+    private fun isServed(machine: String) = served[machine].let { it != null && elapsed() - it <= workers.heartbeatInterval * 2 }
 
     private var redirected = 0
 
@@ -72,7 +72,7 @@
      * by and by and keeps their leases meanwhile.
      */
     @Synchronized
-    fun sendsOn(machine: String): Boolean {
+    fun mayRedirect(machine: String): Boolean {
         val now = elapsed()
         if (now > workers.lease) {
             seen.clear()
@@ -91,8 +91,7 @@
      * once in a lease; one that comes back found nobody else and is kept, so that its tasks live on. Only if the lease
      * outlasts a vain round of the other nodes, each of which may time out.
      */
-    private fun mayLetGo(): Boolean =
-        workers.lease >= (WORKER_TIMEOUT + 1.seconds) * otherNodes + 1.seconds + workers.report * 1.25
+    private fun mayRelease(): Boolean = workers.lease >= (WORKER_TIMEOUT + 1.seconds) * otherNodes + 1.seconds + workers.heartbeatInterval * 1.25
 
     private companion object {
         const val MAX_WORKERS = 20_000L
--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -16,12 +16,12 @@
 import glenspool.peer.RelayRequest
 import glenspool.rollout.FeaturePermits
 import glenspool.rollout.FeatureRegistry
+import glenspool.state.JobRecordReader
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
-import glenspool.state.StateResult
-import glenspool.state.StoredJob
+import glenspool.state.StoreCache
+import glenspool.state.StoreResult
 import glenspool.state.conditions
 import glenspool.wire.Cbor
 import glenspool.wire.Fields
@@ -49,8 +49,8 @@
  */
 class UserApi(
     private val settings: Settings,
-    private val state: StateClient,
-    private val replica: Replica,
+    private val store: KeyValueStoreClient,
+    private val cache: StoreCache,
     private val peers: PeerClient,
     private val isolated: () -> Boolean,
     private val features: FeaturePermits,
@@ -63,10 +63,10 @@
 ) : HttpHandler {
     private val teams = settings.teams.associateBy { it.name }
 
-    private val limits = settings.stateLimits.safe
-    private val stored = StoredJob(replica)
-    private val ends = Ends(state::get)
-    private val awaited = Awaited(replica, stored, ends)
+    private val limits = settings.storeLimits.safe
+    private val stored = JobRecordReader(cache)
+    private val finalStates = FinalStates(store::get)
+    private val dependencyResolver = DependencyResolver(cache, stored, finalStates)
 
     override fun invoke(request: Request): Response {
         val path = request.uri.path
@@ -75,7 +75,7 @@
         // Neither the state service nor a peer can be asked: the user is sent elsewhere at once, by a new connection.
         if (isolated()) return tryLater().header("Connection", "close")
         // Out of the state service's reach, a peer answers sooner than another attempt would time out.
-        if (state.failing) relayed(request.method, path, body)?.let { return it }
+        if (store.failing) relayed(request.method, path, body)?.let { return it }
         return serve(request.method, path, body) ?: relayed(request.method, path, body) ?: tryLater()
     }
 
@@ -83,7 +83,7 @@
         val by =
             if (method == Method.POST &&
                 path == JOBS &&
-                namesOthers(body)
+                hasDependencies(body)
             ) {
                 PeerPaths.RELAY_CHAINED
             } else {
@@ -98,9 +98,9 @@
     }
 
     /** Whether the submission waits for others. What can't be read says so wherever it is answered. */
-    private fun namesOthers(body: ByteArray): Boolean =
+    private fun hasDependencies(body: ByteArray): Boolean =
         try {
-            JobWire.namesOthers(Cbor.decodeMap(body))
+            JobWire.hasDependencies(Cbor.decodeMap(body))
         } catch (e: MalformedMessage) {
             log.debug("a submission is not readable: {}", e.toString())
             false
@@ -155,37 +155,36 @@
 
     /** The job's state at some moment after this call began. */
     private fun look(id: String): Found {
-        ends.known(id)?.let { return Found.Ended(FinalWire.answer(id, it)) }
-        if (!replica.sync(SYNC_TIMEOUT)) return Found.Unreachable
+        finalStates.known(id)?.let { return Found.Ended(FinalWire.answer(id, it)) }
+        if (!cache.sync(SYNC_TIMEOUT)) return Found.Unreachable
         // Read one by one, a cancelled job that is just being closed could look live and not cancelled.
         val (record, cancelled) =
-            replica.atOnce {
-                replica.get(Keys.job(id))?.let { stored.read(id, it.value) } to
-                    (replica.get(Keys.cancel(id)) != null)
+            cache.atomically {
+                cache.get(Keys.job(id))?.let { stored.read(id, it.value) } to
+                    (cache.get(Keys.cancel(id)) != null)
             }
         if (record != null) return if (cancelled) confirmed(id) else live(id, record)
         // Not live at a moment after the request came. A record moves from live to final in one transaction and
         // never back, so what isn't final now was not accepted at that moment.
-        return when (val e = ends.read(id)) {
-            is Ends.Ended -> Found.Ended(FinalWire.answer(id, e.value))
-            Ends.None -> Found.None
-            Ends.Unreachable -> Found.Unreachable
+        return when (val e = finalStates.read(id)) {
+            is FinalStates.Ended -> Found.Ended(FinalWire.answer(id, e.value))
+            FinalStates.None -> Found.None
+            FinalStates.Unreachable -> Found.Unreachable
         }
     }
 
-    private fun confirmed(id: String): Found =
-        if (confirm(id)) Found.Ended(JobWire.status(id, Stage.CANCELLED)) else Found.Unconfirmed
+    private fun confirmed(id: String): Found = if (confirm(id)) Found.Ended(JobWire.status(id, Stage.CANCELLED)) else Found.Unconfirmed
 
     /**
      * What waits for a job that was cancelled counts as cancelled from that moment, whether anybody has stored that yet
      * or not.
      */
     private fun live(id: String, record: JobRecord): Found {
-        if (record.needs.isEmpty()) return Found.Live(record, emptyList())
-        return when (val v = awaited.judge(record.needs)) {
-            is Awaited.Waits -> Found.Live(record, v.open)
-            is Awaited.Cut -> Found.Ended(JobWire.status(id, Stage.CANCELLED, cutBy = v.by))
-            Awaited.CantTell -> Found.Unreachable
+        if (record.dependencies.isEmpty()) return Found.Live(record, emptyList())
+        return when (val v = dependencyResolver.judge(record.dependencies)) {
+            is DependencyResolver.Waits -> Found.Live(record, v.open)
+            is DependencyResolver.Aborted -> Found.Ended(JobWire.status(id, Stage.CANCELLED, abortedBy = v.by))
+            DependencyResolver.Undetermined -> Found.Unreachable
         }
     }
 
@@ -200,7 +199,7 @@
 
     private fun liveBody(f: Found.Live): Fields {
         val r = f.record
-        val running = r.intents.size + r.shelved.values.sumOf { it.size }
+        val running = r.placements.size + r.placementParts.values.sumOf { it.size }
         return JobWire.status(
             r.spec.id,
             if (running ==
@@ -218,25 +217,25 @@
     private class Fault(val status: Status, val text: String)
 
     private fun submit(body: ByteArray): Response? {
-        val (spec, needs) =
+        val (spec, dependencies) =
             try {
-                Cbor.decodeMap(body).let { JobWire.decode(it) to JobWire.decodeNeeds(it) }
+                Cbor.decodeMap(body).let { JobWire.decode(it) to JobWire.decodeDependencies(it) }
             } catch (e: MalformedMessage) {
                 return error(Status.BAD_REQUEST, e.message ?: "malformed")
             }
-        val record = JobRecord(spec, wallClock(), 0, BitSet(), emptyList(), needs)
+        val record = JobRecord(spec, wallClock(), 0, BitSet(), emptyList(), dependencies)
         val fault = tooLong(record) ?: never(spec)
         if (fault != null) return refuse(spec.id, fault)
-        if (needs.isEmpty()) return store(record, null)
+        if (dependencies.isEmpty()) return store(record, null)
         // A job that waits is stored in a form that not every controller may read yet.
         if (features.permit(FeatureRegistry.SEALED_RECORDS) == null) return refuse(spec.id, UNDECIDED)
-        if (!replica.sync(SYNC_TIMEOUT)) return null
-        return when (val v = awaited.nameable(spec.id, needs)) {
-            is Awaited.Nameable -> store(record, v.cutBy)
+        if (!cache.sync(SYNC_TIMEOUT)) return null
+        return when (val v = dependencyResolver.validate(spec.id, dependencies)) {
+            is DependencyResolver.ValidDependencies -> store(record, v.abortedBy)
             // It was found so at a moment after the request came; a job that is known already is answered as known all
             // the same.
-            is Awaited.Wrong -> refuse(spec.id, Fault(Status.UNPROCESSABLE_ENTITY, v.why))
-            Awaited.Undecided -> null
+            is DependencyResolver.InvalidDependencies -> refuse(spec.id, Fault(Status.UNPROCESSABLE_ENTITY, v.why))
+            DependencyResolver.Undecided -> null
         }
     }
 
@@ -248,25 +247,25 @@
         }
 
     /**
-     * Accepts the job. [cutBy]: a cancelled job that it names; it is accepted all the same, and its user told how it
-     * stands. A record that is too long for one value has its description stored in pieces before: the record itself
+     * Accepts the job. [abortedBy]: a cancelled job that it names; it is accepted all the same, and its user told how
+     * it stands. A record that is too long for one value has its description stored in pieces before: the record itself
      * counts, and is conditioned on the pieces that it was made with.
      */
-    private fun store(record: JobRecord, cutBy: String?): Response? {
+    private fun store(record: JobRecord, abortedBy: String?): Response? {
         val patience = Patience()
         val limit =
-            if (record.needs.isEmpty() &&
+            if (record.dependencies.isEmpty() &&
                 !features.inUse(FeatureRegistry.SEALED_RECORDS)
             ) {
-                settings.stateLimits.now.valueBytes
+                settings.storeLimits.now.valueBytes
             } else {
                 limits.valueBytes
             }
-        var inPieces = Cbor.jsonBytes(RecordWire.encode(record)) > limit
+        var inParts = Cbor.jsonBytes(RecordWire.encode(record)) > limit
         while (true) {
-            when (val attempt = tryStore(record, cutBy, inPieces, patience)) {
+            when (val attempt = tryStore(record, abortedBy, inParts, patience)) {
                 is Attempt.Answered -> return attempt.response
-                Attempt.TooLarge -> inPieces = true
+                Attempt.TooLarge -> inParts = true
                 Attempt.Again -> Unit
             }
         }
@@ -283,47 +282,46 @@
         data object Again : Attempt
     }
 
-    private fun tryStore(record: JobRecord, cutBy: String?, inPieces: Boolean, patience: Patience): Attempt {
+    private fun tryStore(record: JobRecord, abortedBy: String?, inParts: Boolean, patience: Patience): Attempt {
         val id = record.spec.id
         // Both keys must be absent: a retry, at any node and however late, then changes nothing.
         val conditions = linkedMapOf(Keys.job(id) to 0L, Keys.final(id) to 0L)
-        if (inPieces || record.needs.isNotEmpty()) {
+        if (inParts || record.dependencies.isNotEmpty()) {
             val permit =
                 features.permit(FeatureRegistry.SEALED_RECORDS) ?: return Attempt.Answered(refuse(id, UNDECIDED))
             conditions.putAll(permit.conditions())
         }
         var whole = record
-        if (inPieces) {
-            val stored = storePieces(record, patience) ?: return Attempt.Answered(null)
+        if (inParts) {
+            val stored = storeDescriptionParts(record, patience) ?: return Attempt.Answered(null)
             if (stored.response != null) return Attempt.Answered(stored.response)
             conditions.putAll(stored.versions)
-            whole = record.copy(pieces = stored.versions.size)
+            whole = record.copy(descriptionParts = stored.versions.size)
         }
-        return when (val result = state.transact(conditions, listOf(Put(Keys.job(id), RecordWire.encode(whole))))) {
-            is StateResult.Ok -> Attempt.Answered(accepted(id, cutBy))
-            is StateResult.Conflict -> Attempt.Answered(conflicting(id, result.keys))
-            is StateResult.Refused -> refused(result.status, inPieces, patience)
+        return when (val result = store.transact(conditions, listOf(Put(Keys.job(id), RecordWire.encode(whole))))) {
+            is StoreResult.Ok -> Attempt.Answered(accepted(id, abortedBy))
+            is StoreResult.Conflict -> Attempt.Answered(conflicting(id, result.keys))
+            is StoreResult.Refused -> refused(result.status, inParts, patience)
             // It may have been stored: only a read tells.
-            is StateResult.Unknown, StateResult.Missing -> Attempt.Answered(perhapsStored(id))
+            is StoreResult.Unknown, StoreResult.Missing -> Attempt.Answered(perhapsStored(id))
         }
     }
 
-    private fun accepted(id: String, cutBy: String?): Response =
-        cbor(Status.CREATED, JobWire.status(id, if (cutBy == null) Stage.QUEUED else Stage.CANCELLED, cutBy = cutBy))
+    private fun accepted(id: String, abortedBy: String?): Response = cbor(Status.CREATED, JobWire.status(id, if (abortedBy == null) Stage.QUEUED else Stage.CANCELLED, abortedBy = abortedBy))
 
     private fun conflicting(id: String, keys: List<String>): Response? =
         when {
-            keys.any { it.startsWith(Keys.PIECE) } -> tryLater()
+            keys.any { it.startsWith(Keys.DESCRIPTION_PART) } -> tryLater()
             // The level was left, or this node has not heard yet that it is active.
             Keys.LEVEL in keys -> refuse(id, UNDECIDED)
             else -> answer(look(id), id)
         }
 
-    private fun refused(status: Int, inPieces: Boolean, patience: Patience): Attempt =
+    private fun refused(status: Int, inParts: Boolean, patience: Patience): Attempt =
         when (status) {
             // Pieces are made once: if they don't fit either, nothing will.
             Status.BAD_REQUEST.code ->
-                if (inPieces) {
+                if (inParts) {
                     Attempt
                         .Answered(error(Status.BAD_REQUEST, "the job's description is too long"))
                 } else {
@@ -339,24 +337,24 @@
             Found.None, Found.Unreachable, Found.Unconfirmed -> tryLater()
         }
 
-    private class Pieces(val versions: Map<String, Long>, val response: Response?)
+    private class StoredParts(val versions: Map<String, Long>, val response: Response?)
 
     /** Null: this node can't reach the state service. */
-    private fun storePieces(record: JobRecord, patience: Patience): Pieces? {
+    private fun storeDescriptionParts(record: JobRecord, patience: Patience): StoredParts? {
         val id = record.spec.id
         val versions = LinkedHashMap<String, Long>()
-        for (puts in StoredJob.pieces(record, limits.valueBytes).chunked(limits.txnOps)) {
+        for (puts in JobRecordReader.descriptionParts(record, limits.valueBytes).chunked(limits.txnOps)) {
             while (true) {
                 // A late copy of this must not change the pieces of a job that was accepted since.
                 val permit =
-                    features.permit(FeatureRegistry.SEALED_RECORDS) ?: return Pieces(versions, refuse(id, UNDECIDED))
-                val r = state.transact(permit.conditions() + mapOf(Keys.job(id) to 0L, Keys.final(id) to 0L), puts)
-                if (r is StateResult.Ok) {
+                    features.permit(FeatureRegistry.SEALED_RECORDS) ?: return StoredParts(versions, refuse(id, UNDECIDED))
+                val r = store.transact(permit.conditions() + mapOf(Keys.job(id) to 0L, Keys.final(id) to 0L), puts)
+                if (r is StoreResult.Ok) {
                     puts.forEach { versions[it.key] = r.value }
                     break
                 }
-                if (r is StateResult.Conflict) {
-                    return Pieces(
+                if (r is StoreResult.Conflict) {
+                    return StoredParts(
                         versions,
                         if (Keys.LEVEL in
                             r.keys
@@ -367,11 +365,11 @@
                         },
                     )
                 }
-                if (r !is StateResult.Refused || r.status != 429) return null
-                patience.wait()?.let { return Pieces(versions, it) }
+                if (r !is StoreResult.Refused || r.status != 429) return null
+                patience.wait()?.let { return StoredParts(versions, it) }
             }
         }
-        return Pieces(versions, null)
+        return StoredParts(versions, null)
     }
 
     /** A few tries against the state service's rate; then the user is told at once when to come back. */
@@ -390,11 +388,11 @@
      */
     private fun tooLong(r: JobRecord): Fault? {
         if (r.spec.recordBytes >
-            settings.stateLimits.now.valueBytes / 2
+            settings.storeLimits.now.valueBytes / 2
         ) {
             return Fault(Status.BAD_REQUEST, "the job's description is too long")
         }
-        if (r.needs.size * BYTES_PER_NEED <= limits.valueBytes / 2) return null
+        if (r.dependencies.size * BYTES_PER_DEPENDENCY <= limits.valueBytes / 2) return null
         val guards =
             features
                 .permit(FeatureRegistry.SEALED_RECORDS)
@@ -402,7 +400,7 @@
                 .orEmpty()
                 .size
         val most = limits.txnOps * CONDITIONS_PER_OP - 2 - guards
-        return if (RecordWire.encodePieces(r, limits.valueBytes).size >
+        return if (RecordWire.encodeDescriptionParts(r, limits.valueBytes).size >
             most
         ) {
             Fault(Status.BAD_REQUEST, "awaits: more jobs are named than can be kept")
@@ -417,12 +415,12 @@
         val team = teams[spec.team] ?: return fault("unknown team ${spec.team}")
         val n = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         if (team.cpusMax != null &&
-            spec.need.cpus * n > team.cpusMax + EPS
+            spec.resourceRequest.cpus * n > team.cpusMax + EPS
         ) {
             return fault("more CPUs than the team's limit")
         }
         if (team.gpusMax != null &&
-            spec.need.gpus * n > team.gpusMax + EPS
+            spec.resourceRequest.gpus * n > team.gpusMax + EPS
         ) {
             return fault("more GPUs than the team's limit")
         }
@@ -430,7 +428,7 @@
         val fits =
             known.any { t ->
                 (spec.types == null || t.name in spec.types) &&
-                    spec.need.fits(t.room) &&
+                    spec.resourceRequest.fits(t.capacity) &&
                     (spec.zone == null || spec.zone in t.zones || spec.zone in settings.zones)
             }
         return if (fits) null else fault("no allowed machine type is large enough")
@@ -446,14 +444,14 @@
         while (true) {
             // The final key's absence means that the job is still live; done and cancelled exclude each other.
             val r =
-                state.transact(
+                store.transact(
                     mapOf(Keys.cancel(id) to 0L, Keys.final(id) to 0L),
                     listOf(Put(Keys.cancel(id), mapOf("at" to wallClock().inWholeMilliseconds))),
                 )
             when (r) {
                 // Read back, so that this node knows all places that were stored before it: from now on none is.
-                is StateResult.Ok -> return answer(look(id), id) ?: tryLater()
-                is StateResult.Refused -> {
+                is StoreResult.Ok -> return answer(look(id), id) ?: tryLater()
+                is StoreResult.Refused -> {
                     if (r.status != 429) return null
                     patience.wait()?.let { return it }
                 }
@@ -479,7 +477,7 @@
         private val WRITE_PATIENCE = 300.milliseconds
 
         /** An id as it is usual, with its marks. */
-        private const val BYTES_PER_NEED = 13
+        private const val BYTES_PER_DEPENDENCY = 13
 
         /** So many conditions go into a transaction for each change that its limit allows. */
         private const val CONDITIONS_PER_OP = 4
--- a/src/main/kotlin/glenspool/cli/Rehearsal.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -4,12 +4,12 @@
 import glenspool.config.SettingsReader
 import glenspool.controller.RecoveryReplies
 import glenspool.controller.schedulerConfig
-import glenspool.core.Rehearsing
 import glenspool.core.Tuning
+import glenspool.core.WarmUpFleet
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
 import glenspool.http.cbor
-import glenspool.peer.CancelMessage
+import glenspool.peer.CancellationMessage
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerPaths
 import glenspool.peer.PeerWire
@@ -39,7 +39,7 @@
  * Runs a controller for a moment against canned answers on loopback, so that the build can archive the classes
  * which a real one loads. Start-up time is down time, and most of it is loading classes on a slow processor.
  */
-object Rehearsal {
+object ClassLoadingRun {
     private const val SOCKETS = 1000
     private const val RECOVERY_TURNS = 40
 
@@ -81,7 +81,7 @@
                 val itself = PeerClient(listOf(member))
                 itself.statuses()
                 itself
-                    .exchange(member, CancelMessage("itself", "0", 0, listOf(CancelMessage.Entry("run-000001", 0, 0)), 0, 1, true, 0, 0, "0", 0))
+                    .exchange(member, CancellationMessage("itself", "0", 0, listOf(CancellationMessage.Entry("run-000001", 0, 0)), 0, 1, true, 0, 0, "0", 0))
                 itself.relay(RelayRequest("GET", "/api/jobs/run-000001", ByteArray(0)), 2.seconds)
             }
             managed(file, freePort(), freePort(), outside.port)
@@ -117,9 +117,9 @@
     private fun recovered(file: File) {
         val settings = SettingsReader().read(file)
         val config = schedulerConfig(settings, Tuning())
-        val setting = RecoverySetting(settings.workers.lease, settings.workers.report, settings.cloudLimits.listLag)
+        val setting = RecoverySetting(settings.workers.lease, settings.workers.heartbeatInterval, settings.cloudLimits.listLag)
         val engine = RecoveryEngine(RecoveryPolicy(), setting, 2, Duration.ZERO, StartKind.COLD)
-        val fleet = Rehearsing(config, engine.hooks)
+        val fleet = WarmUpFleet(config, engine.hooks)
         repeat(RECOVERY_TURNS) {
             fleet.turn()
             engine.tick(fleet.now).forEach { it.toString() }
@@ -137,14 +137,14 @@
             http.get(addr, "/ready", 2.seconds)
             http.get(addr, "/api/jobs/run-000001", 2.seconds)
             http.get(addr, "/api/jobs/run-000002", 2.seconds)
-            http.post(addr, "/checkin", report(n, worker), 2.seconds)
+            http.post(addr, "/checkin", heartbeat(n, worker), 2.seconds)
             Thread.sleep(300)
         }
         http.post(addr, "/api/jobs/run-000001/withdraw", emptyMap(), 2.seconds)
         http.call("POST", addr, "/api/jobs", byteArrayOf(1), 2.seconds)
     }
 
-    private fun report(n: Long, addr: String): Map<String, Any?> =
+    private fun heartbeat(n: Long, addr: String): Map<String, Any?> =
         mapOf(
             "spindle" to "i-1", "addr" to addr, "frame" to "any", "hall" to "here", "loaners" to false, "shift" to 1L,
             "stitch" to n,
@@ -177,7 +177,7 @@
                 path == "/follow" -> mapOf("ledger" to ledger.get(), "log" to changes())
                 path == "/store" -> mapOf("rows" to emptyList<Any>(), "has_next" to false, "ledger" to 0)
                 path.startsWith("/store/") -> return cbor(Status.NOT_FOUND, mapOf("ledger" to ledger.get()))
-                path == "/do" || path == "/show" -> report(ledger.get() + 100, "127.0.0.1:9")
+                path == "/do" || path == "/show" -> heartbeat(ledger.get() + 100, "127.0.0.1:9")
                 else -> emptyMap()
             }
         if (r.method == Method.POST) Cbor.decodeMap(r.body.stream.readAllBytes())
--- a/src/main/kotlin/glenspool/cli/Main.kt
+++ b/src/main/kotlin/glenspool/cli/Main.kt
@@ -76,7 +76,7 @@
         "job" -> return JobCommand.run(args.drop(1))
         "check-config" -> return checkConfig(args.drop(1))
         "explain" -> return Explain.run(args.drop(1))
-        "rehearse" -> return Rehearsal.run()
+        "rehearse" -> return ClassLoadingRun.run()
         else -> throw UsageError("unknown command '${args.first()}'")
     }
     return 0
--- a/src/main/kotlin/glenspool/cloud/CloudClient.kt
+++ b/src/main/kotlin/glenspool/cloud/CloudClient.kt
@@ -1,7 +1,7 @@
 package glenspool.cloud
 
 import com.google.common.util.concurrent.RateLimiter
-import glenspool.core.Rent
+import glenspool.core.ScaleOut
 import glenspool.core.model.ListedMachine
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
@@ -11,12 +11,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How a rental request ended. */
-sealed interface RentOutcome {
-    data class Rented(val machines: List<String>) : RentOutcome
+sealed interface ScaleOutOutcome {
+    data class Rented(val machines: List<String>) : ScaleOutOutcome
 
-    data object Refused : RentOutcome
+    data object Refused : ScaleOutOutcome
 
-    data object Unknown : RentOutcome
+    data object Unknown : ScaleOutOutcome
 }
 
 /** The cloud's requests, within its rate. */
@@ -41,7 +41,7 @@
         }
     }
 
-    fun rent(r: Rent): RentOutcome {
+    fun rent(r: ScaleOut): ScaleOutOutcome {
         rate.acquire()
         return when (
             val a =
@@ -50,12 +50,12 @@
         ) {
             is CallResult.Answer ->
                 when (a.status) {
-                    200 -> RentOutcome.Rented(CloudWire.names(a.body))
-                    400 -> RentOutcome.Refused
-                    503 -> if (a.body["error"] == "no capacity") RentOutcome.Refused else RentOutcome.Unknown
-                    else -> RentOutcome.Unknown
+                    200 -> ScaleOutOutcome.Rented(CloudWire.names(a.body))
+                    400 -> ScaleOutOutcome.Refused
+                    503 -> if (a.body["error"] == "no capacity") ScaleOutOutcome.Refused else ScaleOutOutcome.Unknown
+                    else -> ScaleOutOutcome.Unknown
                 }
-            else -> RentOutcome.Unknown
+            else -> ScaleOutOutcome.Unknown
         }
     }
 
--- a/src/main/kotlin/glenspool/config/OperatorScript.kt
+++ b/src/main/kotlin/glenspool/config/OperatorScript.kt
@@ -26,7 +26,7 @@
  * without other code and within a bound of instructions; a script at fault refuses the start as a whole.
  */
 class OperatorScript(private val settings: Settings) {
-    private class Knob(
+    private class TuningParameter(
         val name: String,
         val range: ClosedFloatingPointRange<Double>,
         val get: (Tuning) -> Double,
@@ -82,7 +82,7 @@
     private fun deployment() =
         LuaTable().apply {
             set("zones", settings.zones.size)
-            set("report_s", settings.workers.report.toDouble(DurationUnit.SECONDS))
+            set("report_s", settings.workers.heartbeatInterval.toDouble(DurationUnit.SECONDS))
             set("lease_s", settings.workers.lease.toDouble(DurationUnit.SECONDS))
             set("teams", settings.teams.size)
         }
@@ -125,18 +125,18 @@
             range: ClosedFloatingPointRange<Double>,
             get: (Tuning) -> Duration,
             set: (Tuning, Duration) -> Tuning,
-        ) = Knob(name, range, { get(it).toDouble(DurationUnit.SECONDS) }, { t, d -> set(t, d.seconds) })
+        ) = TuningParameter(name, range, { get(it).toDouble(DurationUnit.SECONDS) }, { t, d -> set(t, d.seconds) })
 
         private val knobs =
             listOf(
-                Knob("resource_factor", 0.01..100.0, { it.resourceFactor }, { t, d -> t.copy(resourceFactor = d) }),
+                TuningParameter("resource_factor", 0.01..100.0, { it.resourceFactor }, { t, d -> t.copy(resourceFactor = d) }),
                 span("round_period_s", 0.1..60.0, { it.roundPeriod }, { t, d -> t.copy(roundPeriod = d) }),
                 span("gang_wait_bound_s", 0.0..3600.0, { it.gangWaitBound }, { t, d -> t.copy(gangWaitBound = d) }),
                 span("wait_bound_s", 1.0..3600.0, { it.waitBound }, { t, d -> t.copy(waitBound = d) }),
                 span("idle_return_s", 0.0..3600.0, { it.idleReturn }, { t, d -> t.copy(idleReturn = d) }),
-                Knob("silence_share", 0.1..0.9, { it.silenceShare }, { t, d -> t.copy(silenceShare = d) }),
-                Knob("headroom", 0.0..10.0, { it.headroom }, { t, d -> t.copy(headroom = d) }),
-                Knob("boot_patience", 1.0..20.0, { it.bootPatience }, { t, d -> t.copy(bootPatience = d) }),
+                TuningParameter("silence_share", 0.1..0.9, { it.silenceShare }, { t, d -> t.copy(silenceShare = d) }),
+                TuningParameter("headroom", 0.0..10.0, { it.headroom }, { t, d -> t.copy(headroom = d) }),
+                TuningParameter("boot_patience", 1.0..20.0, { it.bootPatience }, { t, d -> t.copy(bootPatience = d) }),
                 span("refusal_pause_s", 1.0..600.0, { it.refusalPause }, { t, d -> t.copy(refusalPause = d) }),
             )
     }
--- a/src/main/kotlin/glenspool/config/PolicyTable.kt
+++ b/src/main/kotlin/glenspool/config/PolicyTable.kt
@@ -48,8 +48,7 @@
     }
 
     /** A time in seconds. */
-    fun span(name: String, default: Duration, min: Double = 0.0): Duration =
-        number(name, default.toDouble(DurationUnit.SECONDS), min).seconds
+    fun span(name: String, default: Duration, min: Double = 0.0): Duration = number(name, default.toDouble(DurationUnit.SECONDS), min).seconds
 
     fun number(name: String, default: Double, min: Double, max: Double = Double.MAX_VALUE): Double {
         val value = node.path(name)
--- a/src/main/kotlin/glenspool/config/Settings.kt
+++ b/src/main/kotlin/glenspool/config/Settings.kt
@@ -14,26 +14,25 @@
 
 /** The times that workers keep to, see PROTOCOL. */
 data class WorkerSettings(
-    val report: Duration,
+    val heartbeatInterval: Duration,
     val lease: Duration,
     val gangWait: Duration,
     val gangPeer: Duration,
-    val cancel: Duration,
+    val cancellationDeadline: Duration,
 )
 
 /** What the state service takes: requests and changes a second, bytes of a value, changes of a transaction. */
-data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int) {
+data class StoreLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int) {
     /** What holds under both. */
-    fun with(o: StateLimits) =
-        StateLimits(minOf(rps, o.rps), minOf(writeRps, o.writeRps), minOf(valueBytes, o.valueBytes), minOf(txnOps, o.txnOps))
+    fun with(o: StoreLimits) = StoreLimits(minOf(rps, o.rps), minOf(writeRps, o.writeRps), minOf(valueBytes, o.valueBytes), minOf(txnOps, o.txnOps))
 }
 
 /**
  * The state service's limits: [now], and what they may be from some moment on, without notice, as far as that is known.
  */
-data class StateSettings(val now: StateLimits, val next: StateLimits?) {
+data class StoreSettings(val now: StoreLimits, val next: StoreLimits?) {
     /** Whatever is sent keeps to both, since nobody says when the time has come. */
-    val safe: StateLimits = next?.let { now.with(it) } ?: now
+    val safe: StoreLimits = next?.let { now.with(it) } ?: now
 }
 
 /** What the cloud takes, and how old its list may be. */
@@ -53,7 +52,7 @@
     val teams: List<Team>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
-    val stateLimits: StateSettings,
+    val storeLimits: StoreSettings,
     val cloudLimits: CloudSettings,
     val maxSockets: Int,
 )
@@ -120,22 +119,22 @@
                     seconds(w, "gang_peer_s", "$s.workers."),
                     seconds(w, "cancel_s", "$s.workers."),
                 ),
-            stateLimits = stateSettings(st, "$s.state."),
+            storeLimits = storeSettings(st, "$s.state."),
             cloudLimits = CloudSettings(number(cl, "rps", "$s.cloud."), seconds(cl, "list_lag_s", "$s.cloud.")),
             maxSockets = params.path("quota").path("fd_limit").asInt(1024),
         )
     }
 
-    private fun stateSettings(st: JsonNode, path: String): StateSettings {
-        val now = stateLimits(st, path, null)
+    private fun storeSettings(st: JsonNode, path: String): StoreSettings {
+        val now = storeLimits(st, path, null)
         val next = st.path("next")
-        if (next.isMissingNode || next.isNull) return StateSettings(now, null)
+        if (next.isMissingNode || next.isNull) return StoreSettings(now, null)
         if (!next.isObject) problems += "${path}next: a table is needed"
-        return StateSettings(now, stateLimits(next, "${path}next.", now))
+        return StoreSettings(now, storeLimits(next, "${path}next.", now))
     }
 
     /** What [next] limits leave out stays as it is. */
-    private fun stateLimits(n: JsonNode, path: String, now: StateLimits?): StateLimits {
+    private fun storeLimits(n: JsonNode, path: String, now: StoreLimits?): StoreLimits {
         fun limit(name: String, min: Double, otherwise: Double?) =
             if (otherwise != null &&
                 n.path(name).isMissingNode
@@ -144,7 +143,7 @@
             } else {
                 number(n, name, path, min)
             }
-        return StateLimits(
+        return StoreLimits(
             limit("rps", Double.MIN_VALUE, now?.rps),
             limit("write_rps", Double.MIN_VALUE, now?.writeRps),
             (limit("value_kb", MIN_VALUE_KB, now?.let { it.valueBytes / 1024.0 }) * 1024).toInt(),
--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -1,29 +1,29 @@
 package glenspool.controller
 
 import glenspool.cloud.CloudClient
-import glenspool.cloud.RentOutcome
+import glenspool.cloud.ScaleOutOutcome
 import glenspool.core.Action
-import glenspool.core.AskEnds
-import glenspool.core.Delete
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
-import glenspool.core.Note
+import glenspool.core.AdvanceFencingToken
+import glenspool.core.CommandOutcome
+import glenspool.core.DeleteMachines
+import glenspool.core.LogMessage
 import glenspool.core.Probe
-import glenspool.core.RaiseToken
-import glenspool.core.Rent
+import glenspool.core.ReadFinalStates
 import glenspool.core.Resign
-import glenspool.core.SaveImages
-import glenspool.core.Store
+import glenspool.core.ScaleOut
+import glenspool.core.SendCommands
+import glenspool.core.StoreChanges
+import glenspool.core.StoreImageLocations
 import glenspool.core.StoreOutcome
-import glenspool.core.cluster.Overdue
-import glenspool.core.model.JobEnd
+import glenspool.core.cluster.OverdueMachine
+import glenspool.core.model.FinalState
 import glenspool.core.model.TaskState
 import glenspool.http.CallPool
 import glenspool.logging.loggerOf
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.StateClient
-import glenspool.state.StateResult
+import glenspool.state.StoreResult
 import glenspool.wire.FinalWire
 import glenspool.wire.ImagesWire
 import glenspool.worker.WorkerClient
@@ -36,10 +36,10 @@
  */
 class ActionExecutor(
     private val leadership: Leadership,
-    private val state: StateClient,
+    private val store: KeyValueStoreClient,
     private val cloud: CloudClient,
     private val workers: WorkerClient,
-    private val writer: StateWriter,
+    private val writer: StoreWriter,
     private val standBack: Duration,
     private val post: (Event) -> Unit,
 ) : AutoCloseable {
@@ -53,54 +53,54 @@
     /** Has the action carried out by a thread of a pool; how it ended comes back as an event. */
     fun perform(a: Action, term: Term) {
         when (a) {
-            is Direct ->
-                call({ post(Event.DirectEnded(a, DirectOutcome.NOT_TRIED, null, term)) }) {
-                    val (outcome, report) =
+            is SendCommands ->
+                call({ post(Event.CommandsEnded(a, CommandOutcome.NOT_TRIED, null, term)) }) {
+                    val (outcome, heartbeat) =
                         if (leadership.current() ==
                             term
                         ) {
                             workers.command(a)
                         } else {
-                            DirectOutcome.NOT_TRIED to null
+                            CommandOutcome.NOT_TRIED to null
                         }
                     if (log.isDebugEnabled) {
                         log
                             .debug("direct machine={} commands={} outcome={}", a.machine, a.commands, outcome)
                     }
-                    post(Event.DirectEnded(a, outcome, report, term))
+                    post(Event.CommandsEnded(a, outcome, heartbeat, term))
                 }
             is Probe ->
-                run(probePool, { post(Event.Probed(a.machine, null, false)) }) {
+                run(probePool, { post(Event.ProbeEnded(a.machine, null, false)) }) {
                     post(
                         Event
-                            .Probed(a.machine, workers.show(a.addr), true),
+                            .ProbeEnded(a.machine, workers.show(a.addr), true),
                     )
                 }
-            is Rent ->
-                cloudCall({ post(Event.RentEnded(a, RentOutcome.Unknown)) }) {
-                    val o = if (leadership.current() == term) cloud.rent(a) else RentOutcome.Unknown
+            is ScaleOut ->
+                cloudCall({ post(Event.ScaleOutEnded(a, ScaleOutOutcome.Unknown)) }) {
+                    val o = if (leadership.current() == term) cloud.rent(a) else ScaleOutOutcome.Unknown
                     log
                         .info("rent request={} type={} zone={} spot={} count={} outcome={}", a.request, a.type, a.zone, a.spot, a.count, o)
-                    post(Event.RentEnded(a, o))
+                    post(Event.ScaleOutEnded(a, o))
                 }
-            is Delete ->
-                cloudCall({ post(Event.DeleteEnded(a.machines, false)) }) {
+            is DeleteMachines ->
+                cloudCall({ post(Event.DeletionEnded(a.machines, false)) }) {
                     val ok = leadership.current() == term && cloud.delete(a.machines)
                     log.info("delete machines={} ok={}", a.machines, ok)
-                    post(Event.DeleteEnded(a.machines, ok))
+                    post(Event.DeletionEnded(a.machines, ok))
                 }
-            is RaiseToken ->
-                call({ post(Event.Raised(null)) }) {
+            is AdvanceFencingToken ->
+                call({ post(Event.FencingTokenAdvanced(null)) }) {
                     val t = leadership.raiseToken()
                     log.info("token raised to={}", t)
-                    post(Event.Raised(t))
+                    post(Event.FencingTokenAdvanced(t))
                 }
-            is SaveImages ->
+            is StoreImageLocations ->
                 call({ log.debug("images not kept") }) {
                     val r =
-                        state
+                        store
                             .transact(
-                                mapOf(Keys.LEAD to term.mark),
+                                mapOf(Keys.LEAD to term.recordVersion),
                                 listOf(
                                     Put(
                                         Keys.images(a.part),
@@ -109,28 +109,28 @@
                                     ),
                                 ),
                             )
-                    if (r !is StateResult.Ok) log.debug("images not kept: {}", r)
+                    if (r !is StoreResult.Ok) log.debug("images not kept: {}", r)
                 }
-            is AskEnds ->
-                call({ post(Event.EndsRead(a.jobs, emptyMap(), term)) }) {
+            is ReadFinalStates ->
+                call({ post(Event.FinalStatesRead(a.jobs, emptyMap(), term)) }) {
                     post(
                         Event
-                            .EndsRead(a.jobs, readEnds(a.jobs), term),
+                            .FinalStatesRead(a.jobs, readEnds(a.jobs), term),
                     )
                 }
             is Resign -> call({ log.warn("could not resign") }) { leadership.resign(a.why, standBack) }
-            is Note -> if (a.important) log.info(a.text) else log.debug(a.text)
-            is Store -> if (!writer.offer(term, a)) post(Event.Stored(StoreOutcome.Unknown, term))
+            is LogMessage -> if (a.important) log.info(a.text) else log.debug(a.text)
+            is StoreChanges -> if (!writer.offer(term, a)) post(Event.StoreEnded(StoreOutcome.Unknown, term))
         }
     }
 
     /** How the jobs ended, as far as the state service tells; a final state never changes. */
-    private fun readEnds(jobs: List<String>): Map<String, JobEnd> {
-        val found = HashMap<String, JobEnd>()
+    private fun readEnds(jobs: List<String>): Map<String, FinalState> {
+        val found = HashMap<String, FinalState>()
         for (id in jobs) {
-            when (val r = state.get(Keys.final(id))) {
-                is StateResult.Ok -> found[id] = FinalWire.end(r.value.value)
-                is StateResult.Missing -> log.info("no end is stored of {}", id)
+            when (val r = store.get(Keys.final(id))) {
+                is StoreResult.Ok -> found[id] = FinalWire.end(r.value.value)
+                is StoreResult.Missing -> log.info("no end is stored of {}", id)
                 // The next would fare no better.
                 else -> return found
             }
@@ -159,9 +159,9 @@
     }
 
     /** Looks after cancelled work whose time is over although this node can't lead at the moment. */
-    fun endOverdue(o: Overdue) = run(probePool, { log.debug("machine {} not looked after", o.machine) }) { end(o) }
+    fun endOverdue(o: OverdueMachine) = run(probePool, { log.debug("machine {} not looked after", o.machine) }) { end(o) }
 
-    private fun end(o: Overdue) {
+    private fun end(o: OverdueMachine) {
         val r = if (o.addr.isEmpty()) null else workers.show(o.addr)
         if (r != null &&
             r.machine == o.machine &&
@@ -171,7 +171,7 @@
         }
         val ok = cloud.delete(listOf(o.machine))
         log.info("delete machine={} reason=cancelled-work leading=false ok={}", o.machine, ok)
-        if (ok) post(Event.DeleteEnded(listOf(o.machine), true))
+        if (ok) post(Event.DeletionEnded(listOf(o.machine), true))
     }
 
     override fun close() {
--- a/src/main/kotlin/glenspool/controller/CancelExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -1,15 +1,15 @@
 package glenspool.controller
 
 import glenspool.config.Member
-import glenspool.core.cluster.CancelNews
+import glenspool.core.cluster.Acknowledgement
 import glenspool.core.cluster.Cancellation
+import glenspool.core.cluster.CancellationUpdate
 import glenspool.core.cluster.Cancellations
-import glenspool.core.cluster.Heard
 import glenspool.logging.loggerOf
-import glenspool.peer.CancelMessage
+import glenspool.peer.CancellationMessage
 import glenspool.peer.PeerClient
 import glenspool.wire.MalformedMessage
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
@@ -19,7 +19,7 @@
 import kotlin.time.TimeSource
 
 /** Tells the other controllers of cancellations, and asks them for theirs: at once when there is one, and by and by. */
-class CancelExchange(
+class CancellationExchange(
     private val node: String,
     private val cancellations: Cancellations,
     private val peers: PeerClient,
@@ -37,7 +37,7 @@
     private val told = lock.newCondition()
 
     /** The state service told of these. */
-    fun stored(changes: List<StateWire.Change>) {
+    fun stored(changes: List<StoreWire.Change>) {
         var any = false
         for (c in changes) {
             try {
@@ -68,13 +68,13 @@
 
     private fun once(member: Member): Boolean {
         val asked = uptime()
-        return when (val r = peers.exchange(member, message(cancellations.newsFor(member.name)))) {
+        return when (val r = peers.exchange(member, message(cancellations.updateFor(member.name)))) {
             is PeerClient.Exchange.Answered -> {
-                take(cancellations.answered(member.name, news(r.message), asked))
+                take(cancellations.answered(member.name, update(r.message), asked))
                 lock.withLock { told.signalAll() }
                 true
             }
-            PeerClient.Exchange.Old -> {
+            PeerClient.Exchange.Unsupported -> {
                 cancellations.isOld(member.name)
                 lock.withLock { told.signalAll() }
                 false
@@ -84,8 +84,8 @@
     }
 
     /** What another controller says by itself, and the answer to it; null if it is none of ours. */
-    fun answer(m: CancelMessage): CancelMessage? {
-        val (answer, fresh) = cancellations.answer(m.node, news(m)) ?: return null
+    fun answer(m: CancellationMessage): CancellationMessage? {
+        val (answer, fresh) = cancellations.answer(m.node, update(m)) ?: return null
         take(fresh)
         return message(answer)
     }
@@ -111,31 +111,31 @@
         }
     }
 
-    private fun message(n: CancelNews) =
-        CancelMessage(
+    private fun message(n: CancellationUpdate) =
+        CancellationMessage(
             node, n.boot, n.uptime.inWholeMilliseconds,
             n.entries.map {
-                CancelMessage
+                CancellationMessage
                     .Entry(it.job, it.at.inWholeMilliseconds, it.version)
             },
             n.base, n.upTo, n.whole,
             // Rounded to the safe side.
-            n.completeAge?.let { it.inWholeMilliseconds + 1 }, n.contactAge.inWholeMilliseconds + 1, n.heard?.boot,
-            n.heard?.upTo ?: 0,
+            n.completeAge?.let { it.inWholeMilliseconds + 1 }, n.contactAge.inWholeMilliseconds + 1, n.acknowledgement?.boot,
+            n.acknowledgement?.upTo ?: 0,
         )
 
-    private fun news(m: CancelMessage) =
-        CancelNews(
+    private fun update(m: CancellationMessage) =
+        CancellationUpdate(
             m.boot, m.uptime.milliseconds,
             m.entries.map {
                 Cancellation(it.job, it.at.milliseconds, it.version)
             },
             m.base, m.upTo, m.whole,
-            m.completeAge?.milliseconds, m.contactAge.milliseconds, m.heardBoot?.let { Heard(it, m.heardUpTo) },
+            m.completeAge?.milliseconds, m.contactAge.milliseconds, m.heardBoot?.let { Acknowledgement(it, m.heardUpTo) },
         )
 
     private companion object {
-        val log = loggerOf(CancelExchange::class.java)
+        val log = loggerOf(CancellationExchange::class.java)
 
         /** While the state service tells everybody, the exchange only has to show that the other one is there. */
         val EVERY = 2.seconds
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -1,17 +1,17 @@
 package glenspool.controller
 
 import glenspool.cloud.CloudClient
-import glenspool.core.Delete
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
+import glenspool.core.CommandOutcome
+import glenspool.core.DeleteMachines
+import glenspool.core.SendCommands
 import glenspool.core.cluster.Cancellations
-import glenspool.core.cluster.CancelledWork
-import glenspool.core.cluster.Suspect
+import glenspool.core.cluster.CancelledWorkTracker
+import glenspool.core.cluster.SuspectMachine
 import glenspool.http.CallPool
 import glenspool.logging.loggerOf
+import glenspool.state.JobRecordReader
 import glenspool.state.Keys
-import glenspool.state.Replica
-import glenspool.state.StoredJob
+import glenspool.state.StoreCache
 import glenspool.wire.MalformedMessage
 import glenspool.worker.WorkerClient
 import java.util.concurrent.ConcurrentHashMap
@@ -24,16 +24,16 @@
  * None of this starts anything, so it needs no leadership; whoever leads next sees machines that are free or gone.
  */
 class CancelledWorkEnforcement(
-    cancel: Duration,
+    cancellationDeadline: Duration,
     private val cancellations: Cancellations,
-    private val replica: Replica,
+    private val cache: StoreCache,
     private val cloud: CloudClient,
     private val workers: WorkerClient,
     private val isLed: () -> Boolean,
     private val wall: () -> Duration,
 ) : AutoCloseable {
-    private val work = CancelledWork(cancel)
-    private val stored = StoredJob(replica)
+    private val work = CancelledWorkTracker(cancellationDeadline)
+    private val stored = JobRecordReader(cache)
     private val pool = CallPool("overdue", THREADS, QUEUED)
     private val asked = ConcurrentHashMap.newKeySet<String>()
 
@@ -65,7 +65,7 @@
             if (!taken) asked.remove(s.machine)
         }
         val late = work.late(wall())
-        for (machines in late.chunked(Delete.MAX_MACHINES)) {
+        for (machines in late.chunked(DeleteMachines.MAX_MACHINES)) {
             val ok = cloud.delete(machines)
             log.info("delete machines={} reason=cancelled-work leading=false ok={}", machines, ok)
             if (ok) machines.forEach(work::gone)
@@ -73,25 +73,25 @@
     }
 
     private fun machinesOf(job: String): List<String> {
-        val item = replica.get(Keys.job(job)) ?: return emptyList()
+        val item = cache.get(Keys.job(job)) ?: return emptyList()
         return try {
-            val record = replica.atOnce { stored.read(job, item.value) }
-            (record.intents + record.shelved.values.flatten()).map { it.machine }
+            val record = cache.atomically { stored.read(job, item.value) }
+            (record.placements + record.placementParts.values.flatten()).map { it.machine }
         } catch (e: MalformedMessage) {
             log.error("stored record of {} is not readable", job, e)
             emptyList()
         }
     }
 
-    private fun see(s: Suspect, addr: String) {
-        val report = if (addr.isEmpty()) null else workers.show(addr)?.takeIf { it.machine == s.machine }
-        val stops = work.seen(s, report)
-        if (report == null || stops.isEmpty()) return
+    private fun see(s: SuspectMachine, addr: String) {
+        val heartbeat = if (addr.isEmpty()) null else workers.show(addr)?.takeIf { it.machine == s.machine }
+        val stops = work.seen(s, heartbeat)
+        if (heartbeat == null || stops.isEmpty()) return
         // With the worker's own token: it starts nothing, and a cancellation is for ever.
-        val (outcome, after) = workers.command(Direct(s.machine, addr, report.token, report.session, stops))
+        val (outcome, after) = workers.command(SendCommands(s.machine, addr, heartbeat.token, heartbeat.incarnation, stops))
         log
             .info("stop machine={} commands={} reason=cancelled-work leading=false outcome={}", s.machine, stops, outcome)
-        if (outcome == DirectOutcome.DONE) work.seen(s, after)
+        if (outcome == CommandOutcome.DONE) work.seen(s, after)
     }
 
     override fun close() = pool.close()
--- a/src/main/kotlin/glenspool/controller/CloudWatch.kt
+++ b/src/main/kotlin/glenspool/controller/CloudWatch.kt
@@ -3,11 +3,11 @@
 import glenspool.cloud.CloudClient
 import glenspool.core.model.MachineType
 import glenspool.logging.loggerOf
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
-import glenspool.state.StateResult
+import glenspool.state.StoreCache
+import glenspool.state.StoreResult
 import glenspool.wire.CloudWire
 import glenspool.wire.Fields
 import glenspool.wire.MalformedMessage
@@ -24,8 +24,8 @@
 class CloudWatch(
     listLag: Duration,
     private val cloud: CloudClient,
-    private val state: StateClient,
-    private val replica: Replica,
+    private val store: KeyValueStoreClient,
+    private val cache: StoreCache,
     private val leadership: Leadership,
     private val post: (Event) -> Unit,
 ) {
@@ -37,7 +37,7 @@
 
     /** The machine types last read from the cloud or, before that, the stored ones. */
     fun knownTypes(): List<MachineType>? =
-        types ?: replica.get(Keys.TYPES)?.let {
+        types ?: cache.get(Keys.TYPES)?.let {
             try {
                 CloudWire.decodeTypes(it.value).also { list -> types = list }
             } catch (e: MalformedMessage) {
@@ -55,7 +55,7 @@
                 continue
             }
             if (typesReadAt.let { it == null || it.elapsedNow() > TYPES_EVERY }) readTypes(term)
-            cloud.machines()?.let { post(Event.Listed(it)) }
+            cloud.machines()?.let { post(Event.MachinesListed(it)) }
             Thread.sleep(listEvery.inWholeMilliseconds)
         }
     }
@@ -65,23 +65,23 @@
         typesReadAt = TimeSource.Monotonic.markNow()
         val list = CloudWire.decodeTypes(raw)
         types = list
-        post(Event.Types(list))
+        post(Event.MachineTypesRead(list))
         store(term, raw)
     }
 
     /** The last known types are kept, so that a node can judge submissions while the cloud is silent. */
     private fun store(term: Term, raw: Fields) {
-        val known = replica.get(Keys.TYPES)
+        val known = cache.get(Keys.TYPES)
         if (known != null &&
-            CloudWire.decodeTypes(known.value).map { it.name to it.room } ==
-            CloudWire.decodeTypes(raw).map { it.name to it.room }
+            CloudWire.decodeTypes(known.value).map { it.name to it.capacity } ==
+            CloudWire.decodeTypes(raw).map { it.name to it.capacity }
         ) {
             return
         }
         val r =
-            state
-                .transact(mapOf(Keys.LEAD to term.mark, Keys.TYPES to (known?.version ?: 0L)), listOf(Put(Keys.TYPES, raw)))
-        if (r !is StateResult.Ok) log.info("machine types not stored: {}", r)
+            store
+                .transact(mapOf(Keys.LEAD to term.recordVersion, Keys.TYPES to (known?.version ?: 0L)), listOf(Put(Keys.TYPES, raw)))
+        if (r !is StoreResult.Ok) log.info("machine types not stored: {}", r)
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -1,7 +1,7 @@
 package glenspool.controller
 
 import glenspool.cloud.CloudClient
-import glenspool.cloud.RentOutcome
+import glenspool.cloud.ScaleOutOutcome
 import glenspool.config.Settings
 import glenspool.core.OrderCounts
 import glenspool.core.Scheduler
@@ -9,20 +9,20 @@
 import glenspool.core.SchedulerHooks
 import glenspool.core.Tuning
 import glenspool.core.model.Command
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.MachineType
-import glenspool.core.model.Report
 import glenspool.logging.loggerOf
 import glenspool.peer.RecoveryVerb
 import glenspool.reconcile.RecoveryEngine
 import glenspool.rollout.FeaturePermits
 import glenspool.rollout.FeatureRegistry
+import glenspool.state.JobRecordReader
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
-import glenspool.state.Replica
-import glenspool.state.StateClient
-import glenspool.state.StoredJob
+import glenspool.state.StoreCache
 import glenspool.wire.ImagesWire
 import glenspool.wire.MalformedMessage
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import glenspool.worker.WorkerClient
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
@@ -38,12 +38,12 @@
 class CoreLoop(
     settings: Settings,
     tuning: Tuning,
-    private val replica: Replica,
+    private val cache: StoreCache,
     private val leadership: Leadership,
-    state: StateClient,
+    store: KeyValueStoreClient,
     cloud: CloudClient,
     workers: WorkerClient,
-    writer: StateWriter,
+    writer: StoreWriter,
     private val knownTypes: () -> List<MachineType>?,
     private val features: FeaturePermits,
     /** How long a report may have waited before this node read it. */
@@ -54,16 +54,16 @@
     /** What the core is told of the deployment. */
     val config = schedulerConfig(settings, tuning, notes = log.isDebugEnabled)
 
-    private class Session(val term: Term, val scheduler: Scheduler, val recovery: RecoveryEngine?)
+    private class LeadershipTerm(val term: Term, val scheduler: Scheduler, val recovery: RecoveryEngine?)
 
     private val queue = LinkedBlockingQueue<Event>(QUEUE)
     private val clock = TimeSource.Monotonic.markNow()
-    private var session: Session? = null
+    private var active: LeadershipTerm? = null
     private var pausedSince: Duration? = null
     private var summarizedAt = Duration.ZERO
-    private val stored = StoredJob(replica)
+    private val stored = JobRecordReader(cache)
 
-    private val actions = ActionExecutor(leadership, state, cloud, workers, writer, settings.workers.lease, ::post)
+    private val actions = ActionExecutor(leadership, store, cloud, workers, writer, settings.workers.lease, ::post)
 
     fun post(e: Event) {
         // A full queue means that the core is far behind. Waiting here would block the state watch, and losing an
@@ -71,23 +71,23 @@
         if (!queue.offer(e)) {
             log.error("event queue full")
             queue.clear()
-            pendingReports.drop()
+            pendingHeartbeats.drop()
             leadership.stepDown("event queue full")
         }
     }
 
-    private val pendingReports = PendingReports(clock::elapsedNow)
+    private val pendingHeartbeats = PendingHeartbeats(clock::elapsedNow)
 
-    private val intake = ReportIntake(pendingReports, leadership::current) { post(Event.Reported(it)) }
+    private val intake = HeartbeatIntake(pendingHeartbeats, leadership::current) { post(Event.HeartbeatReceived(it)) }
 
-    /** See [ReportIntake.take]. */
-    fun report(r: Report, answer: (WorkerOrders?) -> Unit) = intake.take(r, answer)
+    /** See [HeartbeatIntake.take]. */
+    fun heartbeat(r: Heartbeat, answer: (WorkerCommands?) -> Unit) = intake.take(r, answer)
 
     /** The duty that answers reports which the core did not get to in time. */
-    fun expireReports() {
+    fun expireHeartbeats() {
         while (true) {
             Thread.sleep(EXPIRE_EVERY.inWholeMilliseconds)
-            pendingReports.expire()
+            pendingHeartbeats.expire()
         }
     }
 
@@ -99,13 +99,13 @@
             try {
                 if (e != null) handle(e)
                 if (clock.elapsedNow() >= nextTick) {
-                    if (session != null) tickOrPause()
+                    if (active != null) tickOrPause()
                     nextTick = clock.elapsedNow() + TICK
                 }
             } catch (e: RuntimeException) {
                 // Half a step leaves a picture that nothing may be judged from: it is made anew from what is stored.
                 log.error("core failed", e)
-                session = null
+                active = null
                 leadership.stepDown("the core failed")
             }
         }
@@ -117,7 +117,7 @@
      */
     private fun tickOrPause() {
         val since = pausedSince
-        if (leadership.current() != session?.term) {
+        if (leadership.current() != active?.term) {
             if (since == null) pausedSince = clock.elapsedNow()
             endOverdue()
             return
@@ -126,9 +126,9 @@
             pausedSince = null
             step { resumed(clock.elapsedNow() - since) }
         }
-        val backlog = maxOf(pendingReports.backlog(), intakeLag())
+        val backlog = maxOf(pendingHeartbeats.backlog(), intakeLag())
         step {
-            behind(backlog)
+            backlogMeasured(backlog)
             splittingKnown()
             tick()
         }
@@ -137,7 +137,7 @@
     }
 
     private fun tickRecovery(backlog: Duration) {
-        val recovery = session?.recovery ?: return
+        val recovery = active?.recovery ?: return
         val notices = recovery.tick(clock.elapsedNow(), isBehind = backlog >= BEHIND)
         if (notices.isNotEmpty()) recoveries()?.noticed(notices)
     }
@@ -148,58 +148,58 @@
         private set
 
     private fun summarizeOrders() {
-        val scheduler = session?.scheduler ?: return
+        val scheduler = active?.scheduler ?: return
         if (scheduler.now - summarizedAt < SUMMARY_EVERY) return
         summarizedAt = scheduler.now
-        val counts = scheduler.counts.snapshot()
+        val counts = scheduler.orderCounts.snapshot()
         if (counts.isNotEmpty()) log.info("orders token={} {}", scheduler.token, OrderCounts.describe(counts))
     }
 
     private fun Scheduler.splittingKnown() {
-        membersKnown(features.inUse(FeatureRegistry.SEALED_RECORDS))
+        membersChecked(features.inUse(FeatureRegistry.SEALED_RECORDS))
         splittingForbidden(features.permit(FeatureRegistry.SEALED_RECORDS) == null)
     }
 
     private fun endOverdue() {
-        val s = session ?: return
-        s.scheduler.overdue(clock.elapsedNow()).forEach(actions::endOverdue)
+        val s = active ?: return
+        s.scheduler.overdueMachines(clock.elapsedNow()).forEach(actions::endOverdue)
     }
 
     private fun handle(e: Event) {
         when (e) {
-            is Event.Elected -> begin(e.term)
-            Event.Deposed -> {
-                session = null
+            is Event.LeaderElected -> begin(e.term)
+            Event.LeadershipLost -> {
+                active = null
                 orderCounts = null
             }
-            is Event.Changes -> step { e.changes.forEach { applyChange(it) } }
-            is Event.Cancelled -> step { e.list.forEach { jobCancelled(it.job, it.version, it.at) } }
-            is Event.Reported -> answer(e.pending)
+            is Event.StoreChanged -> step { e.changes.forEach { applyChange(it) } }
+            is Event.CancellationsLearned -> step { e.list.forEach { jobCancelled(it.job, it.version, it.at) } }
+            is Event.HeartbeatReceived -> answer(e.pending)
             // An earlier term's call says nothing of this term's.
-            is Event.DirectEnded ->
-                if (session?.term ==
+            is Event.CommandsEnded ->
+                if (active?.term ==
                     e.term
                 ) {
-                    step { directEnded(e.sent.machine, e.sent, e.outcome, e.report) }
+                    step { commandsEnded(e.sent.machine, e.sent, e.outcome, e.heartbeat) }
                 }
-            is Event.Probed -> step { probed(e.machine, e.report, e.asked) }
-            is Event.Listed -> step { listed(e.list) }
-            is Event.Types -> step { typesKnown(e.list) }
-            is Event.RentEnded ->
+            is Event.ProbeEnded -> step { probeEnded(e.machine, e.heartbeat, e.asked) }
+            is Event.MachinesListed -> step { machinesListed(e.list) }
+            is Event.MachineTypesRead -> step { machineTypesKnown(e.list) }
+            is Event.ScaleOutEnded ->
                 step {
                     when (val o = e.outcome) {
-                        is RentOutcome.Rented -> rented(e.request, o.machines)
-                        RentOutcome.Refused -> rentRefused(e.request)
-                        RentOutcome.Unknown -> rentUnknown(e.request)
+                        is ScaleOutOutcome.Rented -> scaleOutSucceeded(e.request, o.machines)
+                        ScaleOutOutcome.Refused -> scaleOutRefused(e.request)
+                        ScaleOutOutcome.Unknown -> scaleOutUnanswered(e.request)
                     }
                 }
-            is Event.DeleteEnded -> step { deletionEnded(e.machines, e.ok) }
-            is Event.Stored -> if (session?.term == e.term) step { stored(e.outcome) }
-            is Event.Raised -> step { tokenRaised(e.token) }
-            is Event.StateRead -> session?.recovery?.stateRead(clock.elapsedNow() - e.sent.elapsedNow())
-            is Event.StartJudged -> if (session?.term == e.term) session?.recovery?.startJudged(e.kind)
-            is Event.RecoveryOrdered -> if (session?.term == e.term) session?.recovery?.let { ordered(it, e.verb) }
-            is Event.EndsRead -> if (session?.term == e.term) step { endsRead(e.asked, e.found) }
+            is Event.DeletionEnded -> step { deletionEnded(e.machines, e.ok) }
+            is Event.StoreEnded -> if (active?.term == e.term) step { storeEnded(e.outcome) }
+            is Event.FencingTokenAdvanced -> step { fencingTokenAdvanced(e.token) }
+            is Event.StoreRead -> active?.recovery?.stateRead(clock.elapsedNow() - e.sent.elapsedNow())
+            is Event.StartJudged -> if (active?.term == e.term) active?.recovery?.startJudged(e.kind)
+            is Event.RecoveryOrdered -> if (active?.term == e.term) active?.recovery?.let { ordered(it, e.verb) }
+            is Event.FinalStatesRead -> if (active?.term == e.term) step { finalStatesRead(e.asked, e.found) }
         }
     }
 
@@ -212,25 +212,25 @@
         }
 
     private fun step(body: Scheduler.() -> Unit) {
-        val s = session ?: return
+        val s = active ?: return
         // Without a valid lease the core stands still; what it misses, later reports and reads tell again.
         // Outcomes of calls still have to arrive, or it would wait for them for ever.
         val wanted = s.scheduler.step(clock.elapsedNow(), wallClock()) { body() }
         wanted.forEach { actions.perform(it, s.term) }
     }
 
-    private fun answer(pending: PendingReport) {
-        pendingReports.take(pending)
-        val s = session
+    private fun answer(pending: PendingHeartbeat) {
+        pendingHeartbeats.take(pending)
+        val s = active
         // A worker that has seen a higher token: either ours is being raised, or another node leads.
-        if (s == null || leadership.current() != s.term || pending.report.token > s.scheduler.token) {
+        if (s == null || leadership.current() != s.term || pending.heartbeat.token > s.scheduler.token) {
             pending.complete(null)
             return
         }
         var orders: List<Command> = emptyList()
         try {
-            step { orders = reported(pending.report) }
-            pending.complete(WorkerOrders(s.scheduler.token, orders))
+            step { orders = heartbeatReceived(pending.heartbeat) }
+            pending.complete(WorkerCommands(s.scheduler.token, orders))
         } finally {
             // A step that failed leaves it unanswered, and nobody else would answer it any more.
             pending.complete(null)
@@ -245,24 +245,24 @@
                 config, term.token, now,
                 recovery?.hooks ?: recoveries()?.ordinaryHooks ?: SchedulerHooks(),
             )
-        val s = Session(term, scheduler, recovery)
-        session = s
-        orderCounts = scheduler.counts
+        val s = LeadershipTerm(term, scheduler, recovery)
+        active = s
+        orderCounts = scheduler.orderCounts
         pausedSince = null
         step {
-            membersKnown(features.inUse(FeatureRegistry.SEALED_RECORDS))
-            knownTypes()?.let { typesKnown(it) }
-            imagesRemembered(replica.under(Keys.IMAGES).map(::rememberedImages).fold(emptyMap()) { x, y -> x + y })
-            replica.under(Keys.JOB).forEach { applyChange(StateWire.Change(it.key, it.value, it.version)) }
-            replica.under(Keys.CANCEL).forEach { applyChange(StateWire.Change(it.key, it.value, it.version)) }
+            membersChecked(features.inUse(FeatureRegistry.SEALED_RECORDS))
+            knownTypes()?.let { machineTypesKnown(it) }
+            imageLocationsRead(cache.withPrefix(Keys.IMAGES).map(::rememberedImages).fold(emptyMap()) { x, y -> x + y })
+            cache.withPrefix(Keys.JOB).forEach { applyChange(StoreWire.Change(it.key, it.value, it.version)) }
+            cache.withPrefix(Keys.CANCEL).forEach { applyChange(StoreWire.Change(it.key, it.value, it.version)) }
             // Only now are the jobs known whose records an earlier leader has split.
             splittingKnown()
         }
-        intake.begun = term
+        intake.readyTerm = term
         log.info("leading token={} jobs={}", term.token, scheduler.jobs.size)
     }
 
-    private fun rememberedImages(i: StateWire.Item): Map<String, Map<String, Double>> =
+    private fun rememberedImages(i: StoreWire.Item): Map<String, Map<String, Double>> =
         try {
             ImagesWire.decode(i.value)
         } catch (e: MalformedMessage) {
@@ -270,7 +270,7 @@
             emptyMap()
         }
 
-    private fun Scheduler.applyChange(c: StateWire.Change) {
+    private fun Scheduler.applyChange(c: StoreWire.Change) {
         try {
             val value = c.value
             when {
@@ -312,9 +312,9 @@
 internal fun schedulerConfig(settings: Settings, tuning: Tuning, notes: Boolean = false) =
     SchedulerConfig(
         settings.teams, settings.objectives, settings.zones,
-        settings.workers.report, settings.workers.lease, settings.workers.gangWait, settings.workers.gangPeer, settings.workers.cancel,
-        settings.cloudLimits.listLag, settings.stateLimits.safe.txnOps, settings.stateLimits.safe.writeRps,
-        settings.stateLimits.safe.valueBytes, tuning, settings.members.map { it.zone }.toSet() - settings.zone, notes,
+        settings.workers.heartbeatInterval, settings.workers.lease, settings.workers.gangWait, settings.workers.gangPeer, settings.workers.cancellationDeadline,
+        settings.cloudLimits.listLag, settings.storeLimits.safe.txnOps, settings.storeLimits.safe.writeRps,
+        settings.storeLimits.safe.valueBytes, tuning, settings.members.map { it.zone }.toSet() - settings.zone, notes,
     )
 
 /** The time of day, as a span since the epoch. */
--- a/src/main/kotlin/glenspool/controller/HealthCounters.kt
+++ b/src/main/kotlin/glenspool/controller/HealthCounters.kt
@@ -10,7 +10,7 @@
     private val leasesExpired = LongAdder()
     private val refusals = LongAdder()
     private val rejectedWrites = LongAdder()
-    private val sessions = ConcurrentHashMap<String, Long>()
+    private val incarnations = ConcurrentHashMap<String, Long>()
 
     fun tookOver() = takeOvers.increment()
 
@@ -22,10 +22,10 @@
      * A worker begins a new session when its lease has run out. A machine that is heard for the first time tells
      * nothing.
      */
-    fun sessionSeen(machine: String, session: Long) {
-        if (sessions.size >= MAX_MACHINES) sessions.clear()
-        val before = sessions.put(machine, session)
-        if (before != null && session > before) leasesExpired.increment()
+    fun incarnationSeen(machine: String, incarnation: Long) {
+        if (incarnations.size >= MAX_MACHINES) incarnations.clear()
+        val before = incarnations.put(machine, incarnation)
+        if (before != null && incarnation > before) leasesExpired.increment()
     }
 
     fun counts() = HealthCounts(takeOvers.sum(), leasesExpired.sum(), refusals.sum(), rejectedWrites.sum())
--- a/src/main/kotlin/glenspool/controller/ReportIntake.kt
+++ b/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
@@ -1,6 +1,6 @@
 package glenspool.controller
 
-import glenspool.core.model.Report
+import glenspool.core.model.Heartbeat
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
@@ -8,24 +8,24 @@
  * Decides which workers' reports wait for the core's orders. [term]: this node's term, if it may act as leader now;
  * [post]: hands a report to the core.
  */
-class ReportIntake(
-    private val pending: PendingReports,
+class HeartbeatIntake(
+    private val pending: PendingHeartbeats,
     private val term: () -> Term?,
-    private val post: (PendingReport) -> Unit,
+    private val post: (PendingHeartbeat) -> Unit,
 ) {
     /** The term for which the core has taken in all that is stored. */
     @Volatile
-    var begun: Term? = null
+    var readyTerm: Term? = null
 
     /**
      * [answer] gets null where there are no orders: this node does not lead, or its core is behind. The worker's lease
      * is then kept like that of a node without a leader, and its next report tells the same. It is called once, by any
      * thread.
      */
-    fun take(report: Report, answer: (WorkerOrders?) -> Unit) {
+    fun take(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit) {
         val now = term()
         // A core that is still taking in what is stored would hold all workers for longer than they wait.
-        val waits = if (now == null || now != begun) null else pending.add(report, answer)
+        val waits = if (now == null || now != readyTerm) null else pending.add(heartbeat, answer)
         if (waits == null) return answer(null)
         // Nor may workers wait behind a core that can't keep up; it takes their reports in all the same, as signs of
         // life.
--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -1,13 +1,13 @@
 package glenspool.controller
 
 import glenspool.logging.loggerOf
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
-import glenspool.state.StateResult
+import glenspool.state.StoreCache
+import glenspool.state.StoreResult
 import glenspool.wire.MalformedMessage
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import glenspool.wire.count
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
@@ -15,8 +15,10 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** One term of this node's leadership. [mark] is the version of the leadership record that guards every write. */
-data class Term(val token: Long, val mark: Long, val lease: Long)
+/**
+ * One term of this node's leadership. [recordVersion] is the version of the leadership record that guards every write.
+ */
+data class Term(val token: Long, val recordVersion: Long, val lease: Long)
 
 /**
  * Who leads. The leadership record lives on a lease; the token counter beside it only grows and outlives every
@@ -27,8 +29,8 @@
     private val node: String,
     /** Tells this process from an earlier one on the same host, whose record may still be there. */
     private val boot: String,
-    private val client: StateClient,
-    private val replica: Replica,
+    private val client: KeyValueStoreClient,
+    private val cache: StoreCache,
     private val elected: (Term) -> Unit,
     private val deposed: () -> Unit,
     /** What an election with this token stores besides, in its own transaction. */
@@ -48,12 +50,12 @@
     fun current(): Term? = term?.takeIf { validUntil.hasNotPassedNow() }
 
     /** The leader as the stored record names it. */
-    fun recordedLeader(): String? = replica.get(Keys.LEAD)?.value?.get("node") as? String
+    fun recordedLeader(): String? = cache.get(Keys.LEAD)?.value?.get("node") as? String
 
     /** The token with which the recorded leader was elected. */
-    fun recordedToken(): Long? = replica.get(Keys.LEAD)?.value?.get("token") as? Long
+    fun recordedToken(): Long? = cache.get(Keys.LEAD)?.value?.get("token") as? Long
 
-    private fun recordedBoot(): String? = replica.get(Keys.LEAD)?.value?.get("boot") as? String
+    private fun recordedBoot(): String? = cache.get(Keys.LEAD)?.value?.get("boot") as? String
 
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
@@ -82,18 +84,18 @@
 
     private fun keepOrDrop(): Long {
         val t = term ?: return 0
-        val recorded = replica.get(Keys.LEAD)
-        if (replica.age().let { it != null && it < FRESH } && recorded != null && recorded.version > t.mark) {
+        val recorded = cache.get(Keys.LEAD)
+        if (cache.age().let { it != null && it < FRESH } && recorded != null && recorded.version > t.recordVersion) {
             stepDown("another holder is recorded")
             return 0
         }
         val sent = clock.markNow()
         return when (val r = client.renew(t.lease)) {
-            is StateResult.Ok -> {
+            is StoreResult.Ok -> {
                 validUntil = sent + VALID
                 RENEW_EVERY.inWholeMilliseconds
             }
-            is StateResult.Missing -> {
+            is StoreResult.Missing -> {
                 stepDown("lease lost")
                 0
             }
@@ -105,19 +107,19 @@
     }
 
     /** The records that an election replaces, and the last token. */
-    private class Candidacy(val recorded: StateWire.Item?, val counter: StateWire.Item?, val lastToken: Long)
+    private class Candidacy(val recorded: StoreWire.Item?, val counter: StoreWire.Item?, val lastToken: Long)
 
     /** Null: somebody leads, or this node may not stand now. */
     private fun candidacy(): Candidacy? {
-        val age = replica.age()
+        val age = cache.age()
         if (age == null || age > FRESH) return null
         if (standBackUntil?.hasNotPassedNow() == true || !mayLead()) return null
-        val recorded = replica.get(Keys.LEAD)
+        val recorded = cache.get(Keys.LEAD)
         // Our own record from an earlier process: that process has ended, so its place is free. It is never
         // taken for ours, since it is replaced under its exact version.
         val ownRemains = recorded != null && recordedLeader() == node && recordedBoot() != boot
         if (recorded != null && !ownRemains) return null
-        val counter = replica.get(Keys.TERM)
+        val counter = cache.get(Keys.TERM)
         return try {
             Candidacy(recorded, counter, counter?.value?.count("token") ?: 0L)
         } catch (e: MalformedMessage) {
@@ -129,7 +131,7 @@
     private fun tryElect(): Long {
         val candidacy = candidacy() ?: return IDLE.inWholeMilliseconds
         val sent = clock.markNow()
-        val lease = (client.newLease(TTL) as? StateResult.Ok)?.value ?: return IDLE.inWholeMilliseconds
+        val lease = (client.newLease(TTL) as? StoreResult.Ok)?.value ?: return IDLE.inWholeMilliseconds
         val token = candidacy.lastToken + 1
         val r =
             client.transact(
@@ -139,9 +141,9 @@
                     Put(Keys.TERM, mapOf("token" to token)),
                 ) + storedWithElection(token),
             )
-        if (r !is StateResult.Ok) {
+        if (r !is StoreResult.Ok) {
             log.info("election not won: {}", r)
-            replica.sync(1.seconds)
+            cache.sync(1.seconds)
             return RETRY.inWholeMilliseconds
         }
         if (!readBack(r.value, sent) || recordedBoot() != boot) return 0
@@ -160,7 +162,7 @@
 
     /** Nothing may be judged from a copy older than the election. False: it could not be read in time. */
     private fun readBack(revision: Long, sent: ComparableTimeMark): Boolean {
-        while (!replica.sync(1.seconds) || replica.get(Keys.LEAD)?.version.let { it == null || it < revision }) {
+        while (!cache.sync(1.seconds) || cache.get(Keys.LEAD)?.version.let { it == null || it < revision }) {
             if (sent.elapsedNow() > VALID) {
                 log.warn("elected, but the state could not be read in time")
                 return false
@@ -172,11 +174,11 @@
     /** Raises the token within the term. The new token, or null. */
     fun raiseToken(): Long? {
         val t = current() ?: return null
-        val counter = replica.get(Keys.TERM) ?: return null
+        val counter = cache.get(Keys.TERM) ?: return null
         val next = counter.value.count("token") + 1
         val r =
             client.transact(
-                mapOf(Keys.LEAD to t.mark, Keys.TERM to counter.version),
+                mapOf(Keys.LEAD to t.recordVersion, Keys.TERM to counter.version),
                 listOf(
                     Put(
                         Keys.TERM,
@@ -186,8 +188,8 @@
                     ),
                 ),
             )
-        if (r is StateResult.Ok) return next
-        replica.sync(1.seconds)
+        if (r is StoreResult.Ok) return next
+        cache.sync(1.seconds)
         return null
     }
 
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -34,9 +34,9 @@
 import glenspool.rollout.FeatureRegistry
 import glenspool.rollout.RolloutPolicy
 import glenspool.rollout.UnmanagedFeatures
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
+import glenspool.state.StoreCache
 import glenspool.worker.WorkerClient
 import org.http4k.core.HttpHandler
 import org.http4k.core.Request
@@ -61,7 +61,7 @@
     private val fatal: () -> Unit,
 ) : AutoCloseable {
     private val http = HttpCaller(800.milliseconds)
-    private val state = StateClient(settings.state.hostPort(), http)
+    private val store = KeyValueStoreClient(settings.state.hostPort(), http)
     private val cloud = CloudClient(settings.cloud.hostPort(), http, settings.cloudLimits.rps)
 
     /**
@@ -82,18 +82,18 @@
     )}"
     private val clock = TimeSource.Monotonic.markNow()
     val cancellations =
-        Cancellations(boot, settings.members.map { it.name }, settings.workers.cancel * 4, ::uptime, ::wallClock)
+        Cancellations(boot, settings.members.map { it.name }, settings.workers.cancellationDeadline * 4, ::uptime, ::wallClock)
     private val exchange =
-        CancelExchange(settings.node, cancellations, peers, ::uptime, ::stale) { loop.post(Event.Cancelled(it)) }
-    val replica =
-        Replica(state, settings.stateLimits.safe.rps, ::stateRead) { changes, _ ->
+        CancellationExchange(settings.node, cancellations, peers, ::uptime, ::stale) { loop.post(Event.CancellationsLearned(it)) }
+    val cache =
+        StoreCache(store, settings.storeLimits.safe.rps, ::stateRead) { changes, _ ->
             exchange.stored(changes)
-            loop.post(Event.Changes(changes))
+            loop.post(Event.StoreChanged(changes))
         }
     private val health = HealthCounters()
     val leadership: Leadership =
-        Leadership(settings.node, boot, state, replica, ::elected, {
-            loop.post(Event.Deposed)
+        Leadership(settings.node, boot, store, cache, ::elected, {
+            loop.post(Event.LeadershipLost)
         }, ::storedWithElection) { !fenced() }
     private val rollout =
         rolloutPolicy?.let { policy ->
@@ -103,23 +103,23 @@
                 settings.members.map {
                     it.name
                 },
-                registry, policy, state, replica, leadership, peers, health, ::serving, ::uptime, fatal,
+                registry, policy, store, cache, leadership, peers, health, ::serving, ::uptime, fatal,
             )
         }
     private val recovery: RecoveryManager? =
         recoveryPolicy?.let { policy ->
-            val setting = RecoverySetting(settings.workers.lease, settings.workers.report, settings.cloudLimits.listLag)
-            RecoveryManager(settings.node, settings.members.size, policy, setting, state, replica, leadership, peers, ::uptime) {
+            val setting = RecoverySetting(settings.workers.lease, settings.workers.heartbeatInterval, settings.cloudLimits.listLag)
+            RecoveryManager(settings.node, settings.members.size, policy, setting, store, cache, leadership, peers, ::uptime) {
                 loop
                     .post(it)
             }
         }
-    private val features: FeaturePermits = rollout?.gate ?: UnmanagedFeatures { membersNew }
-    private val writer = StateWriter(settings.stateLimits.safe, state, replica, leadership, features, ::stored)
+    private val features: FeaturePermits = rollout?.gate ?: UnmanagedFeatures { allMembersReadSplitRecords }
+    private val writer = StoreWriter(settings.storeLimits.safe, store, cache, leadership, features, ::stored)
     private val cloudWatch =
-        CloudWatch(settings.cloudLimits.listLag, cloud, state, replica, leadership) { loop.post(it) }
+        CloudWatch(settings.cloudLimits.listLag, cloud, store, cache, leadership) { loop.post(it) }
     private val loop: CoreLoop =
-        CoreLoop(settings, tuning, replica, leadership, state, cloud, workers, writer, cloudWatch::knownTypes, features, ::intakeLag) {
+        CoreLoop(settings, tuning, cache, leadership, store, cloud, workers, writer, cloudWatch::knownTypes, features, ::intakeLag) {
             recovery
         }
 
@@ -129,20 +129,20 @@
     /** When the other controllers were last asked in vain, all of them. */
     @Volatile
     private var peersLost = false
-    private val duties = Duties(fatal)
+    private val threads = ServiceThreads(fatal)
 
     /**
      * Every other controller was found to be of a version that reads sealed records. It stays so: nothing goes back
      * without an operator.
      */
     @Volatile
-    private var membersNew = settings.members.isEmpty()
+    private var allMembersReadSplitRecords = settings.members.isEmpty()
     private var membersAskedAt = TimeSource.Monotonic.markNow() - MEMBERS_LOOK
     private val userApi =
-        UserApi(settings, state, replica, peers, ::isolated, features, exchange::confirm, cloudWatch::knownTypes)
+        UserApi(settings, store, cache, peers, ::isolated, features, exchange::confirm, cloudWatch::knownTypes)
 
     /** As users meet it: behind the fence, and with refusals counted, where levels are managed. */
-    private val usersDoor: HttpHandler =
+    private val userHandler: HttpHandler =
         if (rollout ==
             null
         ) {
@@ -152,12 +152,12 @@
         }
     private val workerApi = WorkerApi(settings, this, loop)
     private val overdue =
-        CancelledWorkEnforcement(settings.workers.cancel, cancellations, replica, cloud, workers, {
+        CancelledWorkEnforcement(settings.workers.cancellationDeadline, cancellations, cache, cloud, workers, {
             leadership.current() !=
                 null ||
                 leaderToName() != null
         }, ::wallClock)
-    private val readiness = AsyncHandler { request, respond -> respond(usersDoor(request)) }
+    private val readiness = AsyncHandler { request, respond -> respond(userHandler(request)) }
 
     @Volatile
     private var api: HttpListener? = null
@@ -166,34 +166,34 @@
     fun start() {
         // Requests are taken as soon as the port is open; until the state is read they are told to come back.
         api =
-            HttpListener(settings.apiAddr, "api", minOf(MAX_API_THREADS, settings.maxSockets / 3), ::withoutWaiting, fatal, usersDoor)
-        internal = HttpListener(settings.internalAddr, "peer", PEER_THREADS, { null }, fatal, peersDoor())
-        duties.start("state-watch") { replica.follow() }
-        duties.start("state-sync") { replica.serveSyncs() }
-        duties.start("leadership") { leadership.run() }
-        duties.start("core") { loop.run() }
-        duties.start("cloud") { cloudWatch.run() }
-        duties.start("writer") { writer.run() }
-        duties.start("peers") { watchPeers() }
-        duties.start("sweep") { sweepWhileLeading() }
-        settings.members.forEach { m -> duties.start("cancel-${m.name}") { exchange.run(m) } }
-        duties.start("late-reports") { loop.expireReports() }
-        duties.start("overdue") { overdue.run() }
-        duties.startOnce("warm-up") {
+            HttpListener(settings.apiAddr, "api", minOf(MAX_API_THREADS, settings.maxSockets / 3), ::withoutWaiting, fatal, userHandler)
+        internal = HttpListener(settings.internalAddr, "peer", PEER_THREADS, { null }, fatal, peerHandler())
+        threads.start("state-watch") { cache.follow() }
+        threads.start("state-sync") { cache.serveSyncs() }
+        threads.start("leadership") { leadership.run() }
+        threads.start("core") { loop.run() }
+        threads.start("cloud") { cloudWatch.run() }
+        threads.start("writer") { writer.run() }
+        threads.start("peers") { watchPeers() }
+        threads.start("sweep") { sweepWhileLeading() }
+        settings.members.forEach { m -> threads.start("cancel-${m.name}") { exchange.run(m) } }
+        threads.start("late-reports") { loop.expireHeartbeats() }
+        threads.start("overdue") { overdue.run() }
+        threads.startOnce("warm-up") {
             WarmUp(loop.config, settings.internalAddr.hostPort(), served = workerApi::answered) {
                 leadership.current() !=
                     null
             }.run()
         }
-        recovery?.let { manager -> duties.start("recovery") { manager.run() } }
+        recovery?.let { manager -> threads.start("recovery") { manager.run() } }
         rollout?.let { manager ->
-            workerApi.sessionSeen = health::sessionSeen
-            duties.start("rollout") { manager.run() }
+            workerApi.incarnationSeen = health::incarnationSeen
+            threads.start("rollout") { manager.run() }
         }
         log.info("started node={} zone={} api={}", settings.node, settings.zone, settings.apiAddr.hostPort())
     }
 
-    private fun peersDoor(): HttpHandler {
+    private fun peerHandler(): HttpHandler {
         val peerServer = PeerServer({ status() }, exchange::answer, ::servePeer)
         val rolloutServer = rollout?.let { RolloutServer(it::answer) }
         val recoveryServer = RecoveryServer(::recoveryAnswer)
@@ -208,22 +208,20 @@
     }
 
     /** A user's request that another node passed on; a fenced process is as good as one without the state service. */
-    private fun servePeer(request: RelayRequest): RelayAnswer =
-        if (fenced()) RelayAnswer(Status.SERVICE_UNAVAILABLE.code, ByteArray(0), null) else userApi.local(request)
+    private fun servePeer(request: RelayRequest): RelayAnswer = if (fenced()) RelayAnswer(Status.SERVICE_UNAVAILABLE.code, ByteArray(0), null) else userApi.local(request)
 
     private fun elected(term: Term) {
         health.tookOver()
-        loop.post(Event.Elected(term))
+        loop.post(Event.LeaderElected(term))
     }
 
     private fun stored(outcome: StoreOutcome, term: Term) {
         if (outcome is StoreOutcome.Refused) health.writeRejected()
-        loop.post(Event.Stored(outcome, term))
+        loop.post(Event.StoreEnded(outcome, term))
     }
 
     /** What an operator is answered who asks this node. */
-    fun rolloutAnswer(request: RolloutRequest): RolloutReply =
-        checkNotNull(rollout) { "levels are not managed" }.answer(request)
+    fun rolloutAnswer(request: RolloutRequest): RolloutReply = checkNotNull(rollout) { "levels are not managed" }.answer(request)
 
     /** What an operator is answered who asks this node about its orders and its recovery. */
     fun recoveryAnswer(request: RecoveryRequest): RecoveryReply {
@@ -279,19 +277,19 @@
         }
 
     private fun sweepWhileLeading() {
-        val sweep = Sweep(replica, settings.stateLimits.safe.txnOps, state::transact)
+        val sweep = GarbageCollector(cache, settings.storeLimits.safe.txnOps, store::transact)
         while (true) {
             Thread.sleep(SWEEP_EVERY.inWholeMilliseconds)
-            leadership.current()?.let { sweep.look(it.mark) }
+            leadership.current()?.let { sweep.look(it.recordVersion) }
         }
     }
 
-    fun join() = duties.join()
+    fun join() = threads.join()
 
     override fun close() {
         api?.close()
         internal?.close()
-        duties.close()
+        threads.close()
         overdue.close()
         loop.close()
     }
@@ -300,7 +298,7 @@
     fun uptime(): Duration = clock.elapsedNow()
 
     /** Whether this node's copy of the state is recent enough to say who leads. */
-    fun fresh(): Boolean = replica.age().let { it != null && it < FRESH }
+    fun fresh(): Boolean = cache.age().let { it != null && it < FRESH }
 
     private fun status() =
         PeerStatus(
@@ -323,7 +321,7 @@
         recovery?.stateRead(sentAgo)
     }
 
-    private fun stale(): Boolean = replica.age().let { it == null || it > STALE }
+    private fun stale(): Boolean = cache.age().let { it == null || it > STALE }
 
     private fun watchPeers() {
         while (true) {
@@ -333,7 +331,7 @@
             } else {
                 peerStatuses = emptyList()
                 peersLost = false
-                if (rollout == null && !membersNew && membersAskedAt.elapsedNow() >= MEMBERS_LOOK) askMembers()
+                if (rollout == null && !allMembersReadSplitRecords && membersAskedAt.elapsedNow() >= MEMBERS_LOOK) askMembers()
             }
             Thread.sleep(PEER_LOOK.inWholeMilliseconds)
         }
@@ -344,7 +342,7 @@
         val all = peers.statuses()
         if (all.size < settings.members.size || all.any { it.reads < PeerStatus.SEALED }) return
         log.info("all controllers read sealed records")
-        membersNew = true
+        allMembersReadSplitRecords = true
     }
 
     /** The node that workers should report to; null if nobody is known to lead. */
--- a/src/main/kotlin/glenspool/controller/PendingReports.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
@@ -1,6 +1,6 @@
 package glenspool.controller
 
-import glenspool.core.model.Report
+import glenspool.core.model.Heartbeat
 import glenspool.logging.loggerOf
 import java.util.concurrent.ConcurrentLinkedQueue
 import java.util.concurrent.atomic.AtomicBoolean
@@ -12,10 +12,10 @@
  * A worker's report that waits for the core. It is answered once, by whoever is first; the core takes it in even if it
  * was answered before, since it still tells that the machine is alive.
  */
-class PendingReport internal constructor(
-    val report: Report,
+class PendingHeartbeat internal constructor(
+    val heartbeat: Heartbeat,
     internal val since: Duration,
-    private val answer: (WorkerOrders?) -> Unit,
+    private val answer: (WorkerCommands?) -> Unit,
 ) {
     private val answered = AtomicBoolean()
 
@@ -26,7 +26,7 @@
     internal val isAnswered: Boolean get() = answered.get()
 
     /** Null: this node has no orders to give. False: it was answered before. */
-    fun complete(orders: WorkerOrders?): Boolean {
+    fun complete(orders: WorkerCommands?): Boolean {
         if (!answered.compareAndSet(false, true)) return false
         answer(orders)
         return true
@@ -38,24 +38,24 @@
  * without the core, and the same goes for one that has waited so long that its worker would soon turn elsewhere.
  * [clock]: any steady time.
  */
-class PendingReports(private val clock: () -> Duration) {
+class PendingHeartbeats(private val clock: () -> Duration) {
     /** In the order in which they came. */
-    private val queue = ConcurrentLinkedQueue<PendingReport>()
+    private val queue = ConcurrentLinkedQueue<PendingHeartbeat>()
     private val waiting = AtomicInteger()
     private val refused = AtomicBoolean()
 
     /** Null: too many wait. */
-    fun add(report: Report, answer: (WorkerOrders?) -> Unit): PendingReport? {
+    fun add(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit): PendingHeartbeat? {
         if (waiting.incrementAndGet() > MAX_WAITING) {
             waiting.decrementAndGet()
             refused.set(true)
             return null
         }
-        return PendingReport(report, clock(), answer).also { queue.add(it) }
+        return PendingHeartbeat(heartbeat, clock(), answer).also { queue.add(it) }
     }
 
     /** The core takes [pending] in. */
-    fun take(pending: PendingReport) {
+    fun take(pending: PendingHeartbeat) {
         if (pending.taken) return
         pending.taken = true
         waiting.decrementAndGet()
@@ -88,12 +88,12 @@
         for (pending in queue) {
             if (pending.taken || pending.isAnswered) continue
             if (clock() - pending.since < PATIENCE) return
-            if (pending.complete(null)) log.warn("report of {} was not answered in time", pending.report.machine)
+            if (pending.complete(null)) log.warn("report of {} was not answered in time", pending.heartbeat.machine)
         }
     }
 
     companion object {
-        private val log = loggerOf(PendingReports::class.java)
+        private val log = loggerOf(PendingHeartbeats::class.java)
 
         /** How many reports may wait at once. */
         const val MAX_WAITING = 128
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -19,11 +19,11 @@
 import glenspool.reconcile.StartJudgement
 import glenspool.reconcile.StartKind
 import glenspool.reconcile.StoredRecovery
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
-import glenspool.state.StateResult
+import glenspool.state.StoreCache
+import glenspool.state.StoreResult
 import glenspool.wire.MalformedMessage
 import glenspool.wire.RecoveryWire
 import kotlin.time.Duration
@@ -40,8 +40,8 @@
     private val memberCount: Int,
     private val policy: RecoveryPolicy,
     private val setting: RecoverySetting,
-    private val state: StateClient,
-    private val replica: Replica,
+    private val store: KeyValueStoreClient,
+    private val cache: StoreCache,
     private val leadership: Leadership,
     private val peers: PeerClient,
     private val uptime: () -> Duration,
@@ -83,7 +83,7 @@
      */
     fun stateRead(sentAgo: Duration) {
         synchronized(witness) { observeLeader(uptime()) }
-        if (current?.engine?.awaitsStateRead == true) post(Event.StateRead(TimeSource.Monotonic.markNow() - sentAgo))
+        if (current?.engine?.awaitsStateRead == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
@@ -197,7 +197,7 @@
     }
 
     private fun stored(): StoredRecovery {
-        val item = replica.get(Keys.RECOVERY) ?: return StoredRecovery.Absent
+        val item = cache.get(Keys.RECOVERY) ?: return StoredRecovery.Absent
         return try {
             StoredRecovery.Present(RecoveryWire.decode(item.value), item.version)
         } catch (e: MalformedMessage) {
@@ -225,10 +225,10 @@
             (before as? StoredRecovery.Present)?.record
                 ?: RecoveryRecord(term.token, RecoveryPhase.READING, wallClock())
         val put = Put(Keys.RECOVERY, RecoveryWire.encode(change(record).copy(token = term.token)))
-        val result = state.transact(mapOf(Keys.LEAD to term.mark, Keys.RECOVERY to version), listOf(put))
-        if (result !is StateResult.Ok) log.info("recovery record not stored: {}", result)
-        replica.sync(SYNC_TIMEOUT)
-        return result is StateResult.Ok
+        val result = store.transact(mapOf(Keys.LEAD to term.recordVersion, Keys.RECOVERY to version), listOf(put))
+        if (result !is StoreResult.Ok) log.info("recovery record not stored: {}", result)
+        cache.sync(SYNC_TIMEOUT)
+        return result is StoreResult.Ok
     }
 
     /** What this node would show of the present term's recovery; null if it does not lead. */
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -47,8 +47,7 @@
             ordersPerSecond = snapshot.ordersPerSecond,
         )
 
-    fun breaker(state: BreakerState, policy: RecoveryPolicy): String? =
-        if (state.isOpen) "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, more than ${policy.breakerShare}" else null
+    fun breaker(state: BreakerState, policy: RecoveryPolicy): String? = if (state.isOpen) "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, more than ${policy.breakerShare}" else null
 
     fun differences(snapshot: RecoverySnapshot): DifferenceList {
         val all = snapshot.findings.values.flatMap { it.differences }
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -23,12 +23,12 @@
 import glenspool.rollout.RolloutPolicy
 import glenspool.rollout.replaceableVersion
 import glenspool.rollout.valueOrNull
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
 import glenspool.state.RolloutRecords
-import glenspool.state.StateClient
-import glenspool.state.StateResult
+import glenspool.state.StoreCache
+import glenspool.state.StoreResult
 import glenspool.wire.Fields
 import glenspool.wire.RolloutWire
 import kotlin.time.Duration
@@ -48,8 +48,8 @@
     members: List<String>,
     private val registry: FeatureRegistry,
     private val policy: RolloutPolicy,
-    private val state: StateClient,
-    private val replica: Replica,
+    private val store: KeyValueStoreClient,
+    private val cache: StoreCache,
     private val leadership: Leadership,
     private val peers: PeerClient,
     private val health: HealthCounters,
@@ -59,7 +59,7 @@
     private val exit: () -> Unit,
 ) {
     private val allMembers = (members + identity.node).toSet()
-    private val records = RolloutRecords(replica) { replica.age() != null }
+    private val records = RolloutRecords(cache) { cache.age() != null }
     private val orderRule = OrderRule(registry, allMembers)
 
     /** Which forms may be written by this process, and whether it may serve. */
@@ -174,14 +174,14 @@
      */
     private fun store(term: Term, key: String, version: Long, value: Fields) {
         if (leadership.current() != term) return
-        val result = state.transact(mapOf(Keys.LEAD to term.mark, key to version), listOf(Put(key, value)))
-        if (result !is StateResult.Ok) log.info("rollout record {} not stored: {}", key, result)
-        if (result is StateResult.Conflict &&
+        val result = store.transact(mapOf(Keys.LEAD to term.recordVersion, key to version), listOf(Put(key, value)))
+        if (result !is StoreResult.Ok) log.info("rollout record {} not stored: {}", key, result)
+        if (result is StoreResult.Conflict &&
             Keys.LEAD in result.keys
         ) {
             leadership.stepDown("a rollout record was refused")
         }
-        replica.sync(SYNC_TIMEOUT)
+        cache.sync(SYNC_TIMEOUT)
     }
 
     private fun reactToFence() {
@@ -207,7 +207,7 @@
             }
         gate.fence()?.let { return RolloutReply(false, "this controller takes no orders: $it", status = status()) }
         repeat(ORDER_TRIES) {
-            if (!replica.sync(SYNC_TIMEOUT)) return outOfReach()
+            if (!cache.sync(SYNC_TIMEOUT)) return outOfReach()
             val stored = records.orders()
             val version =
                 stored.replaceableVersion()
@@ -229,7 +229,7 @@
 
     private fun storeOrders(orders: OperatorOrders, version: Long): Boolean {
         val result =
-            state
+            store
                 .transact(
                     mapOf(Keys.ROLLOUT_ORDERS to version),
                     listOf(
@@ -240,9 +240,9 @@
                         ),
                     ),
                 )
-        replica.sync(SYNC_TIMEOUT)
+        cache.sync(SYNC_TIMEOUT)
         // An answer that was lost: what is stored tells whether it was carried out.
-        return result is StateResult.Ok || records.orders().valueOrNull() == orders
+        return result is StoreResult.Ok || records.orders().valueOrNull() == orders
     }
 
     private fun outOfReach() = RolloutReply(false, "the state service is out of reach", ORDER_RETRY_SECONDS, status())
--- a/src/main/kotlin/glenspool/controller/Duties.kt
+++ b/src/main/kotlin/glenspool/controller/ServiceThreads.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** A node's long-lived duties, a thread each. [fatal] ends the process at once. */
-class Duties(private val fatal: () -> Unit, private val pause: Duration = 500.milliseconds) : AutoCloseable {
+class ServiceThreads(private val fatal: () -> Unit, private val pause: Duration = 500.milliseconds) : AutoCloseable {
     private val threads = ArrayList<Thread>()
 
     /** A duty that goes on until it is interrupted: whenever [body] returns or fails it is begun again. */
@@ -56,7 +56,7 @@
     override fun close() = threads.forEach { it.interrupt() }
 
     private companion object {
-        val log = loggerOf(Duties::class.java)
+        val log = loggerOf(ServiceThreads::class.java)
         const val STACK = 256L * 1024
     }
 }
--- a/src/main/kotlin/glenspool/controller/Transaction.kt
+++ b/src/main/kotlin/glenspool/controller/Transaction.kt
@@ -1,8 +1,8 @@
 package glenspool.controller
 
-import glenspool.core.FinishJob
-import glenspool.core.SaveJob
-import glenspool.core.Store
+import glenspool.core.StoreChanges
+import glenspool.core.StoreFinalState
+import glenspool.core.UpdateJobRecord
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.wire.FinalWire
@@ -12,13 +12,13 @@
 data class Transaction(val conditions: Map<String, Long>, val puts: List<Put>, val removes: List<String>)
 
 /**
- * Turns the core's writes into one transaction that holds only under the leadership record's version [mark] and under
- * [guards].
+ * Turns the core's writes into one transaction that holds only under the leadership record's version [recordVersion]
+ * and under [guards].
  */
-fun transactionOf(mark: Long, store: Store, guards: Map<String, Long> = emptyMap()): Transaction {
+fun transactionOf(recordVersion: Long, store: StoreChanges, guards: Map<String, Long> = emptyMap()): Transaction {
     val conditions = LinkedHashMap<String, Long>()
     // A deposed leader's writes fail on this however late they arrive.
-    conditions[Keys.LEAD] = mark
+    conditions[Keys.LEAD] = recordVersion
     conditions.putAll(guards)
     val puts = ArrayList<Put>()
     val removes = ArrayList<String>()
@@ -26,17 +26,17 @@
         // Nor may an older write of this same leader, arriving late, undo a newer one.
         conditions[Keys.job(w.id)] = w.version
         when (w) {
-            is SaveJob -> {
-                if (w.needsUncancelled) conditions[Keys.cancel(w.id)] = 0
+            is UpdateJobRecord -> {
+                if (w.requiresUncancelled) conditions[Keys.cancel(w.id)] = 0
                 puts.add(Put(Keys.job(w.id), RecordWire.encode(w.record)))
-                for (n in w.shelves.keys) {
-                    val places = w.record.shelved[n]
+                for (n in w.parts.keys) {
+                    val places = w.record.placementParts[n]
                     if (places ==
                         null
                     ) {
-                        removes.add(Keys.shelf(w.id, n))
+                        removes.add(Keys.placementPart(w.id, n))
                     } else {
-                        puts.add(Put(Keys.shelf(w.id, n), RecordWire.encodePlaces(places)))
+                        puts.add(Put(Keys.placementPart(w.id, n), RecordWire.encodePlaces(places)))
                     }
                 }
                 for (c in w.chunks) {
@@ -51,10 +51,10 @@
                     )
                 }
             }
-            is FinishJob -> {
+            is StoreFinalState -> {
                 // Done and cancelled exclude each other: a cancellation is stored only while no final state is.
                 conditions[Keys.cancel(w.id)] = w.cancelVersion ?: 0
-                puts.add(Put(Keys.final(w.id), FinalWire.encode(w.end, w.tasks, w.cutBy)))
+                puts.add(Put(Keys.final(w.id), FinalWire.encode(w.end, w.tasks, w.abortedBy)))
                 removes.add(Keys.job(w.id))
                 if (w.cancelVersion != null) removes.add(Keys.cancel(w.id))
             }
--- a/src/main/kotlin/glenspool/controller/WarmUp.kt
+++ b/src/main/kotlin/glenspool/controller/WarmUp.kt
@@ -1,7 +1,7 @@
 package glenspool.controller
 
-import glenspool.core.Rehearsing
 import glenspool.core.SchedulerConfig
+import glenspool.core.WarmUpFleet
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
 import glenspool.http.bounded
@@ -38,7 +38,7 @@
     fun run() {
         Thread.sleep(pauseFirst.inWholeMilliseconds)
         val begun = TimeSource.Monotonic.markNow()
-        val fleet = Rehearsing(config)
+        val fleet = WarmUpFleet(config)
         var asks = true
         var worked = Duration.ZERO
         repeat(TURNS) {
@@ -65,12 +65,12 @@
     }
 
     /** What lies between the core and the counterparts. */
-    private fun outside(fleet: Rehearsing) {
+    private fun outside(fleet: WarmUpFleet) {
         fleet.lastStore?.let { s -> transactionOf(1, s).puts.forEach { Cbor.decodeMap(Cbor.encode(it.value)) } }
     }
 
-    private fun ask(fleet: Rehearsing): Boolean {
-        val r = http.post(addr, PATH, WorkerWire.encode(fleet.lastReport), 2.seconds)
+    private fun ask(fleet: WarmUpFleet): Boolean {
+        val r = http.post(addr, PATH, WorkerWire.encode(fleet.lastHeartbeat), 2.seconds)
         return r is CallResult.Answer && r.status == Status.OK.code
     }
 
@@ -86,13 +86,13 @@
 
         /** Takes a report in and answers it, and does nothing else with it. */
         fun answer(request: Request): Response {
-            val report =
-                WorkerWire.decodeReport(
+            val heartbeat =
+                WorkerWire.decodeHeartbeat(
                     Cbor.decodeMap(
                         request.body.bounded() ?: return cbor(Status.BAD_REQUEST, emptyMap()),
                     ),
                 )
-            return cbor(Status.OK, WorkerWire.answer(report.token, emptyList()))
+            return cbor(Status.OK, WorkerWire.answer(heartbeat.token, emptyList()))
         }
     }
 }
--- a/src/main/kotlin/glenspool/core/Actions.kt
+++ b/src/main/kotlin/glenspool/core/Actions.kt
@@ -1,18 +1,18 @@
 package glenspool.core
 
 import glenspool.core.model.Command
-import glenspool.core.model.JobEnd
+import glenspool.core.model.FinalState
 import glenspool.core.model.JobRecord
 
 /** What the core wants done outside. */
 sealed interface Action
 
 /** Commands for one machine, to be sent at once. */
-data class Direct(
+data class SendCommands(
     val machine: String,
     val addr: String,
     val token: Long,
-    val session: Long,
+    val incarnation: Long,
     val commands: List<Command>,
 ) : Action
 
@@ -20,18 +20,18 @@
 data class Probe(val machine: String, val addr: String) : Action
 
 /** Rent machines; a request name is never used twice. [causes]: how many of them are wanted for what. */
-data class Rent(
+data class ScaleOut(
     val request: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val causes: Map<RentalCause, Int>,
+    val causes: Map<ScaleOutCause, Int>,
 ) : Action {
     val count: Int get() = causes.values.sum()
 }
 
 /** Delete machines, each for its cause. */
-data class Delete(val causes: Map<String, DeletionCause>) : Action {
+data class DeleteMachines(val causes: Map<String, DeletionCause>) : Action {
     val machines: List<String> get() = causes.keys.toList()
 
     companion object {
@@ -41,22 +41,22 @@
 }
 
 /** Raise the token, so that commands on their way become void. */
-data object RaiseToken : Action
+data object AdvanceFencingToken : Action
 
 /** Give the leadership to another node: this one can't do the work. */
 data class Resign(val why: String) : Action
 
 /** Keep for a later leader which machine has which images, with their sizes. Only a hint: no rule rests on it. */
-data class SaveImages(val part: Int, val images: Map<String, Map<String, Double>>) : Action
+data class StoreImageLocations(val part: Int, val images: Map<String, Map<String, Double>>) : Action
 
 /** Read how these jobs ended: others wait for them, and their live records are gone. */
-data class AskEnds(val jobs: List<String>) : Action
+data class ReadFinalStates(val jobs: List<String>) : Action
 
 /** Something an operator may want to read in the log: stable keys, one line. */
-data class Note(val text: String, val important: Boolean) : Action
+data class LogMessage(val text: String, val important: Boolean) : Action
 
 /** Store these changes in one transaction that holds only while this node leads. */
-data class Store(val writes: List<JobWrite>) : Action
+data class StoreChanges(val writes: List<JobWrite>) : Action
 
 /** One job's part of a transaction. */
 sealed interface JobWrite {
@@ -65,33 +65,33 @@
 }
 
 /**
- * The new record. With [needsUncancelled] it must not be stored once the job is cancelled. [shelves]: those of its
+ * The new record. With [requiresUncancelled] it must not be stored once the job is cancelled. [parts]: those of its
  * places that are stored apart and changed, each with the count of its changes so far.
  */
-data class SaveJob(
+data class UpdateJobRecord(
     override val id: String,
     override val version: Long,
     val record: JobRecord,
     val chunks: List<Int>,
     val change: Long,
-    val needsUncancelled: Boolean,
-    val shelves: Map<Int, Long> = emptyMap(),
+    val requiresUncancelled: Boolean,
+    val parts: Map<Int, Long> = emptyMap(),
     /** Whether nothing is left that this job would still have to store. */
     val whole: Boolean = true,
 ) : JobWrite
 
 /**
- * Moves a job to its final answer. [cancelVersion]: of its own cancellation, if there is one. [cutBy]: the cancelled
- * job that it needed, directly or through others. With neither, the job is done.
+ * Moves a job to its final answer. [cancelVersion]: of its own cancellation, if there is one. [abortedBy]: the
+ * cancelled job that it needed, directly or through others. With neither, the job is done.
  */
-data class FinishJob(
+data class StoreFinalState(
     override val id: String,
     override val version: Long,
     val cancelVersion: Long?,
     val tasks: Int,
-    val cutBy: String? = null,
+    val abortedBy: String? = null,
 ) : JobWrite {
-    val end: JobEnd get() = if (cancelVersion == null && cutBy == null) JobEnd.DONE else JobEnd.CANCELLED
+    val end: FinalState get() = if (cancelVersion == null && abortedBy == null) FinalState.DONE else FinalState.CANCELLED
 }
 
 /** How a transaction ended. */
@@ -102,17 +102,18 @@
     data class Refused(val jobs: Set<String>) : StoreOutcome
 
     /**
-     * A value or the transaction as a whole is larger than the state service takes; nothing was written. [pieces]: jobs
-     * whose descriptions were stored in so many pieces upon that, so that their records become shorter.
+     * A value or the transaction as a whole is larger than the state service takes; nothing was written.
+     * [descriptionParts]: jobs whose descriptions were stored in so many pieces upon that, so that their records become
+     * shorter.
      */
-    data class TooLarge(val pieces: Map<String, Int> = emptyMap()) : StoreOutcome
+    data class TooLarge(val descriptionParts: Map<String, Int> = emptyMap()) : StoreOutcome
 
     /** It may or may not have been written, or will be; the jobs' current versions were read again. */
     data object Unknown : StoreOutcome
 }
 
 /** How a direct command ended. */
-enum class DirectOutcome {
+enum class CommandOutcome {
     /** Carried out; the report that came back shows it. */
     DONE,
 
--- a/src/main/kotlin/glenspool/core/OrderCause.kt
+++ b/src/main/kotlin/glenspool/core/OrderCause.kt
@@ -62,7 +62,7 @@
 }
 
 /** Why machines are rented. */
-enum class RentalCause : OrderCause {
+enum class ScaleOutCause : OrderCause {
     /** Services and gangs wait for places. */
     WAITING_WORK,
 
--- a/src/main/kotlin/glenspool/core/Scheduler.kt
+++ b/src/main/kotlin/glenspool/core/Scheduler.kt
@@ -1,26 +1,25 @@
 package glenspool.core
 
 import glenspool.core.StopCause
-import glenspool.core.capacity.Capacity
+import glenspool.core.autoscaling.Autoscaler
 import glenspool.core.cluster.CommandQueue
 import glenspool.core.cluster.FailureDetector
-import glenspool.core.cluster.ImageHints
+import glenspool.core.cluster.HeartbeatProcessor
+import glenspool.core.cluster.ImageLocations
 import glenspool.core.cluster.Machine
-import glenspool.core.cluster.Observations
 import glenspool.core.cluster.Orphans
-import glenspool.core.cluster.Overdue
-import glenspool.core.lifecycle.Chains
+import glenspool.core.cluster.OverdueMachine
 import glenspool.core.lifecycle.Job
+import glenspool.core.lifecycle.JobDependencies
+import glenspool.core.lifecycle.JobSupervisor
 import glenspool.core.lifecycle.Placement
-import glenspool.core.lifecycle.RecordMerging
-import glenspool.core.lifecycle.Shelves
-import glenspool.core.lifecycle.Step
-import glenspool.core.lifecycle.Storing
-import glenspool.core.lifecycle.Tending
-import glenspool.core.model.Amount
+import glenspool.core.lifecycle.PlacementParts
+import glenspool.core.lifecycle.PlacementStage
+import glenspool.core.lifecycle.RecordMerger
+import glenspool.core.lifecycle.RecordWriteScheduler
 import glenspool.core.model.Command
-import glenspool.core.model.Intent
-import glenspool.core.model.JobEnd
+import glenspool.core.model.FinalState
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.JobSpec
@@ -28,12 +27,13 @@
 import glenspool.core.model.MachineStage
 import glenspool.core.model.MachineType
 import glenspool.core.model.Objective
-import glenspool.core.model.Report
+import glenspool.core.model.Resources
 import glenspool.core.model.StartTask
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.Team
-import glenspool.core.placement.RoomMaker
-import glenspool.core.placement.Round
-import glenspool.core.placement.RoundView
+import glenspool.core.placement.PlacementRound
+import glenspool.core.placement.PlacementView
+import glenspool.core.placement.Preemptor
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.microseconds
 import kotlin.time.Duration.Companion.milliseconds
@@ -45,11 +45,11 @@
     val teams: List<Team>,
     val objectives: List<Objective>,
     val zones: List<String>,
-    val report: Duration,
+    val heartbeatInterval: Duration,
     val lease: Duration,
     val gangWait: Duration,
     val gangPeer: Duration,
-    val cancel: Duration,
+    val cancellationDeadline: Duration,
     val listLag: Duration,
     val txnOps: Int,
     val writeRps: Double,
@@ -63,16 +63,16 @@
 )
 
 /**
- * The leader's scheduling core: events and the time go in, [Action]s come out. It does no input or output and
- * starts no thread; one thread owns it. It is made anew at each take-over from the stored jobs. What it knows has
- * one owner each: [Observations], [CommandQueue], [FailureDetector], [Storing], [Tending], [Capacity].
+ * The leader's scheduling core: events and the time go in, [Action]s come out. It does no input or output and starts no
+ * thread; one thread owns it. It is made anew at each take-over from the stored jobs. What it knows has one owner each:
+ * [HeartbeatProcessor], [CommandQueue], [FailureDetector], [RecordWriteScheduler], [JobSupervisor], [Autoscaler].
  */
 class Scheduler(
     val config: SchedulerConfig,
     token: Long,
     val startedAt: Duration,
     val hooks: SchedulerHooks = SchedulerHooks(),
-) : RoundView {
+) : PlacementView {
     var token = token
         private set
 
@@ -83,7 +83,7 @@
      * Whether places may be stored apart from their job's record: only once no controller is of the version that reads
      * records alone. It would take tasks whose places it does not see for waiting ones.
      */
-    val mayShelve: Boolean get() = splittingWanted && !splittingForbidden
+    val maySplit: Boolean get() = splittingWanted && !splittingForbidden
     private var splittingWanted = false
 
     /** The level of stored forms that allows it is not active, or is being left. */
@@ -99,31 +99,31 @@
     var now = startedAt
         private set
     private var wall = Duration.ZERO
-    override val effort = Effort()
+    override val workCounters = WorkCounters()
 
     /** The orders that were given in this term. */
-    val counts = OrderCounts()
+    val orderCounts = OrderCounts()
     private val teams = config.teams.associateBy { it.name }
-    private val usage = HashMap<String, Amount>()
+    private val usage = HashMap<String, Resources>()
     private val actions = ArrayList<Action>()
     private val deleted = HashSet<String>()
-    val images = ImageHints(this)
+    val images = ImageLocations(this)
     val commands = CommandQueue(this)
     val orphans = Orphans(this)
-    private val observations = Observations(this)
+    private val observations = HeartbeatProcessor(this)
     private val failures = FailureDetector(this)
-    private val storing = Storing(this)
-    val chains = Chains(this)
-    private val tending = Tending(this)
-    private val merging = RecordMerging(this)
-    private val capacity = Capacity(this)
-    private val rooms = RoomMaker(this)
+    private val storing = RecordWriteScheduler(this)
+    val chains = JobDependencies(this)
+    private val tending = JobSupervisor(this)
+    private val merging = RecordMerger(this)
+    private val capacity = Autoscaler(this)
+    private val rooms = Preemptor(this)
     private var raising = false
     private var raisedAt = startedAt - 1000.seconds
     private var dirtyRound = true
     private var lastRound = startedAt - 1000.seconds
 
-    val freshness: Duration get() = config.report * 2.2 + 1.seconds
+    val freshness: Duration get() = config.heartbeatInterval * 2.2 + 1.seconds
 
     /** What matching machines and tasks may take: rounds come the more rarely the larger the fleet is. */
     private val roundGap: Duration get() = maxOf(MIN_ROUND_GAP, ROUND_GAP_EACH * fleet.size)
@@ -154,7 +154,7 @@
 
     // ---- events ----
 
-    fun typesKnown(list: List<MachineType>) {
+    fun machineTypesKnown(list: List<MachineType>) {
         types = list.associateBy { it.name }
         recomputeCommonType()
     }
@@ -167,11 +167,11 @@
             return
         }
         val job =
-            Job(record, version, Shelves(recordRoom(record.spec), config.valueBytes - Shelves.SHELF_MARKS), storing::touched)
-        job.seenAt = now
+            Job(record, version, PlacementParts(recordCapacity(record.spec), config.valueBytes - PlacementParts.PART_OVERHEAD), storing::touched)
+        job.knownSince = now
         hooks.observer.jobRead(record)
-        if (record.needs.isNotEmpty()) {
-            chains.add(job, record.needs)
+        if (record.dependencies.isNotEmpty()) {
+            chains.add(job, record.dependencies)
             chains.appeared(record.spec.id)
             return
         }
@@ -180,35 +180,35 @@
         // Shelves are not all stored at the same moment: an older one may still name a task that has a newer place by
         // now.
         val places =
-            record.intents.map { it to Shelves.RECORD } +
-                record.shelved.flatMap { (shelf, list) -> list.map { it to shelf } }
+            record.placements.map { it to PlacementParts.RECORD } +
+                record.placementParts.flatMap { (part, list) -> list.map { it to part } }
         val outdated = ArrayList<Int>()
         for (same in places.groupBy { it.first.task }.values) {
             val newest = same.maxBy { it.first.attempt }
-            standing(job, newest.first, newest.second)
+            restorePlacement(job, newest.first, newest.second)
             (same - newest).mapTo(outdated) { it.second }
         }
-        job.shelves.clean()
-        outdated.forEach(job.shelves::touched)
+        job.parts.clean()
+        outdated.forEach(job.parts::touched)
         if (job.spec.kind == JobKind.GANG && job.placements.isNotEmpty()) {
             job.gangAttempt = job.placements.values.maxOf { it.attempt }
             job.gangStarted = true
         }
         orphans.adopt(job)
-        if (job.complete) job.touch()
+        if (job.complete) job.markDirty()
         capacity.arrived(job, now)
         dirtyRound = true
     }
 
     /** An earlier leader may have started it: it stays until the machine's report or its deletion proves it gone. */
-    private fun standing(job: Job, i: Intent, shelf: Int) {
+    private fun restorePlacement(job: Job, i: StoredPlacement, part: Int) {
         val p = Placement(job, i.task, i.attempt, i.machine, now)
-        p.step = Step.ORDERED
+        p.step = PlacementStage.STORED
         p.startSent = now
-        job.place(p, shelf)
+        job.place(p, part)
         val m = fleet.getOrPut(i.machine) { Machine(i.machine, "", "", false, now).also { it.booting = false } }
         m.place(p)
-        charge(job, +1)
+        chargeUsage(job, +1)
     }
 
     /** A job that is not over, whether it waits for others or not. */
@@ -216,9 +216,9 @@
 
     /** All that the job needed is done: from now on it is like any other. */
     fun released(job: Job) {
-        job.held = false
-        job.ready = wall
-        job.seenAt = now
+        job.waitsForDependencies = false
+        job.dependenciesDoneAt = wall
+        job.knownSince = now
         jobs[job.spec.id] = job
         note {
             "ready task=${job.spec.id} class=${job.spec.jobClass} held-s=${(wall - job.submitted).toDouble(DurationUnit.SECONDS)}"
@@ -228,10 +228,10 @@
     }
 
     /** How these jobs ended, as far as it could be read. */
-    fun endsRead(asked: List<String>, found: Map<String, JobEnd>) = chains.answered(asked, found)
+    fun finalStatesRead(asked: List<String>, found: Map<String, FinalState>) = chains.answered(asked, found)
 
     /** Whether every controller was found to read places that are stored apart. */
-    fun membersKnown(allNew: Boolean) {
+    fun membersChecked(allNew: Boolean) {
         splittingWanted = splittingWanted || allNew
     }
 
@@ -251,11 +251,11 @@
     }
 
     /** What an earlier leader knew of the machines' caches; taken over as each machine is heard. */
-    fun imagesRemembered(known: Map<String, Map<String, Double>>) = images.remember(known)
+    fun imageLocationsRead(known: Map<String, Map<String, Double>>) = images.remember(known)
 
     fun jobCancelled(id: String, version: Long, at: Duration) {
         val job = job(id) ?: return
-        job.touch()
+        job.markDirty()
         if (job.cancelled) {
             job.cancelVersion = version
             return
@@ -265,7 +265,7 @@
         chains.cancelled(id)
         job.cancelledAt = now - maxOf(Duration.ZERO, wall - at)
         for (p in job.placements.values.toList()) {
-            if (p.step == Step.INTENDED && !job.writing) drop(p) else stop(p, StopCause.CANCELLED, Duration.ZERO)
+            if (p.step == PlacementStage.PLANNED && !job.writeInFlight) drop(p) else stop(p, StopCause.CANCELLED, Duration.ZERO)
         }
         dirtyRound = true
     }
@@ -283,28 +283,28 @@
     }
 
     /** A report came by itself; the answer is what the worker shall do. */
-    fun reported(r: Report): List<Command> {
-        val m = observations.observe(r, ReportSource.WORKER) ?: return emptyList()
+    fun heartbeatReceived(r: Heartbeat): List<Command> {
+        val m = observations.observe(r, HeartbeatSource.WORKER) ?: return emptyList()
         return if (m.trusted) observations.routine(m) else emptyList()
     }
 
-    fun directEnded(machine: String, sent: Direct, outcome: DirectOutcome, report: Report?) {
+    fun commandsEnded(machine: String, sent: SendCommands, outcome: CommandOutcome, heartbeat: Heartbeat?) {
         val m = machines[machine] ?: return
         commands.ended(m, sent, outcome)
-        if (report != null) observations.observe(report, ReportSource.DIRECT)
+        if (heartbeat != null) observations.observe(heartbeat, HeartbeatSource.DIRECT)
     }
 
     /** [asked]: false if the question was never sent, which says nothing of the machine. */
-    fun probed(machine: String, report: Report?, asked: Boolean = true) {
+    fun probeEnded(machine: String, heartbeat: Heartbeat?, asked: Boolean = true) {
         val known = machines[machine]
-        if (report == null || report.machine != machine) {
-            if (asked && !overloaded) known?.unanswered(now)
+        if (heartbeat == null || heartbeat.machine != machine) {
+            if (asked && !overloaded) known?.markUnreachable(now)
             return
         }
-        known?.reached(now)
-        val m = observations.observe(report, ReportSource.DIRECT) ?: return
+        known?.markReachable(now)
+        val m = observations.observe(heartbeat, HeartbeatSource.DIRECT) ?: return
         // A worker that reports to another node learns of this leader's token here.
-        if (m.token < token && !m.directBusy && !m.deleting) commands.send(m, emptyList())
+        if (m.token < token && !m.requestInFlight && !m.isDeleting) commands.send(m, emptyList())
     }
 
     /** How long what is handled now has waited in this process. */
@@ -320,7 +320,7 @@
     val overloaded: Boolean get() = now < overloadedUntil
 
     /** Tells how far this process is behind with what comes in. */
-    fun behind(backlog: Duration) {
+    fun backlogMeasured(backlog: Duration) {
         this.backlog = backlog
         if (backlog >= OVERLOADED) overloadedUntil = now + config.lease * OVERLOAD_SHARE
     }
@@ -331,9 +331,9 @@
      */
     fun resumed(gap: Duration) {
         for (m in machines.values) {
-            m.heard = m.heard?.let { minOf(now, it + gap) }
-            m.reportedAt = m.reportedAt?.let { minOf(now, it + gap) }
-            m.mutedSince = m.mutedSince?.let { minOf(now, it + gap) }
+            m.lastHeardAt = m.lastHeardAt?.let { minOf(now, it + gap) }
+            m.lastHeartbeatAt = m.lastHeartbeatAt?.let { minOf(now, it + gap) }
+            m.unreachableSince = m.unreachableSince?.let { minOf(now, it + gap) }
         }
     }
 
@@ -342,7 +342,7 @@
     fun wasDeleted(machine: String): Boolean = machine in deleted
 
     /** The whole list as the cloud gave it; it lags. */
-    fun listed(list: List<ListedMachine>) {
+    fun machinesListed(list: List<ListedMachine>) {
         val seen = HashSet<String>()
         for (l in list) {
             seen.add(l.id)
@@ -355,40 +355,40 @@
             }
             if (m.addr.isEmpty()) m.addr = l.addr
             m.listed = true
-            m.missingSince = null
+            m.unlistedSince = null
             m.age = l.age
-            if (!m.everHeard) m.booting = l.stage == MachineStage.BOOTING
+            if (!m.wasHeard) m.booting = l.stage == MachineStage.BOOTING
             if (l.stage == MachineStage.FAILED && !m.failed) {
                 m.failed = true
                 failures.delete(m, DeletionCause.FAILED)
             }
         }
         for (m in machines.values) {
-            if (m.id !in seen && m.missingSince == null) m.missingSince = now
+            if (m.id !in seen && m.unlistedSince == null) m.unlistedSince = now
         }
         recomputeCommonType()
         hooks.observer.machinesListed(list, now)
         dirtyRound = true
     }
 
-    fun rented(request: Rent, names: List<String>) {
+    fun scaleOutSucceeded(request: ScaleOut, names: List<String>) {
         for (id in names) {
             if (id !in deleted) addMachine(Machine(id, request.type, request.zone, request.spot, now))
         }
         capacity.answered(request, names.size, now)
     }
 
-    fun rentRefused(request: Rent) = capacity.answered(request, 0, now)
+    fun scaleOutRefused(request: ScaleOut) = capacity.answered(request, 0, now)
 
     /** No answer: the same name is asked again, which rents nothing twice. */
-    fun rentUnknown(request: Rent) = capacity.unanswered(request, now)
+    fun scaleOutUnanswered(request: ScaleOut) = capacity.unanswered(request, now)
 
     fun deletionEnded(ids: List<String>, ok: Boolean) {
         for (id in ids) {
             val m = machines[id] ?: continue
             if (!ok) {
-                m.deleteSent = null
-                m.directRetry = now + 1.seconds
+                m.deletionSentAt = null
+                m.nextRequestAt = now + 1.seconds
                 continue
             }
             // The cloud's 200 is proof: the machine and all that was on it are gone.
@@ -401,7 +401,7 @@
         dirtyRound = true
     }
 
-    fun tokenRaised(to: Long?) {
+    fun fencingTokenAdvanced(to: Long?) {
         raising = false
         if (to != null && to > token) {
             token = to
@@ -415,9 +415,9 @@
      * or already does, sees machines that are gone. It costs what else is on them, so only the last moment justifies
      * it, and only if the machine itself does not say that the work is gone.
      */
-    fun overdue(at: Duration): List<Overdue> = failures.overdue(at)
+    fun overdueMachines(at: Duration): List<OverdueMachine> = failures.overdueMachines(at)
 
-    fun stored(outcome: StoreOutcome) = storing.ended(outcome)
+    fun storeEnded(outcome: StoreOutcome) = storing.ended(outcome)
 
     fun tick() {
         failures.look()
@@ -437,40 +437,40 @@
         job.unplace(p.task)
         machines[p.machine]?.let { m ->
             m.unplace(p)
-            if (m.orders.isNotEmpty()) {
-                m.orders.removeIf {
+            if (m.pendingCommands.isNotEmpty()) {
+                m.pendingCommands.removeIf {
                     it.key == p.key && it.attempt == p.attempt && it is StartTask
                 }
             }
         }
-        charge(job, -1)
+        chargeUsage(job, -1)
         note { "off task=${p.key.job}/${p.task} attempt=${p.attempt} machine=${p.machine} was=${p.state}" }
-        if (p.step == Step.INTENDED) job.changed() else job.touch()
+        if (p.step == PlacementStage.PLANNED) job.storeSoon() else job.markDirty()
         if (job.placements.isEmpty()) job.gangAttempt = null
     }
 
     /** What one task of the job takes counts for its team, or no longer. */
-    fun charge(job: Job, sign: Int) {
-        usage.merge(job.spec.team, job.need * sign) { x, y -> x + y }
+    fun chargeUsage(job: Job, sign: Int) {
+        usage.merge(job.spec.team, job.resourceRequest * sign) { x, y -> x + y }
     }
 
     fun note(important: Boolean = false, text: () -> String) {
-        if (important || config.notes) actions.add(Note(text(), important))
+        if (important || config.notes) actions.add(LogMessage(text(), important))
     }
 
     fun stop(p: Placement, cause: StopCause, grace: Duration) = commands.stop(p, cause, grace)
 
     fun returnMachine(m: Machine) = failures.delete(m, DeletionCause.NOT_NEEDED)
 
-    fun rent(r: Rent) {
-        r.causes.forEach { (cause, number) -> counts.add(cause, number) }
+    fun rent(r: ScaleOut) {
+        r.causes.forEach { (cause, number) -> orderCounts.add(cause, number) }
         act(r)
     }
 
     private fun raiseToken() {
         if (raising || now - raisedAt < config.lease / 2) return
         raising = true
-        act(RaiseToken)
+        act(AdvanceFencingToken)
     }
 
     // ---- rounds ----
@@ -478,7 +478,7 @@
     private fun round() {
         lastRound = now
         dirtyRound = false
-        effort.rounds++
+        workCounters.rounds++
         if (types.isEmpty()) return
         val open =
             jobs.values.filter {
@@ -487,11 +487,11 @@
                     it.waiting(1).isNotEmpty()
             }
         if (open.isNotEmpty()) {
-            val ready = machines.values.filter { it.ready(now, freshness) && it.type in types && fitForNewWork(it) }
+            val ready = machines.values.filter { it.isReady(now, freshness) && it.type in types && fitForNewWork(it) }
             if (ready.isNotEmpty()) {
                 rooms.clearCached(open, ready)
-                Round(this, ready, open.filterNot { rooms.waitsForRoom(it, ready) }).run {
-                    now - it.seenAt >
+                PlacementRound(this, ready, open.filterNot { rooms.waitsForRoom(it, ready) }).run {
+                    now - it.knownSince >
                         config.tuning.gangWaitBound
                 }
                 rooms.makeRoom(ready)
@@ -501,15 +501,13 @@
     }
 
     /** See [SchedulerHooks.newWorkNeedsOwnReport]. */
-    private fun fitForNewWork(m: Machine): Boolean =
-        !hooks.newWorkNeedsOwnReport || m.reportedAt.let { it != null && now - it <= freshness }
+    private fun fitForNewWork(m: Machine): Boolean = !hooks.newWorkNeedsOwnReport || m.lastHeartbeatAt.let { it != null && now - it <= freshness }
 
     /** How long a fetch of the job's image usually takes. */
-    fun fetchTime(job: Job): Duration =
-        (job.spec.imageGb / (commonType?.fetchGbPerS ?: 1.0).coerceAtLeast(0.01)).seconds
+    fun fetchTime(job: Job): Duration = (job.spec.imageGb / (commonType?.fetchGbPerS ?: 1.0).coerceAtLeast(0.01)).seconds
 
     /** Whether the aim for the job's class can be met only where its image is cached. */
-    override fun needsCache(job: Job): Boolean {
+    override fun requiresCachedImage(job: Job): Boolean {
         val within = waitBounds[job.spec.jobClass] ?: return false
         return fetchTime(job) > within
     }
@@ -526,27 +524,27 @@
 
     override fun zoneOf(machine: String): String? = machines[machine]?.zone?.ifEmpty { null }
 
-    override fun teamRoom(job: Job): Int {
+    override fun remainingQuota(job: Job): Int {
         val team = teams[job.spec.team] ?: return 0
-        val used = usage[team.name] ?: Amount.ZERO
+        val used = usage[team.name] ?: Resources.ZERO
 
-        fun room(max: Double?, used: Double, need: Double): Int =
+        fun room(max: Double?, used: Double, resourceRequest: Double): Int =
             if (max == null ||
-                need <= 0.0
+                resourceRequest <= 0.0
             ) {
                 Int.MAX_VALUE
             } else {
-                ((max - used + Amount.EPS) / need).toInt().coerceAtLeast(0)
+                ((max - used + Resources.EPS) / resourceRequest).toInt().coerceAtLeast(0)
             }
-        return minOf(room(team.cpusMax, used.cpus, job.need.cpus), room(team.gpusMax, used.gpus, job.need.gpus))
+        return minOf(room(team.cpusMax, used.cpus, job.resourceRequest.cpus), room(team.gpusMax, used.gpus, job.resourceRequest.gpus))
     }
 
     override fun withinGuarantee(job: Job): Boolean {
         val team = teams[job.spec.team] ?: return false
-        val used = (usage[team.name] ?: Amount.ZERO) + job.need
+        val used = (usage[team.name] ?: Resources.ZERO) + job.resourceRequest
         if (team.cpus <= 0.0 && team.gpus <= 0.0) return false
-        return (team.cpus <= 0.0 || used.cpus <= team.cpus + Amount.EPS) &&
-            (team.gpus <= 0.0 || used.gpus <= team.gpus + Amount.EPS)
+        return (team.cpus <= 0.0 || used.cpus <= team.cpus + Resources.EPS) &&
+            (team.gpus <= 0.0 || used.gpus <= team.gpus + Resources.EPS)
     }
 
     override fun fastestType(jobClass: String): String? = observations.fastestType(jobClass)
@@ -554,12 +552,12 @@
     override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
         val a = attempt ?: ++job.lastAttempt
         val p = Placement(job, task, a, machine.id, now)
-        p.storedAt = job.changed()
-        job.place(p, mayShelve = mayShelve)
+        p.storedAt = job.storeSoon()
+        job.place(p, maySplit = maySplit)
         machine.place(p)
-        charge(job, +1)
+        chargeUsage(job, +1)
         note {
-            "place task=${job.spec.id}/$task attempt=$a class=${job.spec.jobClass} machine=${machine.id} cached=${machine.hasImage(job.spec.image)} waited=${now - job.seenAt}"
+            "place task=${job.spec.id}/$task attempt=$a class=${job.spec.jobClass} machine=${machine.id} cached=${machine.hasImage(job.spec.image)} waited=${now - job.knownSince}"
         }
     }
 
@@ -578,11 +576,11 @@
      */
     override fun order(job: Job): Duration {
         val s = job.spec
-        val run = s.estimate * ESTIMATE_MARGIN
-        val from = job.since
-        if (wall - from > config.tuning.waitBound * (if (job.begun) 2 else 1)) return from - HOPELESS
+        val run = s.estimatedDuration * ESTIMATE_MARGIN
+        val from = job.waitingSince
+        if (wall - from > config.tuning.waitBound * (if (job.hasStarted) 2 else 1)) return from - HOPELESS
         // A deadline follows from an estimate that is often wrong: such a job is never written off.
-        job.due?.let { return latestStart(job, it) }
+        job.dueBy?.let { return latestStart(job, it) }
         for (b in finishBounds[s.jobClass] ?: listOf(60.seconds + run)) {
             val latest = from + b - run
             if (latest >= wall) return latest
@@ -591,7 +589,7 @@
     }
 
     /** When the job has to begin to be done by then; estimates are often too short. */
-    fun latestStart(job: Job, due: Duration): Duration = due - job.spec.estimate * DEADLINE_MARGIN
+    fun latestStart(job: Job, due: Duration): Duration = due - job.spec.estimatedDuration * DEADLINE_MARGIN
 
     val finishBounds: Map<String, List<Duration>> =
         config.objectives
@@ -599,19 +597,19 @@
             .groupBy({ it.jobClass.orEmpty() }, { it.within ?: Duration.ZERO })
             .mapValues { (_, l) -> l.sorted() }
 
-    override fun recordRoom(job: Job): Int = job.shelves.room(mayShelve)
+    override fun recordCapacity(job: Job): Int = job.parts.room(maySplit)
 
     /** What a record has left for places. */
-    private fun recordRoom(spec: JobSpec): Int = maxOf(0, config.valueBytes - spec.recordBytes - Shelves.RECORD_MARKS)
+    private fun recordCapacity(spec: JobSpec): Int = maxOf(0, config.valueBytes - spec.recordBytes - PlacementParts.RECORD_OVERHEAD)
 
     /** Where a start of the job may still arrive late, another attempt of it would only meet that one. */
     override fun avoids(job: Job, machine: Machine): Boolean =
         machine.id in job.failedOn &&
             job.failedOn.size < 4 ||
-            machine.loose.any { it.key.job == job.spec.id } ||
+            machine.unconfirmedStarts.any { it.key.job == job.spec.id } ||
             machine.reservedAgainst(job, now)
 
-    override fun misfit(job: Job, machine: Machine): Int = if (job.spec.spot && !machine.spot) 1 else 0
+    override fun costPenalty(job: Job, machine: Machine): Int = if (job.spec.spot && !machine.spot) 1 else 0
 
     companion object {
         private val MIN_ROUND_GAP = 30.milliseconds
--- a/src/main/kotlin/glenspool/core/SchedulerHooks.kt
+++ b/src/main/kotlin/glenspool/core/SchedulerHooks.kt
@@ -1,8 +1,8 @@
 package glenspool.core
 
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobRecord
 import glenspool.core.model.ListedMachine
-import glenspool.core.model.Report
 import glenspool.core.model.TaskKey
 import kotlin.time.Duration
 
@@ -19,7 +19,7 @@
 }
 
 /** Where a report came from. */
-enum class ReportSource {
+enum class HeartbeatSource {
     /** The worker sent it by itself, and is answered: its lease is renewed. */
     WORKER,
 
@@ -41,7 +41,7 @@
     fun jobCancelled(job: String) = Unit
 
     /** A report that is newer than all before. [trusted]: the worker has seen this leader's token. */
-    fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) = Unit
+    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) = Unit
 
     fun machinesListed(machines: List<ListedMachine>, at: Duration) = Unit
 
@@ -49,9 +49,9 @@
 }
 
 /** What becomes of a stored place whose machine shows that the task is not there. */
-enum class AbsenceRule {
+enum class MissingTaskPolicy {
     /** The place is given up, and the task waits for another. */
-    PLACE_ANEW,
+    RESCHEDULE,
 
     /**
      * The task is started there again under its stored place and attempt, if the machine's own reports are answered.
@@ -73,5 +73,5 @@
      */
     val newWorkNeedsOwnReport: Boolean = false,
     /** What becomes of a task that is gone from the machine where it was placed. */
-    val absence: () -> AbsenceRule = { AbsenceRule.PLACE_ANEW },
+    val absence: () -> MissingTaskPolicy = { MissingTaskPolicy.RESCHEDULE },
 )
--- a/src/main/kotlin/glenspool/core/Rehearsing.kt
+++ b/src/main/kotlin/glenspool/core/WarmUpFleet.kt
@@ -1,9 +1,9 @@
 package glenspool.core
 
-import glenspool.core.model.Amount
 import glenspool.core.model.Command
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
 import glenspool.core.model.ForgetTask
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.JobSpec
@@ -11,12 +11,12 @@
 import glenspool.core.model.MachineStage
 import glenspool.core.model.MachineType
 import glenspool.core.model.Priority
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Resources
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import java.util.BitSet
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -27,14 +27,14 @@
  * lists, in made-up time. Nothing of it leaves this object. It is there to run the code that a leader runs (see
  * `controller.WarmUp`).
  */
-class Rehearsing(config: SchedulerConfig, hooks: SchedulerHooks = SchedulerHooks()) {
+class WarmUpFleet(config: SchedulerConfig, hooks: SchedulerHooks = SchedulerHooks()) {
     private class Standing(val attempt: Long, var left: Int)
 
     private val team = config.teams.maxByOrNull { it.gpusMax ?: Double.MAX_VALUE }?.name ?: ""
     private val zone = config.zones.first()
-    private val type = MachineType("any", Amount(8.0, 4.0, 64.0), 100.0, 1.0, 8.0, 2.0, 20.seconds, config.zones)
+    private val type = MachineType("any", Resources(8.0, 4.0, 64.0), 100.0, 1.0, 8.0, 2.0, 20.seconds, config.zones)
     private val core = Scheduler(config.copy(peerZones = emptySet(), notes = false), 1, Duration.ZERO, hooks)
-    private val seqs = LongArray(MACHINES)
+    private val sequences = LongArray(MACHINES)
     private val tasks = List(MACHINES) { LinkedHashMap<TaskKey, Standing>() }
 
     /** The made-up time. */
@@ -44,9 +44,9 @@
     private var jobs = 0
 
     /** What the code outside the core is rehearsed with. */
-    var lastReport: Report = report(0)
+    var lastHeartbeat: Heartbeat = heartbeat(0)
         private set
-    var lastStore: Store? = null
+    var lastStore: StoreChanges? = null
         private set
 
     /** Tasks that were started, and jobs that came to their end, so far. */
@@ -59,7 +59,7 @@
     val open: Int get() = core.jobs.size
 
     init {
-        step { typesKnown(listOf(type)) }
+        step { machineTypesKnown(listOf(type)) }
     }
 
     /** A moment of a leader's life: every machine reports, a few jobs come, one is cancelled. */
@@ -70,9 +70,9 @@
         for (m in 0 until MACHINES) {
             now += 1.milliseconds
             tasks[m].values.forEach { it.left-- }
-            lastReport = report(m)
+            lastHeartbeat = heartbeat(m)
             var commands = emptyList<Command>()
-            step { commands = reported(lastReport) }
+            step { commands = heartbeatReceived(lastHeartbeat) }
             commands.forEach { carryOut(m, it) }
         }
         step { tick() }
@@ -80,7 +80,7 @@
             0
         ) {
             step {
-                listed(
+                machinesListed(
                     (0 until MACHINES).map {
                         ListedMachine("m$it", "m$it:1", type.name, zone, false, MachineStage.RUNNING, now)
                     },
@@ -93,22 +93,22 @@
         val kind = if (jobs % 4 == 3) JobKind.GANG else JobKind.ARRAY
         val spec =
             JobSpec(
-                "job-${jobs++}", "any", team, kind, Priority.STANDARD, 1 + jobs % 3, Amount(1.0, 1.0, 4.0), "img-${jobs % 3}", 1.0,
+                "job-${jobs++}", "any", team, kind, Priority.STANDARD, 1 + jobs % 3, Resources(1.0, 1.0, 4.0), "img-${jobs % 3}", 1.0,
                 null, null, false, false, true, 3.seconds, Duration.ZERO, Duration.ZERO, 30.seconds,
             )
         step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
     }
 
-    private fun report(m: Int): Report =
-        Report(
-            "m$m", "m$m:1", type.name, zone, false, 1, ++seqs[m], core.token, null,
+    private fun heartbeat(m: Int): Heartbeat =
+        Heartbeat(
+            "m$m", "m$m:1", type.name, zone, false, 1, ++sequences[m], core.token, null,
             tasks[m].entries.map { (k, s) ->
                 if (s.left >
                     0
                 ) {
-                    ReportedTask(k, s.attempt, TaskState.RUNNING, null, false)
+                    TaskStatus(k, s.attempt, TaskState.RUNNING, null, false)
                 } else {
-                    ReportedTask(k, s.attempt, TaskState.EXITED, Exit.DONE, false)
+                    TaskStatus(k, s.attempt, TaskState.EXITED, ExitReason.DONE, false)
                 }
             },
         )
@@ -129,22 +129,22 @@
             val a = open.removeFirst()
             open.addAll(
                 when (a) {
-                    is Store -> {
+                    is StoreChanges -> {
                         lastStore = a
-                        ended += a.writes.count { it is FinishJob }
-                        core.step(now, now) { stored(StoreOutcome.Stored(++revision)) }
+                        ended += a.writes.count { it is StoreFinalState }
+                        core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) }
                     }
-                    is Direct -> {
+                    is SendCommands -> {
                         val m = a.machine.drop(1).toInt()
                         a.commands.forEach { carryOut(m, it) }
-                        core.step(now, now) { directEnded(a.machine, a, DirectOutcome.DONE, report(m)) }
+                        core.step(now, now) { commandsEnded(a.machine, a, CommandOutcome.DONE, heartbeat(m)) }
                     }
-                    is Rent -> core.step(now, now) { rentRefused(a) }
-                    is Delete -> core.step(now, now) { deletionEnded(a.machines, false) }
-                    is Probe -> core.step(now, now) { probed(a.machine, null, false) }
-                    is AskEnds -> core.step(now, now) { endsRead(a.jobs, emptyMap()) }
-                    is RaiseToken -> core.step(now, now) { tokenRaised(null) }
-                    is Resign, is SaveImages, is Note -> emptyList()
+                    is ScaleOut -> core.step(now, now) { scaleOutRefused(a) }
+                    is DeleteMachines -> core.step(now, now) { deletionEnded(a.machines, false) }
+                    is Probe -> core.step(now, now) { probeEnded(a.machine, null, false) }
+                    is ReadFinalStates -> core.step(now, now) { finalStatesRead(a.jobs, emptyMap()) }
+                    is AdvanceFencingToken -> core.step(now, now) { fencingTokenAdvanced(null) }
+                    is Resign, is StoreImageLocations, is LogMessage -> emptyList()
                 },
             )
         }
--- a/src/main/kotlin/glenspool/core/capacity/Capacity.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
@@ -1,31 +1,31 @@
-package glenspool.core.capacity
+package glenspool.core.autoscaling
 
 import glenspool.core.ProposedOrder
-import glenspool.core.Rent
-import glenspool.core.RentalCause
+import glenspool.core.ScaleOut
+import glenspool.core.ScaleOutCause
 import glenspool.core.Scheduler
 import glenspool.core.cluster.Machine
 import glenspool.core.cluster.allowed
 import glenspool.core.lifecycle.Job
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
 import glenspool.core.model.MachineType
 import glenspool.core.model.Priority
+import glenspool.core.model.Resources
 import kotlin.math.ceil
 import kotlin.math.sqrt
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-private data class Offer(val type: String, val zone: String, val spot: Boolean)
+private data class MachineOffer(val type: String, val zone: String, val spot: Boolean)
 
 /**
  * Renting and returning. Waiting work is packed on paper onto machines that are on their way, and what does
  * not fit is rented; empty machines that nothing is expected to need go back.
  */
-class Capacity(private val core: Scheduler) {
-    private val refusedUntil = HashMap<Offer, Duration>()
-    private val open = LinkedHashMap<String, Rent>()
+class Autoscaler(private val core: Scheduler) {
+    private val refusedUntil = HashMap<MachineOffer, Duration>()
+    private val open = LinkedHashMap<String, ScaleOut>()
     private val retryAt = HashMap<String, Duration>()
     private var serial = 0
     private var lastPlan = Duration.ZERO - 100.seconds
@@ -38,20 +38,20 @@
 
     /** Arrivals of critical services; the headroom follows them. */
     fun arrived(job: Job, now: Duration) {
-        if (job.spec.kind != JobKind.SERVICE || job.rank != Priority.CRITICAL) return
+        if (job.spec.kind != JobKind.SERVICE || job.effectivePriority != Priority.CRITICAL) return
         val a = arrivals.getOrPut(job.spec.jobClass) { ArrivalRate(job.spec) }
         if (a.since == null) a.since = now
         a.recent.addLast(now to job.spec.tasks)
         while (a.recent.size > RECENT) a.recent.removeFirst()
     }
 
-    fun answered(r: Rent, got: Int, now: Duration) {
+    fun answered(r: ScaleOut, got: Int, now: Duration) {
         open.remove(r.request)
         retryAt.remove(r.request)
-        if (got < r.count) refusedUntil[Offer(r.type, r.zone, r.spot)] = now + core.config.tuning.refusalPause
+        if (got < r.count) refusedUntil[MachineOffer(r.type, r.zone, r.spot)] = now + core.config.tuning.refusalPause
     }
 
-    fun unanswered(r: Rent, now: Duration) {
+    fun unanswered(r: ScaleOut, now: Duration) {
         retryAt[r.request] = now + 2.seconds
     }
 
@@ -65,14 +65,14 @@
     }
 
     /** A machine on paper. [wantedFor]: why it is to be rented; null if it is on its way already. */
-    private class Virtual(val offer: Offer, var room: Amount, val wantedFor: RentalCause?)
+    private class PlannedMachine(val offer: MachineOffer, var available: Resources, val wantedFor: ScaleOutCause?)
 
     /** Machines that are on their way or wanted, on paper, for one plan. */
-    private class Paper(val machinesIn: Map<String, Int>) {
-        val virtual = ArrayList<Virtual>()
+    private class PackingPlan(val machinesIn: Map<String, Int>) {
+        val virtual = ArrayList<PlannedMachine>()
         private val freshIn = HashMap<String, Int>()
 
-        fun add(v: Virtual) {
+        fun add(v: PlannedMachine) {
             virtual.add(v)
             if (v.wantedFor != null) freshIn.merge(v.offer.zone, 1, Int::plus)
         }
@@ -81,7 +81,7 @@
     }
 
     /** Where one job's tasks go on paper. Rooms only shrink, so what did not fit one task fits none after it. */
-    private class Cursor(
+    private class PackingCursor(
         val spec: JobSpec,
         private val zone: String? = null,
         /** How many tasks of a spread job each zone may still take. */
@@ -89,14 +89,13 @@
     ) {
         private var at = 0
 
-        fun takes(z: String): Boolean =
-            (zone == null || zone == z) && (zoneRoom == null || zoneRoom.getOrDefault(z, 0) > 0)
+        fun takes(z: String): Boolean = (zone == null || zone == z) && (zoneRoom == null || zoneRoom.getOrDefault(z, 0) > 0)
 
-        fun place(paper: Paper): Boolean {
+        fun place(paper: PackingPlan): Boolean {
             while (at < paper.virtual.size) {
                 val v = paper.virtual[at]
-                if (suits(v) && spec.need.fits(v.room)) {
-                    v.room -= spec.need
+                if (suits(v) && spec.resourceRequest.fits(v.available)) {
+                    v.available -= spec.resourceRequest
                     zoneRoom?.merge(v.offer.zone, -1, Int::plus)
                     return true
                 }
@@ -105,7 +104,7 @@
             return false
         }
 
-        private fun suits(v: Virtual) =
+        private fun suits(v: PlannedMachine) =
             (spec.types == null || v.offer.type in spec.types) &&
                 (spec.zone == null || spec.zone == v.offer.zone) &&
                 (spec.spot || !v.offer.spot) &&
@@ -116,7 +115,7 @@
         if (now - lastPlan < PLAN_PERIOD) return
         lastPlan = now
         val paper =
-            Paper(
+            PackingPlan(
                 core.machines.values
                     .groupingBy { it.zone }
                     .eachCount(),
@@ -124,24 +123,24 @@
         for (m in core.machines.values) {
             val t = core.types[m.type] ?: continue
             // A machine that was heard and then no more, or that nothing reaches, is not on its way.
-            val lost = m.mutedSince != null || silent(m)
-            if (!m.deleting &&
+            val lost = m.unreachableSince != null || silent(m)
+            if (!m.isDeleting &&
                 !m.failed &&
                 !m.trusted &&
                 !lost
             ) {
-                paper.add(Virtual(Offer(m.type, m.zone, m.spot), m.free(t), null))
+                paper.add(PlannedMachine(MachineOffer(m.type, m.zone, m.spot), m.free(t), null))
             }
         }
         for (r in open.values) {
             val t = core.types[r.type] ?: continue
-            repeat(r.count) { paper.add(Virtual(Offer(r.type, r.zone, r.spot), t.room, null)) }
+            repeat(r.count) { paper.add(PlannedMachine(MachineOffer(r.type, r.zone, r.spot), t.capacity, null)) }
         }
         val waiting =
             core.jobs.values
                 .filter { it.waitingCount() > 0 && it.failedOn.size < 3 }
-                .sortedWith(compareByDescending<Job> { it.rank }.thenBy { it.since })
-        val spare = Spare(now)
+                .sortedWith(compareByDescending<Job> { it.effectivePriority }.thenBy { it.waitingSince })
+        val spare = Headroom(now)
         val (arrays, whole) = waiting.partition { it.spec.kind == JobKind.ARRAY }
         for (job in whole) pack(job, paper, now)
         packHeadroom(paper, spare, now)
@@ -152,7 +151,7 @@
     }
 
     /** Spare places for critical services, counted once for a plan and then kept up as machines go. */
-    private inner class Spare(now: Duration) {
+    private inner class Headroom(now: Duration) {
         private val needed = arrivals.values.associateWith { headroomFor(it, now) }
         private val slots = HashMap<ArrivalRate, Int>()
 
@@ -175,36 +174,36 @@
      * Arrays run through their places one after another, so they need new machines only when the backlog would
      * take too long to drain: sooner for cheap spot machines than for ordinary ones.
      */
-    private fun packArrays(jobs: List<Job>, paper: Paper, now: Duration) {
+    private fun packArrays(jobs: List<Job>, paper: PackingPlan, now: Duration) {
         var work = Duration.ZERO
         var places =
             core.jobs.values.sumOf { j -> if (j.spec.kind == JobKind.ARRAY) j.placements.size else 0 } +
-                paper.virtual.sumOf { v -> jobs.firstOrNull()?.let { it.need.countIn(v.room) } ?: 0 }
+                paper.virtual.sumOf { v -> jobs.firstOrNull()?.let { it.resourceRequest.countIn(v.available) } ?: 0 }
         for (job in jobs) {
-            if (now - job.seenAt < ARRAY_PATIENCE) continue
+            if (now - job.knownSince < ARRAY_PATIENCE) continue
             val spec = job.spec
-            val each = maxOf(spec.estimate, 2.seconds)
+            val each = maxOf(spec.estimatedDuration, 2.seconds)
             val slack = slackOf(job)
             val lead = leadTime(spec)
             val spotPatience = maxOf(lead * 0.5, slack * 0.25) * spotDiscount(spec)
             val ordinaryPatience = maxOf(lead * 1.5, slack * 0.5)
-            val cursor = Cursor(spec)
+            val cursor = PackingCursor(spec)
             // Places that drain are those of other work; where none is of use to this job, waiting for them has no end.
-            val bound = core.config.tuning.waitBound * (if (job.begun) 2 else 1)
-            var stuck = job.placements.isEmpty() && (now - job.seenAt > bound || nowhere(spec))
-            repeat(minOf(job.waitingCount(), core.teamRoom(job), MAX_PER_JOB)) {
+            val bound = core.config.tuning.waitBound * (if (job.hasStarted) 2 else 1)
+            var stuck = job.placements.isEmpty() && (now - job.knownSince > bound || nowhere(spec))
+            repeat(minOf(job.waitingCount(), core.remainingQuota(job), MAX_PER_JOB)) {
                 if (cursor.place(paper)) return@repeat
                 work += each
                 val drain = work / maxOf(places, 1)
                 val patience = if (spec.spot) spotPatience else minOf(spotPatience, ordinaryPatience)
                 if (drain <= patience && !stuck) return@repeat
                 val v =
-                    fresh(cursor, paper, now, if (spec.spot) true else null, RentalCause.BACKLOG)
+                    fresh(cursor, paper, now, if (spec.spot) true else null, ScaleOutCause.BACKLOG)
                         ?: (
                             if (drain > ordinaryPatience ||
                                 stuck
                             ) {
-                                fresh(cursor, paper, now, null, RentalCause.BACKLOG)
+                                fresh(cursor, paper, now, null, ScaleOutCause.BACKLOG)
                             } else {
                                 null
                             }
@@ -212,7 +211,7 @@
                         ?: return@repeat
                 paper.add(v)
                 stuck = false
-                places += spec.need.countIn(v.room)
+                places += spec.resourceRequest.countIn(v.available)
                 cursor.place(paper)
                 work -= each
             }
@@ -222,26 +221,26 @@
     /** Whether no machine of the fleet could ever take the task, however empty. */
     private fun nowhere(spec: JobSpec): Boolean =
         core.machines.values.none { m ->
-            !m.deleting &&
+            !m.isDeleting &&
                 !m.failed &&
-                !m.retiring &&
-                m.notice == null &&
+                !m.cordoned &&
+                m.preemptionNotice == null &&
                 allowed(spec, m) &&
-                core.types[m.type].let { it != null && spec.need.fits(it.room) }
+                core.types[m.type].let { it != null && spec.resourceRequest.fits(it.capacity) }
         }
 
     /** What a spot machine costs of an ordinary one's price: the cheaper, the sooner it is worth renting. */
     private fun spotDiscount(spec: JobSpec): Double {
         if (!spec.spot) return 1.0
-        val t = core.types.values.firstOrNull { spec.need.fits(it.room) } ?: return 1.0
+        val t = core.types.values.firstOrNull { spec.resourceRequest.fits(it.capacity) } ?: return 1.0
         return (t.spotPrice / t.price.coerceAtLeast(1e-9)).coerceIn(0.0, 1.0)
     }
 
     /** How long the job may wait for its places and still meet the first aim that it can meet at all. */
     private fun slackOf(job: Job): Duration {
         val spec = job.spec
-        job.due?.let { return maxOf(Duration.ZERO, it - job.since - spec.estimate) }
-        return core.finishBounds[spec.jobClass].orEmpty().map { it - spec.estimate * 1.15 }.firstOrNull {
+        job.dueBy?.let { return maxOf(Duration.ZERO, it - job.waitingSince - spec.estimatedDuration) }
+        return core.finishBounds[spec.jobClass].orEmpty().map { it - spec.estimatedDuration * 1.15 }.firstOrNull {
             it >=
                 Duration.ZERO
         }
@@ -250,7 +249,7 @@
 
     /** From the rental request until a task runs. */
     private fun leadTime(spec: JobSpec): Duration {
-        val t = core.types.values.firstOrNull { spec.need.fits(it.room) } ?: return 60.seconds
+        val t = core.types.values.firstOrNull { spec.resourceRequest.fits(it.capacity) } ?: return 60.seconds
         return t.boot * 1.1 + (spec.imageGb / t.fetchGbPerS.coerceAtLeast(0.01)).seconds
     }
 
@@ -258,27 +257,27 @@
 
     /** Waiting work takes machines back that were about to be returned. */
     private fun keepAgain() {
-        for (m in core.machines.values) m.retiring = false
+        for (m in core.machines.values) m.cordoned = false
     }
 
     /**
      * Machines are kept busy a little each, so none would ever become empty by itself: when the fleet has had
      * more than a cushion of room for a while, the dearest machine with only short work gets no more of it.
      */
-    private fun retireSurplus(waiting: List<Job>, spare: Spare, now: Duration) {
+    private fun retireSurplus(waiting: List<Job>, spare: Headroom, now: Duration) {
         val ready =
             core.machines.values.filter {
                 it.trusted &&
-                    !it.deleting &&
+                    !it.isDeleting &&
                     !it.failed &&
-                    it.notice == null &&
+                    it.preemptionNotice == null &&
                     it.type in core.types
             }
-        val active = ready.filter { !it.retiring }
+        val active = ready.filter { !it.cordoned }
         // What waits is load too. In a large fleet something always waits, and most of it for a moment only.
         val load =
             active.sumOf { m -> share(m) } +
-                waiting.sumOf { j -> minOf(j.waitingCount(), core.teamRoom(j)) * shareOf(j.need) }
+                waiting.sumOf { j -> minOf(j.waitingCount(), core.remainingQuota(j)) * shareOf(j.resourceRequest) }
         if (load > active.size) keepAgain()
         if (active.size - load <= 1.0 + active.size * CUSHION) {
             surplusSince = null
@@ -297,34 +296,34 @@
         for (m in candidates) {
             if (left == 0) return
             if (!spare.release(m)) continue
-            m.retiring = true
+            m.cordoned = true
             surplusSince = now - SURPLUS_WAIT + 2.seconds
             left--
         }
     }
 
     /** How much of the machine is in use, by its fullest resource. */
-    private fun share(m: Machine): Double = core.types[m.type]?.let { share(m.used(), it.room) } ?: 0.0
+    private fun share(m: Machine): Double = core.types[m.type]?.let { share(m.used(), it.capacity) } ?: 0.0
 
-    private fun shareOf(need: Amount): Double = core.commonType?.let { share(need, it.room) } ?: 0.0
+    private fun shareOf(resourceRequest: Resources): Double = core.commonType?.let { share(resourceRequest, it.capacity) } ?: 0.0
 
-    private fun share(u: Amount, room: Amount): Double =
+    private fun share(u: Resources, available: Resources): Double =
         maxOf(
-            u.cpus / room.cpus.coerceAtLeast(1e-9),
-            if (room.gpus >
+            u.cpus / available.cpus.coerceAtLeast(1e-9),
+            if (available.gpus >
                 0
             ) {
-                u.gpus / room.gpus
+                u.gpus / available.gpus
             } else {
                 0.0
             },
-            u.memoryGb / room.memoryGb.coerceAtLeast(1e-9),
+            u.memoryGb / available.memoryGb.coerceAtLeast(1e-9),
         )
 
-    private fun pack(job: Job, paper: Paper, now: Duration) {
-        var n = minOf(job.waitingCount(), core.teamRoom(job), MAX_PER_JOB)
+    private fun pack(job: Job, paper: PackingPlan, now: Duration) {
+        var n = minOf(job.waitingCount(), core.remainingQuota(job), MAX_PER_JOB)
         if (job.spec.kind == JobKind.GANG) {
-            if (core.teamRoom(job) < job.waitingCount()) return
+            if (core.remainingQuota(job) < job.waitingCount()) return
         }
         var zone: String? = null
         if (job.spec.sameZone) {
@@ -335,9 +334,9 @@
                     .maxByOrNull { it.value }
                     ?.key
         }
-        val cursor = Cursor(job.spec, zone, zoneRoom(job))
+        val cursor = PackingCursor(job.spec, zone, zoneRoom(job))
         while (n > 0) {
-            if (!put(cursor, paper, now, RentalCause.WAITING_WORK)) return
+            if (!put(cursor, paper, now, ScaleOutCause.WAITING_WORK)) return
             n--
         }
     }
@@ -353,35 +352,35 @@
         return left
     }
 
-    private fun put(cursor: Cursor, paper: Paper, now: Duration, cause: RentalCause): Boolean {
+    private fun put(cursor: PackingCursor, paper: PackingPlan, now: Duration, cause: ScaleOutCause): Boolean {
         if (cursor.place(paper)) return true
         paper.add(fresh(cursor, paper, now, null, cause) ?: return false)
         return cursor.place(paper)
     }
 
     /** The cheapest kind of machine for the task that is not known to be refused, in the zone with fewest machines. */
-    private fun fresh(cursor: Cursor, paper: Paper, now: Duration, onlySpot: Boolean?, cause: RentalCause): Virtual? {
+    private fun fresh(cursor: PackingCursor, paper: PackingPlan, now: Duration, onlySpot: Boolean?, cause: ScaleOutCause): PlannedMachine? {
         val spec = cursor.spec
-        val offers = ArrayList<Pair<Offer, MachineType>>()
+        val offers = ArrayList<Pair<MachineOffer, MachineType>>()
         for (t in core.types.values) {
-            if (spec.types != null && t.name !in spec.types || !spec.need.fits(t.room)) continue
+            if (spec.types != null && t.name !in spec.types || !spec.resourceRequest.fits(t.capacity)) continue
             for (z in t.zones.ifEmpty { core.config.zones }) {
                 if (spec.zone != null && spec.zone != z || !cursor.takes(z)) continue
                 for (spot in if (spec.spot) listOf(true, false) else listOf(false)) {
                     if (onlySpot != null && spot != onlySpot) continue
-                    val o = Offer(t.name, z, spot)
+                    val o = MachineOffer(t.name, z, spot)
                     if ((refusedUntil[o] ?: Duration.ZERO) <= now) offers.add(o to t)
                 }
             }
         }
         val best =
             offers.minWithOrNull(
-                compareBy<Pair<Offer, MachineType>> { (o, t) ->
+                compareBy<Pair<MachineOffer, MachineType>> { (o, t) ->
                     (if (o.spot) t.spotPrice else t.price) /
-                        maxOf(1, spec.need.countIn(t.room))
+                        maxOf(1, spec.resourceRequest.countIn(t.capacity))
                 }.thenBy { (o, _) -> paper.crowd(o.zone) },
             ) ?: return null
-        return Virtual(best.first, best.second.room, cause)
+        return PlannedMachine(best.first, best.second.capacity, cause)
     }
 
     /** How many tasks of the class are likely to arrive while another machine could be got ready. */
@@ -395,21 +394,21 @@
                     it.first > since + 5.seconds
             }
         val rate = recent.sumOf { it.second } / (minOf(window, 300.seconds) / 1.seconds)
-        val type = core.types.values.firstOrNull { a.spec.need.fits(it.room) } ?: return 0
+        val type = core.types.values.firstOrNull { a.spec.resourceRequest.fits(it.capacity) } ?: return 0
         val lead = type.boot * 1.2 + (a.spec.imageGb / type.fetchGbPerS.coerceAtLeast(0.01)).seconds + 5.seconds
         val mean = rate * (lead / 1.seconds) * core.config.tuning.headroom
         return ceil(mean + sqrt(mean)).toInt().coerceAtLeast(1)
     }
 
-    private fun silent(m: Machine) = m.heard.let { it != null && core.now - it > core.freshness }
+    private fun silent(m: Machine) = m.lastHeardAt.let { it != null && core.now - it > core.freshness }
 
     private fun slotsOn(spec: JobSpec, m: Machine): Int {
-        if (m.retiring ||
-            m.deleting ||
+        if (m.cordoned ||
+            m.isDeleting ||
             m.failed ||
-            m.notice != null ||
+            m.preemptionNotice != null ||
             !m.trusted ||
-            m.mutedSince != null ||
+            m.unreachableSince != null ||
             silent(m) ||
             !allowed(spec, m)
         ) {
@@ -417,26 +416,26 @@
         }
         val t = core.types[m.type] ?: return 0
         // Room that lower work holds can be freed at once, so it counts as spare.
-        var room = m.free(t)
+        var available = m.free(t)
         for (p in m.placements.values) {
-            if (p.job.rank < Priority.URGENT &&
+            if (p.job.effectivePriority < Priority.URGENT &&
                 p.job.spec.kind == JobKind.ARRAY
             ) {
-                room += p.job.need
+                available += p.job.resourceRequest
             }
         }
-        return spec.need.countIn(room)
+        return spec.resourceRequest.countIn(available)
     }
 
-    private fun packHeadroom(paper: Paper, spare: Spare, now: Duration) {
+    private fun packHeadroom(paper: PackingPlan, spare: Headroom, now: Duration) {
         for (a in arrivals.values) {
             var missing = spare.missing(a)
-            val cursor = Cursor(a.spec)
-            while (missing-- > 0) if (!put(cursor, paper, now, RentalCause.HEADROOM)) break
+            val cursor = PackingCursor(a.spec)
+            while (missing-- > 0) if (!put(cursor, paper, now, ScaleOutCause.HEADROOM)) break
         }
     }
 
-    private fun order(paper: Paper) {
+    private fun order(paper: PackingPlan) {
         for ((offer, list) in paper.virtual.filter { it.wantedFor != null }.groupBy { it.offer }) {
             if (open.size >= MAX_OPEN) return
             // The token is this leadership's alone, so the name is never used again by anybody.
@@ -448,16 +447,16 @@
                     .groupingBy { it }
                     .eachCount()
             if (causes.isEmpty()) continue
-            val r = Rent("r-${core.token}-${++serial}", offer.type, offer.zone, offer.spot, causes)
+            val r = ScaleOut("r-${core.token}-${++serial}", offer.type, offer.zone, offer.spot, causes)
             open[r.request] = r
             core.rent(r)
         }
     }
 
-    private fun giveBack(spare: Spare, now: Duration) {
+    private fun giveBack(spare: Headroom, now: Duration) {
         val idle = ArrayList<Machine>()
         for (m in core.machines.values) {
-            if (!m.trusted || m.deleting) continue
+            if (!m.trusted || m.isDeleting) continue
             if (m.busyTasks() > 0) m.idleSince = null else idle.add(m)
         }
         if (idle.isEmpty()) return
@@ -469,7 +468,7 @@
         for (m in idle.sortedByDescending { price(it) }) {
             if (left == 0) return
             val since = m.idleSince ?: now.also { m.idleSince = now }
-            if (!m.retiring && (now - since < idleBound(m, gb) || !spare.release(m))) continue
+            if (!m.cordoned && (now - since < idleBound(m, gb) || !spare.release(m))) continue
             core.returnMachine(m)
             left--
         }
--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -11,10 +11,10 @@
  * Which of a process's cancellations another one has: those up to [upTo] in the order in which process [boot] learnt
  * them.
  */
-data class Heard(val boot: String, val upTo: Long)
+data class Acknowledgement(val boot: String, val upTo: Long)
 
 /** What one node tells another. All spans count back from the moment at which it was made. */
-data class CancelNews(
+data class CancellationUpdate(
     /** The process that tells; a node that is back is another one. */
     val boot: String,
     val uptime: Duration,
@@ -29,7 +29,7 @@
     /** How long ago the teller sent what the hearer answered last. */
     val contactAge: Duration,
     /** What the teller has of the hearer's. */
-    val heard: Heard?,
+    val acknowledgement: Acknowledgement?,
 )
 
 /**
@@ -67,7 +67,7 @@
 
         /** What the member has of ours. */
         var acknowledged = 0L
-        var heard: Heard? = null
+        var acknowledgement: Acknowledgement? = null
 
         /** It answers, but is of a version that knows nothing of this. */
         var old = false
@@ -128,24 +128,24 @@
 
     /** What [member] has to be told now. */
     @Synchronized
-    fun newsFor(member: String): CancelNews = newsAfter(members.getValue(member), members.getValue(member).acknowledged)
+    fun updateFor(member: String): CancellationUpdate = updateAfter(members.getValue(member), members.getValue(member).acknowledged)
 
     /** Takes in what [member] says by itself, and answers it. */
     @Synchronized
-    fun answer(member: String, news: CancelNews): Pair<CancelNews, List<Cancellation>>? {
+    fun answer(member: String, update: CancellationUpdate): Pair<CancellationUpdate, List<Cancellation>>? {
         val m = members[member] ?: return null
-        val fresh = take(m, news)
-        return newsAfter(m, news.heard?.takeIf { it.boot == boot }?.upTo ?: 0L) to fresh
+        val fresh = take(m, update)
+        return updateAfter(m, update.acknowledgement?.takeIf { it.boot == boot }?.upTo ?: 0L) to fresh
     }
 
-    private fun newsAfter(m: Member, base: Long): CancelNews {
+    private fun updateAfter(m: Member, base: Long): CancellationUpdate {
         val missing = known.values.filter { it.order > base }
         val sent = missing.take(MOST)
         val whole = sent.size == missing.size
-        return CancelNews(
+        return CancellationUpdate(
             boot, now() - start, sent.map { it.it }, base, if (whole) last else sent.last().order, whole,
             // What lies ahead holds for this node alone.
-            complete()?.let { maxOf(Duration.ZERO, now() - it) }, now() - m.contact, m.heard,
+            complete()?.let { maxOf(Duration.ZERO, now() - it) }, now() - m.contact, m.acknowledgement,
         )
     }
 
@@ -153,28 +153,28 @@
      * Entries are true whenever they come; nothing else in a message that nobody asked for counts, since it may be
      * minutes old.
      */
-    private fun take(m: Member, news: CancelNews): List<Cancellation> {
-        val fresh = news.entries.filter { add(it) }
-        val before = m.heard?.takeIf { it.boot == news.boot }?.upTo ?: 0L
-        if (news.base <= before) m.heard = Heard(news.boot, maxOf(before, news.upTo))
+    private fun take(m: Member, update: CancellationUpdate): List<Cancellation> {
+        val fresh = update.entries.filter { add(it) }
+        val before = m.acknowledgement?.takeIf { it.boot == update.boot }?.upTo ?: 0L
+        if (update.base <= before) m.acknowledgement = Acknowledgement(update.boot, maxOf(before, update.upTo))
         return fresh
     }
 
-    /** [member] answered with [news] what was sent to it at [asked]. What was not known before is returned. */
+    /** [member] answered with [update] what was sent to it at [asked]. What was not known before is returned. */
     @Synchronized
-    fun answered(member: String, news: CancelNews, asked: Duration): List<Cancellation> {
+    fun answered(member: String, update: CancellationUpdate, asked: Duration): List<Cancellation> {
         val m = members.getValue(member)
         m.old = false
         m.contact = asked
-        m.acknowledged = news.heard?.takeIf { it.boot == boot }?.upTo ?: 0L
-        val fresh = take(m, news)
-        if (!news.whole || m.heard.let { it?.boot != news.boot || it.upTo < news.upTo }) return fresh
-        news.completeAge?.let { coveredForAll(asked - it * (1 + DRIFT)) }
+        m.acknowledged = update.acknowledgement?.takeIf { it.boot == boot }?.upTo ?: 0L
+        val fresh = take(m, update)
+        if (!update.whole || m.acknowledgement.let { it?.boot != update.boot || it.upTo < update.upTo }) return fresh
+        update.completeAge?.let { coveredForAll(asked - it * (1 + DRIFT)) }
         // It began at this moment at the latest, and its earlier processes had ended.
-        val began = now() - news.uptime * (1 - DRIFT)
+        val began = now() - update.uptime * (1 - DRIFT)
         if (m.covered.let { it != null && it >= began }) {
             m.covered =
-                later(m.covered, maxOf(asked, asked - news.contactAge * (1 + DRIFT) + ALONE * (1 - DRIFT) - MARGIN))
+                later(m.covered, maxOf(asked, asked - update.contactAge * (1 + DRIFT) + ISOLATION_TIMEOUT * (1 - DRIFT) - MARGIN))
         }
         return fresh
     }
@@ -200,12 +200,12 @@
     fun confirmable(job: String): Boolean {
         // One that was stored so long ago that it is not kept any more was told to all that could hear.
         val order = known[job]?.order ?: return true
-        return members.values.all { it.old || it.acknowledged >= order || now() - it.contact >= ALONE }
+        return members.values.all { it.old || it.acknowledged >= order || now() - it.contact >= ISOLATION_TIMEOUT }
     }
 
     companion object {
         /** Longer than a controller takes to be back, so that one that ends and returns leaves nothing unknown. */
-        val ALONE = 15.seconds
+        val ISOLATION_TIMEOUT = 15.seconds
         private val MARGIN = 50.milliseconds
 
         /** Twice what two clocks may drift apart. */
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWork.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
@@ -1,42 +1,42 @@
 package glenspool.core.cluster
 
 import glenspool.core.StopCause
-import glenspool.core.model.Report
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskState
 import kotlin.time.Duration
 
 /** A machine on which [jobs] were placed, all cancelled by now; [since]: when the first of them was. */
-data class Suspect(val machine: String, val jobs: Set<String>, val since: Duration)
+data class SuspectMachine(val machine: String, val jobs: Set<String>, val since: Duration)
 
 /**
  * Cancelled work that nobody who leads looks after: which machines have to be asked about it, and which are too late
  * for asking. Times are of the day. Safe for several threads.
  */
-class CancelledWork(private val cancel: Duration) {
+class CancelledWorkTracker(private val cancellationDeadline: Duration) {
     /** Jobs that a machine was seen to be rid of. */
     private val cleared = HashMap<String, HashSet<String>>()
-    private var suspects: Map<String, Suspect> = emptyMap()
+    private var suspects: Map<String, SuspectMachine> = emptyMap()
 
     /** Machines that were asked, or could not be, since they are suspects. */
     private val tried = HashSet<String>()
 
     /** The machines to be asked at [now]. [machinesOf]: where the job was placed, as far as is known. */
     @Synchronized
-    fun due(now: Duration, known: List<Cancellation>, machinesOf: (String) -> List<String>): List<Suspect> {
+    fun due(now: Duration, known: List<Cancellation>, machinesOf: (String) -> List<String>): List<SuspectMachine> {
         val jobs = HashMap<String, HashSet<String>>()
         val since = HashMap<String, Duration>()
         for (c in known) {
             // Reports that come in have it stopped before. Later than that it is too late in any case, but no less
             // true.
-            if (now - c.at < cancel * ASK_AFTER || now - c.at > cancel * 2) continue
+            if (now - c.at < cancellationDeadline * ASK_AFTER || now - c.at > cancellationDeadline * 2) continue
             for (m in machinesOf(c.job)) {
                 if (cleared[m]?.contains(c.job) == true) continue
                 jobs.getOrPut(m) { HashSet() }.add(c.job)
                 since.merge(m, c.at, ::minOf)
             }
         }
-        suspects = jobs.mapValues { (m, j) -> Suspect(m, j, since.getValue(m)) }
+        suspects = jobs.mapValues { (m, j) -> SuspectMachine(m, j, since.getValue(m)) }
         tried.retainAll(suspects.keys)
         if (suspects.isEmpty()) cleared.clear()
         return suspects.values.toList()
@@ -44,10 +44,10 @@
 
     /** What the machine answered, null if nothing. What has to be stopped there is returned. */
     @Synchronized
-    fun seen(s: Suspect, report: Report?): List<StopTask> {
+    fun seen(s: SuspectMachine, heartbeat: Heartbeat?): List<StopTask> {
         tried.add(s.machine)
-        if (report == null) return emptyList()
-        val left = report.tasks.filter { it.state != TaskState.EXITED && it.key.job in s.jobs }
+        if (heartbeat == null) return emptyList()
+        val left = heartbeat.tasks.filter { it.state != TaskState.EXITED && it.key.job in s.jobs }
         val busy = left.map { it.key.job }.toSet()
         cleared.getOrPut(s.machine) { HashSet() }.addAll(s.jobs - busy)
         return left.map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
@@ -62,7 +62,7 @@
         suspects.values
             .filter {
                 it.machine in tried &&
-                    now - it.since > cancel * DELETE_AFTER &&
+                    now - it.since > cancellationDeadline * DELETE_AFTER &&
                     cleared[it.machine]?.containsAll(it.jobs) != true
             }.map { it.machine }
 
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -1,12 +1,12 @@
 package glenspool.core.cluster
 
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
+import glenspool.core.CommandOutcome
 import glenspool.core.ProposedOrder
 import glenspool.core.Scheduler
+import glenspool.core.SendCommands
 import glenspool.core.StopCause
 import glenspool.core.lifecycle.Placement
-import glenspool.core.lifecycle.Step
+import glenspool.core.lifecycle.PlacementStage
 import glenspool.core.model.Command
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
@@ -22,10 +22,10 @@
     private val pending = LinkedHashSet<Machine>()
 
     /** Machines with a start that may still be carried out. */
-    private val loose = LinkedHashSet<Machine>()
+    private val unconfirmedStarts = LinkedHashSet<Machine>()
 
     fun add(m: Machine, c: Command) {
-        m.orders.add(c)
+        m.pendingCommands.add(c)
         pending.add(m)
     }
 
@@ -38,7 +38,7 @@
         p.stopGrace = grace
         p.stopSent = null
         val m = core.machines[p.machine] ?: return
-        if (p.step == Step.INTENDED) return
+        if (p.step == PlacementStage.PLANNED) return
         add(m, StopTask(p.key, p.attempt, grace, cause))
         p.stopSent = core.now
     }
@@ -51,10 +51,10 @@
         val machines = if (startsHeld) pending.sortedWith(byUrgency) else pending.toList()
         startsHeld = false
         for (m in machines) {
-            core.effort.orderLooks++
-            if (m.orders.isEmpty() || m.deleting) {
+            core.workCounters.commandScans++
+            if (m.pendingCommands.isEmpty() || m.isDeleting) {
                 pending.remove(m)
-            } else if (!m.directBusy && m.addr.isNotEmpty() && m.trusted && core.now >= m.directRetry) {
+            } else if (!m.requestInFlight && m.addr.isNotEmpty() && m.trusted && core.now >= m.nextRequestAt) {
                 sendCommands(m)
             }
         }
@@ -63,7 +63,7 @@
     private fun sendCommands(m: Machine) {
         val commands = takeCommands(m)
         // What is held back goes out as soon as it may.
-        if (m.orders.isEmpty()) pending.remove(m) else startsHeld = true
+        if (m.pendingCommands.isEmpty()) pending.remove(m) else startsHeld = true
         if (commands.isNotEmpty()) send(m, commands)
     }
 
@@ -73,18 +73,18 @@
      */
     private val byUrgency =
         compareByDescending<Machine> { m ->
-            waitingJobs(m).maxOfOrNull { it.rank }
+            waitingJobs(m).maxOfOrNull { it.effectivePriority }
         }.thenBy { m -> waitingJobs(m).minOfOrNull(core::order) }
 
-    private fun waitingJobs(m: Machine) = m.orders.filterIsInstance<StartTask>().mapNotNull { core.jobs[it.key.job] }
+    private fun waitingJobs(m: Machine) = m.pendingCommands.filterIsInstance<StartTask>().mapNotNull { core.jobs[it.key.job] }
 
     /** The machine's commands that are still wanted and may be sent now; starts that have to wait stay with it. */
     private fun takeCommands(m: Machine): List<Command> {
         val (admitted, held) =
-            withoutRepeats(m.orders.filter { stillWanted(m, it) })
+            withoutRepeats(m.pendingCommands.filter { stillWanted(m, it) })
                 .partition { it !is StartTask || core.hooks.gate.admits(ProposedOrder(it.cause, m.id, it.key)) }
-        m.orders.clear()
-        m.orders.addAll(held)
+        m.pendingCommands.clear()
+        m.pendingCommands.addAll(held)
         admitted.filterIsInstance<StartTask>().forEach { started(m, it) }
         return admitted
     }
@@ -101,42 +101,42 @@
     private fun stillWanted(m: Machine, c: Command): Boolean {
         if (c !is StartTask) return true
         val p = m.placements[c.key]
-        return p != null && p.attempt == c.attempt && p.step != Step.INTENDED && p.stop == null
+        return p != null && p.attempt == c.attempt && p.step != PlacementStage.PLANNED && p.stop == null
     }
 
     private fun started(m: Machine, c: StartTask) {
-        m.loose.add(LooseStart(c.key, c.attempt, core.token, m.session, core.now))
-        loose.add(m)
+        m.unconfirmedStarts.add(UnconfirmedStart(c.key, c.attempt, core.token, m.incarnation, core.now))
+        unconfirmedStarts.add(m)
         m.placements[c.key]?.startSent = core.now
     }
 
     fun send(m: Machine, commands: List<Command>) {
-        m.directAt = core.now
-        m.directBusy = true
-        commands.forEach { core.counts.add(it.cause) }
-        core.act(Direct(m.id, m.addr, core.token, m.session, commands))
+        m.requestSentAt = core.now
+        m.requestInFlight = true
+        commands.forEach { core.orderCounts.add(it.cause) }
+        core.act(SendCommands(m.id, m.addr, core.token, m.incarnation, commands))
     }
 
-    fun ended(m: Machine, sent: Direct, outcome: DirectOutcome) {
-        m.directBusy = false
+    fun ended(m: Machine, sent: SendCommands, outcome: CommandOutcome) {
+        m.requestInFlight = false
         when (outcome) {
-            DirectOutcome.DONE -> m.reached(core.now)
-            DirectOutcome.REFUSED -> m.reached(core.now)
-            DirectOutcome.NOT_SENT, DirectOutcome.UNKNOWN -> if (!core.overloaded) m.unanswered(m.directAt ?: core.now)
-            DirectOutcome.NOT_TRIED -> Unit
+            CommandOutcome.DONE -> m.markReachable(core.now)
+            CommandOutcome.REFUSED -> m.markReachable(core.now)
+            CommandOutcome.NOT_SENT, CommandOutcome.UNKNOWN -> if (!core.overloaded) m.markUnreachable(m.requestSentAt ?: core.now)
+            CommandOutcome.NOT_TRIED -> Unit
         }
-        if (outcome == DirectOutcome.UNKNOWN) {
-            m.directRetry = core.now + 1.seconds
+        if (outcome == CommandOutcome.UNKNOWN) {
+            m.nextRequestAt = core.now + 1.seconds
             return
         }
-        m.loose.removeIf { l -> l.token == sent.token && l.session == sent.session && l.since == m.directAt }
-        if (outcome == DirectOutcome.DONE) return
-        m.directRetry = core.now + 500.milliseconds
+        m.unconfirmedStarts.removeIf { l -> l.token == sent.token && l.incarnation == sent.incarnation && l.since == m.requestSentAt }
+        if (outcome == CommandOutcome.DONE) return
+        m.nextRequestAt = core.now + 500.milliseconds
         for (c in sent.commands) {
             if (c is StartTask) {
                 m.placements[c.key]?.let {
                     if (it.attempt == c.attempt &&
-                        it.step == Step.ORDERED
+                        it.step == PlacementStage.STORED
                     ) {
                         it.startSent = null
                     }
@@ -147,12 +147,12 @@
 
     /** Whether a start has been without an answer for so long that the token should be raised. */
     fun hasStaleStart(): Boolean {
-        val each = loose.iterator()
+        val each = unconfirmedStarts.iterator()
         while (each.hasNext()) {
             val m = each.next()
-            if (m.loose.isEmpty() || m.id !in core.machines) {
+            if (m.unconfirmedStarts.isEmpty() || m.id !in core.machines) {
                 each.remove()
-            } else if (m.loose.any { core.now - it.since > LOOSE_PATIENCE }) {
+            } else if (m.unconfirmedStarts.any { core.now - it.since > LOOSE_PATIENCE }) {
                 return true
             }
         }
