--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -1,6 +1,6 @@
 package glenspool.core.cluster
 
-import glenspool.core.Delete
+import glenspool.core.DeleteMachines
 import glenspool.core.DeletionCause
 import glenspool.core.Probe
 import glenspool.core.ProposedOrder
@@ -8,14 +8,14 @@
 import glenspool.core.Scheduler
 import glenspool.core.StopCause
 import glenspool.core.lifecycle.Job
-import glenspool.core.lifecycle.Step
+import glenspool.core.lifecycle.PlacementStage
 import glenspool.core.model.TaskState
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /** Cancelled [jobs] should be off the machine by now. */
-data class Overdue(val machine: String, val addr: String, val jobs: Set<String>)
+data class OverdueMachine(val machine: String, val addr: String, val jobs: Set<String>)
 
 /**
  * Gives machines up that can't be heard or reached, and the leadership if that is our own fault. A machine is only
@@ -24,16 +24,16 @@
 class FailureDetector(private val core: Scheduler) {
     private val config get() = core.config
     private val now: Duration get() = core.now
-    private val silence: Duration get() = maxOf(config.lease * config.tuning.silenceShare, config.report * 2.5)
+    private val silence: Duration get() = maxOf(config.lease * config.tuning.silenceShare, config.heartbeatInterval * 2.5)
     private var resigned = false
-    private val zones = ZoneWatch(core)
+    private val zones = ZonePartitionDetector(core)
 
     // Taken once for each look at the whole fleet, so that judging one machine does not look at all others.
     private var others = 0
     private var fresh = 0
-    private var reached = 0
+    private var reachable = 0
     private var probesLeft = 0
-    private var muted = 0
+    private var unreachable = 0
 
     fun look() {
         count()
@@ -57,38 +57,38 @@
     private fun count() {
         others = 0
         fresh = 0
-        reached = 0
-        muted = 0
+        reachable = 0
+        unreachable = 0
         zones.begin()
         // Clearly shorter than the silence bound: machines that all fell silent together must not vouch for each other.
-        val recent = maxOf(silence * 0.6, config.report * 1.4)
+        val recent = maxOf(silence * 0.6, config.heartbeatInterval * 1.4)
         for (m in core.machines.values) {
-            if (m.deleting) continue
-            if (m.mutedSince != null) muted++
-            val r = m.reachedAt
-            if (r != null && now - r <= recent) reached++
-            if (m.booting && !m.everHeard) continue
+            if (m.isDeleting) continue
+            if (m.unreachableSince != null) unreachable++
+            val r = m.lastReachedAt
+            if (r != null && now - r <= recent) reachable++
+            if (m.booting && !m.wasHeard) continue
             others++
-            if (m.heard.let { it != null && now - it <= recent }) fresh++
+            if (m.lastHeardAt.let { it != null && now - it <= recent }) fresh++
             zones.add(m)
         }
         zones.judge()
     }
 
     private fun watch(m: Machine) {
-        m.deletion?.let { cause ->
-            if (m.deleteSent == null && now >= m.directRetry) sendDelete(m, cause)
+        m.deletionCause?.let { cause ->
+            if (m.deletionSentAt == null && now >= m.nextRequestAt) sendDelete(m, cause)
             return
         }
         // What this process has yet to take in may have come from this very machine.
-        val quiet = now - (m.heard ?: maxOf(m.firstSeen, core.startedAt)) - core.backlog
-        if (m.booting && !m.everHeard) {
+        val quiet = now - (m.lastHeardAt ?: maxOf(m.firstSeen, core.startedAt)) - core.backlog
+        if (m.booting && !m.wasHeard) {
             val boot = core.types[m.type]?.boot ?: 60.seconds
             val age = maxOf(m.age, now - m.firstSeen)
             if (age > boot * config.tuning.bootPatience + config.listLag * 2) delete(m, DeletionCause.NEVER_CAME_UP)
             return
         }
-        if (m.notice != null) {
+        if (m.preemptionNotice != null) {
             if (m.busyTasks() == 0 && m.trusted) {
                 delete(m, DeletionCause.NOTICE)
                 return
@@ -97,29 +97,29 @@
         }
         // Where a worker has not found a new leader, the leader asks: those that are lost must not be waited for
         // longest.
-        val late = if (m.everHeard) config.report * 1.6 + 500.milliseconds else config.report
-        if ((quiet > late || m.mutedSince != null) && m.addr.isNotEmpty() && now >= m.probeAt) probe(m)
+        val late = if (m.wasHeard) config.heartbeatInterval * 1.6 + 500.milliseconds else config.heartbeatInterval
+        if ((quiet > late || m.unreachableSince != null) && m.addr.isNotEmpty() && now >= m.nextProbeAt) probe(m)
         if (cancelledTooLong(m)) {
             // Cancelled work on a machine that does not carry out our commands must be gone in time, heard or not.
             delete(m, DeletionCause.CANCELLED_WORK)
             return
         }
         if (zones.cut(m.zone)) return
-        val unreached = m.mutedSince
+        val unreached = m.unreachableSince
         // Its reports come in, but nothing reaches it: its tasks die with its lease, session after session. Only
         // while other machines are reached, or it is our own way out that is cut.
-        if (unreached != null && now - unreached > silence && reached > muted) {
+        if (unreached != null && now - unreached > silence && reachable > unreachable) {
             delete(m, DeletionCause.UNREACHABLE)
             return
         }
-        val limit = if (isGone(m) && m.listed) config.report * 2.5 else silence
+        val limit = if (isGone(m) && m.listed) config.heartbeatInterval * 2.5 else silence
         // Silence for two leases is given up in any case: if most machines are really lost, waiting would never end.
         if (quiet > limit && (mostAreHeard(m) || quiet > config.lease * 2)) {
             // A worker may need most of its lease to find a new leader, or one that was too slow to answer it: each
             // dead node costs it a time-out. Until then only questions without an answer show that the machine itself
             // is lost.
-            val mayBeElsewhere = (!m.everHeard || core.overloaded) && quiet <= config.lease && !isGone(m)
-            if (mayBeElsewhere && m.mutedSince.let { it == null || now - it < probeGap + UNANSWERED_TWICE }) return
+            val mayBeElsewhere = (!m.wasHeard || core.overloaded) && quiet <= config.lease && !isGone(m)
+            if (mayBeElsewhere && m.unreachableSince.let { it == null || now - it < probeGap + UNANSWERED_TWICE }) return
             delete(m, DeletionCause.SILENT)
         }
     }
@@ -128,13 +128,13 @@
      * Missing from lists for longer than they lag. A new leader knows such a machine from a stored place only and has
      * no address to ask it at: the last leader deleted it, or it died, and its work would wait for a whole lease.
      */
-    private fun isGone(m: Machine) = m.missingSince.let { it != null && now - it > config.listLag * 2 + 2.seconds }
+    private fun isGone(m: Machine) = m.unlistedSince.let { it != null && now - it > config.listLag * 2 + 2.seconds }
 
-    private val probeGap: Duration get() = maxOf(2.seconds, config.report)
+    private val probeGap: Duration get() = maxOf(2.seconds, config.heartbeatInterval)
 
     private fun probe(m: Machine) {
         if (probesLeft-- <= 0) return
-        m.probeAt = now + probeGap
+        m.nextProbeAt = now + probeGap
         core.act(Probe(m.id, m.addr))
     }
 
@@ -144,12 +144,12 @@
      */
     private fun cancelledTooLong(m: Machine): Boolean {
         if (now - core.startedAt > STOP_TIME &&
-            m.orphanSince.let { it != null && now - it > config.cancel * 0.6 }
+            m.orphanSince.let { it != null && now - it > config.cancellationDeadline * 0.6 }
         ) {
             return true
         }
         val since = now - (cancelledSince(m) ?: return false)
-        return since > config.cancel * 0.6 && now - core.startedAt > STOP_TIME || since > config.cancel * 0.8
+        return since > config.cancellationDeadline * 0.6 && now - core.startedAt > STOP_TIME || since > config.cancellationDeadline * 0.8
     }
 
     /** When the first of the jobs was cancelled that have something on the machine. */
@@ -172,13 +172,13 @@
     /**
      * Machines whose cancelled work must be gone by now, as far as this node knows; each is named again after a while.
      */
-    fun overdue(at: Duration): List<Overdue> {
-        val result = ArrayList<Overdue>()
+    fun overdueMachines(at: Duration): List<OverdueMachine> {
+        val result = ArrayList<OverdueMachine>()
         for (m in core.machines.values) {
-            if (m.deleting || cancelledSince(m).let { it == null || at - it <= config.cancel * 0.8 }) continue
+            if (m.isDeleting || cancelledSince(m).let { it == null || at - it <= config.cancellationDeadline * 0.8 }) continue
             if (overdueAskedAt[m.id].let { it != null && at - it < OVERDUE_AGAIN }) continue
             overdueAskedAt[m.id] = at
-            result.add(Overdue(m.id, m.addr, cancelledOn(m).mapTo(HashSet()) { it.spec.id }))
+            result.add(OverdueMachine(m.id, m.addr, cancelledOn(m).mapTo(HashSet()) { it.spec.id }))
         }
         return result
     }
@@ -192,12 +192,12 @@
 
     /** While some machine does not answer, a few others are asked too: they tell whose fault it is. */
     private fun checkControls() {
-        if (muted == 0 || reached > muted) return
+        if (unreachable == 0 || reachable > unreachable) return
         core.machines.values
             .filter {
-                it.mutedSince == null && !it.deleting && it.everHeard && it.addr.isNotEmpty() && now >= it.probeAt
-            }.sortedBy { it.reachedAt ?: Duration.ZERO }
-            .take(minOf(muted + 1, MAX_CONTROLS))
+                it.unreachableSince == null && !it.isDeleting && it.wasHeard && it.addr.isNotEmpty() && now >= it.nextProbeAt
+            }.sortedBy { it.lastReachedAt ?: Duration.ZERO }
+            .take(minOf(unreachable + 1, MAX_CONTROLS))
             .forEach(::probe)
     }
 
@@ -209,9 +209,9 @@
         var up = 0
         var last: Duration? = null
         for (m in core.machines.values) {
-            if (m.deleting || m.booting) continue
+            if (m.isDeleting || m.booting) continue
             up++
-            m.heard?.let { h -> last = maxOf(last ?: h, h) }
+            m.lastHeardAt?.let { h -> last = maxOf(last ?: h, h) }
         }
         if (core.overloaded) return false
         if (up < DEAF_MACHINES) return false
@@ -221,37 +221,37 @@
             ) {
                 now - core.startedAt > config.lease * 0.6
             } else {
-                now - it > maxOf(config.report * 2.5, 3.seconds)
+                now - it > maxOf(config.heartbeatInterval * 2.5, 3.seconds)
             }
         }
     }
 
     /** The same for a leader that hears workers but reaches none of those it tries. */
     private fun mute(): Boolean =
-        muted >= DEAF_MACHINES &&
-            reached == 0 &&
-            core.machines.values.count { m -> m.mutedSince.let { it != null && now - it > silence } } >= DEAF_MACHINES
+        unreachable >= DEAF_MACHINES &&
+            reachable == 0 &&
+            core.machines.values.count { m -> m.unreachableSince.let { it != null && now - it > silence } } >= DEAF_MACHINES
 
     private fun drainForNotice(m: Machine) {
         for (p in m.placements.values) {
-            if (p.stop != null || p.step != Step.SEEN) continue
+            if (p.stop != null || p.step != PlacementStage.OBSERVED) continue
             val s = p.job.spec
-            if (s.checkpoint > Duration.ZERO ||
+            if (s.checkpointInterval > Duration.ZERO ||
                 p.state == TaskState.FETCHING
             ) {
-                core.stop(p, StopCause.NOTICE, s.save + Scheduler.GRACE_SLACK)
+                core.stop(p, StopCause.NOTICE, s.checkpointDuration + Scheduler.GRACE_SLACK)
             }
         }
     }
 
     /** Gives the machine up, unless that has to wait. */
     fun delete(m: Machine, cause: DeletionCause) {
-        if (m.deleting || cause in deferrable && !core.hooks.gate.admits(ProposedOrder(cause, m.id))) return
+        if (m.isDeleting || cause in deferrable && !core.hooks.gate.admits(ProposedOrder(cause, m.id))) return
         core.note(important = true) {
-            "give-up machine=${m.id} reason=${cause.label} tasks=${m.placements.size} heard=${m.heard} now=$now"
+            "give-up machine=${m.id} reason=${cause.label} tasks=${m.placements.size} heard=${m.lastHeardAt} now=$now"
         }
-        m.deletion = cause
-        m.orders.clear()
+        m.deletionCause = cause
+        m.pendingCommands.clear()
         sendDelete(m, cause)
     }
 
@@ -259,7 +259,7 @@
     private var deletedAt = core.startedAt - 10.seconds
 
     private fun sendDelete(m: Machine, cause: DeletionCause) {
-        m.deleteSent = now
+        m.deletionSentAt = now
         toDelete[m.id] = cause
     }
 
@@ -267,10 +267,10 @@
     fun flush() {
         if (toDelete.isEmpty() || now - deletedAt < DELETE_GAP) return
         deletedAt = now
-        val batch = toDelete.entries.take(Delete.MAX_MACHINES).associate { it.key to it.value }
+        val batch = toDelete.entries.take(DeleteMachines.MAX_MACHINES).associate { it.key to it.value }
         batch.keys.forEach(toDelete::remove)
-        batch.values.forEach(core.counts::add)
-        core.act(Delete(batch))
+        batch.values.forEach(core.orderCounts::add)
+        core.act(DeleteMachines(batch))
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/core/cluster/Observations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
@@ -1,32 +1,32 @@
 package glenspool.core.cluster
 
-import glenspool.core.AbsenceRule
 import glenspool.core.ForgetCause
+import glenspool.core.HeartbeatSource
+import glenspool.core.MissingTaskPolicy
 import glenspool.core.ProposedOrder
-import glenspool.core.ReportSource
 import glenspool.core.Scheduler
 import glenspool.core.StartCause
 import glenspool.core.StopCause
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
-import glenspool.core.lifecycle.Step
-import glenspool.core.model.Amount
+import glenspool.core.lifecycle.PlacementStage
 import glenspool.core.model.Command
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
 import glenspool.core.model.ForgetTask
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.Priority
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Resources
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** What reports prove, and what they do not: which tasks are on a machine, which are surely gone, which are done. */
-class Observations(private val core: Scheduler) {
+class HeartbeatProcessor(private val core: Scheduler) {
     private val startToken = core.token
     private val now: Duration get() = core.now
     private val typeRuns = HashMap<String, HashMap<String, Double>>()
@@ -34,7 +34,7 @@
     fun fastestType(jobClass: String): String? = typeRuns[jobClass]?.minByOrNull { it.value }?.key
 
     /** Takes a report in if it is newer than what is known. Null: it is old, or a copy. */
-    fun observe(r: Report, source: ReportSource): Machine? {
+    fun observe(r: Heartbeat, source: HeartbeatSource): Machine? {
         // A copy of a report may come long after the machine was deleted: it is not back.
         if (core.wasDeleted(r.machine)) return null
         val known = core.machines[r.machine]
@@ -46,31 +46,31 @@
         m.spot = r.spot
         m.addr = r.addr
         m.booting = false
-        if (!m.everHeard) core.images.hand(m)
-        if (r.session > m.session) {
-            if (m.session >
+        if (!m.wasHeard) core.images.hand(m)
+        if (r.incarnation > m.incarnation) {
+            if (m.incarnation >
                 0
             ) {
                 core.note(important = true) {
-                    "lease-ended machine=${m.id} session=${r.session} tasks=${m.placements.size}"
+                    "lease-ended machine=${m.id} session=${r.incarnation} tasks=${m.placements.size}"
                 }
             }
-            m.loose.removeIf { it.session < r.session }
+            m.unconfirmedStarts.removeIf { it.incarnation < r.incarnation }
         }
-        m.loose.removeIf { it.token < r.token }
-        m.session = r.session
-        m.seq = r.seq
+        m.unconfirmedStarts.removeIf { it.token < r.token }
+        m.incarnation = r.incarnation
+        m.sequence = r.sequence
         // It has learnt a token since: something of ours has reached it.
-        if (r.token > m.token && r.token >= core.token) m.reached(now)
+        if (r.token > m.token && r.token >= core.token) m.markReachable(now)
         m.token = maxOf(m.token, r.token)
-        m.heard = now
-        if (source == ReportSource.WORKER) {
-            m.reportedAt = now
-        } else if (m.answeredSince == null) {
-            m.answeredSince = now
+        m.lastHeardAt = now
+        if (source == HeartbeatSource.WORKER) {
+            m.lastHeartbeatAt = now
+        } else if (m.firstReplyAt == null) {
+            m.firstReplyAt = now
         }
-        m.notice = r.notice
-        m.reported = r.tasks
+        m.preemptionNotice = r.preemptionNotice
+        m.taskStatuses = r.tasks
         // Until the worker has seen this leader's token, commands of an earlier leader may still be carried out:
         // such a report shows what is there, but not what will not be. A worker that began anew has forgotten the
         // token, so it is this report's that counts, not the highest that the machine ever showed.
@@ -82,10 +82,10 @@
         return m
     }
 
-    private fun digest(m: Machine, r: Report) {
+    private fun digest(m: Machine, r: Heartbeat) {
         if (r.tasks.isEmpty() && m.placements.isEmpty() && m.orphans.isEmpty()) return
         val present = HashSet<TaskKey>()
-        val orphanNow = HashMap<TaskKey, Amount>()
+        val orphanNow = HashMap<TaskKey, Resources>()
         for (t in r.tasks) {
             val job = core.jobs[t.key.job]
             val p = m.placements[t.key]?.takeIf { it.attempt == t.attempt }
@@ -97,7 +97,7 @@
                 present.add(t.key)
                 progress(m, p, t)
             } else {
-                orphanNow[t.key] = job?.need ?: Amount.ZERO
+                orphanNow[t.key] = job?.resourceRequest ?: Resources.ZERO
             }
         }
         if (m.trusted) {
@@ -108,7 +108,7 @@
         settleOrphans(m, orphanNow)
     }
 
-    private fun settleOrphans(m: Machine, shown: Map<TaskKey, Amount>) {
+    private fun settleOrphans(m: Machine, shown: Map<TaskKey, Resources>) {
         if (m.orphans.isEmpty() && shown.isEmpty()) return
         m.orphans.keys
             .filter { it !in shown }
@@ -117,22 +117,21 @@
     }
 
     /** The report shows this leader's token and not the task, and no start of it can still arrive. */
-    private fun isProvedAbsent(p: Placement, m: Machine, present: Set<TaskKey>): Boolean =
-        p.key !in present && p.step != Step.INTENDED && p.startSent != null && !m.mayStillStart(p.key, p.attempt)
+    private fun isProvedAbsent(p: Placement, m: Machine, present: Set<TaskKey>): Boolean = p.key !in present && p.step != PlacementStage.PLANNED && p.startSent != null && !m.mayStillStart(p.key, p.attempt)
 
     private fun absent(p: Placement, m: Machine) {
         val rule = core.hooks.absence()
         when {
-            rule == AbsenceRule.RESTORE_AND_WAIT && mayYetReport(m, p.job) -> Unit
-            rule != AbsenceRule.PLACE_ANEW && mayBeRestored(p, m) -> restore(p, m)
+            rule == MissingTaskPolicy.RESTORE_AND_WAIT && mayYetReport(m, p.job) -> Unit
+            rule != MissingTaskPolicy.RESCHEDULE && mayBeRestored(p, m) -> restore(p, m)
             else -> gone(p, m, null)
         }
     }
 
     /** It answers questions and has not reported by itself: it is given the time in which a worker finds its leader. */
     private fun mayYetReport(m: Machine, job: Job): Boolean {
-        val reports = if (job.rank == Priority.CRITICAL) REPORTS_TO_WAIT_CRITICAL else REPORTS_TO_WAIT
-        return m.reportedAt == null && now - (m.answeredSince ?: now) < core.config.report * reports
+        val heartbeats = if (job.effectivePriority == Priority.CRITICAL) REPORTS_TO_WAIT_CRITICAL else REPORTS_TO_WAIT
+        return m.lastHeartbeatAt == null && now - (m.firstReplyAt ?: now) < core.config.heartbeatInterval * heartbeats
     }
 
     /**
@@ -145,20 +144,20 @@
             !job.cancelled && !job.finished && !job.done[p.task] && p.stop == null && job.spec.kind != JobKind.GANG
         // Whichever message shows the absence, its own reports must arrive, or what is started there ends with its
         // lease.
-        val reports = m.reportedAt.let { it != null && now - it <= core.freshness }
-        return wanted && reports && m.id !in job.failedOn && !m.retiring && m.ready(now, core.freshness)
+        val heartbeats = m.lastHeartbeatAt.let { it != null && now - it <= core.freshness }
+        return wanted && heartbeats && m.id !in job.failedOn && !m.cordoned && m.isReady(now, core.freshness)
     }
 
     private fun restore(p: Placement, m: Machine) {
-        p.step = Step.ORDERED
+        p.step = PlacementStage.STORED
         p.state = null
         p.runningSince = null
         p.startSent = null
         core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RESTORED))
     }
 
-    private fun progress(m: Machine, p: Placement, t: ReportedTask) {
-        if (p.step != Step.SEEN) p.step = Step.SEEN
+    private fun progress(m: Machine, p: Placement, t: TaskStatus) {
+        if (p.step != PlacementStage.OBSERVED) p.step = PlacementStage.OBSERVED
         if (p.startSent == null) p.startSent = now
         if (t.state != TaskState.FETCHING && p.state.let { it == null || it == TaskState.FETCHING }) {
             m.sawImage(p.job.spec.image, p.job.spec.imageGb, core.types[m.type]?.cacheGb ?: 0.0)
@@ -176,17 +175,17 @@
         p.state = t.state
     }
 
-    private fun exited(m: Machine, job: Job?, p: Placement?, t: ReportedTask) {
-        if (t.exit == Exit.DONE && job != null && job.spec.kind != JobKind.SERVICE && t.key.task < job.spec.tasks) {
+    private fun exited(m: Machine, job: Job?, p: Placement?, t: TaskStatus) {
+        if (t.exit == ExitReason.DONE && job != null && job.spec.kind != JobKind.SERVICE && t.key.task < job.spec.tasks) {
             if (job.spec.kind == JobKind.GANG) {
                 // They complete together: if one task is done, all of them are.
                 if (!job.complete) {
                     job.finishAllTasks()
-                    job.soft(now)
+                    job.storeLater(now)
                 }
             } else if (!job.done[t.key.task]) {
                 job.finishTask(t.key.task)
-                job.soft(now)
+                job.storeLater(now)
                 learn(m, p)
             }
         }
@@ -197,7 +196,7 @@
     /** Keeps the table of the fastest machine type per class, from how long tasks ran. */
     private fun learn(m: Machine, p: Placement?) {
         val started = p?.runningSince ?: return
-        val est = p.job.spec.estimate
+        val est = p.job.spec.estimatedDuration
         if (est <= Duration.ZERO || p.job.spec.kind == JobKind.GANG) return
         val ratio = (now - started) / est
         val table = typeRuns.getOrPut(p.job.spec.jobClass) { HashMap() }
@@ -205,45 +204,45 @@
         // Before the sample itself counts: a machine is slow against the others of its type.
         m.slowness = m.slowness * 0.6 + (ratio / usual.coerceAtLeast(1e-6)).coerceAtMost(MAX_SLOWNESS) * 0.4
         table[m.type] = usual * 0.9 + ratio * 0.1
-        m.errors = 0
+        m.consecutiveFailures = 0
     }
 
     /** The attempt is proved to be off its machine. */
-    fun gone(p: Placement, m: Machine, exit: Exit?) {
+    fun gone(p: Placement, m: Machine, exit: ExitReason?) {
         val job = p.job
         core.drop(p)
-        job.soft(now)
+        job.storeLater(now)
         core.wantRound()
         // A broken gang begins again where its image is, not somewhere else because small work was quicker.
         if (job.spec.kind == JobKind.GANG && job.waitingCount() > 0) m.reserve(job, now)
         when (exit) {
-            Exit.ERROR, Exit.UNKNOWN -> {
+            ExitReason.ERROR, ExitReason.UNKNOWN -> {
                 job.failedOn.add(m.id)
-                m.errors++
+                m.consecutiveFailures++
                 if (job.failedOn.size >= 2) {
                     // On several machines the job is at fault: it must not consume the fleet.
                     job.notBefore = now + minOf(60.seconds, 2.seconds * (1 shl minOf(job.failedOn.size, 5)))
                 } else {
                     job.notBefore = now + 1.seconds
                 }
-                if (m.errors >= 3) m.badUntil = now + 60.seconds
+                if (m.consecutiveFailures >= 3) m.quarantinedUntil = now + 60.seconds
             }
-            Exit.NO_ROOM, Exit.BUSY -> job.notBefore = now + 1.seconds
+            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_PRESENT -> job.notBefore = now + 1.seconds
             else -> Unit
         }
     }
 
     /** What a worker is told besides the orders sent directly: repeated stops, and what it may forget. */
     fun routine(m: Machine): List<Command> {
-        if (m.reported.isEmpty()) return emptyList()
+        if (m.taskStatuses.isEmpty()) return emptyList()
         val result = ArrayList<Command>()
-        for (t in m.reported) {
+        for (t in m.taskStatuses) {
             val job = core.jobs[t.key.job]
             val p = m.placements[t.key]?.takeIf { it.attempt == t.attempt }
             if (t.state == TaskState.EXITED) {
                 // A start still on its way would start the task again after this.
                 if (m.mayStillStart(t.key, t.attempt)) continue
-                if (t.exit == Exit.DONE &&
+                if (t.exit == ExitReason.DONE &&
                     job != null &&
                     !job.finished &&
                     job.spec.kind != JobKind.SERVICE &&
@@ -254,7 +253,7 @@
                 result.add(
                     ForgetTask(
                         t.key, t.attempt,
-                        if (t.exit == Exit.DONE &&
+                        if (t.exit == ExitReason.DONE &&
                             job != null
                         ) {
                             ForgetCause.RECORDED
@@ -270,12 +269,11 @@
                 repeatedStop(p, t)?.let(result::add)
             }
         }
-        result.forEach { core.counts.add(it.cause) }
+        result.forEach { core.orderCounts.add(it.cause) }
         return result
     }
 
-    private fun mayStopOrphan(m: Machine, key: TaskKey, cause: StopCause): Boolean =
-        cause == StopCause.CANCELLED || core.hooks.gate.admits(ProposedOrder(cause, m.id, key))
+    private fun mayStopOrphan(m: Machine, key: TaskKey, cause: StopCause): Boolean = cause == StopCause.CANCELLED || core.hooks.gate.admits(ProposedOrder(cause, m.id, key))
 
     private fun orphanCause(job: Job?): StopCause =
         when {
@@ -285,10 +283,10 @@
         }
 
     /** A stop that should have been carried out by now. */
-    private fun repeatedStop(p: Placement, t: ReportedTask): StopTask? {
+    private fun repeatedStop(p: Placement, t: TaskStatus): StopTask? {
         val cause = p.stop ?: return null
         val sent = p.stopSent ?: return null
-        if (now - sent <= core.config.report * 0.7 || t.state == TaskState.SAVING) return null
+        if (now - sent <= core.config.heartbeatInterval * 0.7 || t.state == TaskState.CHECKPOINTING) return null
         return StopTask(t.key, t.attempt, p.stopGrace, cause)
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/ImageHints.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
@@ -1,7 +1,7 @@
 package glenspool.core.cluster
 
-import glenspool.core.SaveImages
 import glenspool.core.Scheduler
+import glenspool.core.StoreImageLocations
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
@@ -10,16 +10,16 @@
  * task would fetch again. It is spread over as many parts as the fleet needs; one part is stored at a time, so the
  * hints never take more than a little of what the state service allows.
  */
-class ImageHints(private val core: Scheduler) {
+class ImageLocations(private val core: Scheduler) {
     private var remembered: Map<String, Map<String, Double>> = emptyMap()
-    private val saved = HashMap<Int, Map<String, Map<String, Double>>>()
+    private val stored = HashMap<Int, Map<String, Map<String, Double>>>()
     private var savedAt = core.now
     private var next = 0
 
     fun remember(images: Map<String, Map<String, Double>>) {
         remembered = images
         for ((part, list) in images.entries.groupBy { partOf(it.key) }) {
-            saved[part] =
+            stored[part] =
                 list.associate { it.key to it.value }
         }
     }
@@ -44,13 +44,13 @@
             room[part] = left
             parts.getOrPut(part) { LinkedHashMap() }[id] = images.toMap()
         }
-        for (m in core.machines.values) if (m.trusted && !m.deleting) put(m.id, m.cachedImages())
+        for (m in core.machines.values) if (m.trusted && !m.isDeleting) put(m.id, m.cachedImages())
         // What was handed down for a machine not heard yet must not be lost by storing the part anew.
         if (now - core.startedAt <
             KEEP
         ) {
             for ((id, own) in remembered) {
-                if (core.machines[id]?.everHeard != true &&
+                if (core.machines[id]?.wasHeard != true &&
                     !core.wasDeleted(id)
                 ) {
                     put(id, own)
@@ -60,11 +60,11 @@
         for (i in 0 until PARTS) {
             val part = (next + i) % PARTS
             val images = parts[part] ?: emptyMap()
-            if (images == (saved[part] ?: emptyMap<String, Map<String, Double>>())) continue
+            if (images == (stored[part] ?: emptyMap<String, Map<String, Double>>())) continue
             next = part + 1
             savedAt = now
-            saved[part] = images
-            core.act(SaveImages(part, images))
+            stored[part] = images
+            core.act(StoreImageLocations(part, images))
             return
         }
     }
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -3,53 +3,53 @@
 import glenspool.core.DeletionCause
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
-import glenspool.core.model.Amount
 import glenspool.core.model.Command
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
 import glenspool.core.model.MachineType
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Resources
 import glenspool.core.model.TaskKey
+import glenspool.core.model.TaskStatus
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** A start command whose outcome is unknown: it may still be executed while token and session match. */
-data class LooseStart(val key: TaskKey, val attempt: Long, val token: Long, val session: Long, val since: Duration)
+data class UnconfirmedStart(val key: TaskKey, val attempt: Long, val token: Long, val incarnation: Long, val since: Duration)
 
 /** What is known of one machine, and how. */
 class Machine(val id: String, var type: String, var zone: String, var spot: Boolean, val firstSeen: Duration) {
     var addr: String = ""
-    var session = 0L
-    var seq = 0L
+    var incarnation = 0L
+    var sequence = 0L
 
     /** The highest token that a report of this machine has shown. */
     var token = 0L
 
     /** When it was last heard of, by report or by an answer to a direct request. Null: never. */
-    var heard: Duration? = null
-    var notice: Duration? = null
+    var lastHeardAt: Duration? = null
+    var preemptionNotice: Duration? = null
 
     /** When its worker last sent a report by itself. Null: not in this term. */
-    var reportedAt: Duration? = null
+    var lastHeartbeatAt: Duration? = null
 
     /** When it first answered a question or a command in this term. */
-    var answeredSince: Duration? = null
+    var firstReplyAt: Duration? = null
 
     /** True once a report under the current leader's token has shown what is on the machine. */
     var trusted = false
     var listed = false
     var booting = true
-    var missingSince: Duration? = null
+    var unlistedSince: Duration? = null
     var failed = false
 
     /** Why a deletion was sent or is wanted; the machine is never used again. Null: it is not given up. */
-    var deletion: DeletionCause? = null
-    val deleting: Boolean get() = deletion != null
-    var deleteSent: Duration? = null
+    var deletionCause: DeletionCause? = null
+    val isDeleting: Boolean get() = deletionCause != null
+    var deletionSentAt: Duration? = null
 
     /** Gets no more short work, so that it becomes empty and can be returned. */
-    var retiring = false
+    var cordoned = false
     var idleSince: Duration? = null
 
     /**
@@ -73,62 +73,62 @@
             reservedFor = null
             return false
         }
-        return owner !== job && job.rank <= owner.rank
+        return owner !== job && job.effectivePriority <= owner.effectivePriority
     }
 
     var age: Duration = Duration.ZERO
 
     private val placed = LinkedHashMap<TaskKey, Placement>()
-    private val orphanTasks = HashMap<TaskKey, Amount>()
+    private val orphanTasks = HashMap<TaskKey, Resources>()
 
     /** What the placements and orphans take; null after a change, since rounds ask far more often than it changes. */
-    private var usedNow: Amount? = null
+    private var usedNow: Resources? = null
     private var servicesNow = 0
     val placements: Map<TaskKey, Placement> get() = placed
-    val orphans: Map<TaskKey, Amount> get() = orphanTasks
+    val orphans: Map<TaskKey, Resources> get() = orphanTasks
 
     /** Since when tasks without a place have been here. */
     var orphanSince: Duration? = null
-    var reported: List<ReportedTask> = emptyList()
-    val loose = ArrayList<LooseStart>()
-    val orders = ArrayList<Command>()
-    var directBusy = false
+    var taskStatuses: List<TaskStatus> = emptyList()
+    val unconfirmedStarts = ArrayList<UnconfirmedStart>()
+    val pendingCommands = ArrayList<Command>()
+    var requestInFlight = false
 
     /** When the last direct request was sent: it tells that request's starts from earlier ones. */
-    var directAt: Duration? = null
-    var directRetry: Duration = Duration.ZERO
-    var probeAt: Duration = Duration.ZERO
+    var requestSentAt: Duration? = null
+    var nextRequestAt: Duration = Duration.ZERO
+    var nextProbeAt: Duration = Duration.ZERO
 
     /**
      * Since when direct requests have gone without an answer. Being heard is not being reachable: reports may
      * arrive from a machine that no answer and no command reaches. Only an answered request ends this.
      */
-    var mutedSince: Duration? = null
+    var unreachableSince: Duration? = null
 
     /** When a direct request was last answered. */
-    var reachedAt: Duration? = null
+    var lastReachedAt: Duration? = null
 
-    fun reached(now: Duration) {
-        reachedAt = now
-        mutedSince = null
+    fun markReachable(now: Duration) {
+        lastReachedAt = now
+        unreachableSince = null
     }
 
-    fun unanswered(since: Duration) {
-        if (mutedSince == null) mutedSince = since
+    fun markUnreachable(since: Duration) {
+        if (unreachableSince == null) unreachableSince = since
     }
 
     /** Images that tasks were seen to have here, most recently used last. */
     private val images = LinkedHashMap<String, Double>()
-    var errors = 0
-    var badUntil: Duration? = null
+    var consecutiveFailures = 0
+    var quarantinedUntil: Duration? = null
 
     /** Relative speed as seen from tasks that completed; 1 is usual. */
     var slowness = 1.0
 
     /** Whether a start of this attempt may still arrive here. */
-    fun mayStillStart(key: TaskKey, attempt: Long): Boolean = loose.any { it.key == key && it.attempt == attempt }
+    fun mayStillStart(key: TaskKey, attempt: Long): Boolean = unconfirmedStarts.any { it.key == key && it.attempt == attempt }
 
-    val everHeard: Boolean get() = heard != null
+    val wasHeard: Boolean get() = lastHeardAt != null
 
     fun place(p: Placement) {
         if (placed
@@ -151,7 +151,7 @@
     }
 
     /** True if the orphan was not known before. */
-    fun addOrphan(k: TaskKey, a: Amount, now: Duration): Boolean {
+    fun addOrphan(k: TaskKey, a: Resources, now: Duration): Boolean {
         if (orphanSince == null) orphanSince = now
         usedNow = null
         return orphanTasks.put(k, a) == null
@@ -167,17 +167,17 @@
     val services: Int get() = servicesNow
 
     /** Summed anew after each change, so that rounding errors can't add up. */
-    fun used(): Amount =
+    fun used(): Resources =
         usedNow ?: run {
-            var sum = Amount.ZERO
-            for (p in placed.values) sum += p.job.need
+            var sum = Resources.ZERO
+            for (p in placed.values) sum += p.job.resourceRequest
             for (a in orphanTasks.values) sum += a
             sum.also { usedNow = it }
         }
 
-    fun free(type: MachineType): Amount = type.room - used()
+    fun free(type: MachineType): Resources = type.capacity - used()
 
-    fun newer(r: Report): Boolean = r.session > session || (r.session == session && r.seq > seq)
+    fun newer(r: Heartbeat): Boolean = r.incarnation > incarnation || (r.incarnation == incarnation && r.sequence > sequence)
 
     fun cachedImages(): Map<String, Double> = images
 
@@ -199,14 +199,14 @@
         }
     }
 
-    fun ready(now: Duration, freshness: Duration): Boolean {
-        val h = heard ?: return false
-        val bad = badUntil
+    fun isReady(now: Duration, freshness: Duration): Boolean {
+        val h = lastHeardAt ?: return false
+        val bad = quarantinedUntil
         return trusted &&
-            !deleting &&
+            !isDeleting &&
             !failed &&
-            notice == null &&
-            mutedSince == null &&
+            preemptionNotice == null &&
+            unreachableSince == null &&
             now - h <= freshness &&
             (bad == null || now >= bad)
     }
@@ -219,8 +219,7 @@
 }
 
 /** Whether a job may use a machine at all, whatever else runs. */
-fun allowed(spec: JobSpec, m: Machine): Boolean =
-    (spec.types == null || m.type in spec.types) && (spec.zone == null || spec.zone == m.zone) && (spec.spot || !m.spot)
+fun allowed(spec: JobSpec, m: Machine): Boolean = (spec.types == null || m.type in spec.types) && (spec.zone == null || spec.zone == m.zone) && (spec.spot || !m.spot)
 
 /**
  * Whether one more task of the job may be in the zone, counting every task that is or may be somewhere.
--- a/src/main/kotlin/glenspool/core/cluster/Orphans.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Orphans.kt
@@ -26,7 +26,7 @@
         for (id in unrecorded.remove(job.spec.id).orEmpty()) {
             val m = core.machines[id] ?: continue
             m.orphans.keys.filter { it.job == job.spec.id }.forEach { k ->
-                m.addOrphan(k, job.need, core.now)
+                m.addOrphan(k, job.resourceRequest, core.now)
                 count(job, m, k)
             }
         }
@@ -38,9 +38,9 @@
         forgetUnrecorded(m, k.job)
         val job = core.jobs[k.job] ?: return
         val on = job.orphans[k] ?: return
-        if (on.remove(m.id)) core.charge(job, -1)
+        if (on.remove(m.id)) core.chargeUsage(job, -1)
         if (on.isEmpty()) job.orphans.remove(k)
-        job.touch()
+        job.markDirty()
         core.wantRound()
     }
 
@@ -52,6 +52,6 @@
     }
 
     private fun count(job: Job, m: Machine, k: TaskKey) {
-        if (job.orphans.getOrPut(k) { HashSet() }.add(m.id)) core.charge(job, +1)
+        if (job.orphans.getOrPut(k) { HashSet() }.add(m.id)) core.chargeUsage(job, +1)
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/ZoneWatch.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
@@ -9,7 +9,7 @@
  * of all work, to rent the same again. So its machines are waited for, but not without end: a controller there may have
  * ended too. Machines that died with their zone show in the cloud's list, and cancelled work is never waited for.
  */
-class ZoneWatch(private val core: Scheduler) {
+class ZonePartitionDetector(private val core: Scheduler) {
     private class Count {
         var machines = 0
         var fresh = 0
@@ -27,7 +27,7 @@
         val c = counts.getOrPut(m.zone) { Count() }
         c.machines++
         // Half of the machines that report at all did so within this time: it shows a cut before the first is given up.
-        if (m.heard.let { it != null && core.now - it <= core.config.report / 2 }) c.fresh++
+        if (m.lastHeardAt.let { it != null && core.now - it <= core.config.heartbeatInterval / 2 }) c.fresh++
     }
 
     fun judge() {
@@ -41,7 +41,7 @@
             val known = cuts[zone]
             if (silent) {
                 cuts[zone] = (known?.first ?: core.now) to core.now
-            } else if (known != null && core.now - known.second > core.config.report * REPORTS_TO_RETURN) {
+            } else if (known != null && core.now - known.second > core.config.heartbeatInterval * REPORTS_TO_RETURN) {
                 // Not sooner: the first workers to be heard again must not condemn those that need a moment more.
                 cuts.remove(zone)
             }
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -1,12 +1,12 @@
 package glenspool.core.lifecycle
 
 import glenspool.core.StopCause
-import glenspool.core.model.Amount
-import glenspool.core.model.Intent
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Priority
+import glenspool.core.model.Resources
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
 import it.unimi.dsi.fastutil.ints.Int2ObjectRBTreeMap
@@ -14,15 +14,15 @@
 import kotlin.time.Duration
 
 /** How far a placement has come. */
-enum class Step {
+enum class PlacementStage {
     /** Decided and reserved; not stored yet, so no command may be sent. */
-    INTENDED,
+    PLANNED,
 
     /** Stored; the start command may have been sent, so the task may be on its machine. */
-    ORDERED,
+    STORED,
 
     /** A report has shown the task on its machine. */
-    SEEN,
+    OBSERVED,
 }
 
 /**
@@ -30,7 +30,7 @@
  * sent until there is proof that it is gone.
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: String, val since: Duration) {
-    var step = Step.INTENDED
+    var step = PlacementStage.PLANNED
     var state: TaskState? = null
 
     /** The job's change count that has to be stored before the start command may be sent. */
@@ -44,8 +44,8 @@
     var stopGrace: Duration = Duration.ZERO
     var stopSent: Duration? = null
 
-    /** Where it is stored, see [Shelves]. */
-    var shelf = Shelves.RECORD
+    /** Where it is stored, see [PlacementParts]. */
+    var part = PlacementParts.RECORD
     val key = TaskKey(job.spec.id, task)
 }
 
@@ -56,29 +56,29 @@
 class Job(
     record: JobRecord,
     var version: Long,
-    val shelves: Shelves = Shelves(Int.MAX_VALUE, Int.MAX_VALUE),
+    val parts: PlacementParts = PlacementParts(Int.MAX_VALUE, Int.MAX_VALUE),
     private val touched: (Job) -> Unit = {},
 ) {
     val spec: JobSpec = record.spec
     val submitted: Duration = record.submitted
 
     /** So many pieces hold its description, stored apart from the record. */
-    var pieces = record.pieces
+    var descriptionParts = record.descriptionParts
 
     /** It waits for other jobs: none of its tasks may have a place. Every way to a start asks [waitingCount]. */
-    var held = record.needs.isNotEmpty()
+    var waitsForDependencies = record.dependencies.isNotEmpty()
 
     /** When the last job that it needed was done, by the time of day. */
-    var ready: Duration? = record.ready
+    var dependenciesDoneAt: Duration? = record.dependenciesDoneAt
 
     /** The cancelled job that it needs, directly or through others: it can only be closed. */
-    var cutBy: String? = null
+    var abortedBy: String? = null
 
     /** The highest priority of the jobs that need it. */
-    var lift: Priority? = null
+    var inheritedPriority: Priority? = null
 
     /** By when it should be done so that those that need it can meet their deadlines, by the time of day. */
-    var wantedBy: Duration? = null
+    var inheritedDeadline: Duration? = null
     val done: BitSet = record.done.clone() as BitSet
     private var doneCount = done.cardinality()
 
@@ -93,11 +93,11 @@
     var cancelVersion: Long? = null
     var cancelledAt: Duration? = null
 
-    /** Counts changes that must be stored; [saved] is the last stored one. */
+    /** Counts changes that must be stored; [storedChanges] is the last stored one. */
     var changes = 0L
-    var saved = 0L
-    var softSince: Duration? = null
-    var writing = false
+    var storedChanges = 0L
+    var storeLaterSince: Duration? = null
+    var writeInFlight = false
     var finished = false
 
     /** Its change was too large for the state service: it is not tried again before this. */
@@ -109,52 +109,52 @@
     var notBefore: Duration? = null
 
     /** Room is being made for it on a machine with its image until about then; set once in its life. */
-    var roomComing: Duration? = null
+    var resourcesExpectedBy: Duration? = null
     var gangAttempt: Long? = null
     var gangStarted = false
 
     /** When the job became known here, in steady time. */
-    var seenAt: Duration = Duration.ZERO
+    var knownSince: Duration = Duration.ZERO
 
     val cancelled: Boolean get() = cancelVersion != null
     val complete: Boolean get() = spec.kind != JobKind.SERVICE && doneCount >= spec.tasks
 
     /** Something that must be stored before the work can go on. */
-    fun changed(): Long {
+    fun storeSoon(): Long {
         touched(this)
         return ++changes
     }
 
     /** Something that should be stored within a while. */
-    fun soft(now: Duration) {
-        if (softSince == null) softSince = now
+    fun storeLater(now: Duration) {
+        if (storeLaterSince == null) storeLaterSince = now
         touched(this)
     }
 
-    fun touch() = touched(this)
+    fun markDirty() = touched(this)
 
     /** Whether any of its tasks ever had a place or a result. */
-    val begun: Boolean get() = lastAttempt > 0
+    val hasStarted: Boolean get() = lastAttempt > 0
 
     fun placementOf(task: Int): Placement? = placed.get(task)
 
     /** [storedOn]: the shelf where its place is stored already; null for a new one. */
-    fun place(p: Placement, storedOn: Int? = null, mayShelve: Boolean = false) {
+    fun place(p: Placement, storedOn: Int? = null, maySplit: Boolean = false) {
         unplace(p.task)
-        if (storedOn != null) shelves.put(p, storedOn) else shelves.add(p, mayShelve)
+        if (storedOn != null) parts.put(p, storedOn) else parts.add(p, maySplit)
         placed.put(p.task, p)
         if (!done[p.task]) placedOpen++
     }
 
     /** Whether places lie apart from the record. */
-    val hasPlacesApart: Boolean get() = placed.values.any { it.shelf != Shelves.RECORD }
+    val isSplit: Boolean get() = placed.values.any { it.part != PlacementParts.RECORD }
 
     /** Brings such places back into the record as far as it has room. Whether any was moved. */
-    fun mergePlaces(): Boolean = shelves.mergeIntoRecord(placed.values)
+    fun mergeParts(): Boolean = parts.mergeIntoRecord(placed.values)
 
     fun unplace(task: Int) {
         val old = placed.remove(task) ?: return
-        shelves.remove(old)
+        parts.remove(old)
         if (!done[old.task]) placedOpen--
     }
 
@@ -183,7 +183,7 @@
     }
 
     /** How many tasks wait for a place; those that are somewhere without a place of ours count as waiting. */
-    fun waitingCount(): Int = if (cancelled || finished || held) 0 else spec.tasks - doneCount - placedOpen
+    fun waitingCount(): Int = if (cancelled || finished || waitsForDependencies) 0 else spec.tasks - doneCount - placedOpen
 
     fun record() =
         JobRecord(
@@ -191,13 +191,13 @@
             submitted,
             lastAttempt,
             done.clone() as BitSet,
-            Shelves.intentsOf(placed.values, Shelves.RECORD),
+            PlacementParts.storedPlacements(placed.values, PlacementParts.RECORD),
             emptyList(),
-            ready,
+            dependenciesDoneAt,
             placed.values
-                .filter { it.shelf != Shelves.RECORD }
-                .groupBy({ it.shelf }, { Intent(it.task, it.attempt, it.machine) }),
-            pieces,
+                .filter { it.part != PlacementParts.RECORD }
+                .groupBy({ it.part }, { StoredPlacement(it.task, it.attempt, it.machine) }),
+            descriptionParts,
         )
 
     /**
@@ -205,16 +205,16 @@
      */
     fun lossOf(p: Placement, now: Duration, fetch: Duration): Duration {
         val ran = p.runningSince?.let { now - it } ?: return minOf(now - p.since, fetch)
-        return fetch + if (spec.checkpoint > Duration.ZERO) minOf(ran, spec.checkpoint) else ran
+        return fetch + if (spec.checkpointInterval > Duration.ZERO) minOf(ran, spec.checkpointInterval) else ran
     }
 
     /** A job counts as much as any that needs it. */
-    val rank: Priority get() = lift?.let { maxOf(it, spec.priority) } ?: spec.priority
+    val effectivePriority: Priority get() = inheritedPriority?.let { maxOf(it, spec.priority) } ?: spec.priority
 
     /** Times other than its deadline count from here. */
-    val since: Duration get() = ready ?: submitted
+    val waitingSince: Duration get() = dependenciesDoneAt ?: submitted
 
     /** By when it should be done, if anybody said so: it, or jobs that need it. */
-    val due: Duration? get() = spec.deadline?.let { d -> minOf(submitted + d, wantedBy ?: (submitted + d)) } ?: wantedBy
-    val need: Amount get() = spec.need
+    val dueBy: Duration? get() = spec.deadline?.let { d -> minOf(submitted + d, inheritedDeadline ?: (submitted + d)) } ?: inheritedDeadline
+    val resourceRequest: Resources get() = spec.resourceRequest
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/Chains.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
@@ -1,8 +1,8 @@
 package glenspool.core.lifecycle
 
-import glenspool.core.AskEnds
+import glenspool.core.ReadFinalStates
 import glenspool.core.Scheduler
-import glenspool.core.model.JobEnd
+import glenspool.core.model.FinalState
 import glenspool.core.model.Priority
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -15,45 +15,45 @@
  *
  * A job may count as much as any that needs it: priority and deadline go up the chain from where users set them.
  */
-class Chains(private val core: Scheduler) {
-    private class Held(val job: Job, val needs: List<String>) {
-        val open = LinkedHashSet(needs)
+class JobDependencies(private val core: Scheduler) {
+    private class WaitingJob(val job: Job, val dependencies: List<String>) {
+        val open = LinkedHashSet(dependencies)
     }
 
-    private val held = LinkedHashMap<String, Held>()
+    private val waitingJobs = LinkedHashMap<String, WaitingJob>()
 
     /** Who waits for a job; kept as long as anybody does. */
     private val dependents = HashMap<String, LinkedHashSet<String>>()
 
     /** How jobs ended that somebody waits for. */
-    private val ends = HashMap<String, JobEnd>()
+    private val ends = HashMap<String, FinalState>()
 
     /** Jobs that ended in a way that is not known here. */
     private val unknown = LinkedHashSet<String>()
     private var asking = false
     private var askAfter = core.startedAt
 
-    val size: Int get() = held.size
+    val size: Int get() = waitingJobs.size
 
-    operator fun get(id: String): Job? = held[id]?.job
+    operator fun get(id: String): Job? = waitingJobs[id]?.job
 
-    /** A job that waits for [needs] was stored. */
-    fun add(job: Job, needs: List<String>) {
-        val h = Held(job, needs)
-        held[job.spec.id] = h
+    /** A job that waits for [dependencies] was stored. */
+    fun add(job: Job, dependencies: List<String>) {
+        val h = WaitingJob(job, dependencies)
+        waitingJobs[job.spec.id] = h
         // It may have been stored, and seen, before this one: then it has its dependents already.
-        for (n in needs) dependents.getOrPut(n) { LinkedHashSet() }.add(job.spec.id)
-        for (n in needs) {
+        for (n in dependencies) dependents.getOrPut(n) { LinkedHashSet() }.add(job.spec.id)
+        for (n in dependencies) {
             val live = core.job(n)
             when {
-                ends[n] == JobEnd.DONE -> h.open.remove(n)
-                ends[n] == JobEnd.CANCELLED -> cut(listOf(job.spec.id), n)
+                ends[n] == FinalState.DONE -> h.open.remove(n)
+                ends[n] == FinalState.CANCELLED -> cut(listOf(job.spec.id), n)
                 live == null -> unknown.add(n)
                 live.cancelled -> cut(listOf(job.spec.id), n)
-                else -> live.cutBy?.let { cut(listOf(job.spec.id), it) }
+                else -> live.abortedBy?.let { cut(listOf(job.spec.id), it) }
             }
         }
-        if (h.open.isEmpty()) release(h) else raise(needs)
+        if (h.open.isEmpty()) release(h) else raise(dependencies)
     }
 
     /** The job is live: those that were seen before it need not ask for its end. */
@@ -63,30 +63,30 @@
     }
 
     /** The job's final state is stored. */
-    fun ended(id: String, end: JobEnd) {
+    fun ended(id: String, end: FinalState) {
         unknown.remove(id)
         val waiting = dependents[id] ?: return
         ends[id] = end
-        if (end == JobEnd.CANCELLED) {
+        if (end == FinalState.CANCELLED) {
             cutAfter(id, id)
             return
         }
         for (d in waiting.toList()) {
-            val h = held[d] ?: continue
+            val h = waitingJobs[d] ?: continue
             h.open.remove(id)
-            if (h.open.isEmpty() && h.job.cutBy == null) release(h)
+            if (h.open.isEmpty() && h.job.abortedBy == null) release(h)
         }
     }
 
     /** The job's cancellation is stored: it will never be done, and what it needed counts for itself again. */
     fun cancelled(id: String) {
         cutAfter(id, id)
-        held[id]?.let { raise(it.needs) }
+        waitingJobs[id]?.let { raise(it.dependencies) }
     }
 
     /** The job is not live any more; unless its end is known, it has to be read. */
     fun gone(id: String) {
-        val h = held.remove(id)
+        val h = waitingJobs.remove(id)
         if (h != null) {
             h.job.finished = true
             leave(h)
@@ -101,11 +101,11 @@
     fun ask(now: Duration) {
         if (asking || unknown.isEmpty() || now < askAfter) return
         asking = true
-        core.act(AskEnds(unknown.take(ASK_AT_ONCE)))
+        core.act(ReadFinalStates(unknown.take(ASK_AT_ONCE)))
     }
 
     /** The answers; what has none is asked again after a while. */
-    fun answered(asked: List<String>, found: Map<String, JobEnd>) {
+    fun answered(asked: List<String>, found: Map<String, FinalState>) {
         asking = false
         if (found.size < asked.size) askAfter = core.now + ASK_PAUSE
         for (id in asked) {
@@ -118,15 +118,15 @@
         }
     }
 
-    private fun release(h: Held) {
-        held.remove(h.job.spec.id)
+    private fun release(h: WaitingJob) {
+        waitingJobs.remove(h.job.spec.id)
         leave(h)
         core.released(h.job)
     }
 
     /** It waits no more, so what it needed counts for itself again. */
-    private fun leave(h: Held) {
-        for (n in h.needs) {
+    private fun leave(h: WaitingJob) {
+        for (n in h.dependencies) {
             val waiting = dependents[n] ?: continue
             waiting.remove(h.job.spec.id)
             if (waiting.isEmpty()) {
@@ -135,7 +135,7 @@
                 unknown.remove(n)
             }
         }
-        raise(h.needs)
+        raise(h.dependencies)
     }
 
     private fun cutAfter(id: String, by: String) = cut(dependents[id].orEmpty(), by)
@@ -146,12 +146,12 @@
         val freed = LinkedHashSet<String>()
         while (next.isNotEmpty()) {
             val id = next.removeFirst()
-            val h = held[id] ?: continue
-            if (h.job.cutBy != null) continue
-            h.job.cutBy = by
-            h.job.touch()
+            val h = waitingJobs[id] ?: continue
+            if (h.job.abortedBy != null) continue
+            h.job.abortedBy = by
+            h.job.markDirty()
             core.note { "cut task=$id class=${h.job.spec.jobClass} by=$by" }
-            freed.addAll(h.needs)
+            freed.addAll(h.dependencies)
             next.addAll(dependents[id].orEmpty())
         }
         raise(freed)
@@ -163,19 +163,19 @@
         while (next.isNotEmpty()) {
             val id = next.removeFirst()
             val job = core.job(id) ?: continue
-            var lift: Priority? = null
+            var inheritedPriority: Priority? = null
             var wanted: Duration? = null
             for (d in dependents[id].orEmpty()) {
-                val other = held[d]?.job ?: continue
-                if (other.cutBy != null || other.cancelled) continue
-                lift = maxOf(lift ?: other.rank, other.rank)
-                other.due?.let { due -> startBy(other, due).let { s -> wanted = minOf(wanted ?: s, s) } }
+                val other = waitingJobs[d]?.job ?: continue
+                if (other.abortedBy != null || other.cancelled) continue
+                inheritedPriority = maxOf(inheritedPriority ?: other.effectivePriority, other.effectivePriority)
+                other.dueBy?.let { due -> startBy(other, due).let { s -> wanted = minOf(wanted ?: s, s) } }
             }
-            if (lift == job.lift && wanted == job.wantedBy) continue
-            job.lift = lift
-            job.wantedBy = wanted
+            if (inheritedPriority == job.inheritedPriority && wanted == job.inheritedDeadline) continue
+            job.inheritedPriority = inheritedPriority
+            job.inheritedDeadline = wanted
             core.wantRound()
-            held[id]?.let { next.addAll(it.needs) }
+            waitingJobs[id]?.let { next.addAll(it.dependencies) }
         }
     }
 
--- a/src/main/kotlin/glenspool/core/lifecycle/Tending.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -13,37 +13,37 @@
 /**
  * Sees each job's places through: starts and stops that were not carried out are sent again, broken gangs are ended.
  */
-class Tending(private val core: Scheduler) {
+class JobSupervisor(private val core: Scheduler) {
     private val now: Duration get() = core.now
 
     fun tend(job: Job) {
         if (job.placements.isEmpty()) return
-        if (job.cancelled && !job.writing) {
+        if (job.cancelled && !job.writeInFlight) {
             job.placements.values
-                .filter { it.step == Step.INTENDED }
+                .filter { it.step == PlacementStage.PLANNED }
                 .forEach(core::drop)
         }
         if (job.spec.kind == JobKind.GANG && !job.cancelled && job.placements.isNotEmpty()) tendGang(job)
         for (p in job.placements.values.toList()) {
             // A place that is seen and not being stopped needs nothing.
-            if (p.step == Step.SEEN && p.stop == null) continue
+            if (p.step == PlacementStage.OBSERVED && p.stop == null) continue
             val m = core.machines[p.machine] ?: continue
-            if (p.stop != null && p.step == Step.ORDERED && p.startSent == null && !m.mayStillStart(p.key, p.attempt)) {
+            if (p.stop != null && p.step == PlacementStage.STORED && p.startSent == null && !m.mayStillStart(p.key, p.attempt)) {
                 // Its start was never sent, or surely not carried out: no report would ever show it ended.
                 core.drop(p)
-                job.soft(now)
+                job.storeLater(now)
                 continue
             }
-            if (p.step == Step.ORDERED &&
+            if (p.step == PlacementStage.STORED &&
                 p.startSent == null &&
                 !p.deferred &&
-                now >= m.directRetry &&
-                m.orders.none { it.key == p.key && it.attempt == p.attempt }
+                now >= m.nextRequestAt &&
+                m.pendingCommands.none { it.key == p.key && it.attempt == p.attempt }
             ) {
                 core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RETRIED))
             }
-            if (p.step == Step.ORDERED &&
-                m.loose.any { it.key == p.key } &&
+            if (p.step == PlacementStage.STORED &&
+                m.unconfirmedStarts.any { it.key == p.key } &&
                 p.startSent.let { it != null && now - it > 2.seconds }
             ) {
                 core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RETRIED))
@@ -52,10 +52,10 @@
             val sent = p.stopSent
             val stop = p.stop
             if (stop != null &&
-                p.step != Step.INTENDED &&
-                (sent == null || now - sent > maxOf(2.seconds, core.config.report))
+                p.step != PlacementStage.PLANNED &&
+                (sent == null || now - sent > maxOf(2.seconds, core.config.heartbeatInterval))
             ) {
-                if (p.state != TaskState.SAVING ||
+                if (p.state != TaskState.CHECKPOINTING ||
                     stop == StopCause.CANCELLED
                 ) {
                     core.commands.add(m, StopTask(p.key, p.attempt, p.stopGrace, stop))
@@ -96,7 +96,7 @@
         }
         // Places that were only reserved are given up at once: no start was ever sent.
         all.filter { it.deferred && it.startSent == null }.forEach(core::drop)
-        val started = job.gangStarted || all.any { it.state == TaskState.RUNNING || it.state == TaskState.SAVING }
+        val started = job.gangStarted || all.any { it.state == TaskState.RUNNING || it.state == TaskState.CHECKPOINTING }
         // Before the start, fetches under way are let through: stopping them would throw the image away, and the
         // next attempt would run into the same waiting time for ever.
         if (!started &&
@@ -105,9 +105,9 @@
         ) {
             return
         }
-        val grace = if (!missing) job.spec.save + Scheduler.GRACE_SLACK else Duration.ZERO
+        val grace = if (!missing) job.spec.checkpointDuration + Scheduler.GRACE_SLACK else Duration.ZERO
         for (p in job.placements.values) {
-            if (p.stop == null && p.step != Step.INTENDED) core.stop(p, StopCause.GANG_BROKEN, grace)
+            if (p.stop == null && p.step != PlacementStage.PLANNED) core.stop(p, StopCause.GANG_BROKEN, grace)
         }
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordMerging.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordMerger.kt
@@ -7,13 +7,13 @@
  * records are stored like all others, within the state service's rate. What does not fit stays where it is until room
  * is free.
  */
-class RecordMerging(private val core: Scheduler) {
+class RecordMerger(private val core: Scheduler) {
     /** Jobs that may still have places apart. No job gets such places while records must not be split. */
     private val open = LinkedHashSet<Job>()
 
     /** Records must not be split from now on. */
     fun begin() {
-        core.jobs.values.filterTo(open) { it.hasPlacesApart }
+        core.jobs.values.filterTo(open) { it.isSplit }
         open.forEach(::dropUnstored)
         advance()
     }
@@ -25,8 +25,8 @@
     fun advance() {
         if (open.isEmpty()) return
         open.removeIf { job ->
-            if (!job.finished && job.mergePlaces()) job.changed()
-            job.finished || !job.hasPlacesApart
+            if (!job.finished && job.mergeParts()) job.storeSoon()
+            job.finished || !job.isSplit
         }
     }
 
@@ -36,7 +36,7 @@
      */
     private fun dropUnstored(job: Job) {
         job.placements.values
-            .filter { it.step == Step.INTENDED && it.shelf != Shelves.RECORD }
+            .filter { it.step == PlacementStage.PLANNED && it.part != PlacementParts.RECORD }
             .forEach(core::drop)
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/Storing.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
@@ -2,13 +2,13 @@
 
 import glenspool.core.CHUNK
 import glenspool.core.CHUNKED_ABOVE
-import glenspool.core.FinishJob
 import glenspool.core.JobWrite
-import glenspool.core.SaveJob
 import glenspool.core.Scheduler
 import glenspool.core.StartCause
-import glenspool.core.Store
+import glenspool.core.StoreChanges
+import glenspool.core.StoreFinalState
 import glenspool.core.StoreOutcome
+import glenspool.core.UpdateJobRecord
 import glenspool.core.model.Priority
 import glenspool.core.model.StartTask
 import kotlin.time.Duration
@@ -20,7 +20,7 @@
  * leader spends a share of them by urgency: places of critical work first, then ends of jobs, other places, and last
  * what only saves work after a failure. All that a job has to say goes into one change.
  */
-class Storing(private val core: Scheduler) {
+class RecordWriteScheduler(private val core: Scheduler) {
     private val dirty = LinkedHashSet<Job>()
     private var busy = false
     private var pausedUntil = core.startedAt
@@ -40,12 +40,12 @@
 
     private fun urgency(job: Job): Urgency? =
         when {
-            job.finished || job.writing || job.storeAfter > core.now -> null
-            job.changes > job.saved && job.rank == Priority.CRITICAL && !job.cancelled -> Urgency.CRITICAL_PLACE
+            job.finished || job.writeInFlight || job.storeAfter > core.now -> null
+            job.changes > job.storedChanges && job.effectivePriority == Priority.CRITICAL && !job.cancelled -> Urgency.CRITICAL_PLACE
             finishable(job) -> Urgency.END
-            job.held -> null
-            job.changes > job.saved -> Urgency.PLACE
-            job.softSince != null && !job.cancelled -> Urgency.RESULT
+            job.waitsForDependencies -> null
+            job.changes > job.storedChanges -> Urgency.PLACE
+            job.storeLaterSince != null && !job.cancelled -> Urgency.RESULT
             else -> null
         }
 
@@ -57,23 +57,23 @@
         val each = dirty.iterator()
         while (each.hasNext()) {
             val job = each.next()
-            core.effort.storeLooks++
+            core.workCounters.storeScans++
             val u = urgency(job)
             if (u == null) {
-                if (!job.writing && job.storeAfter <= core.now) each.remove()
+                if (!job.writeInFlight && job.storeAfter <= core.now) each.remove()
                 continue
             }
-            if (u != Urgency.RESULT || job.softSince.let { it != null && core.now - it > SOFT_DELAY }) due.add(u to job)
+            if (u != Urgency.RESULT || job.storeLaterSince.let { it != null && core.now - it > SOFT_DELAY }) due.add(u to job)
         }
         if (due.isEmpty()) return
         due.sortWith(
-            compareBy<Pair<Urgency, Job>> { it.first }.thenByDescending { it.second.rank }.thenBy {
+            compareBy<Pair<Urgency, Job>> { it.first }.thenByDescending { it.second.effectivePriority }.thenBy {
                 if (it.first ==
                     Urgency.RESULT
                 ) {
-                    it.second.softSince
+                    it.second.storeLaterSince
                 } else {
-                    it.second.since
+                    it.second.waitingSince
                 }
             },
         )
@@ -88,14 +88,14 @@
             if (tokens - ops - cost < reserve) break
             ops += cost
             writes.add(w)
-            job.writing = true
-            if (w is SaveJob) job.softSince = null
+            job.writeInFlight = true
+            if (w is UpdateJobRecord) job.storeLaterSince = null
         }
         if (writes.isEmpty()) return
         tokens -= ops
         busy = true
         storing = writes
-        core.act(Store(writes))
+        core.act(StoreChanges(writes))
     }
 
     private fun fill() {
@@ -108,27 +108,27 @@
         val writes = storing
         storing = emptyList()
         for (w in writes) {
-            if (w is FinishJob && outcome is StoreOutcome.Stored) core.chains.ended(w.id, w.end)
+            if (w is StoreFinalState && outcome is StoreOutcome.Stored) core.chains.ended(w.id, w.end)
             val job = core.job(w.id) ?: continue
-            job.writing = false
+            job.writeInFlight = false
             if (outcome is StoreOutcome.Stored) {
                 confirm(job, w, outcome.revision)
             } else {
                 // What it would have stored is still to be stored, its results too.
-                job.soft(core.now)
+                job.storeLater(core.now)
             }
         }
         if (outcome is StoreOutcome.Stored) oneByOne = false else pausedUntil = core.now + RETRY
-        if (outcome is StoreOutcome.TooLarge) tooLarge(writes, outcome.pieces)
+        if (outcome is StoreOutcome.TooLarge) tooLarge(writes, outcome.descriptionParts)
     }
 
     /** Asking for the same again would never end: the one at fault is found, waits, and is told to the operators. */
-    private fun tooLarge(writes: List<JobWrite>, pieces: Map<String, Int>) {
+    private fun tooLarge(writes: List<JobWrite>, descriptionParts: Map<String, Int>) {
         core.limitsLowered()
         oneByOne = true
-        for ((id, n) in pieces) core.job(id)?.pieces = n
+        for ((id, n) in descriptionParts) core.job(id)?.descriptionParts = n
         val w = writes.singleOrNull() ?: return
-        if (w.id in pieces) return
+        if (w.id in descriptionParts) return
         core.job(w.id)?.storeAfter = core.now + TOO_LARGE_PAUSE
         core.note(important = true) { "too-large job=${w.id}: its change does not fit the state service's limits" }
     }
@@ -136,23 +136,23 @@
     private fun confirm(job: Job, w: JobWrite, revision: Long) {
         if (revision > job.version) job.version = revision
         when (w) {
-            is FinishJob -> core.jobGone(job.spec.id)
-            is SaveJob -> {
+            is StoreFinalState -> core.jobGone(job.spec.id)
+            is UpdateJobRecord -> {
                 core.hooks.observer.jobStored(w.record)
-                if (w.whole) job.saved = w.change else job.soft(core.now)
-                job.shelves.stored(w.shelves)
+                if (w.whole) job.storedChanges = w.change else job.storeLater(core.now)
+                job.parts.stored(w.parts)
                 job.markStored(w)
                 if (w.record.done.cardinality() > 0 &&
                     job.spec.tasks > CHUNKED_ABOVE &&
                     job.dirtyChunks().isNotEmpty()
                 ) {
-                    job.soft(core.now)
+                    job.storeLater(core.now)
                 }
                 for (p in job.placements.values.toList()) {
-                    if (p.step != Step.INTENDED ||
+                    if (p.step != PlacementStage.PLANNED ||
                         p.storedAt > w.change ||
-                        p.shelf != Shelves.RECORD &&
-                        p.shelf !in w.shelves
+                        p.part != PlacementParts.RECORD &&
+                        p.part !in w.parts
                     ) {
                         continue
                     }
@@ -160,7 +160,7 @@
                         core.drop(p)
                         continue
                     }
-                    p.step = Step.ORDERED
+                    p.step = PlacementStage.STORED
                     if (!p.deferred) {
                         core.machines[p.machine]?.let {
                             core.commands
@@ -172,33 +172,32 @@
         }
     }
 
-    private fun finishable(job: Job): Boolean =
-        job.cutBy != null || (job.cancelled && job.placements.isEmpty() && job.orphans.isEmpty()) || job.complete
+    private fun finishable(job: Job): Boolean = job.abortedBy != null || (job.cancelled && job.placements.isEmpty() && job.orphans.isEmpty()) || job.complete
 
     private fun writeFor(job: Job): JobWrite {
-        if (job.complete && !job.cancelled) return FinishJob(job.spec.id, job.version, null, job.spec.tasks)
-        if (finishable(job)) return FinishJob(job.spec.id, job.version, job.cancelVersion, job.spec.tasks, job.cutBy)
+        if (job.complete && !job.cancelled) return StoreFinalState(job.spec.id, job.version, null, job.spec.tasks)
+        if (finishable(job)) return StoreFinalState(job.spec.id, job.version, job.cancelVersion, job.spec.tasks, job.abortedBy)
         // A part that does not fit into one transaction follows in the next.
         val chunks = job.dirtyChunks().take(core.config.txnOps - 1)
         val room = core.config.txnOps - 1 - chunks.size
-        if (core.mayShelve) job.shelves.relieve(job.placements.values, room)
-        val shelves = job.shelves.toStore(room)
-        return SaveJob(
+        if (core.maySplit) job.parts.relieve(job.placements.values, room)
+        val parts = job.parts.toStore(room)
+        return UpdateJobRecord(
             job.spec.id,
             job.version,
             job.record(),
             chunks,
             job.changes,
-            job.placements.values.any { it.step == Step.INTENDED },
-            shelves,
-            shelves.size == job.shelves.dirtyCount,
+            job.placements.values.any { it.step == PlacementStage.PLANNED },
+            parts,
+            parts.size == job.parts.dirtyCount,
         )
     }
 
     private fun opsOf(w: JobWrite): Int =
         when (w) {
-            is SaveJob -> 1 + w.chunks.size + w.shelves.size
-            is FinishJob -> 2 + (if (w.cancelVersion != null) 1 else 0)
+            is UpdateJobRecord -> 1 + w.chunks.size + w.parts.size
+            is StoreFinalState -> 2 + (if (w.cancelVersion != null) 1 else 0)
         }
 
     private companion object {
@@ -211,7 +210,7 @@
 }
 
 /** Of a large job only the chunks that were written: a worker may forget a result only when its own bit is stored. */
-private fun Job.markStored(w: SaveJob) {
+private fun Job.markStored(w: UpdateJobRecord) {
     if (spec.tasks <= CHUNKED_ABOVE) {
         storedDone.or(w.record.done)
         return
--- a/src/main/kotlin/glenspool/core/model/Model.kt
+++ b/src/main/kotlin/glenspool/core/model/Model.kt
@@ -17,20 +17,20 @@
 enum class Resource { GPU, MEMORY, CPU }
 
 /** An amount of a machine's resources. */
-data class Amount(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    operator fun plus(o: Amount) = Amount(cpus + o.cpus, gpus + o.gpus, memoryGb + o.memoryGb)
+data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
+    operator fun plus(o: Resources) = Resources(cpus + o.cpus, gpus + o.gpus, memoryGb + o.memoryGb)
 
-    operator fun minus(o: Amount) = Amount(cpus - o.cpus, gpus - o.gpus, memoryGb - o.memoryGb)
+    operator fun minus(o: Resources) = Resources(cpus - o.cpus, gpus - o.gpus, memoryGb - o.memoryGb)
 
-    operator fun times(n: Int) = Amount(cpus * n, gpus * n, memoryGb * n)
+    operator fun times(n: Int) = Resources(cpus * n, gpus * n, memoryGb * n)
 
     /** A little slack absorbs the rounding of sums of decimal fractions; a worker refuses a real overflow. */
-    fun fits(o: Amount): Boolean = cpus <= o.cpus + EPS && gpus <= o.gpus + EPS && memoryGb <= o.memoryGb + EPS
+    fun fits(o: Resources): Boolean = cpus <= o.cpus + EPS && gpus <= o.gpus + EPS && memoryGb <= o.memoryGb + EPS
 
     /** How many times this fits into the room; as many as no machine holds count as one number. */
-    fun countIn(room: Amount): Int {
+    fun countIn(available: Resources): Int {
         var n = 0
-        var r = room
+        var r = available
         while (fits(r) && n < MANY) {
             r -= this
             n++
@@ -48,7 +48,7 @@
     companion object {
         const val EPS = 1e-6
         private const val MANY = 64
-        val ZERO = Amount(0.0, 0.0, 0.0)
+        val ZERO = Resources(0.0, 0.0, 0.0)
     }
 }
 
@@ -60,7 +60,7 @@
     val kind: JobKind,
     val priority: Priority,
     val tasks: Int,
-    val need: Amount,
+    val resourceRequest: Resources,
     val image: String,
     val imageGb: Double,
     val types: List<String>?,
@@ -68,9 +68,9 @@
     val sameZone: Boolean,
     val spread: Boolean,
     val spot: Boolean,
-    val estimate: Duration,
-    val checkpoint: Duration,
-    val save: Duration,
+    val estimatedDuration: Duration,
+    val checkpointInterval: Duration,
+    val checkpointDuration: Duration,
     val deadline: Duration?,
 ) {
     /** At most this many tasks of a spread job may be in one zone. */
@@ -106,7 +106,7 @@
 /** A machine type as the cloud offers it. */
 data class MachineType(
     val name: String,
-    val room: Amount,
+    val capacity: Resources,
     val cacheGb: Double,
     val fetchGbPerS: Double,
     val price: Double,
@@ -122,7 +122,7 @@
 data class Objective(val kind: String, val jobClass: String?, val within: Duration?, val share: Double)
 
 /** A task's place as stored before it is commanded: task index, attempt and machine. */
-data class Intent(val task: Int, val attempt: Long, val machine: String)
+data class StoredPlacement(val task: Int, val attempt: Long, val machine: String)
 
 /** A job as the state service holds it. */
 data class JobRecord(
@@ -130,44 +130,44 @@
     val submitted: Duration,
     val lastAttempt: Long,
     val done: BitSet,
-    val intents: List<Intent>,
+    val placements: List<StoredPlacement>,
     /** Jobs that have to be done before any task of this one starts; empty once they are. */
-    val needs: List<String> = emptyList(),
+    val dependencies: List<String> = emptyList(),
     /** When the last job that it needed was done; null if it waits for others, or never did. */
-    val ready: Duration? = null,
+    val dependenciesDoneAt: Duration? = null,
     /** Places that are stored apart, by shelf, since the record itself has no room for them. */
-    val shelved: Map<Int, List<Intent>> = emptyMap(),
+    val placementParts: Map<Int, List<StoredPlacement>> = emptyMap(),
     /** So many pieces hold the description, which is too long for the record; 0: the record holds it. */
-    val pieces: Int = 0,
+    val descriptionParts: Int = 0,
 )
 
 /** How a job ended for good. */
-enum class JobEnd { DONE, CANCELLED }
+enum class FinalState { DONE, CANCELLED }
 
 /** Where a task is in its life on a machine, as its worker tells it. */
-enum class TaskState { FETCHING, WAITING, RUNNING, SAVING, EXITED }
+enum class TaskState { FETCHING, WAITING, RUNNING, CHECKPOINTING, EXITED }
 
 /** Why a task exited. */
-enum class Exit { DONE, STOPPED, PEERS, ALONE, ERROR, NO_ROOM, BUSY, UNKNOWN }
+enum class ExitReason { DONE, STOPPED, GANG_BROKEN, GANG_INCOMPLETE, ERROR, INSUFFICIENT_RESOURCES, ALREADY_PRESENT, UNKNOWN }
 
 /** One task of a job, by its number. */
 data class TaskKey(val job: String, val task: Int)
 
 /** One task in a worker's report. */
-data class ReportedTask(val key: TaskKey, val attempt: Long, val state: TaskState, val exit: Exit?, val saved: Boolean)
+data class TaskStatus(val key: TaskKey, val attempt: Long, val state: TaskState, val exit: ExitReason?, val checkpointed: Boolean)
 
 /** A worker's report; (session, seq) orders the reports of one machine. */
-data class Report(
+data class Heartbeat(
     val machine: String,
     val addr: String,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
-    val seq: Long,
+    val incarnation: Long,
+    val sequence: Long,
     val token: Long,
-    val notice: Duration?,
-    val tasks: List<ReportedTask>,
+    val preemptionNotice: Duration?,
+    val tasks: List<TaskStatus>,
 )
 
 /** What a worker is told to do. */
--- a/src/main/kotlin/glenspool/core/placement/Round.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
@@ -1,43 +1,43 @@
 package glenspool.core.placement
 
-import glenspool.core.Effort
+import glenspool.core.WorkCounters
 import glenspool.core.cluster.Machine
 import glenspool.core.cluster.allowed
 import glenspool.core.cluster.zoneAllows
 import glenspool.core.lifecycle.Job
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.MachineType
 import glenspool.core.model.Priority
 import glenspool.core.model.Resource
+import glenspool.core.model.Resources
 import java.util.PriorityQueue
 import kotlin.time.Duration
 
 /** The bottleneck resource of a task, after DESIGN: GPU if it asks for one, else memory or CPU by share. */
-fun bottleneck(need: Amount, common: MachineType?, factor: Double): Resource =
+fun bottleneck(resourceRequest: Resources, common: MachineType?, factor: Double): Resource =
     when {
-        need.gpus > 0.0 -> Resource.GPU
-        common != null && need.memoryGb / common.room.memoryGb > factor * (need.cpus / common.room.cpus) -> Resource.MEMORY
+        resourceRequest.gpus > 0.0 -> Resource.GPU
+        common != null && resourceRequest.memoryGb / common.capacity.memoryGb > factor * (resourceRequest.cpus / common.capacity.cpus) -> Resource.MEMORY
         else -> Resource.CPU
     }
 
 /** What a round may look at, and the one thing it does: [place]. */
-interface RoundView {
+interface PlacementView {
     val types: Map<String, MachineType>
     val commonType: MachineType?
     val factor: Double
-    val effort: Effort
+    val workCounters: WorkCounters
 
     fun zoneOf(machine: String): String?
 
     /** How many more tasks of the job its team's limit allows. */
-    fun teamRoom(job: Job): Int
+    fun remainingQuota(job: Job): Int
 
     /** Whether the job's team stays within its guarantee with one more task of the job. */
     fun withinGuarantee(job: Job): Boolean
 
     /** Whether the job's aim can be met only where its image is cached. */
-    fun needsCache(job: Job): Boolean
+    fun requiresCachedImage(job: Job): Boolean
 
     fun fastestType(jobClass: String): String?
 
@@ -52,13 +52,13 @@
     fun order(job: Job): Duration
 
     /** How many tasks of the job may be placed at once, so that its record stays within a value's limit. */
-    fun recordRoom(job: Job): Int
+    fun recordCapacity(job: Job): Int
 
     /** Whether the job avoids this machine, because it failed there. */
     fun avoids(job: Job, machine: Machine): Boolean
 
     /** Extra cost of using the machine for this job, 0 is best: keeps spot-able work off dear machines. */
-    fun misfit(job: Job, machine: Machine): Int
+    fun costPenalty(job: Job, machine: Machine): Int
 }
 
 /**
@@ -66,9 +66,9 @@
  * machine queues per resource are drawn from in turn, each largest capacity, then most free room first, and
  * each machine takes a waiting task that is bound by that resource.
  */
-class Round(private val view: RoundView, machines: List<Machine>, private val jobs: List<Job>) {
-    private val free = LinkedHashMap<Machine, Amount>()
-    private val held = HashSet<Machine>()
+class PlacementRound(private val view: PlacementView, machines: List<Machine>, private val jobs: List<Job>) {
+    private val free = LinkedHashMap<Machine, Resources>()
+    private val reservedMachines = HashSet<Machine>()
 
     /** All that are ready, also those that are full now: a gang may have their room held as it becomes free. */
     private val all = machines.filter { it.type in view.types }
@@ -76,20 +76,20 @@
 
     init {
         // A full machine takes no part: with the smallest waiting task in mind, most of a busy fleet drops out here.
-        val cpus = jobs.minOfOrNull { it.need.cpus } ?: 0.0
-        val gpus = jobs.minOfOrNull { it.need.gpus } ?: 0.0
-        val memory = jobs.minOfOrNull { it.need.memoryGb } ?: 0.0
-        val least = Amount(cpus, gpus, memory)
+        val cpus = jobs.minOfOrNull { it.resourceRequest.cpus } ?: 0.0
+        val gpus = jobs.minOfOrNull { it.resourceRequest.gpus } ?: 0.0
+        val memory = jobs.minOfOrNull { it.resourceRequest.memoryGb } ?: 0.0
+        val least = Resources(cpus, gpus, memory)
         for (m in all) view.types[m.type]?.let { t -> m.free(t).let { if (least.fits(it)) free[m] = it } }
     }
 
-    /** Gangs that could not be placed and have waited past the bound have machines [held] for them. */
+    /** Gangs that could not be placed and have waited past the bound have machines [reservedMachines] for them. */
     fun run(holdFor: (Job) -> Boolean) {
         for (priority in Priority.entries.asReversed()) {
             val keyed =
                 jobs
                     .filter {
-                        it.rank == priority
+                        it.effectivePriority == priority
                     }.map { Triple(!view.withinGuarantee(it), view.order(it), it) }
             if (keyed.isEmpty()) continue
             val level =
@@ -111,7 +111,7 @@
         if (job.placements.isNotEmpty()) return false
         val tasks = job.waiting(job.spec.tasks)
         if (tasks.size < job.spec.tasks - job.done.cardinality() || tasks.isEmpty()) return true
-        if (view.teamRoom(job) < tasks.size || view.recordRoom(job) < tasks.size) return true
+        if (view.remainingQuota(job) < tasks.size || view.recordCapacity(job) < tasks.size) return true
         val zones: List<String?> = if (job.spec.sameZone) free.keys.map { it.zone }.distinct() else listOf(null)
         val plan =
             zones.mapNotNull { planGang(job, tasks, it) }.minByOrNull { plan ->
@@ -128,42 +128,42 @@
     }
 
     private fun take(m: Machine, job: Job) {
-        free[m] = free.getValue(m) - job.need
+        free[m] = free.getValue(m) - job.resourceRequest
         // Its image is on its way there now, and the machine is no longer empty: that may suit others better.
         for (s in suits.values) s.changed(m)
     }
 
     private fun planGang(job: Job, tasks: List<Int>, zone: String?): List<Pair<Int, Machine>>? {
-        val room = HashMap<Machine, Amount>()
+        val available = HashMap<Machine, Resources>()
         val perZone = HashMap<String, Int>()
         val plan = ArrayList<Pair<Int, Machine>>()
         val fastest = view.fastestType(job.spec.jobClass)
         val fitting =
             free
                 .filter { (m, r) ->
-                    m !in held &&
-                        job.need.fits(r) &&
+                    m !in reservedMachines &&
+                        job.resourceRequest.fits(r) &&
                         allowed(job.spec, m) &&
                         (zone == null || m.zone == zone) &&
                         !view.avoids(job, m)
                 }.keys
-        if (fitting.sumOf { job.need.countIn(free.getValue(it)) } < tasks.size) return null
+        if (fitting.sumOf { job.resourceRequest.countIn(free.getValue(it)) } < tasks.size) return null
         val candidates =
             fitting.sortedWith(
                 compareBy<Machine> { if (it.type == fastest) 0 else 1 }
                     .thenBy { if (it.hasImage(job.spec.image)) 0 else 1 }
-                    .thenBy { view.misfit(job, it) }
+                    .thenBy { view.costPenalty(job, it) }
                     .thenBy { it.slowness }
                     .thenByDescending { free.getValue(it).gpus },
             )
         val left = ArrayDeque(tasks)
         for (m in candidates) {
-            var r = room[m] ?: free.getValue(m)
-            while (left.isNotEmpty() && job.need.fits(r) && (perZone[m.zone] ?: 0) < job.spec.zoneCap) {
+            var r = available[m] ?: free.getValue(m)
+            while (left.isNotEmpty() && job.resourceRequest.fits(r) && (perZone[m.zone] ?: 0) < job.spec.zoneCap) {
                 plan.add(left.removeFirst() to m)
                 perZone.merge(m.zone, 1, Int::plus)
-                r -= job.need
-                room[m] = r
+                r -= job.resourceRequest
+                available[m] = r
             }
             if (left.isEmpty()) return plan
         }
@@ -175,10 +175,10 @@
         var wanted = job.waitingCount()
         val usable =
             all.filter {
-                it !in held &&
+                it !in reservedMachines &&
                     allowed(job.spec, it) &&
                     !view.avoids(job, it) &&
-                    job.need.fits(view.types.getValue(it.type).room)
+                    job.resourceRequest.fits(view.types.getValue(it.type).capacity)
             }
         val zone =
             if (job.spec.sameZone) {
@@ -193,14 +193,14 @@
         for (m in usable.sortedBy { it.busyTasks() }) {
             if (wanted <= 0) return
             if (zone != null && m.zone != zone) continue
-            held.add(m)
-            wanted -= job.need.countIn(view.types.getValue(m.type).room)
+            reservedMachines.add(m)
+            wanted -= job.resourceRequest.countIn(view.types.getValue(m.type).capacity)
         }
     }
 
     private fun matchTasks(level: List<Job>) {
         if (level.isEmpty()) return
-        val byResource = level.groupBy { bottleneck(it.need, view.commonType, view.factor) }
+        val byResource = level.groupBy { bottleneck(it.resourceRequest, view.commonType, view.factor) }
         for (pass in listOf(true, false)) {
             val waiting = byResource.mapValues { (_, l) -> l.filterTo(ArrayList()) { it.waitingCount() > 0 } }
             val queues =
@@ -210,12 +210,12 @@
                     } else {
                         ArrayDeque(
                             free.keys
-                                .filter { m -> m !in held && free.getValue(m).of(r) > Amount.EPS }
+                                .filter { m -> m !in reservedMachines && free.getValue(m).of(r) > Resources.EPS }
                                 .sortedWith(
                                     compareByDescending<Machine> {
                                         view.types
                                             .getValue(it.type)
-                                            .room
+                                            .capacity
                                             .of(r)
                                     }.thenByDescending { free.getValue(it).of(r) },
                                 ),
@@ -231,7 +231,7 @@
                         q.clear()
                         continue
                     }
-                    if (matchOne(m, list, pass) && free.getValue(m).of(r) > Amount.EPS) q.addLast(m)
+                    if (matchOne(m, list, pass) && free.getValue(m).of(r) > Resources.EPS) q.addLast(m)
                 }
             }
         }
@@ -242,7 +242,7 @@
      * of the jobs next in order, one whose image is here goes first, since each needless fetch keeps room from work.
      */
     private fun matchOne(m: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Boolean {
-        val room = free.getValue(m)
+        val available = free.getValue(m)
         var chosen: Job? = null
         var passed = 0
         val each = jobs.iterator()
@@ -250,14 +250,14 @@
             val job = each.next()
             // What no machine can do for the job now, no later draw of this round can.
             if (job.waitingCount() <= 0 ||
-                view.teamRoom(job) <= 0 ||
-                view.recordRoom(job) <= 0 ||
+                view.remainingQuota(job) <= 0 ||
+                view.recordCapacity(job) <= 0 ||
                 job.waiting(1).isEmpty()
             ) {
                 each.remove()
                 continue
             }
-            if (!fits(job, m, room)) continue
+            if (!fits(job, m, available)) continue
             if (preferredOnly) {
                 if (!preferred(job, m)) continue
                 chosen = job
@@ -276,16 +276,15 @@
         return true
     }
 
-    private fun fits(job: Job, m: Machine, room: Amount): Boolean =
-        job.need.fits(room) &&
-            !(m.retiring && job.spec.kind == JobKind.ARRAY) &&
+    private fun fits(job: Job, m: Machine, available: Resources): Boolean =
+        job.resourceRequest.fits(available) &&
+            !(m.cordoned && job.spec.kind == JobKind.ARRAY) &&
             allowed(job.spec, m) &&
             !view.avoids(job, m) &&
             zoneAllows(job, m.zone, view::zoneOf)
 
     /** The fastest type, then a cached image, then a machine that fits the job's price and spread. */
-    private fun preferred(job: Job, m: Machine): Boolean =
-        suits.getOrPut(job) { Suitability(job) }.best() >= score(job, m)
+    private fun preferred(job: Job, m: Machine): Boolean = suits.getOrPut(job) { Suitability(job) }.best() >= score(job, m)
 
     /**
      * How well the machines with room suit one job, best first. A machine that changed is entered anew and its old
@@ -305,9 +304,9 @@
         }
 
         private fun usable(m: Machine): Boolean =
-            !(m.retiring && job.spec.kind == JobKind.ARRAY) &&
-                m !in held &&
-                job.need.fits(free.getValue(m)) &&
+            !(m.cordoned && job.spec.kind == JobKind.ARRAY) &&
+                m !in reservedMachines &&
+                job.resourceRequest.fits(free.getValue(m)) &&
                 allowed(job.spec, m) &&
                 !view.avoids(job, m)
 
@@ -323,7 +322,7 @@
     }
 
     private fun score(job: Job, m: Machine): Int {
-        view.effort.scores++
+        view.workCounters.placementScores++
         val fastest = view.fastestType(job.spec.jobClass)
         var s = if (fastest == null || m.type == fastest) 0 else 1000
         s +=
@@ -334,11 +333,11 @@
             } else {
                 100
             }
-        s += view.misfit(job, m) * 60
-        if (job.spec.kind == JobKind.SERVICE && view.needsCache(job)) {
+        s += view.costPenalty(job, m) * 60
+        if (job.spec.kind == JobKind.SERVICE && view.requiresCachedImage(job)) {
             // Spread out, such services leave room and their images on many machines for those to come.
             s += 5 * m.services
-        } else if (m.busyTasks() == 0 || m.retiring) {
+        } else if (m.busyTasks() == 0 || m.cordoned) {
             // An empty machine is worth most whole: to a gang, or returned.
             s += 20
         }
--- a/src/main/kotlin/glenspool/core/placement/RoomMaker.kt
+++ b/src/main/kotlin/glenspool/core/placement/Preemptor.kt
@@ -6,27 +6,27 @@
 import glenspool.core.cluster.zoneAllows
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
-import glenspool.core.lifecycle.Step
-import glenspool.core.model.Amount
+import glenspool.core.lifecycle.PlacementStage
 import glenspool.core.model.JobKind
 import glenspool.core.model.Priority
+import glenspool.core.model.Resources
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 import glenspool.core.cluster.allowed as mayUse
 
 /** Preemption: where lower work makes way for a waiting job of higher priority, and who waits for that. */
-class RoomMaker(private val core: Scheduler) {
+class Preemptor(private val core: Scheduler) {
     /**
      * Urgent work whose image is cached only where lower work fills the machine: that work makes room at once,
      * and the job waits the moment that takes, since a fetch elsewhere would take far longer.
      */
     fun clearCached(open: List<Job>, ready: List<Machine>) {
         for (job in open) {
-            if (job.rank < Priority.URGENT || job.roomComing != null || stillLeaving(job)) continue
-            val patience = if (job.rank == Priority.CRITICAL) ROOM_PATIENCE else ROOM_PATIENCE_SAVING
+            if (job.effectivePriority < Priority.URGENT || job.resourcesExpectedBy != null || stillLeaving(job)) continue
+            val patience = if (job.effectivePriority == Priority.CRITICAL) ROOM_PATIENCE else ROOM_PATIENCE_SAVING
             if (core.fetchTime(job) < patience * 2) continue
-            val wanted = minOf(job.waitingCount(), core.teamRoom(job))
+            val wanted = minOf(job.waitingCount(), core.remainingQuota(job))
             if (wanted <= 0 || job.spec.kind == JobKind.GANG && wanted < job.waitingCount()) continue
             val usable = ready.filter { it.hasImage(job.spec.image) && allowed(job, it) }
             if (roomFor(job, usable) >= wantedAtOnce(job)) continue
@@ -39,7 +39,7 @@
             ) {
                 continue
             }
-            val claimed = HashMap<Machine, Amount>()
+            val claimed = HashMap<Machine, Resources>()
             var left = wanted
             for (m in usable.sortedBy { m -> m.placements.values.count { it.job === job } }) {
                 if (left <= 0) break
@@ -48,7 +48,7 @@
                 // Or the next round would give the room to the very work that was stopped.
                 if (job.spec.kind == JobKind.GANG && made > 0) m.reserve(job, core.now)
             }
-            if (claimed.isNotEmpty()) job.roomComing = core.now + patience
+            if (claimed.isNotEmpty()) job.resourcesExpectedBy = core.now + patience
         }
     }
 
@@ -60,22 +60,21 @@
     /** How many tasks of the job the machines have room for. */
     private fun roomFor(job: Job, on: List<Machine>): Int =
         on.sumOf { m ->
-            core.types[m.type]?.let { job.need.countIn(m.free(it)) }
+            core.types[m.type]?.let { job.resourceRequest.countIn(m.free(it)) }
                 ?: 0
         }
 
     /** The same if lower work made way. */
     private fun possibleRoom(m: Machine, job: Job): Int {
-        var room = core.types[m.type]?.let { m.free(it) } ?: return 0
-        for (p in m.placements.values) if (yields(p, job) || p.stop != null) room += p.job.need
-        return job.need.countIn(room)
+        var available = core.types[m.type]?.let { m.free(it) } ?: return 0
+        for (p in m.placements.values) if (yields(p, job) || p.stop != null) available += p.job.resourceRequest
+        return job.resourceRequest.countIn(available)
     }
 
-    private fun yields(p: Placement, to: Job) =
-        p.stop == null && p.step == Step.SEEN && p.job.rank < to.rank && p.job.spec.kind != JobKind.GANG
+    private fun yields(p: Placement, to: Job) = p.stop == null && p.step == PlacementStage.OBSERVED && p.job.effectivePriority < to.effectivePriority && p.job.spec.kind != JobKind.GANG
 
     fun waitsForRoom(job: Job, ready: List<Machine>): Boolean {
-        val until = job.roomComing ?: return false
+        val until = job.resourcesExpectedBy ?: return false
         return core.now < until &&
             roomFor(job, ready.filter { it.hasImage(job.spec.image) && allowed(job, it) }) < wantedAtOnce(job)
     }
@@ -86,27 +85,27 @@
             core.jobs.values
                 .filter {
                     !it.cancelled &&
-                        it.rank >= Priority.URGENT &&
+                        it.effectivePriority >= Priority.URGENT &&
                         !stillLeaving(it) &&
                         it.waiting(1).isNotEmpty() &&
                         it.notBefore.let { b -> b == null || core.now >= b }
-                }.sortedWith(compareByDescending<Job> { it.rank }.thenBy { it.since })
+                }.sortedWith(compareByDescending<Job> { it.effectivePriority }.thenBy { it.waitingSince })
         if (waiting.isEmpty()) return
         // Only where something could make way, or already does, or there is room: most of a large fleet drops out here.
-        val top = waiting.first().rank
+        val top = waiting.first().effectivePriority
         val possible =
             ready.filter { m ->
                 val free = core.types[m.type]?.let { m.free(it) }
-                m.placements.values.any { it.stop != null || it.job.rank < top } ||
+                m.placements.values.any { it.stop != null || it.job.effectivePriority < top } ||
                     free != null &&
-                    waiting.any { it.need.fits(free) }
+                    waiting.any { it.resourceRequest.fits(free) }
             }
         // Room that earlier stops are already making is not asked for twice.
-        val claimed = HashMap<Machine, Amount>()
+        val claimed = HashMap<Machine, Resources>()
         for (job in waiting) {
-            var n = minOf(job.waitingCount(), core.teamRoom(job))
+            var n = minOf(job.waitingCount(), core.remainingQuota(job))
             val whole = job.spec.kind == JobKind.GANG
-            if (whole && core.teamRoom(job) < job.waitingCount()) continue
+            if (whole && core.remainingQuota(job) < job.waitingCount()) continue
             val (cached, rest) = possible.filter { allowed(job, it) }.partition { it.hasImage(job.spec.image) }
             var usable = cached + rest
             if (whole) {
@@ -163,45 +162,45 @@
             !m.reservedAgainst(job, core.now) &&
             zoneAllows(job, m.zone, core::zoneOf)
 
-    private fun makeRoomOn(m: Machine, job: Job, claimed: HashMap<Machine, Amount>, wanted: Int): Int {
+    private fun makeRoomOn(m: Machine, job: Job, claimed: HashMap<Machine, Resources>, wanted: Int): Int {
         val type = core.types[m.type] ?: return 0
-        var room = m.free(type) - (claimed[m] ?: Amount.ZERO)
+        var available = m.free(type) - (claimed[m] ?: Resources.ZERO)
         val stopping = m.placements.values.filter { it.stop != null && it.stop != StopCause.GANG_BROKEN }
-        for (p in stopping) room += p.job.need
+        for (p in stopping) available += p.job.resourceRequest
         var made = 0
         val victims =
             m.placements.values
                 .filter { yields(it, job) }
                 .sortedWith(
                     compareBy<Placement> {
-                        it.job.rank
+                        it.job.effectivePriority
                     }.thenByDescending { core.order(it.job) }.thenBy { loss(it) },
                 ).toMutableList()
         while (made < wanted) {
-            if (!job.need.fits(room)) {
+            if (!job.resourceRequest.fits(available)) {
                 val chosen = ArrayList<Placement>()
-                var r = room
-                while (!job.need.fits(r) && victims.isNotEmpty()) {
+                var r = available
+                while (!job.resourceRequest.fits(r) && victims.isNotEmpty()) {
                     val v = victims.removeAt(0)
                     chosen.add(v)
-                    r += v.job.need
+                    r += v.job.resourceRequest
                 }
-                if (!job.need.fits(r)) return made
+                if (!job.resourceRequest.fits(r)) return made
                 for (v in chosen) {
                     val grace =
-                        if (job.rank ==
+                        if (job.effectivePriority ==
                             Priority.CRITICAL
                         ) {
                             Duration.ZERO
                         } else {
-                            v.job.spec.save + Scheduler.GRACE_SLACK
+                            v.job.spec.checkpointDuration + Scheduler.GRACE_SLACK
                         }
                     core.stop(v, StopCause.PREEMPTED, grace)
                 }
-                room = r
+                available = r
             }
-            room -= job.need
-            claimed[m] = (claimed[m] ?: Amount.ZERO) + job.need
+            available -= job.resourceRequest
+            claimed[m] = (claimed[m] ?: Resources.ZERO) + job.resourceRequest
             made++
         }
         return made
--- a/src/main/kotlin/glenspool/logging/Logging.kt
+++ b/src/main/kotlin/glenspool/logging/Logging.kt
@@ -20,8 +20,7 @@
     /** Read once; what is not a level counts as [Level.INFO]. */
     val configured: Level by lazy { parse(System.getenv(VARIABLE)) }
 
-    fun parse(text: String?): Level =
-        Level.values().firstOrNull { it.name.equals(text, ignoreCase = true) } ?: Level.INFO
+    fun parse(text: String?): Level = Level.values().firstOrNull { it.name.equals(text, ignoreCase = true) } ?: Level.INFO
 }
 
 /** Writes one line a message to standard error, `LEVEL Name - text`, and a stack trace after it if there is one. */
--- a/src/main/kotlin/glenspool/peer/PeerServer.kt
+++ b/src/main/kotlin/glenspool/peer/PeerServer.kt
@@ -11,7 +11,7 @@
 class PeerServer(
     private val status: () -> PeerStatus,
     /** Null: the other is no member. */
-    private val cancellations: (CancelMessage) -> CancelMessage?,
+    private val cancellations: (CancellationMessage) -> CancellationMessage?,
     private val serve: (RelayRequest) -> RelayAnswer,
 ) : HttpHandler {
     override fun invoke(request: Request): Response =
--- a/src/main/kotlin/glenspool/peer/Peers.kt
+++ b/src/main/kotlin/glenspool/peer/Peers.kt
@@ -73,9 +73,9 @@
     @SerialName("retryAfter") val retryAfter: String?,
 )
 
-/** See `glenspool.core.cluster.CancelNews`; spans and times of day are in milliseconds. */
+/** See `glenspool.core.cluster.CancellationUpdate`; spans and times of day are in milliseconds. */
 @Serializable
-data class CancelMessage(
+data class CancellationMessage(
     @SerialName("node") val node: String,
     @SerialName("boot") val boot: String,
     @SerialName("uptime") val uptime: Long,
@@ -124,9 +124,9 @@
 
     fun encode(a: RelayAnswer): ByteArray = cbor.encodeToByteArray(a)
 
-    fun encode(m: CancelMessage): ByteArray = cbor.encodeToByteArray(m)
+    fun encode(m: CancellationMessage): ByteArray = cbor.encodeToByteArray(m)
 
-    fun cancellations(b: ByteArray): CancelMessage = cbor.decodeFromByteArray(b)
+    fun cancellations(b: ByteArray): CancellationMessage = cbor.decodeFromByteArray(b)
 
     fun encode(r: RolloutRequest): ByteArray = cbor.encodeToByteArray(r)
 
@@ -162,21 +162,21 @@
 
     /** How an exchange of what is known of cancellations ended. */
     sealed interface Exchange {
-        data class Answered(val message: CancelMessage) : Exchange
+        data class Answered(val message: CancellationMessage) : Exchange
 
         /** It is there, and of a version that does not know this. */
-        data object Old : Exchange
+        data object Unsupported : Exchange
 
         data object None : Exchange
     }
 
-    fun exchange(with: Member, message: CancelMessage): Exchange {
+    fun exchange(with: Member, message: CancellationMessage): Exchange {
         val (status, answer) =
             request(with, PeerPaths.CANCELLATIONS, PeerWire.encode(message), EXCHANGE_TIMEOUT, PeerWire::cancellations)
                 ?: return Exchange.None
         return when {
             answer != null -> Exchange.Answered(answer)
-            status == NOT_FOUND -> Exchange.Old
+            status == NOT_FOUND -> Exchange.Unsupported
             else -> Exchange.None
         }
     }
--- a/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
+++ b/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
@@ -42,8 +42,7 @@
         return state
     }
 
-    private fun released(release: BreakerRelease, machines: Int, fleet: Int) =
-        BreakerState(false, machines, fleet, state.openSince, release)
+    private fun released(release: BreakerRelease, machines: Int, fleet: Int) = BreakerState(false, machines, fleet, state.openSince, release)
 
     private companion object {
         /** Of fewer machines than this one alone is a large share. */
--- a/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
+++ b/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
@@ -1,9 +1,9 @@
 package glenspool.reconcile
 
-import glenspool.core.ReportSource
+import glenspool.core.HeartbeatSource
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobRecord
 import glenspool.core.model.ListedMachine
-import glenspool.core.model.Report
 import kotlin.time.Duration
 
 /**
@@ -12,7 +12,7 @@
  * meanwhile.
  */
 class DeferredUpdates(private val tracker: DifferenceTracker) {
-    private class Observation(val report: Report, val source: ReportSource, val trusted: Boolean, val at: Duration)
+    private class Observation(val heartbeat: Heartbeat, val source: HeartbeatSource, val trusted: Boolean, val at: Duration)
 
     private val jobs = ArrayDeque<() -> Unit>()
     private val machines = LinkedHashMap<String, Observation>()
@@ -27,10 +27,10 @@
 
     fun jobEnded(job: String) = jobs.addLast { tracker.jobEnded(job) }
 
-    fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) {
+    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) {
         // A report of the worker's own is not forgotten for an answer that came after it.
-        val own = source == ReportSource.WORKER || machines[report.machine]?.source == ReportSource.WORKER
-        machines[report.machine] = Observation(report, if (own) ReportSource.WORKER else source, trusted, at)
+        val own = source == HeartbeatSource.WORKER || machines[heartbeat.machine]?.source == HeartbeatSource.WORKER
+        machines[heartbeat.machine] = Observation(heartbeat, if (own) HeartbeatSource.WORKER else source, trusted, at)
     }
 
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
@@ -54,8 +54,8 @@
         when {
             job != null -> job()
             waiting != null -> {
-                machines.remove(waiting.report.machine)
-                tracker.machineObserved(waiting.report, waiting.source, waiting.trusted, waiting.at)
+                machines.remove(waiting.heartbeat.machine)
+                tracker.machineObserved(waiting.heartbeat, waiting.source, waiting.trusted, waiting.at)
             }
             else -> {
                 val next = list ?: return false
--- a/src/main/kotlin/glenspool/reconcile/Difference.kt
+++ b/src/main/kotlin/glenspool/reconcile/Difference.kt
@@ -44,16 +44,13 @@
 ) : Difference
 
 /** A task of a cancelled job that is still there. */
-data class CancelledTask(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
-    Difference
+data class CancelledTask(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
 
 /** A task that is done, whose result is not stored yet. */
-data class UnrecordedResult(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
-    Difference
+data class UnrecordedResult(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
 
 /** A stored place of a task whose result is stored. */
-data class ObsoletePlace(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
-    Difference
+data class ObsoletePlace(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
 
 /** A machine that the cloud lists no more, or never listed, though a place or a report names it. */
 data class DelistedMachine(override val machine: String, override val evidence: Evidence) : Difference
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -1,9 +1,9 @@
 package glenspool.reconcile
 
-import glenspool.core.ReportSource
+import glenspool.core.HeartbeatSource
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobRecord
 import glenspool.core.model.ListedMachine
-import glenspool.core.model.Report
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentHashMapOf
 import kotlin.time.Duration
@@ -81,14 +81,14 @@
                 .orEmpty()
                 .any { it.key.job == job && it.key.task in tasks }
 
-    fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) {
-        if (!views.observed.isNews(report, source, trusted)) return
-        val before = views.observed.machines[report.machine]
+    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) {
+        if (!views.observed.isNews(heartbeat, source, trusted)) return
+        val before = views.observed.machines[heartbeat.machine]
         val sharedBefore = sharing(before)
-        views = views.copy(observed = views.observed.with(report, source, trusted, at))
-        val now = views.observed.machines[report.machine]
+        views = views.copy(observed = views.observed.with(heartbeat, source, trusted, at))
+        val now = views.observed.machines[heartbeat.machine]
         index(before, now)
-        compareAll(sharedBefore + sharing(now) + report.machine)
+        compareAll(sharedBefore + sharing(now) + heartbeat.machine)
     }
 
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -1,11 +1,11 @@
 package glenspool.reconcile
 
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
 import glenspool.core.model.JobKind
 import glenspool.core.model.MachineStage
-import glenspool.core.model.ReportedTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import kotlin.time.Duration
 
 /**
@@ -23,8 +23,7 @@
 /** Compares desired, observed and rented state, machine by machine. Nothing here depends on anything but the views. */
 object MachineComparison {
     /** The findings at every machine that any view knows; machines without findings are left out. */
-    fun all(views: ClusterViews): Map<String, MachineFindings> =
-        views.machines().associateWith { compare(it, views) }.filterValues { !it.isEmpty }
+    fun all(views: ClusterViews): Map<String, MachineFindings> = views.machines().associateWith { compare(it, views) }.filterValues { !it.isEmpty }
 
     fun compare(machine: String, views: ClusterViews): MachineFindings {
         val places =
@@ -33,16 +32,16 @@
                 .mapNotNull { views.desired.placeOf(it) }
         val observed = views.observed.machines[machine]
         val differences = ArrayList<Difference>()
-        listed(machine, places.any { it.adopted }, views)?.let(differences::add)
+        machinesListed(machine, places.any { it.adopted }, views)?.let(differences::add)
         if (observed == null) {
             unheard(machine, places.size, views)?.let(differences::add)
         } else {
-            if (observed.reportedAt ==
+            if (observed.lastHeartbeatAt ==
                 null
             ) {
                 differences.add(UnreportingMachine(machine, Evidence(EvidenceSource.ANSWER, observed.observedAt)))
             }
-            observed.tasks.flatMapTo(differences) { reported(observed, it, views) }
+            observed.tasks.flatMapTo(differences) { heartbeatReceived(observed, it, views) }
             places.mapNotNullTo(differences) { missing(it, observed, views) }
         }
         val adopted = places.filter { it.adopted }
@@ -55,20 +54,19 @@
     private val order =
         compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
 
-    private fun evidenceOf(observed: ObservedMachine) =
-        Evidence(if (observed.reportedAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER, observed.observedAt)
+    private fun evidenceOf(observed: ObservedMachine) = Evidence(if (observed.lastHeartbeatAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER, observed.observedAt)
 
-    private fun listed(machine: String, placed: Boolean, views: ClusterViews): Difference? {
+    private fun machinesListed(machine: String, placed: Boolean, views: ClusterViews): Difference? {
         val rented = views.rented
         val entry = rented.machines[machine]
         // Lists lag: one that was never listed is noted only if an earlier leader's place names it.
-        val since = if (entry != null) entry.missingSince else rented.firstReadAt.takeIf { placed }
+        val since = if (entry != null) entry.unlistedSince else rented.firstReadAt.takeIf { placed }
         return if (since != null) DelistedMachine(machine, Evidence(EvidenceSource.CLOUD_LIST, since)) else null
     }
 
     private fun unheard(machine: String, places: Int, views: ClusterViews): Difference? {
         val entry = views.rented.machines[machine]
-        val isUp = entry != null && entry.stage == MachineStage.RUNNING && entry.missingSince == null
+        val isUp = entry != null && entry.stage == MachineStage.RUNNING && entry.unlistedSince == null
         if (places == 0 && !isUp) return null
         val evidence =
             if (places >
@@ -84,7 +82,7 @@
         return UnheardMachine(machine, places, evidence)
     }
 
-    private fun reported(observed: ObservedMachine, task: ReportedTask, views: ClusterViews): List<Difference> {
+    private fun heartbeatReceived(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): List<Difference> {
         val job = views.desired.jobs[task.key.job]
         if (task.state ==
             TaskState.EXITED
@@ -94,7 +92,7 @@
         return listOfNotNull(misplaced(observed, task, job), duplicate(observed, task, views))
     }
 
-    private fun misplaced(observed: ObservedMachine, task: ReportedTask, job: DesiredJob?): Difference? {
+    private fun misplaced(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
         val place = job?.places?.get(task.key.task)
         return when {
             job == null -> OrphanTask(observed.id, task.key, task.attempt, recorded = false, evidenceOf(observed))
@@ -104,7 +102,7 @@
         }
     }
 
-    private fun duplicate(observed: ObservedMachine, task: ReportedTask, views: ClusterViews): Difference? {
+    private fun duplicate(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): Difference? {
         val claims = views.observed.claims[task.key] ?: return null
         return if (claims.size >
             1
@@ -115,8 +113,8 @@
         }
     }
 
-    private fun unrecorded(machine: String, task: ReportedTask, job: DesiredJob?, evidence: Evidence): Difference? {
-        if (task.exit != Exit.DONE ||
+    private fun unrecorded(machine: String, task: TaskStatus, job: DesiredJob?, evidence: Evidence): Difference? {
+        if (task.exit != ExitReason.DONE ||
             job == null ||
             job.kind == JobKind.SERVICE ||
             job.cancelled ||
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -1,16 +1,16 @@
 package glenspool.reconcile
 
-import glenspool.core.AbsenceRule
 import glenspool.core.ClusterObserver
+import glenspool.core.HeartbeatSource
+import glenspool.core.MissingTaskPolicy
 import glenspool.core.OrderGate
 import glenspool.core.ProposedOrder
-import glenspool.core.ReportSource
 import glenspool.core.SchedulerHooks
 import glenspool.core.StartCause
 import glenspool.core.StopCause
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobRecord
 import glenspool.core.model.ListedMachine
-import glenspool.core.model.Report
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
 import kotlinx.collections.immutable.PersistentMap
@@ -129,11 +129,11 @@
 
     override fun jobCancelled(job: String) = whileActive { updates.jobCancelled(job) }
 
-    override fun machineObserved(report: Report, source: ReportSource, trusted: Boolean, at: Duration) =
+    override fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) =
         whileActive {
-            if (trusted) heard.add(report.machine)
-            updates.machineObserved(report, source, trusted, at)
-            noteUnrecorded(report, at)
+            if (trusted) heard.add(heartbeat.machine)
+            updates.machineObserved(heartbeat, source, trusted, at)
+            noteUnrecorded(heartbeat, at)
         }
 
     override fun machinesListed(machines: List<ListedMachine>, at: Duration) =
@@ -153,15 +153,15 @@
         if (isActive) body()
     }
 
-    private fun noteUnrecorded(report: Report, at: Duration) {
-        if (report.tasks.isEmpty() && unrecordedSince.isEmpty()) return
+    private fun noteUnrecorded(heartbeat: Heartbeat, at: Duration) {
+        if (heartbeat.tasks.isEmpty() && unrecordedSince.isEmpty()) return
         val seen =
-            report.tasks
+            heartbeat.tasks
                 .filter {
                     it.key.job !in knownJobs && it.state != TaskState.EXITED
-                }.mapTo(HashSet()) { UnrecordedTask(report.machine, it.key) }
+                }.mapTo(HashSet()) { UnrecordedTask(heartbeat.machine, it.key) }
         if (seen.isEmpty() && unrecordedSince.isEmpty()) return
-        unrecordedSince.keys.removeIf { it.machine == report.machine && it !in seen }
+        unrecordedSince.keys.removeIf { it.machine == heartbeat.machine && it !in seen }
         seen.forEach { unrecordedSince.putIfAbsent(it, at) }
         awaitsStateRead = unrecordedSince.isNotEmpty()
     }
@@ -189,11 +189,11 @@
         return stateReadUpTo > since
     }
 
-    private fun absenceRule(): AbsenceRule =
+    private fun absenceRule(): MissingTaskPolicy =
         when {
-            !isActive -> AbsenceRule.PLACE_ANEW
-            phase <= RecoveryPhase.GATHERING -> AbsenceRule.RESTORE_AND_WAIT
-            else -> AbsenceRule.RESTORE
+            !isActive -> MissingTaskPolicy.RESCHEDULE
+            phase <= RecoveryPhase.GATHERING -> MissingTaskPolicy.RESTORE_AND_WAIT
+            else -> MissingTaskPolicy.RESTORE
         }
 
     // ---- operators and peers ----
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPhase.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPhase.kt
@@ -3,7 +3,7 @@
 import glenspool.core.DeletionCause
 import glenspool.core.ForgetCause
 import glenspool.core.OrderCause
-import glenspool.core.RentalCause
+import glenspool.core.ScaleOutCause
 import glenspool.core.StartCause
 import glenspool.core.StopCause
 import kotlin.time.Duration
@@ -36,7 +36,7 @@
 fun RecoveryPhase.admits(cause: OrderCause): Boolean =
     when (cause) {
         is StartCause -> this != RecoveryPhase.READING
-        is RentalCause -> this >= RecoveryPhase.ADOPTING
+        is ScaleOutCause -> this >= RecoveryPhase.ADOPTING
         is StopCause, is DeletionCause -> this >= RecoveryPhase.REPAIRING
         is ForgetCause -> true
     }
@@ -103,7 +103,7 @@
 
     private fun limit(): Duration? =
         when (state.phase) {
-            RecoveryPhase.READING -> minOf(setting.report, setting.listLag)
+            RecoveryPhase.READING -> minOf(setting.heartbeatInterval, setting.listLag)
             RecoveryPhase.GATHERING -> setting.lease * policy.gatherLeaseShare
             RecoveryPhase.REPAIRING -> setting.lease * policy.repairLeaseShare
             // The breaker has a time of its own.
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
@@ -30,4 +30,4 @@
 )
 
 /** What the deployment's settings say, as far as recovery depends on it. */
-data class RecoverySetting(val lease: Duration, val report: Duration, val listLag: Duration)
+data class RecoverySetting(val lease: Duration, val heartbeatInterval: Duration, val listLag: Duration)
--- a/src/main/kotlin/glenspool/reconcile/Views.kt
+++ b/src/main/kotlin/glenspool/reconcile/Views.kt
@@ -1,15 +1,15 @@
 package glenspool.reconcile
 
-import glenspool.core.ReportSource
-import glenspool.core.model.Intent
+import glenspool.core.HeartbeatSource
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.ListedMachine
 import glenspool.core.model.MachineStage
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.PersistentSet
 import kotlinx.collections.immutable.mutate
@@ -101,11 +101,11 @@
      * Parts of a record are not all stored at the same moment: of two places of a task the one with the higher attempt
      * counts.
      */
-    private fun newestIntents(record: JobRecord): Map<Int, Intent> {
-        val result = HashMap<Int, Intent>()
+    private fun newestIntents(record: JobRecord): Map<Int, StoredPlacement> {
+        val result = HashMap<Int, StoredPlacement>()
 
-        fun take(intent: Intent) =
-            result.merge(intent.task, intent) { one, other ->
+        fun take(placement: StoredPlacement) =
+            result.merge(placement.task, placement) { one, other ->
                 if (other.attempt >
                     one.attempt
                 ) {
@@ -114,13 +114,12 @@
                     one
                 }
             }
-        record.intents.forEach(::take)
-        record.shelved.values.forEach { part -> part.forEach(::take) }
+        record.placements.forEach(::take)
+        record.placementParts.values.forEach { part -> part.forEach(::take) }
         return result
     }
 
-    private fun Intent.isSameAs(place: StoredPlace?) =
-        place != null && place.attempt == attempt && place.machine == machine
+    private fun StoredPlacement.isSameAs(place: StoredPlace?) = place != null && place.attempt == attempt && place.machine == machine
 
     private fun finished(before: DesiredJob?, record: JobRecord): Set<Int> {
         if (before == null || before.done == record.done) return emptySet()
@@ -132,22 +131,22 @@
 
 /**
  * A machine as its newest report shows it. [trusted]: the worker has seen this leader's token, so what the report does
- * not show is not there. [observedAt]: since when it has shown this. [reportedAt]: when a report of its own first came;
- * null: it only answered questions or commands.
+ * not show is not there. [observedAt]: since when it has shown this. [lastHeartbeatAt]: when a report of its own first
+ * came; null: it only answered questions or commands.
  */
 data class ObservedMachine(
     val id: String,
     val type: String,
     val zone: String,
-    val session: Long,
+    val incarnation: Long,
     val sequence: Long,
     val trusted: Boolean,
-    val tasks: List<ReportedTask>,
+    val tasks: List<TaskStatus>,
     val observedAt: Duration,
-    val reportedAt: Duration?,
+    val lastHeartbeatAt: Duration?,
 ) {
     /** The tasks that are on the machine now. */
-    val present: List<ReportedTask> get() = tasks.filter { it.state != TaskState.EXITED }
+    val present: List<TaskStatus> get() = tasks.filter { it.state != TaskState.EXITED }
 }
 
 /** What was seen of machines in this term, and which machines claim a task. */
@@ -155,19 +154,19 @@
     val machines: PersistentMap<String, ObservedMachine> = persistentHashMapOf(),
     val claims: PersistentMap<TaskKey, PersistentSet<String>> = persistentHashMapOf(),
 ) {
-    fun with(report: Report, source: ReportSource, trusted: Boolean, at: Duration): ObservedView {
-        val before = machines[report.machine]
-        val own = before?.reportedAt ?: at.takeIf { source == ReportSource.WORKER }
+    fun with(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration): ObservedView {
+        val before = machines[heartbeat.machine]
+        val own = before?.lastHeartbeatAt ?: at.takeIf { source == HeartbeatSource.WORKER }
         val machine =
-            ObservedMachine(report.machine, report.type, report.zone, report.session, report.seq, trusted, report.tasks, at, own)
+            ObservedMachine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.incarnation, heartbeat.sequence, trusted, heartbeat.tasks, at, own)
         return ObservedView(machines.put(machine.id, machine), claimed(claims.without(before), machine))
     }
 
     /** Whether the report shows anything that is not known of its machine. */
-    fun isNews(report: Report, source: ReportSource, trusted: Boolean): Boolean {
-        val before = machines[report.machine] ?: return true
-        val firstOwn = source == ReportSource.WORKER && before.reportedAt == null
-        return firstOwn || before.trusted != trusted || before.session != report.session || before.tasks != report.tasks
+    fun isNews(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean): Boolean {
+        val before = machines[heartbeat.machine] ?: return true
+        val firstOwn = source == HeartbeatSource.WORKER && before.lastHeartbeatAt == null
+        return firstOwn || before.trusted != trusted || before.incarnation != heartbeat.incarnation || before.tasks != heartbeat.tasks
     }
 
     fun without(machine: String): ObservedView {
@@ -199,14 +198,15 @@
 }
 
 /**
- * A machine as the cloud lists it. [missingSince]: when a list first came without it, after one that had it; lists lag.
+ * A machine as the cloud lists it. [unlistedSince]: when a list first came without it, after one that had it; lists
+ * lag.
  */
 data class RentedMachine(
     val id: String,
     val type: String,
     val zone: String,
     val stage: MachineStage,
-    val missingSince: Duration?,
+    val unlistedSince: Duration?,
 )
 
 /** What is paid for. [firstReadAt]: when the first list of this term came; null: none did. */
@@ -224,10 +224,10 @@
                     if (result[machine.id] != entry) result[machine.id] = entry
                 }
                 for (gone in machines.values) {
-                    if (gone.missingSince == null &&
+                    if (gone.unlistedSince == null &&
                         gone.id !in listed
                     ) {
-                        result[gone.id] = gone.copy(missingSince = at)
+                        result[gone.id] = gone.copy(unlistedSince = at)
                     }
                 }
             }
--- a/src/main/kotlin/glenspool/rollout/FeatureGate.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureGate.kt
@@ -26,8 +26,7 @@
 
 /** Why this process must not lead, accept or confirm anything. */
 data class Fence(val neededLevel: Int, val neededName: String, val own: BuildLevels) {
-    override fun toString(): String =
-        "level $neededLevel ($neededName) is active, and build ${own.build} reads levels ${own.lowest} to ${own.highest}"
+    override fun toString(): String = "level $neededLevel ($neededName) is active, and build ${own.build} reads levels ${own.lowest} to ${own.highest}"
 }
 
 /**
--- a/src/main/kotlin/glenspool/rollout/HealthGate.kt
+++ b/src/main/kotlin/glenspool/rollout/HealthGate.kt
@@ -73,8 +73,7 @@
         ).filter { it.after > limits.tolerated * maxOf(1.0, share) + limits.factor * it.before * share }
     }
 
-    private fun totalAt(at: Duration): HealthCounts =
-        samples.lastOrNull { it.at <= at }?.total ?: samples.firstOrNull()?.total ?: HealthCounts.NONE
+    private fun totalAt(at: Duration): HealthCounts = samples.lastOrNull { it.at <= at }?.total ?: samples.firstOrNull()?.total ?: HealthCounts.NONE
 
     private companion object {
         val SAMPLE_EVERY = 10.seconds
--- a/src/main/kotlin/glenspool/rollout/OrderRule.kt
+++ b/src/main/kotlin/glenspool/rollout/OrderRule.kt
@@ -96,6 +96,5 @@
         return OrderOutcome.Accepted(before.copy(exclusions = before.exclusions.filterNot { it.member == member }))
     }
 
-    private fun unknown(member: String) =
-        "member $member is not configured; one of ${members.sorted().joinToString(", ")} is needed"
+    private fun unknown(member: String) = "member $member is not configured; one of ${members.sorted().joinToString(", ")} is needed"
 }
--- a/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
@@ -139,8 +139,7 @@
         return store(record.level, LevelStage.ACTIVE, input, version)
     }
 
-    private fun store(level: Int, stage: LevelStage, input: RolloutInput, version: Long) =
-        RolloutAction.StoreLevel(LevelRecord(level, registry.nameOf(level), stage, input.token, input.wall), version)
+    private fun store(level: Int, stage: LevelStage, input: RolloutInput, version: Long) = RolloutAction.StoreLevel(LevelRecord(level, registry.nameOf(level), stage, input.token, input.wall), version)
 
     private fun saveState(input: RolloutInput, overview: RolloutOverview): RolloutAction? {
         val version = input.state.replaceableVersion() ?: return null
@@ -161,8 +160,7 @@
     /** Details that change by themselves would be stored again and again. */
     private fun steady(hold: Hold?): Hold? = if (hold?.cause == HoldCause.HEALTH) hold.copy(detail = null) else hold
 
-    private fun seen(view: MemberView, wall: Duration): MemberSeen? =
-        view.report?.let { MemberSeen(view.member, it.levels.build, it.levels.highest, wall - view.unchangedFor) }
+    private fun seen(view: MemberView, wall: Duration): MemberSeen? = view.report?.let { MemberSeen(view.member, it.levels.build, it.levels.highest, wall - view.unchangedFor) }
 
     private fun changeOfHold(overview: RolloutOverview): List<RolloutAction> {
         val hold = overview.hold
--- a/src/main/kotlin/glenspool/rollout/RolloutPlan.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutPlan.kt
@@ -33,8 +33,7 @@
         return unwell + outstanding + activation
     }
 
-    private fun needsOperator(verdict: ActivationVerdict): Boolean =
-        verdict is ActivationVerdict.Held && verdict.hold.cause == HoldCause.AWAITING_OPERATOR
+    private fun needsOperator(verdict: ActivationVerdict): Boolean = verdict is ActivationVerdict.Held && verdict.hold.cause == HoldCause.AWAITING_OPERATOR
 
     private fun unwell(view: MemberView): String? =
         when {
--- a/src/main/kotlin/glenspool/state/StoredJob.kt
+++ b/src/main/kotlin/glenspool/state/JobRecordReader.kt
@@ -10,20 +10,20 @@
  * A job's record as a whole: with its done bits, places and pieces of description that are stored under keys of their
  * own.
  */
-class StoredJob(private val keys: LiveKeys) {
+class JobRecordReader(private val keys: LiveKeyReader) {
     fun read(id: String, value: Fields): JobRecord {
         val r =
             RecordWire.decode(
                 value,
                 object : RecordWire.Apart {
-                    override fun piece(n: Int) = keys.get(Keys.piece(id, n))?.value
+                    override fun descriptionPart(n: Int) = keys.get(Keys.descriptionPart(id, n))?.value
 
-                    override fun shelf(n: Int) = keys.get(Keys.shelf(id, n))?.value
+                    override fun placementPart(n: Int) = keys.get(Keys.placementPart(id, n))?.value
                 },
             )
         if (r.spec.tasks <= RecordWire.INLINE_TASKS) return r
         val done = r.done.clone() as BitSet
-        for (c in keys.under(Keys.chunks(id))) {
+        for (c in keys.withPrefix(Keys.chunks(id))) {
             val n = c.key.substringAfterLast('/').toInt()
             RecordWire.decodeBits(c.value.text("done")).stream().forEach { done.set(n * RecordWire.CHUNK_TASKS + it) }
         }
@@ -32,7 +32,6 @@
 
     companion object {
         /** What to store of a record whose description is too long for one value. */
-        fun pieces(r: JobRecord, valueBytes: Int): List<Put> =
-            RecordWire.encodePieces(r, valueBytes).mapIndexed { n, p -> Put(Keys.piece(r.spec.id, n), p) }
+        fun descriptionParts(r: JobRecord, valueBytes: Int): List<Put> = RecordWire.encodeDescriptionParts(r, valueBytes).mapIndexed { n, p -> Put(Keys.descriptionPart(r.spec.id, n), p) }
     }
 }
--- a/src/main/kotlin/glenspool/state/Keys.kt
+++ b/src/main/kotlin/glenspool/state/Keys.kt
@@ -17,10 +17,10 @@
     const val CHUNK = "g/d/"
 
     /** Pieces of descriptions that are too long for one value. */
-    const val PIECE = "g/s/"
+    const val DESCRIPTION_PART = "g/s/"
 
     /** Places that a record has no room for. */
-    const val SHELF = "g/p/"
+    const val PLACEMENT_PART = "g/p/"
 
     /** How far a recovery is, and what operators ordered for it. */
     const val RECOVERY = "g/recovery"
@@ -50,9 +50,9 @@
 
     fun chunk(id: String, n: Int) = "$CHUNK$id/$n"
 
-    fun piece(id: String, n: Int) = "$PIECE$id/$n"
+    fun descriptionPart(id: String, n: Int) = "$DESCRIPTION_PART$id/$n"
 
-    fun shelf(id: String, n: Int) = "$SHELF$id/$n"
+    fun placementPart(id: String, n: Int) = "$PLACEMENT_PART$id/$n"
 
     fun chunkCount(tasks: Int): Int =
         if (tasks <=
--- a/src/main/kotlin/glenspool/state/RolloutRecords.kt
+++ b/src/main/kotlin/glenspool/state/RolloutRecords.kt
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /** The rollout's records as this node's replica has them. [loaded]: whether the replica has ever been read. */
-class RolloutRecords(private val keys: LiveKeys, private val loaded: () -> Boolean) {
+class RolloutRecords(private val keys: LiveKeyReader, private val loaded: () -> Boolean) {
     /** Versions that were found unreadable: each is logged once. */
     private val reported = ConcurrentHashMap<String, Long>()
 
@@ -31,9 +31,9 @@
      * to them.
      */
     fun sealedRecords(): Int =
-        keys.atOnce {
-            keys.under(Keys.JOB).count { RecordWire.isSealed(it.value) } + keys.under(Keys.PIECE).size +
-                keys.under(Keys.SHELF).size
+        keys.atomically {
+            keys.withPrefix(Keys.JOB).count { RecordWire.isSealed(it.value) } + keys.withPrefix(Keys.DESCRIPTION_PART).size +
+                keys.withPrefix(Keys.PLACEMENT_PART).size
         }
 
     @Suppress("UNCHECKED_CAST")
--- a/src/main/kotlin/glenspool/state/Replica.kt
+++ b/src/main/kotlin/glenspool/state/StoreCache.kt
@@ -1,7 +1,7 @@
 package glenspool.state
 
 import glenspool.logging.loggerOf
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ConcurrentSkipListMap
 import java.util.concurrent.ExecutionException
@@ -15,13 +15,13 @@
 import kotlin.time.TimeSource
 
 /** The live keys as somebody has them. */
-interface LiveKeys {
-    fun get(key: String): StateWire.Item?
+interface LiveKeyReader {
+    fun get(key: String): StoreWire.Item?
 
-    fun under(prefix: String): Collection<StateWire.Item>
+    fun withPrefix(prefix: String): Collection<StoreWire.Item>
 
     /** Several keys at one moment: changes made by one transaction are seen together or not at all. */
-    fun <T> atOnce(read: () -> T): T
+    fun <T> atomically(read: () -> T): T
 }
 
 /**
@@ -29,14 +29,14 @@
  * a user's request by [sync]: a watch that doesn't wait answers with all changes up to the present revision,
  * which is evidence that no answer from memory could give.
  */
-class Replica(
-    private val client: StateClient,
+class StoreCache(
+    private val client: KeyValueStoreClient,
     rps: Double,
     /** The present state was read, by a request that was sent so long ago. */
     private val read: (Duration) -> Unit = {},
-    private val changed: (List<StateWire.Change>, Long) -> Unit,
-) : LiveKeys {
-    private val entries = ConcurrentSkipListMap<String, StateWire.Item>()
+    private val changed: (List<StoreWire.Change>, Long) -> Unit,
+) : LiveKeyReader {
+    private val entries = ConcurrentSkipListMap<String, StoreWire.Item>()
     private var revision = -1L
     private val waiters = LinkedBlockingQueue<CompletableFuture<Boolean>>()
     private val watchGap = (1.0 / (rps * WATCH_SHARE)).seconds
@@ -48,11 +48,11 @@
     /** How long ago the state service last answered with the present state; null: never. */
     fun age(): Duration? = lastAnswer?.elapsedNow()
 
-    override fun get(key: String): StateWire.Item? = entries[key]
+    override fun get(key: String): StoreWire.Item? = entries[key]
 
-    override fun <T> atOnce(read: () -> T): T = synchronized(this) { read() }
+    override fun <T> atomically(read: () -> T): T = synchronized(this) { read() }
 
-    override fun under(prefix: String): Collection<StateWire.Item> =
+    override fun withPrefix(prefix: String): Collection<StoreWire.Item> =
         entries
             .subMap(prefix, prefix + Char.MAX_VALUE)
             .values
@@ -99,21 +99,21 @@
         if (from < 0) return load()
         val sent = TimeSource.Monotonic.markNow()
         return when (val r = client.follow(Keys.LIVE, from, wait)) {
-            is StateResult.Ok -> {
+            is StoreResult.Ok -> {
                 apply(r.value)
                 lastAnswer = TimeSource.Monotonic.markNow()
                 // A watch that waited may have been answered just before something changed again.
                 read(sent.elapsedNow())
                 true
             }
-            is StateResult.Refused -> {
+            is StoreResult.Refused -> {
                 if (r.status == 410) load() else false
             }
             else -> false
         }
     }
 
-    private fun apply(c: StateClient.Changes) {
+    private fun apply(c: KeyValueStoreClient.Changes) {
         synchronized(this) {
             if (c.revision <= revision) return
             val fresh = c.changes.filter { it.version > revision }
@@ -123,24 +123,24 @@
         }
     }
 
-    private fun put(e: StateWire.Change) {
+    private fun put(e: StoreWire.Change) {
         // Pages are newer than the revision that the load began at. An answer from between the two, to the other duty,
         // must not take a key back: a record could then be held without the level that it was written under.
         if (entries[e.key].let { it != null && it.version > e.version }) return
         val value = e.value
-        if (value == null) entries.remove(e.key) else entries[e.key] = StateWire.Item(e.key, value, e.version)
+        if (value == null) entries.remove(e.key) else entries[e.key] = StoreWire.Item(e.key, value, e.version)
     }
 
     /** Reads everything anew. Changes made meanwhile are replayed by the next [refresh]. */
     private fun load(): Boolean {
-        val all = HashMap<String, StateWire.Item>()
+        val all = HashMap<String, StoreWire.Item>()
         val sent = TimeSource.Monotonic.markNow()
         var after: String? = null
         var first = -1L
         while (true) {
             val page =
                 when (val r = client.list(Keys.LIVE, after)) {
-                    is StateResult.Ok -> r.value
+                    is StoreResult.Ok -> r.value
                     else -> return false
                 }
             if (first < 0) first = page.revision
@@ -150,13 +150,13 @@
         }
         synchronized(this) {
             if (first <= revision) return true
-            val changes = ArrayList<StateWire.Change>()
-            for (k in entries.keys) if (k !in all) changes.add(StateWire.Change(k, null, first))
+            val changes = ArrayList<StoreWire.Change>()
+            for (k in entries.keys) if (k !in all) changes.add(StoreWire.Change(k, null, first))
             for (i in all.values) {
                 if (entries[i.key]?.version !=
                     i.version
                 ) {
-                    changes.add(StateWire.Change(i.key, i.value, i.version))
+                    changes.add(StoreWire.Change(i.key, i.value, i.version))
                 }
             }
             changes.forEach(::put)
@@ -170,7 +170,7 @@
     }
 
     companion object {
-        private val log = loggerOf(Replica::class.java)
+        private val log = loggerOf(StoreCache::class.java)
         private const val WATCH_SHARE = 0.08
         private const val SYNC_SHARE = 0.12
         private val LOOK_EVERY = 1.seconds
--- a/src/main/kotlin/glenspool/wire/CloudWire.kt
+++ b/src/main/kotlin/glenspool/wire/CloudWire.kt
@@ -1,9 +1,9 @@
 package glenspool.wire
 
-import glenspool.core.model.Amount
 import glenspool.core.model.ListedMachine
 import glenspool.core.model.MachineStage
 import glenspool.core.model.MachineType
+import glenspool.core.model.Resources
 
 private val stages =
     mapOf(
@@ -17,7 +17,7 @@
         m.maps("frames").map { t ->
             MachineType(
                 name = t.text("name"),
-                room = Amount(t.amount("cpus"), t.amount("accelerators"), t.amount("memory_gb")),
+                capacity = Resources(t.amount("cpus"), t.amount("accelerators"), t.amount("memory_gb")),
                 cacheGb = t.amountOrNull("local_gb") ?: 0.0,
                 fetchGbPerS = t.amountOrNull("fetch_gb_per_s") ?: 1.0,
                 price = t.amount("price"),
@@ -27,8 +27,7 @@
             )
         }
 
-    fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields =
-        linkedMapOf("hire" to request, "frame" to type, "hall" to zone, "loaners" to spot, "number" to count)
+    fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields = linkedMapOf("hire" to request, "frame" to type, "hall" to zone, "loaners" to spot, "number" to count)
 
     fun names(m: Fields): List<String> = m.textsOrNull("spindles") ?: emptyList()
 
--- a/src/main/kotlin/glenspool/wire/Fields.kt
+++ b/src/main/kotlin/glenspool/wire/Fields.kt
@@ -31,8 +31,7 @@
     throw MalformedMessage("$name: a whole number is needed")
 }
 
-fun Fields.flag(name: String): Boolean =
-    this[name] as? Boolean ?: throw MalformedMessage("$name: true or false is needed")
+fun Fields.flag(name: String): Boolean = this[name] as? Boolean ?: throw MalformedMessage("$name: true or false is needed")
 
 fun Fields.flagOr(name: String, default: Boolean): Boolean = this[name] as? Boolean ?: default
 
@@ -56,5 +55,4 @@
 internal fun Duration.toSeconds(): Double = toDouble(DurationUnit.SECONDS)
 
 /** The value that a word stands for. */
-internal fun <T> Map<String, T>.pick(name: String, value: String): T =
-    this[value] ?: throw MalformedMessage("$name: unknown value")
+internal fun <T> Map<String, T>.pick(name: String, value: String): T = this[value] ?: throw MalformedMessage("$name: unknown value")
--- a/src/main/kotlin/glenspool/wire/FinalWire.kt
+++ b/src/main/kotlin/glenspool/wire/FinalWire.kt
@@ -1,15 +1,15 @@
 package glenspool.wire
 
-import glenspool.core.model.JobEnd
+import glenspool.core.model.FinalState
 
 /** How a job ended, for ever. */
 object FinalWire {
-    fun encode(end: JobEnd, tasks: Int, cutBy: String?): Fields {
+    fun encode(end: FinalState, tasks: Int, abortedBy: String?): Fields {
         val m =
             linkedMapOf<String, Any?>(
                 "end" to
                     if (end ==
-                        JobEnd.DONE
+                        FinalState.DONE
                     ) {
                         "done"
                     } else {
@@ -17,18 +17,18 @@
                     },
                 "tasks" to tasks.toLong(),
             )
-        if (cutBy != null) m["with"] = cutBy
+        if (abortedBy != null) m["with"] = abortedBy
         return m
     }
 
-    fun end(m: Fields): JobEnd = if (m["end"] == "done") JobEnd.DONE else JobEnd.CANCELLED
+    fun end(m: Fields): FinalState = if (m["end"] == "done") FinalState.DONE else FinalState.CANCELLED
 
     /** The cancelled job that it needed, if that is why it ended. */
-    fun cutBy(m: Fields): String? = m["with"] as? String
+    fun abortedBy(m: Fields): String? = m["with"] as? String
 
     fun answer(id: String, m: Fields): Fields =
         when (end(m)) {
-            JobEnd.DONE -> JobWire.status(id, Stage.DONE, (m["tasks"] as? Long ?: 0L).toInt(), 0)
-            JobEnd.CANCELLED -> JobWire.status(id, Stage.CANCELLED, cutBy = cutBy(m))
+            FinalState.DONE -> JobWire.status(id, Stage.DONE, (m["tasks"] as? Long ?: 0L).toInt(), 0)
+            FinalState.CANCELLED -> JobWire.status(id, Stage.CANCELLED, abortedBy = abortedBy(m))
         }
 }
--- a/src/main/kotlin/glenspool/wire/JobWire.kt
+++ b/src/main/kotlin/glenspool/wire/JobWire.kt
@@ -1,9 +1,9 @@
 package glenspool.wire
 
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Priority
+import glenspool.core.model.Resources
 import kotlin.time.Duration.Companion.seconds
 
 private val jobIdForm = Regex("[!-~&&[^/]]{1,120}")
@@ -39,7 +39,7 @@
             kind = kinds.pick("weave", m.text("weave")),
             priority = priorities.pick("urgency", m.text("urgency")),
             tasks = tasks.toInt(),
-            need = Amount(m.amount("cpus"), m.amount("accelerators"), m.amount("memory_gb")),
+            resourceRequest = Resources(m.amount("cpus"), m.amount("accelerators"), m.amount("memory_gb")),
             image = m.text("pattern"),
             imageGb = m.amount("size_gb"),
             types = m.textsOrNull("frames"),
@@ -47,17 +47,17 @@
             sameZone = m.flag("same_place"),
             spread = m.flag("apart"),
             spot = m.flag("loaners"),
-            estimate = m.duration("expected_s"),
-            checkpoint = m.duration("knot_s"),
-            save = m.duration("knotting_s"),
+            estimatedDuration = m.duration("expected_s"),
+            checkpointInterval = m.duration("knot_s"),
+            checkpointDuration = m.duration("knotting_s"),
             deadline = m.amountOrNull("due_s")?.seconds,
         )
     }
 
-    fun namesOthers(m: Fields): Boolean = m["awaits"] != null
+    fun hasDependencies(m: Fields): Boolean = m["awaits"] != null
 
     /** The jobs that a submission waits for, each named once, in the order in which the user named them. */
-    fun decodeNeeds(m: Fields): List<String> {
+    fun decodeDependencies(m: Fields): List<String> {
         val named = m.textsOrNull("awaits").orEmpty()
         if (named.any { !validJobId(it) }) throw MalformedMessage("awaits: not a job id")
         return named.distinct()
@@ -71,9 +71,9 @@
             "weave" to kindNames.getValue(j.kind),
             "urgency" to priorityNames.getValue(j.priority),
             "threads" to j.tasks,
-            "cpus" to j.need.cpus,
-            "accelerators" to j.need.gpus,
-            "memory_gb" to j.need.memoryGb,
+            "cpus" to j.resourceRequest.cpus,
+            "accelerators" to j.resourceRequest.gpus,
+            "memory_gb" to j.resourceRequest.memoryGb,
             "pattern" to j.image,
             "size_gb" to j.imageGb,
             "frames" to j.types,
@@ -81,15 +81,15 @@
             "same_place" to j.sameZone,
             "apart" to j.spread,
             "loaners" to j.spot,
-            "expected_s" to j.estimate.toSeconds(),
-            "knot_s" to j.checkpoint.toSeconds(),
-            "knotting_s" to j.save.toSeconds(),
+            "expected_s" to j.estimatedDuration.toSeconds(),
+            "knot_s" to j.checkpointInterval.toSeconds(),
+            "knotting_s" to j.checkpointDuration.toSeconds(),
             "due_s" to j.deadline?.toSeconds(),
         )
 
     /**
      * The answer to a user. [stage] is the service's word for it, see [Stage]. [awaits]: jobs that it waits for;
-     * [cutBy]: the cancelled job that it needed.
+     * [abortedBy]: the cancelled job that it needed.
      */
     fun status(
         id: String,
@@ -97,13 +97,13 @@
         done: Int? = null,
         running: Int? = null,
         awaits: List<String> = emptyList(),
-        cutBy: String? = null,
+        abortedBy: String? = null,
     ): Fields {
         val m = linkedMapOf<String, Any?>("uid" to id, "stage" to stage.word)
         if (done != null) m["done"] = done
         if (running != null) m["running"] = running
         if (awaits.isNotEmpty()) m["awaits"] = awaits
-        if (cutBy != null) m["aborted_with"] = cutBy
+        if (abortedBy != null) m["aborted_with"] = abortedBy
         return m
     }
 }
--- a/src/main/kotlin/glenspool/wire/RolloutWire.kt
+++ b/src/main/kotlin/glenspool/wire/RolloutWire.kt
@@ -117,8 +117,7 @@
 
     private fun Fields.levelNumberOrNull(name: String): Int? = if (this[name] == null) null else levelNumber(name)
 
-    private fun Fields.signedMilliseconds(name: String): Duration =
-        (this[name] as? Long ?: throw MalformedMessage("$name: a whole number is needed")).milliseconds
+    private fun Fields.signedMilliseconds(name: String): Duration = (this[name] as? Long ?: throw MalformedMessage("$name: a whole number is needed")).milliseconds
 
     @Suppress("UNCHECKED_CAST")
     private fun Fields.mapOrNull(name: String): Fields? =
@@ -128,6 +127,5 @@
             else -> throw MalformedMessage("$name: a map or null is needed")
         }
 
-    private inline fun <reified T : Enum<T>> enumOf(field: String, word: String): T =
-        enumValues<T>().firstOrNull { it.name.lowercase() == word } ?: throw MalformedMessage("$field: unknown value")
+    private inline fun <reified T : Enum<T>> enumOf(field: String, word: String): T = enumValues<T>().firstOrNull { it.name.lowercase() == word } ?: throw MalformedMessage("$field: unknown value")
 }
--- a/src/main/kotlin/glenspool/wire/StateWire.kt
+++ b/src/main/kotlin/glenspool/wire/StoreWire.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration
 
 /** The state service's messages. */
-object StateWire {
+object StoreWire {
     data class Item(val key: String, val value: Fields, val version: Long)
 
     /** A change; [value] null means that the key was removed. */
@@ -65,11 +65,9 @@
     const val FOLLOW = "/follow"
     const val LEASES = "/leases"
 
-    fun list(prefix: String, after: String?): String =
-        "$GET?starts=$prefix" + (if (after != null) "&after=$after" else "") + "&page=1000"
+    fun list(prefix: String, after: String?): String = "$GET?starts=$prefix" + (if (after != null) "&after=$after" else "") + "&page=1000"
 
-    fun follow(prefix: String, after: Long, wait: Duration): String =
-        "$FOLLOW?starts=$prefix&after=$after&wait_ms=${wait.inWholeMilliseconds}"
+    fun follow(prefix: String, after: Long, wait: Duration): String = "$FOLLOW?starts=$prefix&after=$after&wait_ms=${wait.inWholeMilliseconds}"
 
     fun renew(lease: Long): String = "$LEASES/$lease/touch"
 }
--- a/src/main/kotlin/glenspool/wire/WorkerWire.kt
+++ b/src/main/kotlin/glenspool/wire/WorkerWire.kt
@@ -1,14 +1,14 @@
 package glenspool.wire
 
 import glenspool.core.model.Command
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
 import glenspool.core.model.ForgetTask
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import kotlin.time.Duration.Companion.seconds
 
 private val taskStates =
@@ -16,40 +16,40 @@
         "pulling" to TaskState.FETCHING,
         "waiting" to TaskState.WAITING,
         "running" to TaskState.RUNNING,
-        "flushing" to TaskState.SAVING,
+        "flushing" to TaskState.CHECKPOINTING,
         "ended" to TaskState.EXITED,
     )
 private val exits =
     mapOf(
-        "done" to Exit.DONE,
-        "stopped" to Exit.STOPPED,
-        "peers" to Exit.PEERS,
-        "incomplete" to Exit.ALONE,
-        "error" to Exit.ERROR,
-        "full" to Exit.NO_ROOM,
-        "busy" to Exit.BUSY,
-        "unknown" to Exit.UNKNOWN,
+        "done" to ExitReason.DONE,
+        "stopped" to ExitReason.STOPPED,
+        "peers" to ExitReason.GANG_BROKEN,
+        "incomplete" to ExitReason.GANG_INCOMPLETE,
+        "error" to ExitReason.ERROR,
+        "full" to ExitReason.INSUFFICIENT_RESOURCES,
+        "busy" to ExitReason.ALREADY_PRESENT,
+        "unknown" to ExitReason.UNKNOWN,
     )
 private val stateNames = taskStates.entries.associate { it.value to it.key }
 private val exitNames = exits.entries.associate { it.value to it.key }
 
 /** Reports and orders of workers. */
 object WorkerWire {
-    fun decodeReport(m: Fields): Report =
-        Report(
+    fun decodeHeartbeat(m: Fields): Heartbeat =
+        Heartbeat(
             machine = m.text("spindle"),
             addr = m.text("addr"),
             type = m.text("frame"),
             zone = m.text("hall"),
             spot = m.flag("loaners"),
-            session = m.count("shift"),
-            seq = m.count("stitch"),
+            incarnation = m.count("shift"),
+            sequence = m.count("stitch"),
             token = m.count("baton"),
-            notice = m.amountOrNull("recall_s")?.seconds,
+            preemptionNotice = m.amountOrNull("recall_s")?.seconds,
             tasks =
                 m.maps("threads").map { t ->
                     val state = taskStates.pick("stage", t.text("stage"))
-                    ReportedTask(
+                    TaskStatus(
                         key = taskKey(t.text("thread")),
                         attempt = t.count("try"),
                         state = state,
@@ -57,27 +57,27 @@
                             if (state ==
                                 TaskState.EXITED
                             ) {
-                                exits[t.textOrNull("cause") ?: ""] ?: Exit.ERROR
+                                exits[t.textOrNull("cause") ?: ""] ?: ExitReason.ERROR
                             } else {
                                 null
                             },
-                        saved = t.flagOr("stored", false),
+                        checkpointed = t.flagOr("stored", false),
                     )
                 },
         )
 
-    fun encode(r: Report): Fields =
+    fun encode(r: Heartbeat): Fields =
         linkedMapOf(
             "spindle" to r.machine, "addr" to r.addr, "frame" to r.type, "hall" to r.zone, "loaners" to r.spot,
-            "shift" to r.session, "stitch" to r.seq,
-            "baton" to r.token, "recall_s" to r.notice?.toSeconds(),
+            "shift" to r.incarnation, "stitch" to r.sequence,
+            "baton" to r.token, "recall_s" to r.preemptionNotice?.toSeconds(),
             "threads" to
                 r.tasks.map { t ->
                     linkedMapOf(
                         "thread" to "${t.key.job}/${t.key.task}", "try" to t.attempt,
                         "stage" to stateNames.getValue(t.state),
                         "cause" to t.exit?.let { exitNames.getValue(it) },
-                        "stored" to t.saved,
+                        "stored" to t.checkpointed,
                     )
                 },
         )
@@ -105,11 +105,9 @@
         return m
     }
 
-    fun answer(token: Long, commands: List<Command>): Fields =
-        mapOf("baton" to token, "orders" to commands.map(::order))
+    fun answer(token: Long, commands: List<Command>): Fields = mapOf("baton" to token, "orders" to commands.map(::order))
 
-    fun direct(token: Long, session: Long, commands: List<Command>): Fields =
-        linkedMapOf("baton" to token, "shift" to session, "orders" to commands.map(::order))
+    fun direct(token: Long, incarnation: Long, commands: List<Command>): Fields = linkedMapOf("baton" to token, "shift" to incarnation, "orders" to commands.map(::order))
 
     fun redirect(node: String?): Fields = if (node == null) emptyMap() else mapOf("foreman" to node)
 }
--- a/src/main/kotlin/glenspool/worker/WorkerClient.kt
+++ b/src/main/kotlin/glenspool/worker/WorkerClient.kt
@@ -1,8 +1,8 @@
 package glenspool.worker
 
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
-import glenspool.core.model.Report
+import glenspool.core.CommandOutcome
+import glenspool.core.SendCommands
+import glenspool.core.model.Heartbeat
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
 import glenspool.logging.loggerOf
@@ -13,29 +13,29 @@
 
 /** Requests to one worker's own address. */
 class WorkerClient(private val http: HttpCaller) {
-    fun command(d: Direct): Pair<DirectOutcome, Report?> =
-        when (val r = http.post(d.addr, "/do", WorkerWire.direct(d.token, d.session, d.commands), TIMEOUT)) {
-            is CallResult.NotSent -> DirectOutcome.NOT_SENT to null
-            is CallResult.NoAnswer -> DirectOutcome.UNKNOWN to null
+    fun command(d: SendCommands): Pair<CommandOutcome, Heartbeat?> =
+        when (val r = http.post(d.addr, "/do", WorkerWire.direct(d.token, d.incarnation, d.commands), TIMEOUT)) {
+            is CallResult.NotSent -> CommandOutcome.NOT_SENT to null
+            is CallResult.NoAnswer -> CommandOutcome.UNKNOWN to null
             is CallResult.Answer -> {
-                val report = report(r.body)
+                val heartbeat = heartbeat(r.body)
                 when {
                     // Without its report nothing shows that the commands are in effect.
-                    r.status == 200 && report != null -> DirectOutcome.DONE to report
-                    r.status == 409 || r.status == 400 -> DirectOutcome.REFUSED to report
-                    else -> DirectOutcome.UNKNOWN to null
+                    r.status == 200 && heartbeat != null -> CommandOutcome.DONE to heartbeat
+                    r.status == 409 || r.status == 400 -> CommandOutcome.REFUSED to heartbeat
+                    else -> CommandOutcome.UNKNOWN to null
                 }
             }
         }
 
-    fun show(addr: String): Report? {
+    fun show(addr: String): Heartbeat? {
         val r = http.get(addr, "/show", TIMEOUT)
-        return if (r is CallResult.Answer && r.status == 200) report(r.body) else null
+        return if (r is CallResult.Answer && r.status == 200) heartbeat(r.body) else null
     }
 
-    private fun report(m: Fields): Report? =
+    private fun heartbeat(m: Fields): Heartbeat? =
         try {
-            WorkerWire.decodeReport(m)
+            WorkerWire.decodeHeartbeat(m)
         } catch (e: MalformedMessage) {
             log.warn("worker report not understood: {}", e.message)
             null
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -1,12 +1,12 @@
 package glenspool.api
 
 import glenspool.cloud.CloudClient
-import glenspool.cloud.RentOutcome
+import glenspool.cloud.ScaleOutOutcome
 import glenspool.config.Member
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
-import glenspool.core.Rent
-import glenspool.core.RentalCause
+import glenspool.core.CommandOutcome
+import glenspool.core.ScaleOut
+import glenspool.core.ScaleOutCause
+import glenspool.core.SendCommands
 import glenspool.core.StartCause
 import glenspool.core.model.StartTask
 import glenspool.core.model.TaskKey
@@ -55,7 +55,7 @@
 
     private fun says(status: Int, body: Fields): (Request) -> Response = { cbor(Status(status, null), body) }
 
-    private val report =
+    private val heartbeat =
         mapOf(
             "spindle" to "i-1", "addr" to "10.0.0.9:9000", "frame" to "g8", "hall" to "a", "loaners" to false,
             "shift" to 2, "stitch" to 7, "baton" to 4, "recall_s" to 3.5, "threads" to emptyList<Any>(),
@@ -64,9 +64,9 @@
     @Test
     fun `the cloud's answers to a rental are told apart`() {
         val cloud = CloudClient(addr, http, 1000.0)
-        val rent = Rent("r-1-1", "g8", "a", true, mapOf(RentalCause.BACKLOG to 3))
+        val rent = ScaleOut("r-1-1", "g8", "a", true, mapOf(ScaleOutCause.BACKLOG to 3))
         answer = says(200, mapOf("spindles" to listOf("i-1", "i-2")))
-        assertEquals(RentOutcome.Rented(listOf("i-1", "i-2")), cloud.rent(rent))
+        assertEquals(ScaleOutOutcome.Rented(listOf("i-1", "i-2")), cloud.rent(rent))
         assertEquals(
             mapOf("hire" to "r-1-1", "frame" to "g8", "hall" to "a", "loaners" to true, "number" to 3L),
             seen
@@ -74,13 +74,13 @@
                 .second,
         )
         answer = says(503, mapOf("error" to "no capacity"))
-        assertEquals(RentOutcome.Refused, cloud.rent(rent))
+        assertEquals(ScaleOutOutcome.Refused, cloud.rent(rent))
         for (status in listOf(429, 500)) {
             answer = says(status, emptyMap())
-            assertEquals(RentOutcome.Unknown, cloud.rent(rent))
+            assertEquals(ScaleOutOutcome.Unknown, cloud.rent(rent))
         }
         answer = says(503, mapOf("error" to "trouble"))
-        assertEquals(RentOutcome.Unknown, cloud.rent(rent))
+        assertEquals(ScaleOutOutcome.Unknown, cloud.rent(rent))
     }
 
     @Test
@@ -111,20 +111,20 @@
     @Test
     fun `a command's outcome is done only with the worker's report`() {
         val worker = WorkerClient(http)
-        val d = Direct("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
-        answer = says(200, report)
-        assertEquals(DirectOutcome.DONE, worker.command(d).first)
+        val d = SendCommands("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
+        answer = says(200, heartbeat)
+        assertEquals(CommandOutcome.DONE, worker.command(d).first)
         assertEquals(4L to 2L, seen.last().second.let { it["baton"] to it["shift"] })
         answer = says(200, mapOf("nonsense" to 1))
-        assertEquals(DirectOutcome.UNKNOWN, worker.command(d).first)
-        answer = says(409, report)
-        assertEquals(DirectOutcome.REFUSED, worker.command(d).first)
+        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).first)
+        answer = says(409, heartbeat)
+        assertEquals(CommandOutcome.REFUSED, worker.command(d).first)
         answer = says(500, emptyMap())
-        assertEquals(DirectOutcome.UNKNOWN, worker.command(d).first)
+        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).first)
         val closed = ServerSocket(0).use { it.localPort }
-        assertEquals(DirectOutcome.NOT_SENT, worker.command(d.copy(addr = "127.0.0.1:$closed")).first)
-        answer = says(200, report)
-        assertEquals(3.5.seconds, worker.show(addr)?.notice)
+        assertEquals(CommandOutcome.NOT_SENT, worker.command(d.copy(addr = "127.0.0.1:$closed")).first)
+        answer = says(200, heartbeat)
+        assertEquals(3.5.seconds, worker.show(addr)?.preemptionNotice)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/api/ChainedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -3,11 +3,11 @@
 import glenspool.config.SettingsTest
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
-import glenspool.standin.OldVersion
-import glenspool.standin.ServedApi
+import glenspool.simulation.OldVersion
+import glenspool.simulation.ServedUserApi
+import glenspool.state.JobRecordReader
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.StoredJob
 import glenspool.wire.RecordWire
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Test
 
 /** Submissions that wait for others, at the smallest limits of the sites: 2 KiB a value, 4 changes a transaction. */
-class ChainedApiTest :
-    ServedApi(
+class DependencyApiTest :
+    ServedUserApi(
         SettingsTest.GOOD
             .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]"),
     ) {
-    private fun needs(id: String) = record(id).needs
+    private fun dependencies(id: String) = record(id).dependencies
 
-    private fun record(id: String): JobRecord = StoredJob(state).read(id, state.entries.getValue(Keys.job(id)).value)
+    private fun record(id: String): JobRecord = JobRecordReader(state).read(id, state.entries.getValue(Keys.job(id)).value)
 
     private fun stage(id: String) = show(id).body["stage"]
 
@@ -36,7 +36,7 @@
                     it.body["stage"]
             },
         )
-        assertEquals(listOf("run-1"), needs("run-2"))
+        assertEquals(listOf("run-1"), dependencies("run-2"))
         assertNull(OldVersion.reads(state.entries.getValue(Keys.job("run-2")).value))
         assertEquals("pending" to listOf("run-1"), show("run-2").body.let { it["stage"] to it["awaits"] })
         end("run-1", "done")
@@ -45,7 +45,7 @@
             assertEquals(
                 emptyList<String>(),
                 submit(spec("run-9$nothing"), nothing)
-                    .let { needs("run-9$nothing") },
+                    .let { dependencies("run-9$nothing") },
             )
         }
     }
@@ -143,12 +143,12 @@
         assertEquals("pending", stage("run-0"))
         // As another node takes them.
         for (i in 1..300) {
-            val r = record("run-0").copy(spec = spec("run-$i"), needs = listOf("run-${i - 1}"))
+            val r = record("run-0").copy(spec = spec("run-$i"), dependencies = listOf("run-${i - 1}"))
             state.transact(emptyMap(), listOf(Put(Keys.job("run-$i"), RecordWire.encode(r))), emptyList())
         }
         val all = (0..300).map { "run-$it" }
         assertEquals(201, submit(spec("run-900"), all + all).status)
-        assertEquals(all, needs("run-900"))
+        assertEquals(all, dependencies("run-900"))
         assertEquals(all, show("run-900").body["awaits"])
         assertEquals(200, submit(spec("run-900"), all).status)
         withdraw("run-0")
@@ -162,14 +162,14 @@
         val long = spec("run-1").copy(types = List(300) { "some-type-$it" } + "big")
         assertTrue(long.recordBytes in 2049..8192)
         // Old controllers may lead: it is stored in their form as long as the state service takes it.
-        membersNew = false
+        allMembersReadSplitRecords = false
         assertEquals(201, submit(long).status)
         assertTrue(OldVersion.reads(state.entries.getValue(Keys.job("run-1")).value) != null)
         // The limit is lowered without notice.
         state.valueLimit = 2048
         state.opsLimit = 4
         assertEquals(201, submit(long.copy(id = "run-2")).status)
-        membersNew = true
+        allMembersReadSplitRecords = true
         assertEquals(201, submit(long.copy(id = "run-3")).status)
         for (id in listOf("run-2", "run-3")) {
             assertEquals(long.copy(id = id), record(id).spec)
@@ -185,7 +185,7 @@
         // Another attempt, with other words, rewrites a piece between this one's pieces and its record.
         state.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("run-1") }) {
-                state.transact(emptyMap(), listOf(Put(Keys.piece("run-1", 0), mapOf("piece" to "other"))), emptyList())
+                state.transact(emptyMap(), listOf(Put(Keys.descriptionPart("run-1", 0), mapOf("piece" to "other"))), emptyList())
             }
         }
         assertEquals(503, submit(long).status)
--- a/src/test/kotlin/glenspool/api/GatedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/GatedApiTest.kt
@@ -7,7 +7,7 @@
 import glenspool.rollout.FeatureRegistry
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.standin.ServedApi
+import glenspool.simulation.ServedUserApi
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
@@ -25,7 +25,7 @@
 
 /** Submissions at a controller whose levels are managed. */
 class GatedApiTest :
-    ServedApi(
+    ServedUserApi(
         SettingsTest.GOOD
             .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]"),
     ) {
@@ -83,7 +83,7 @@
         state.valueLimit = 2048
         val long = spec("run-1").copy(types = List(150) { "some-type-$it" } + "big")
         assertEquals(503, submit(long).status)
-        assertEquals(emptyList<String>(), state.entries.keys.filter { it.startsWith(Keys.PIECE) })
+        assertEquals(emptyList<String>(), state.entries.keys.filter { it.startsWith(Keys.DESCRIPTION_PART) })
         store(LevelStage.ACTIVE)
         assertEquals(201, submit(long).status)
     }
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -1,20 +1,20 @@
 package glenspool.api
 
 import glenspool.config.Member
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
+import glenspool.core.model.Resources
 import glenspool.http.CallResult
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerServer
 import glenspool.peer.PeerStatus
 import glenspool.rollout.UnmanagedFeatures
-import glenspool.standin.ServedApi
-import glenspool.standin.bigType
+import glenspool.simulation.ServedUserApi
+import glenspool.simulation.bigType
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
+import glenspool.state.StoreCache
 import glenspool.wire.Cbor
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
@@ -22,7 +22,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The users' requests, one job at a time. */
-class UserApiTest : ServedApi() {
+class UserApiTest : ServedUserApi() {
     @Test
     fun `a job is taken once, and its retry gets its present state`() {
         assertEquals(201, submit(spec("run-1")).status)
@@ -58,10 +58,10 @@
     @Test
     fun `what can never run gets 422, but a known job is answered as known`() {
         assertEquals(422, submit(spec("run-1", team = "nobody")).status)
-        assertEquals(422, submit(spec("run-2", need = Amount(2.0, 5.0, 8.0))).status)
+        assertEquals(422, submit(spec("run-2", resourceRequest = Resources(2.0, 5.0, 8.0))).status)
         assertEquals(422, submit(spec("run-3", tasks = 40, kind = JobKind.GANG)).status)
         assertEquals(201, submit(spec("run-4", tasks = 40)).status)
-        types = listOf(bigType.copy(room = Amount(1.0, 0.0, 1.0)))
+        types = listOf(bigType.copy(capacity = Resources(1.0, 0.0, 1.0)))
         assertEquals(200, submit(spec("run-4", tasks = 40)).status)
         assertEquals(422, submit(spec("run-5")).status)
         types = null
@@ -111,8 +111,8 @@
     fun `a node that has lost the state service alone passes requests to a peer`() {
         // The peer reaches the same state service, which this node alone does not.
         val reachable = HttpListener(InetSocketAddress("127.0.0.1", 0), "state-2", 8, state::serve)
-        val peersClient = StateClient("127.0.0.1:${reachable.port}", http)
-        val peersReplica = Replica(peersClient, 1000.0) { _, _ -> }
+        val peersClient = KeyValueStoreClient("127.0.0.1:${reachable.port}", http)
+        val peersReplica = StoreCache(peersClient, 1000.0) { _, _ -> }
         val peersSyncs = syncing(peersReplica)
         val peersApi =
             UserApi(settings, peersClient, peersReplica, PeerClient(emptyList()), {
--- a/src/test/kotlin/glenspool/cli/CommandLineTest.kt
+++ b/src/test/kotlin/glenspool/cli/CommandLineTest.kt
@@ -3,7 +3,7 @@
 import glenspool.config.SettingsTest
 import glenspool.http.HttpListener
 import glenspool.http.cbor
-import glenspool.standin.CapturedRun
+import glenspool.simulation.CapturedRun
 import glenspool.wire.Cbor
 import org.http4k.core.Status
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -17,7 +17,7 @@
 import glenspool.reconcile.RecoveryPolicy
 import glenspool.reconcile.RecoverySnapshot
 import glenspool.reconcile.StartKind
-import glenspool.standin.CapturedRun
+import glenspool.simulation.CapturedRun
 import kotlinx.collections.immutable.persistentHashMapOf
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
@@ -10,7 +10,7 @@
 import glenspool.peer.RolloutServer
 import glenspool.peer.RolloutStatus
 import glenspool.peer.RolloutVerb
-import glenspool.standin.CapturedRun
+import glenspool.simulation.CapturedRun
 import org.http4k.core.Response
 import org.http4k.core.Status
 import org.junit.jupiter.api.AfterEach
--- a/src/test/kotlin/glenspool/config/SettingsTest.kt
+++ b/src/test/kotlin/glenspool/config/SettingsTest.kt
@@ -17,13 +17,13 @@
 
     @Test
     fun `limits that will hold some day are kept from the start, and what they leave out stays as it is`() {
-        assertEquals(null, read(GOOD).stateLimits.next)
-        assertEquals(read(GOOD).stateLimits.now, read(GOOD).stateLimits.safe)
+        assertEquals(null, read(GOOD).storeLimits.next)
+        assertEquals(read(GOOD).storeLimits.now, read(GOOD).storeLimits.safe)
         val s =
             read(
                 GOOD
                     .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 90\n[settings.cloud]"),
-            ).stateLimits
+            ).storeLimits
         assertEquals(s.now.copy(valueBytes = 2048), s.safe)
         assertEquals(s.now.copy(valueBytes = 2048, txnOps = 90), s.next)
         val bad =
@@ -44,8 +44,8 @@
         assertEquals(listOf("bobbin-1"), s.members.map { it.name })
         assertEquals(8080, s.apiAddr.port)
         assertEquals(5.milliseconds, s.clockBound)
-        assertEquals(1.5.seconds, s.workers.report)
-        assertEquals(16 * 1024, s.stateLimits.now.valueBytes)
+        assertEquals(1.5.seconds, s.workers.heartbeatInterval)
+        assertEquals(16 * 1024, s.storeLimits.now.valueBytes)
         assertEquals(null, s.teams[0].cpusMax)
         assertEquals(36.0, s.teams[0].gpusMax)
         assertEquals(18.seconds, s.objectives[0].within)
--- a/src/test/kotlin/glenspool/controller/CancelExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
@@ -9,7 +9,7 @@
 import glenspool.peer.PeerStatus
 import glenspool.peer.RelayAnswer
 import glenspool.state.Keys
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import org.http4k.core.Response
 import org.http4k.core.Status
 import org.junit.jupiter.api.AfterEach
@@ -26,7 +26,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Controllers that tell each other of cancellations over loopback. */
-class CancelExchangeTest {
+class CancellationExchangeTest {
     private var now = Duration.ZERO
     private val heard = LinkedBlockingQueue<Cancellation>()
     private val open = ArrayList<AutoCloseable>()
@@ -39,14 +39,14 @@
         },
     ) {
         val known = Cancellations("$name-1", listOf(other), 100.seconds, { now }) { now }
-        val exchange = CancelExchange(name, known, client, { now }, { false }, learnt)
+        val exchange = CancellationExchange(name, known, client, { now }, { false }, learnt)
     }
 
     private fun member(port: Int) = Member("b", "here", InetSocketAddress("127.0.0.1", port))
 
-    private fun stored(job: String) = listOf(StateWire.Change(Keys.cancel(job), mapOf("at" to 0L), 7))
+    private fun stored(job: String) = listOf(StoreWire.Change(Keys.cancel(job), mapOf("at" to 0L), 7))
 
-    private fun serving(x: CancelExchange, m: Member) {
+    private fun serving(x: CancellationExchange, m: Member) {
         val t =
             thread(isDaemon = true) {
                 try {
@@ -104,7 +104,7 @@
                 Member(name, "here", InetSocketAddress("127.0.0.1", server.port))
             }
         val known = Cancellations("a-1", members.map { it.name }, 100.seconds, { now }) { now }
-        val a = CancelExchange("a", known, PeerClient(members), { now }, { false }) {}
+        val a = CancellationExchange("a", known, PeerClient(members), { now }, { false }) {}
         members.forEach { serving(a, it) }
         a.stored(stored("run-1"))
         assertTrue(a.confirm("run-1"))
--- a/src/test/kotlin/glenspool/controller/SweepTest.kt
+++ b/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
@@ -1,23 +1,23 @@
 package glenspool.controller
 
 import glenspool.core.model.JobRecord
-import glenspool.standin.StateStandIn
-import glenspool.standin.job
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.job
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.StateResult
+import glenspool.state.StoreResult
 import glenspool.wire.RecordWire
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 import kotlin.time.Duration
 
-class SweepTest {
-    private val state = StateStandIn()
+class GarbageCollectorTest {
+    private val state = InMemoryStore()
     private val sweep =
-        Sweep(state, 3) { conditions, puts, removes ->
-            state.transact(conditions, puts, removes)?.let { StateResult.Conflict(it) }
-                ?: StateResult.Ok(state.revision)
+        GarbageCollector(state, 3) { conditions, puts, removes ->
+            state.transact(conditions, puts, removes)?.let { StoreResult.Conflict(it) }
+                ?: StoreResult.Ok(state.revision)
         }
 
     private fun put(key: String, value: Map<String, Any?> = emptyMap()) {
@@ -34,22 +34,22 @@
     @Test
     fun `only what has had no record for two looks goes, a little at a time`() {
         put(Keys.LEAD)
-        val mark = state.revision
+        val recordVersion = state.revision
         for (n in 0..4) put(Keys.chunk("over", n))
-        put(Keys.shelf("live", 0))
+        put(Keys.placementPart("live", 0))
         accept("live")
-        sweep.look(mark)
-        assertEquals(5, state.under(Keys.CHUNK).size)
-        put(Keys.piece("coming", 0))
-        sweep.look(mark)
-        assertEquals(2, state.under(Keys.CHUNK).size)
+        sweep.look(recordVersion)
+        assertEquals(5, state.withPrefix(Keys.CHUNK).size)
+        put(Keys.descriptionPart("coming", 0))
+        sweep.look(recordVersion)
+        assertEquals(2, state.withPrefix(Keys.CHUNK).size)
         accept("coming")
-        repeat(3) { sweep.look(mark) }
+        repeat(3) { sweep.look(recordVersion) }
         assertEquals(
             setOf(
-                Keys.LEAD, Keys.job("live"), Keys.job("coming"), Keys.shelf("live", 0),
+                Keys.LEAD, Keys.job("live"), Keys.job("coming"), Keys.placementPart("live", 0),
                 Keys
-                    .piece("coming", 0),
+                    .descriptionPart("coming", 0),
             ),
             state.entries.keys,
         )
@@ -58,10 +58,10 @@
     @Test
     fun `a deposed leader removes nothing`() {
         put(Keys.LEAD)
-        val mark = state.revision
-        put(Keys.piece("over", 0))
+        val recordVersion = state.revision
+        put(Keys.descriptionPart("over", 0))
         put(Keys.LEAD)
-        repeat(3) { sweep.look(mark) }
-        assertEquals(1, state.under(Keys.PIECE).size)
+        repeat(3) { sweep.look(recordVersion) }
+        assertEquals(1, state.withPrefix(Keys.DESCRIPTION_PART).size)
     }
 }
--- a/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
@@ -1,24 +1,24 @@
 package glenspool.controller
 
-import glenspool.config.StateLimits
-import glenspool.core.SaveJob
-import glenspool.core.Store
+import glenspool.config.StoreLimits
+import glenspool.core.StoreChanges
 import glenspool.core.StoreOutcome
-import glenspool.core.model.Intent
+import glenspool.core.UpdateJobRecord
 import glenspool.core.model.JobRecord
+import glenspool.core.model.StoredPlacement
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
 import glenspool.rollout.FeatureGate
 import glenspool.rollout.FeatureRegistry
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.standin.StateStandIn
-import glenspool.standin.job
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.job
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
 import glenspool.state.RolloutRecords
-import glenspool.state.StateClient
+import glenspool.state.StoreCache
 import glenspool.wire.RecordWire
 import glenspool.wire.RolloutWire
 import org.junit.jupiter.api.AfterEach
@@ -38,19 +38,19 @@
  * A leader's writes and its election while levels are managed, over loopback against a stand-in for the state service.
  */
 class GuardedWritesTest {
-    private val state = StateStandIn()
+    private val state = InMemoryStore()
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
-    private val client = StateClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
-    private val replica = Replica(client, 1000.0) { _, _ -> }
+    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+    private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val gate =
-        FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(replica) { replica.age() != null }::level)
+        FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(cache) { cache.age() != null }::level)
     private val elected = LinkedBlockingQueue<Term>()
     private val outcomes = LinkedBlockingQueue<StoreOutcome>()
-    private val leadership = Leadership("a", "boot", client, replica, { elected.add(it) }, {}) { gate.fence() == null }
-    private val writer = StateWriter(LIMITS, client, replica, leadership, gate) { outcome, _ -> outcomes.add(outcome) }
+    private val leadership = Leadership("a", "boot", client, cache, { elected.add(it) }, {}) { gate.fence() == null }
+    private val writer = StoreWriter(LIMITS, client, cache, leadership, gate) { outcome, _ -> outcomes.add(outcome) }
     private val duties =
-        Duties({}).also { duties ->
-            duties.start("syncs") { replica.serveSyncs() }
+        ServiceThreads({}).also { duties ->
+            duties.start("syncs") { cache.serveSyncs() }
             duties.start("leadership") { leadership.run() }
             duties.start("writer") { writer.run() }
         }
@@ -74,29 +74,29 @@
                 ),
                 emptyList(),
             )
-        assertTrue(replica.sync(2.seconds))
+        assertTrue(cache.sync(2.seconds))
     }
 
     private val split =
         JobRecord(
-            job("a", tasks = 9), Duration.ZERO, 3, BitSet(), listOf(Intent(1, 1, "i-1")),
-            shelved =
+            job("a", tasks = 9), Duration.ZERO, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
+            placementParts =
                 mapOf(
-                    0 to listOf(Intent(2, 3, "i-2")),
+                    0 to listOf(StoredPlacement(2, 3, "i-2")),
                 ),
         )
 
     private fun save(term: Term, record: JobRecord): StoreOutcome? {
         val version = state.get(Keys.job("a"))?.version ?: 0L
-        assertTrue(replica.sync(2.seconds))
+        assertTrue(cache.sync(2.seconds))
         writer
             .offer(
                 term,
-                Store(
+                StoreChanges(
                     listOf(
-                        SaveJob(
+                        UpdateJobRecord(
                             "a", version, record, emptyList(), 1, false,
-                            record.shelved.mapValues {
+                            record.placementParts.mapValues {
                                 1L
                             },
                         ),
@@ -113,13 +113,13 @@
         val term = term()
         assertEquals(StoreOutcome.Refused(emptySet()), save(term, split))
         assertNull(state.get(Keys.job("a")))
-        assertTrue(save(term, split.copy(shelved = emptyMap())) is StoreOutcome.Stored)
+        assertTrue(save(term, split.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
         store(1, LevelStage.ACTIVE)
         assertTrue(save(term, split) is StoreOutcome.Stored)
         store(1, LevelStage.LEAVING)
         assertTrue(save(term, split.copy(lastAttempt = 4)) is StoreOutcome.Stored)
         assertTrue(RecordWire.isSealed(state.entries.getValue(Keys.job("a")).value))
-        assertTrue(save(term, split.copy(shelved = emptyMap())) is StoreOutcome.Stored)
+        assertTrue(save(term, split.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
         assertEquals(StoreOutcome.Refused(emptySet()), save(term, split))
     }
 
@@ -152,6 +152,6 @@
     }
 
     private companion object {
-        val LIMITS = StateLimits(1000.0, 1000.0, 4096, 8)
+        val LIMITS = StoreLimits(1000.0, 1000.0, 4096, 8)
     }
 }
--- a/src/test/kotlin/glenspool/controller/ReportIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
@@ -1,23 +1,23 @@
 package glenspool.controller
 
-import glenspool.core.model.Report
+import glenspool.core.model.Heartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
 /** Workers wait 4 s for an answer, and a leader that is starting or behind must not let that time go by. */
-class ReportIntakeTest {
+class HeartbeatIntakeTest {
     private var now = Duration.ZERO
     private var term: Term? = null
-    private val pending = PendingReports { now }
-    private val posted = ArrayList<PendingReport>()
-    private val answers = ArrayList<Pair<String, WorkerOrders?>>()
-    private val intake = ReportIntake(pending, { term }, posted::add)
-    private val orders = WorkerOrders(3, emptyList())
+    private val pending = PendingHeartbeats { now }
+    private val posted = ArrayList<PendingHeartbeat>()
+    private val answers = ArrayList<Pair<String, WorkerCommands?>>()
+    private val intake = HeartbeatIntake(pending, { term }, posted::add)
+    private val orders = WorkerCommands(3, emptyList())
 
     private fun take(machine: String) =
-        intake.take(Report(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
+        intake.take(Heartbeat(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
             answers.add(
                 machine to it,
             )
@@ -28,11 +28,11 @@
         take("follower")
         term = Term(3, 10, 1)
         take("elected")
-        intake.begun = Term(2, 5, 1)
+        intake.readyTerm = Term(2, 5, 1)
         take("other term")
-        assertEquals(listOf("follower", "elected", "other term").map { it to null as WorkerOrders? }, answers)
+        assertEquals(listOf("follower", "elected", "other term").map { it to null as WorkerCommands? }, answers)
         assertEquals(0, posted.size)
-        intake.begun = term
+        intake.readyTerm = term
         take("leader")
         assertEquals(3, answers.size)
         posted.single().complete(orders)
@@ -42,15 +42,15 @@
     @Test
     fun `while the core is behind workers are answered at once, and it still gets their reports`() {
         term = Term(3, 10, 1)
-        intake.begun = term
+        intake.readyTerm = term
         take("first")
-        now += ReportIntake.KEEPS_UP - 1.milliseconds
+        now += HeartbeatIntake.KEEPS_UP - 1.milliseconds
         take("in time")
         assertEquals(0, answers.size)
         now += 1.milliseconds
         take("late")
-        assertEquals(listOf<Pair<String, WorkerOrders?>>("late" to null), answers)
-        assertEquals(listOf("first", "in time", "late"), posted.map { it.report.machine })
+        assertEquals(listOf<Pair<String, WorkerCommands?>>("late" to null), answers)
+        assertEquals(listOf("first", "in time", "late"), posted.map { it.heartbeat.machine })
         posted.forEach {
             pending.take(it)
             it.complete(orders)
--- a/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
@@ -1,6 +1,6 @@
 package glenspool.controller
 
-import glenspool.core.model.Report
+import glenspool.core.model.Heartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -11,13 +11,12 @@
 /** A controller's intake while a whole fleet of 4,000 machines reports at once. */
 class LargeIntakeTest {
     private var now = Duration.ZERO
-    private val pending = PendingReports { now }
+    private val pending = PendingHeartbeats { now }
     private val term = Term(1, 1, 1)
-    private val posted = ArrayDeque<PendingReport>()
-    private val intake = ReportIntake(pending, { term }) { posted.add(it) }.also { it.begun = term }
+    private val posted = ArrayDeque<PendingHeartbeat>()
+    private val intake = HeartbeatIntake(pending, { term }) { posted.add(it) }.also { it.readyTerm = term }
 
-    private fun report(machine: Int) =
-        Report("i-%06d".format(machine), "addr", "big", "a", false, 1, 1, 1, null, emptyList())
+    private fun heartbeat(machine: Int) = Heartbeat("i-%06d".format(machine), "addr", "big", "a", false, 1, 1, 1, null, emptyList())
 
     /** The core takes in so many reports a second; the answers, and how many of them had the core's orders. */
     private fun play(coreTakes: Int): Pair<Int, Int> {
@@ -25,7 +24,7 @@
         var ordered = 0
         for (machine in 1..FLEET) {
             now += 1.seconds / FLEET
-            intake.take(report(machine)) { orders ->
+            intake.take(heartbeat(machine)) { orders ->
                 answers++
                 if (orders != null) ordered++
             }
@@ -39,9 +38,9 @@
         return answers to ordered
     }
 
-    private fun takeIn(report: PendingReport) {
-        pending.take(report)
-        report.complete(WorkerOrders(1, emptyList()))
+    private fun takeIn(heartbeat: PendingHeartbeat) {
+        pending.take(heartbeat)
+        heartbeat.complete(WorkerCommands(1, emptyList()))
     }
 
     @Test
@@ -53,8 +52,8 @@
     fun `every machine is answered in time if the core takes a tenth, and the core learns that it is behind`() {
         val (answers, ordered) = play(coreTakes = FLEET / 10)
         assertEquals(FLEET, answers)
-        assertTrue(ordered in 400..(400 + 2 * PendingReports.MAX_WAITING), "$ordered")
-        assertTrue(pending.backlog() >= PendingReports.PATIENCE)
+        assertTrue(ordered in 400..(400 + 2 * PendingHeartbeats.MAX_WAITING), "$ordered")
+        assertTrue(pending.backlog() >= PendingHeartbeats.PATIENCE)
         // Nothing is left to wait for once the crowd is over.
         assertEquals(Duration.ZERO, pending.oldestWait())
         assertTrue(now < 1.seconds + 2500.milliseconds)
