--- a/src/test/kotlin/glenspool/controller/PendingReportsTest.kt
+++ b/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
@@ -1,6 +1,6 @@
 package glenspool.controller
 
-import glenspool.core.model.Report
+import glenspool.core.model.Heartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertNull
@@ -12,27 +12,27 @@
 /**
  * A core that is behind must cost no worker its lease: what waits is bounded by count and by time, and answered once.
  */
-class PendingReportsTest {
+class PendingHeartbeatsTest {
     private var now = Duration.ZERO
-    private val reports = PendingReports { now }
-    private val answers = ArrayList<Pair<String, WorkerOrders?>>()
-    private val orders = WorkerOrders(3, emptyList())
+    private val heartbeats = PendingHeartbeats { now }
+    private val answers = ArrayList<Pair<String, WorkerCommands?>>()
+    private val orders = WorkerCommands(3, emptyList())
 
     private fun add(machine: String) =
-        reports.add(Report(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
+        heartbeats.add(Heartbeat(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
             answers.add(
                 machine to it,
             )
         }
 
-    private fun take(pending: PendingReport) {
-        reports.take(pending)
+    private fun take(pending: PendingHeartbeat) {
+        heartbeats.take(pending)
         pending.complete(orders)
     }
 
     @Test
     fun `only so many wait, and room comes back with each that the core takes in`() {
-        val all = List(PendingReports.MAX_WAITING) { add("m$it") }
+        val all = List(PendingHeartbeats.MAX_WAITING) { add("m$it") }
         assertTrue(all.all { it != null })
         assertNull(add("too many"))
         all.first()?.let { take(it) }
@@ -43,13 +43,13 @@
     @Test
     fun `what the core does not get to is answered without it, once, and newer ones go on waiting`() {
         val late = add("late")
-        now += PendingReports.PATIENCE - 1.milliseconds
+        now += PendingHeartbeats.PATIENCE - 1.milliseconds
         val newer = add("newer")
-        reports.expire()
-        assertEquals(emptyList<Pair<String, WorkerOrders?>>(), answers)
+        heartbeats.expire()
+        assertEquals(emptyList<Pair<String, WorkerCommands?>>(), answers)
         now += 1.milliseconds
-        reports.expire()
-        assertEquals(listOf<Pair<String, WorkerOrders?>>("late" to null), answers)
+        heartbeats.expire()
+        assertEquals(listOf<Pair<String, WorkerCommands?>>("late" to null), answers)
         assertEquals(false, late?.complete(orders))
         assertEquals(true, newer?.complete(orders))
         assertEquals(listOf("late" to null, "newer" to orders), answers)
@@ -58,35 +58,35 @@
     @Test
     fun `a report that was answered without the core still waits for it`() {
         val first = add("first")
-        now += PendingReports.PATIENCE
-        reports.expire()
-        reports.expire()
-        assertEquals(listOf<Pair<String, WorkerOrders?>>("first" to null), answers)
-        assertEquals(PendingReports.PATIENCE, reports.backlog())
+        now += PendingHeartbeats.PATIENCE
+        heartbeats.expire()
+        heartbeats.expire()
+        assertEquals(listOf<Pair<String, WorkerCommands?>>("first" to null), answers)
+        assertEquals(PendingHeartbeats.PATIENCE, heartbeats.backlog())
         first?.let { take(it) }
-        assertEquals(Duration.ZERO, reports.backlog())
-        assertEquals(listOf<Pair<String, WorkerOrders?>>("first" to null), answers)
+        assertEquals(Duration.ZERO, heartbeats.backlog())
+        assertEquals(listOf<Pair<String, WorkerCommands?>>("first" to null), answers)
     }
 
     @Test
     fun `the backlog is the wait of the oldest, and a refusal shows once`() {
-        assertEquals(Duration.ZERO, reports.backlog())
-        val all = List(PendingReports.MAX_WAITING) { add("m$it").also { now += 1.milliseconds } }
+        assertEquals(Duration.ZERO, heartbeats.backlog())
+        val all = List(PendingHeartbeats.MAX_WAITING) { add("m$it").also { now += 1.milliseconds } }
         all.first()?.let { take(it) }
-        assertEquals((PendingReports.MAX_WAITING - 1).milliseconds, reports.backlog())
+        assertEquals((PendingHeartbeats.MAX_WAITING - 1).milliseconds, heartbeats.backlog())
         add("fits")
         add("too many")
-        assertEquals(PendingReports.PATIENCE, reports.backlog())
-        assertEquals((PendingReports.MAX_WAITING - 1).milliseconds, reports.backlog())
+        assertEquals(PendingHeartbeats.PATIENCE, heartbeats.backlog())
+        assertEquals((PendingHeartbeats.MAX_WAITING - 1).milliseconds, heartbeats.backlog())
     }
 
     @Test
     fun `what is dropped is answered and gives its room back`() {
-        List(PendingReports.MAX_WAITING) { add("m$it") }
-        reports.drop()
-        assertEquals(PendingReports.MAX_WAITING, answers.size)
+        List(PendingHeartbeats.MAX_WAITING) { add("m$it") }
+        heartbeats.drop()
+        assertEquals(PendingHeartbeats.MAX_WAITING, answers.size)
         assertTrue(answers.all { it.second == null })
-        assertEquals(Duration.ZERO, reports.backlog())
+        assertEquals(Duration.ZERO, heartbeats.backlog())
         assertNotNull(add("next"))
     }
 }
--- a/src/test/kotlin/glenspool/controller/DutiesTest.kt
+++ b/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
@@ -7,11 +7,11 @@
 import kotlin.time.Duration
 
 /** A node must not live on with one of its duties dead: least of all a leader without its core. */
-class DutiesTest {
+class ServiceThreadsTest {
     @Test
     fun `a duty that can't go on ends the process`() {
         val ended = AtomicInteger()
-        val duties = Duties({ ended.incrementAndGet() }, Duration.ZERO)
+        val duties = ServiceThreads({ ended.incrementAndGet() }, Duration.ZERO)
         duties.start("broken") { throw NoClassDefFoundError("as when a class can't be loaded") }
         // Joined, not waited for: a duty that only died would be seen, too.
         duties.join()
@@ -22,7 +22,7 @@
     fun `a duty that fails is begun again, and one that is interrupted ends`() {
         val ended = AtomicInteger()
         val begun = CountDownLatch(3)
-        val duties = Duties({ ended.incrementAndGet() }, Duration.ZERO)
+        val duties = ServiceThreads({ ended.incrementAndGet() }, Duration.ZERO)
         duties.start("failing") {
             begun.countDown()
             check(begun.count == 0L) { "fails until it was begun three times" }
@@ -38,7 +38,7 @@
     fun `a duty that is to run once is over when it returns or fails`() {
         val runs = AtomicInteger()
         val ended = AtomicInteger()
-        val duties = Duties({ ended.incrementAndGet() }, Duration.ZERO)
+        val duties = ServiceThreads({ ended.incrementAndGet() }, Duration.ZERO)
         duties.startOnce("returning") { runs.incrementAndGet() }
         duties.startOnce("failing") {
             runs.incrementAndGet()
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -1,9 +1,9 @@
 package glenspool.controller
 
-import glenspool.core.Rehearsing
+import glenspool.core.WarmUpFleet
 import glenspool.core.model.Team
 import glenspool.http.HttpListener
-import glenspool.standin.config
+import glenspool.simulation.config
 import glenspool.wire.Cbor
 import glenspool.wire.WorkerWire
 import org.http4k.core.Body
@@ -21,7 +21,7 @@
 class WarmUpTest {
     @Test
     fun `the made-up fleet lives a leader's life, and nothing piles up in it`() {
-        val fleet = Rehearsing(config())
+        val fleet = WarmUpFleet(config())
         repeat(240) { fleet.turn() }
         assertTrue(fleet.started > 300, "${fleet.started} started")
         assertTrue(fleet.ended > 150, "${fleet.ended} ended")
@@ -30,7 +30,7 @@
 
     @Test
     fun `a team without room for anything does no harm`() {
-        val fleet = Rehearsing(config(listOf(Team("t0", 0.0, 0.0, 0.1, 0.1))))
+        val fleet = WarmUpFleet(config(listOf(Team("t0", 0.0, 0.0, 0.1, 0.1))))
         repeat(240) { fleet.turn() }
         assertEquals(0, fleet.started)
     }
@@ -68,16 +68,16 @@
 
     @Test
     fun `the answer to a made-up report orders nothing and vouches for nothing but its own token`() {
-        val fleet = Rehearsing(config())
+        val fleet = WarmUpFleet(config())
         fleet.turn()
         val r =
             WarmUp
                 .answer(
                     Request(Method.POST, WarmUp.PATH)
-                        .body(Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastReport))))),
+                        .body(Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastHeartbeat))))),
                 )
         assertEquals(
-            WorkerWire.answer(fleet.lastReport.token, emptyList()),
+            WorkerWire.answer(fleet.lastHeartbeat.token, emptyList()),
             Cbor
                 .decodeMap(r.body.stream.readAllBytes()),
         )
--- a/src/test/kotlin/glenspool/core/CancelledWorkTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
@@ -1,23 +1,22 @@
 package glenspool.core
 
 import glenspool.core.cluster.Cancellation
-import glenspool.core.cluster.CancelledWork
-import glenspool.core.model.Exit
+import glenspool.core.cluster.CancelledWorkTracker
+import glenspool.core.model.ExitReason
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskState
-import glenspool.standin.Driven
+import glenspool.simulation.SchedulerDriver
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** What any controller does about cancelled work while nobody leads. */
-class CancelledWorkTest : Driven() {
-    private val work = CancelledWork(40.seconds)
+class CancelledWorkTrackerTest : SchedulerDriver() {
+    private val work = CancelledWorkTracker(40.seconds)
     private val places = mapOf("a" to listOf("m1", "m2"), "b" to listOf("m2", "m3"))
 
-    private fun due(at: Int, known: Map<String, Int> = mapOf("a" to 0, "b" to 4)) =
-        work.due(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
+    private fun due(at: Int, known: Map<String, Int> = mapOf("a" to 0, "b" to 4)) = work.due(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
 
     @Test
     fun `machines are asked when their time is half over, and only about what was cancelled`() {
@@ -38,10 +37,10 @@
         assertEquals(
             emptyList<StopTask>(),
             work
-                .seen(m1, report("m1", listOf(task("a", 0, 1, TaskState.EXITED, Exit.STOPPED), task("other", 0, 1, TaskState.RUNNING)))),
+                .seen(m1, heartbeat("m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.STOPPED), task("other", 0, 1, TaskState.RUNNING)))),
         )
         val running =
-            report("m2", listOf(task("a", 1, 7, TaskState.RUNNING), task("b", 0, 3, TaskState.EXITED, Exit.DONE)))
+            heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING), task("b", 0, 3, TaskState.EXITED, ExitReason.DONE)))
         assertEquals(listOf("a" to 7L), work.seen(m2, running).map { it.key.job to it.attempt })
         assertEquals(emptyList<StopTask>(), work.seen(m3, null))
         assertEquals(listOf("m2" to setOf("a"), "m3" to setOf("b")), due(22).map { it.machine to it.jobs })
@@ -50,8 +49,8 @@
     @Test
     fun `a machine that does not answer, or does not obey, is deleted before the time is over, and no other`() {
         val (m1, m2, _) = due(21)
-        work.seen(m1, report("m1"))
-        work.seen(m2, report("m2", listOf(task("a", 1, 7, TaskState.RUNNING))))
+        work.seen(m1, heartbeat("m1"))
+        work.seen(m2, heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING))))
         due(30)
         assertEquals(emptyList<String>(), work.late(30.seconds))
         due(31)
@@ -79,22 +78,22 @@
         val (machine, task) = running.entries.single()
         val stops =
             step { jobCancelled("a", 900, now) }
-                .filterIsInstance<Direct>()
+                .filterIsInstance<SendCommands>()
                 .flatMap { it.commands }
                 .filterIsInstance<StopTask>()
         assertEquals(listOf(StopTask(task.key, task.attempt, Duration.ZERO, StopCause.CANCELLED)), stops)
         // The state service tells the same later: nothing changes but its version, which a final record is conditioned
         // on.
-        assertEquals(emptyList<Direct>(), step { jobCancelled("a", 901, now) }.filterIsInstance<Direct>())
+        assertEquals(emptyList<SendCommands>(), step { jobCancelled("a", 901, now) }.filterIsInstance<SendCommands>())
         val after =
-            say(report(machine, listOf(task.copy(state = TaskState.EXITED, exit = Exit.STOPPED)))).second +
+            say(heartbeat(machine, listOf(task.copy(state = TaskState.EXITED, exit = ExitReason.STOPPED)))).second +
                 wait(1.seconds)
         assertEquals(
             listOf<Long?>(901),
             after
-                .filterIsInstance<Store>()
+                .filterIsInstance<StoreChanges>()
                 .flatMap { it.writes }
-                .filterIsInstance<FinishJob>()
+                .filterIsInstance<StoreFinalState>()
                 .map { it.cancelVersion },
         )
     }
--- a/src/test/kotlin/glenspool/core/WorldTest.kt
+++ b/src/test/kotlin/glenspool/core/ClusterSimulationTest.kt
@@ -1,8 +1,8 @@
 package glenspool.core
 
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.Priority
+import glenspool.core.model.Resources
 import glenspool.core.model.Team
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
@@ -10,12 +10,12 @@
 import glenspool.reconcile.RecoveryPolicy
 import glenspool.reconcile.RecoverySetting
 import glenspool.reconcile.StartKind
-import glenspool.standin.Weather
-import glenspool.standin.World
-import glenspool.standin.bigType
-import glenspool.standin.config
-import glenspool.standin.job
-import glenspool.standin.leanType
+import glenspool.simulation.ClusterSimulation
+import glenspool.simulation.FaultRates
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
+import glenspool.simulation.leanType
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -26,13 +26,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Whole days in simulated time, with every rule checked at every start and every tick. */
-class WorldTest {
+class ClusterSimulationTest {
     private val teams =
         listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 12.0), Team("t2", 0.0, 0.0, null, 6.0))
 
-    private fun world(seed: Long, weather: Weather, valueBytes: Int, coldStarts: Boolean): World {
+    private fun simulation(seed: Long, faults: FaultRates, valueBytes: Int, coldStarts: Boolean): ClusterSimulation {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = valueBytes)
-        val setting = RecoverySetting(deployment.lease, deployment.report, deployment.listLag)
+        val setting = RecoverySetting(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoverer = {
             token: Long,
             at: Duration,
@@ -40,7 +40,7 @@
             ->
             RecoveryEngine(RecoveryPolicy(), setting, token, at, kind)
         }
-        val w = World(seed, deployment, listOf(bigType, leanType), weather, recoverer = recoverer.takeIf { coldStarts })
+        val w = ClusterSimulation(seed, deployment, listOf(bigType, leanType), faults, recoverer = recoverer.takeIf { coldStarts })
         w.state.valueLimit = valueBytes
         for (i in 0 until 6) {
             w.addMachine(
@@ -71,8 +71,8 @@
             1 ->
                 job(
                     "g-$n", JobKind.GANG, 1 + r.nextInt(4),
-                    Amount(4.0, 2.0, 16.0).let {
-                        if (r.nextBoolean()) it else Amount(2.0, 1.0, 4.0)
+                    Resources(4.0, 2.0, 16.0).let {
+                        if (r.nextBoolean()) it else Resources(2.0, 1.0, 4.0)
                     },
                     "t0", Priority.URGENT, sameZone = r.nextBoolean(), image = "i${r.nextInt(3)}",
                     imageGb =
@@ -80,8 +80,8 @@
                 )
             2 ->
                 job(
-                    "c-$n", JobKind.ARRAY, 1 + r.nextInt(5), Amount(2.0, 0.0, 20.0), "t${r.nextInt(3)}", Priority.IDLE,
-                    zone = listOf(null, "a", "b")[r.nextInt(3)], spot = true, checkpoint = 3.seconds,
+                    "c-$n", JobKind.ARRAY, 1 + r.nextInt(5), Resources(2.0, 0.0, 20.0), "t${r.nextInt(3)}", Priority.IDLE,
+                    zone = listOf(null, "a", "b")[r.nextInt(3)], spot = true, checkpointInterval = 3.seconds,
                 )
             else ->
                 job(
@@ -92,34 +92,34 @@
 
     private fun play(
         seed: Long,
-        weather: Weather,
+        faults: FaultRates,
         chained: Boolean = false,
         allNew: Boolean = false,
         valueBytes: Int = 4096,
         coldStarts: Boolean = false,
-    ): World {
-        val w = world(seed, weather, valueBytes, coldStarts)
+    ): ClusterSimulation {
+        val w = simulation(seed, faults, valueBytes, coldStarts)
         w.allNew = allNew
         val r = Random(seed * 31)
         val ids = ArrayList<String>()
         for (n in 0 until 30) {
             val j = randomJob(r, n)
-            w.submit(j, if (chained) needs(r, ids, w) else emptyList())
+            w.submit(j, if (chained) dependencies(r, ids, w) else emptyList())
             ids.add(j.id)
             w.run(w.now + (r.nextInt(8)).seconds)
             if (r.nextInt(5) == 0) w.cancel(ids[r.nextInt(ids.size)])
             // Nobody looks after cancelled work on hung machines here while nobody leads: with all troubles the
             // controllers are soon back.
-            if (coldStarts && r.nextInt(6) == 0) w.allAway((1 + r.nextInt(if (weather.hangs > 0) 5 else 24)).seconds)
+            if (coldStarts && r.nextInt(6) == 0) w.allAway((1 + r.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
         }
         w.run(w.now + 200.seconds)
         w.allNew = true
-        if (weather.olds > 0) w.elect()
+        if (faults.olds > 0) w.elect()
         w.run(w.now + 500.seconds, calm = true)
         assertEquals(emptyList<String>(), w.violations, "seed $seed")
         for (id in ids.filter { it.startsWith("s-") }) {
             // What it needs may in turn wait for the limit of a team whose services run on.
-            val held = w.needsOf[id].orEmpty().any { w.end(it) == null }
+            val held = w.dependenciesOf[id].orEmpty().any { w.end(it) == null }
             val whole =
                 w.end(id) == "cancelled" ||
                     w.runningReplicas(id) == w.specs.getValue(id).tasks ||
@@ -147,7 +147,7 @@
     }
 
     /** Some jobs of before, whatever has become of them; services are never named. */
-    private fun needs(r: Random, ids: List<String>, w: World): List<String> {
+    private fun dependencies(r: Random, ids: List<String>, w: ClusterSimulation): List<String> {
         val all = ids.filter { !it.startsWith("s-") && !(w.end(it) == "cancelled" && r.nextInt(4) > 0) }
         if (all.isEmpty() || r.nextInt(3) == 0) return emptyList()
         return List(1 + r.nextInt(3)) { all[maxOf(0, all.size - 1 - r.nextInt(6))] }.distinct()
@@ -156,9 +156,9 @@
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104])
     fun `jobs that wait for others start when all are done, and are aborted with them`(seed: Long) {
-        val w = play(seed, Weather(), chained = true)
-        assertTrue(w.needsOf.size > 5)
-        assertTrue(w.needsOf.keys.any { w.end(it) == "done" })
+        val w = play(seed, FaultRates(), chained = true)
+        assertTrue(w.dependenciesOf.size > 5)
+        assertTrue(w.dependenciesOf.keys.any { w.end(it) == "done" })
     }
 
     @ParameterizedTest
@@ -166,7 +166,7 @@
     fun `jobs that wait for others break no rule amid all troubles and take-overs`(seed: Long) {
         play(
             seed,
-            Weather(
+            FaultRates(
                 lost = 0.05, held = 0.05, copies = 0.05, oneWay = 0.01, outages = 0.02, takeovers = 0.04, deaths = 0.01, cuts = 0.02, hangs = 0.01,
                 restarts = 0.01, apart = 0.01,
             ),
@@ -177,7 +177,7 @@
     @ParameterizedTest
     @ValueSource(longs = [121, 122, 123, 124, 125, 126, 127, 128])
     fun `old and new versions that lead in turn break no rule, whatever waits`(seed: Long) {
-        play(seed, Weather(lost = 0.05, held = 0.05, takeovers = 0.06, outages = 0.02, deaths = 0.01, cuts = 0.02, olds = 0.5), chained = true)
+        play(seed, FaultRates(lost = 0.05, held = 0.05, takeovers = 0.06, outages = 0.02, deaths = 0.01, cuts = 0.02, olds = 0.5), chained = true)
     }
 
     @ParameterizedTest
@@ -185,7 +185,7 @@
     fun `places on shelves break no rule amid take-overs`(seed: Long) {
         // So small a value that hardly any place fits into a record.
         val w =
-            play(seed, Weather(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01), chained = seed % 2 == 0L, allNew = true, valueBytes = 800)
+            play(seed, FaultRates(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01), chained = seed % 2 == 0L, allNew = true, valueBytes = 800)
         assertEquals(0, w.refusedForSize)
         assertTrue(w.state.log.any { it.first.startsWith("g/p/") }, "nothing was shelved")
     }
@@ -193,43 +193,43 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 1056, 2, 3])
     fun `on a quiet day everything runs`(seed: Long) {
-        assertTrue(play(seed, Weather()).starts > 30)
+        assertTrue(play(seed, FaultRates()).starts > 30)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [11, 11021, 11056, 11011, 12, 13, 14, 15, 16])
     fun `lost and held messages break no rule`(seed: Long) {
-        play(seed, Weather(lost = 0.1, held = 0.1))
+        play(seed, FaultRates(lost = 0.1, held = 0.1))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 21157, 22, 23, 24, 25, 26])
     fun `machines that die, hang, are cut off or taken break no rule`(seed: Long) {
-        play(seed, Weather(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05))
+        play(seed, FaultRates(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [31085, 31, 33, 34, 35, 36])
     fun `leaders that change amid held messages and outages break no rule`(seed: Long) {
-        play(seed, Weather(lost = 0.05, held = 0.08, takeovers = 0.03, outages = 0.02, cuts = 0.02, hangs = 0.02, deaths = 0.01))
+        play(seed, FaultRates(lost = 0.05, held = 0.08, takeovers = 0.03, outages = 0.02, cuts = 0.02, hangs = 0.02, deaths = 0.01))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54, 55, 56])
     fun `machines that are heard but not reached break no rule`(seed: Long) {
-        play(seed, Weather(oneWay = 0.05, lost = 0.03, takeovers = 0.01))
+        play(seed, FaultRates(oneWay = 0.05, lost = 0.03, takeovers = 0.01))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63, 64, 65, 66])
     fun `late copies of reports and machines that restart break no rule`(seed: Long) {
-        play(seed, Weather(copies = 0.3, deaths = 0.02, restarts = 0.02, cuts = 0.02, takeovers = 0.02))
+        play(seed, FaultRates(copies = 0.3, deaths = 0.02, restarts = 0.02, cuts = 0.02, takeovers = 0.02))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74, 75, 76])
     fun `a leader apart with its workers breaks no rule, alone and with everything else`(seed: Long) {
-        val alone = Weather(apart = 0.03)
+        val alone = FaultRates(apart = 0.03)
         play(
             seed,
             if (seed % 2 ==
@@ -246,7 +246,7 @@
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83, 84])
     fun `a zone cut off with its controller breaks no rule, alone and with everything else`(seed: Long) {
-        val alone = Weather(zoneCuts = 0.03)
+        val alone = FaultRates(zoneCuts = 0.03)
         play(
             seed,
             if (seed % 2 ==
@@ -263,7 +263,7 @@
     @ValueSource(longs = [141, 142, 143, 144, 145, 146, 147, 148, 149, 150])
     fun `recoveries after cold starts break no rule, alone and with everything else`(seed: Long) {
         val all =
-            Weather(
+            FaultRates(
                 lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, takeovers = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02, restarts = 0.01,
                 apart = 0.01, mute = 0.02, forNext = 0.05, zoneCuts = 0.005,
             )
@@ -273,7 +273,7 @@
                 if (seed % 2 ==
                     0L
                 ) {
-                    Weather(mute = 0.02, deaths = 0.01)
+                    FaultRates(mute = 0.02, deaths = 0.01)
                 } else {
                     all
                 },
@@ -290,7 +290,7 @@
 
     @Test
     fun `the same seed gives the same day`() {
-        val weather = Weather(lost = 0.05, held = 0.05, takeovers = 0.02, deaths = 0.01)
-        assertEquals(play(41, weather).state.revision, play(41, weather).state.revision)
+        val faults = FaultRates(lost = 0.05, held = 0.05, takeovers = 0.02, deaths = 0.01)
+        assertEquals(play(41, faults).state.revision, play(41, faults).state.revision)
     }
 }
--- a/src/test/kotlin/glenspool/core/FleetGuardsTest.kt
+++ b/src/test/kotlin/glenspool/core/FleetGuardsTest.kt
@@ -1,16 +1,16 @@
 package glenspool.core
 
-import glenspool.core.model.Amount
-import glenspool.core.model.Exit
-import glenspool.core.model.Intent
+import glenspool.core.model.ExitReason
 import glenspool.core.model.JobKind
 import glenspool.core.model.Priority
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Resources
 import glenspool.core.model.StopTask
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskState
-import glenspool.standin.Driven
-import glenspool.standin.bigType
-import glenspool.standin.job
+import glenspool.core.model.TaskStatus
+import glenspool.simulation.SchedulerDriver
+import glenspool.simulation.bigType
+import glenspool.simulation.job
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -18,13 +18,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Guards that matter where much of a large fleet is in the same trouble at once. */
-class FleetGuardsTest : Driven() {
-    private fun List<Action>.deleted() = filterIsInstance<Delete>().flatMap { it.machines }.toSet()
+class FleetGuardsTest : SchedulerDriver() {
+    private fun List<Action>.deleted() = filterIsInstance<DeleteMachines>().flatMap { it.machines }.toSet()
 
     /** The machines of the other zone. */
-    private fun cutOff(running: Map<String, ReportedTask>) = running.keys.filter { it.startsWith("z") }.toSet()
+    private fun cutOff(running: Map<String, TaskStatus>) = running.keys.filter { it.startsWith("z") }.toSet()
 
-    private val whole = Amount(14.0, 4.0, 50.0)
+    private val whole = Resources(14.0, 4.0, 50.0)
 
     @Test
     fun `a zone that is cut off is waited for, and comes back as it was`() {
@@ -63,34 +63,34 @@
         val running = busy(6, others = 6)
         assertEquals(
             listOf(listOf("m1")),
-            list(running.keys, failed = setOf("m1")).filterIsInstance<Delete>().map {
+            list(running.keys, failed = setOf("m1")).filterIsInstance<DeleteMachines>().map {
                 it.machines
             },
         )
         // Within the pause nothing is sent, and what came meanwhile goes together.
-        assertTrue(list(running.keys, failed = setOf("m1", "m2")).none { it is Delete })
+        assertTrue(list(running.keys, failed = setOf("m1", "m2")).none { it is DeleteMachines })
         now += 200.milliseconds
-        assertTrue(list(running.keys, failed = setOf("m1", "m2", "z1")).none { it is Delete })
+        assertTrue(list(running.keys, failed = setOf("m1", "m2", "z1")).none { it is DeleteMachines })
         now += 200.milliseconds
-        assertEquals(listOf(listOf("m2", "z1")), step { tick() }.filterIsInstance<Delete>().map { it.machines })
+        assertEquals(listOf(listOf("m2", "z1")), step { tick() }.filterIsInstance<DeleteMachines>().map { it.machines })
     }
 
     @Test
     fun `an array that no machine could take gets one, however little its work is`() {
-        step { typesKnown(listOf(bigType)) }
+        step { machineTypesKnown(listOf(bigType)) }
         submit(job("a"))
-        assertEquals(listOf(1), wait(4.seconds).filterIsInstance<Rent>().map { it.count })
+        assertEquals(listOf(1), wait(4.seconds).filterIsInstance<ScaleOut>().map { it.count })
     }
 
     @Test
     fun `an array does not wait for ever behind work that never ends`() {
         started()
-        submit(job("s", JobKind.SERVICE, need = Amount(16.0, 4.0, 64.0), priority = Priority.CRITICAL))
+        submit(job("s", JobKind.SERVICE, resourceRequest = Resources(16.0, 4.0, 64.0), priority = Priority.CRITICAL))
         wait(1.seconds)
         val running = carriedOut()
         submit(job("a"))
-        assertEquals(emptyList<Rent>(), live(90.seconds, running, emptySet()).filterIsInstance<Rent>())
-        assertEquals(listOf(1), live(20.seconds, running, emptySet()).filterIsInstance<Rent>().map { it.count })
+        assertEquals(emptyList<ScaleOut>(), live(90.seconds, running, emptySet()).filterIsInstance<ScaleOut>())
+        assertEquals(listOf(1), live(20.seconds, running, emptySet()).filterIsInstance<ScaleOut>().map { it.count })
     }
 
     @Test
@@ -101,23 +101,23 @@
         // The stop is carried out on m1 and m2; m3 is not heard any more.
         for (m in listOf("m1", "m2")) {
             say(
-                report(
+                heartbeat(
                     m,
                     listOf(
                         running
                             .getValue(m)
-                            .copy(state = TaskState.EXITED, exit = Exit.STOPPED),
+                            .copy(state = TaskState.EXITED, exit = ExitReason.STOPPED),
                     ),
                 ),
             )
         }
         val cancelled = now
-        assertEquals(emptyList<String>(), core.overdue(cancelled + 31.seconds).map { it.machine })
-        assertEquals(listOf("m3" to setOf("a")), core.overdue(cancelled + 33.seconds).map { it.machine to it.jobs })
-        assertEquals(emptyList<String>(), core.overdue(cancelled + 34.seconds).map { it.machine })
-        assertEquals(listOf("m3"), core.overdue(cancelled + 37.seconds).map { it.machine })
+        assertEquals(emptyList<String>(), core.overdueMachines(cancelled + 31.seconds).map { it.machine })
+        assertEquals(listOf("m3" to setOf("a")), core.overdueMachines(cancelled + 33.seconds).map { it.machine to it.jobs })
+        assertEquals(emptyList<String>(), core.overdueMachines(cancelled + 34.seconds).map { it.machine })
+        assertEquals(listOf("m3"), core.overdueMachines(cancelled + 37.seconds).map { it.machine })
         step { deletionEnded(listOf("m3"), true) }
-        assertEquals(emptyList<String>(), core.overdue(cancelled + 50.seconds).map { it.machine })
+        assertEquals(emptyList<String>(), core.overdueMachines(cancelled + 50.seconds).map { it.machine })
     }
 
     @Test
@@ -126,8 +126,8 @@
         // Zone a has its share of the service, and the machine in zone b is full.
         submit(
             job(
-                "full", need = Amount(15.0, 4.0, 60.0), zone = "b", priority = Priority.CRITICAL,
-                estimate =
+                "full", resourceRequest = Resources(15.0, 4.0, 60.0), zone = "b", priority = Priority.CRITICAL,
+                estimatedDuration =
                     1000
                         .seconds,
             ),
@@ -135,8 +135,8 @@
         wait(1.seconds)
         assertEquals(setOf("z1"), carriedOut().keys)
         val first =
-            submit(job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL, spread = true), listOf(Intent(0, 1, "m1")), last = 1)
-        val rented = (first + wait(4.seconds)).filterIsInstance<Rent>()
+            submit(job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL, spread = true), listOf(StoredPlacement(0, 1, "m1")), last = 1)
+        val rented = (first + wait(4.seconds)).filterIsInstance<ScaleOut>()
         assertTrue(rented.isNotEmpty() && rented.all { it.zone == "b" }, "$rented")
     }
 
@@ -153,20 +153,20 @@
         submit(job("gang", JobKind.GANG, 2, whole, priority = Priority.URGENT))
         wait(1.seconds)
         val gang = carriedOut()
-        say(report("m3"))
-        submit(job("small", tasks = 1, need = whole))
+        say(heartbeat("m3"))
+        submit(job("small", tasks = 1, resourceRequest = whole))
         wait(1.seconds)
         val small = carriedOut()
         // One task of the gang is gone with its machine about to be taken; the other is still there for a while.
         val (lost, left) = gang.keys.toList()
         val (_, told) =
             say(
-                report(lost, listOf(gang.getValue(lost).copy(state = TaskState.EXITED, exit = Exit.PEERS)))
-                    .copy(notice = 10.seconds),
+                heartbeat(lost, listOf(gang.getValue(lost).copy(state = TaskState.EXITED, exit = ExitReason.GANG_BROKEN)))
+                    .copy(preemptionNotice = 10.seconds),
             )
         val stops =
             (told + live(4.seconds, small + (left to gang.getValue(left)), emptySet()))
-                .filterIsInstance<Direct>()
+                .filterIsInstance<SendCommands>()
                 .flatMap { it.commands }
                 .filterIsInstance<StopTask>()
         assertTrue(stops.none { it.key.job == "small" }, "the room is of no use yet: $stops")
@@ -178,11 +178,10 @@
         submit(job("gang", JobKind.GANG, 2, whole, priority = Priority.URGENT))
         wait(1.seconds)
         val gang = carriedOut()
-        submit(job("small", tasks = 4, need = whole))
+        submit(job("small", tasks = 4, resourceRequest = whole))
         val (first, second) = gang.keys.toList()
 
-        fun breaks(m: String) =
-            say(report(m, listOf(gang.getValue(m).copy(state = TaskState.EXITED, exit = Exit.PEERS))))
+        fun breaks(m: String) = say(heartbeat(m, listOf(gang.getValue(m).copy(state = TaskState.EXITED, exit = ExitReason.GANG_BROKEN))))
         breaks(first)
         val meanwhile = wait(2.seconds)
         assertTrue(
@@ -193,7 +192,7 @@
             "small work took the room",
         )
         assertTrue(
-            meanwhile.filterIsInstance<Direct>().flatMap { it.commands }.none {
+            meanwhile.filterIsInstance<SendCommands>().flatMap { it.commands }.none {
                 it is StopTask &&
                     it.key.job == "small"
             },
@@ -226,8 +225,8 @@
 
     @Test
     fun `a new leader does not wait a whole lease for a machine that no list names`() {
-        step { typesKnown(listOf(bigType)) }
-        submit(job("a", tasks = 4, need = whole), (0..3).map { Intent(it, it + 1L, "m${it + 1}") }, last = 4)
+        step { machineTypesKnown(listOf(bigType)) }
+        submit(job("a", tasks = 4, resourceRequest = whole), (0..3).map { StoredPlacement(it, it + 1L, "m${it + 1}") }, last = 4)
         val alive = (1..3).associate { "m$it" to task("a", it - 1, it.toLong(), TaskState.RUNNING) }
         val all = ArrayList<Action>()
         repeat(6) {
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -1,6 +1,6 @@
 package glenspool.core
 
-import glenspool.standin.Driven
+import glenspool.simulation.SchedulerDriver
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -9,8 +9,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** A leader with too little processor time must not take its own lateness for the failure of machines. */
-class OverloadTest : Driven() {
-    private fun deleted(actions: List<Action>) = actions.filterIsInstance<Delete>().flatMap { it.machines }.toSet()
+class OverloadTest : SchedulerDriver() {
+    private fun deleted(actions: List<Action>) = actions.filterIsInstance<DeleteMachines>().flatMap { it.machines }.toSet()
 
     /** Machines of which [lost] are silent while the process is [backlog] behind for [spell]. */
     private fun lostDuring(backlog: Duration, spell: Duration): Set<String> {
@@ -18,7 +18,7 @@
         val all = ArrayList<Action>()
         val end = now + spell
         while (now < end) {
-            step { behind(backlog) }
+            step { backlogMeasured(backlog) }
             all += live(2.seconds, running - LOST, emptySet())
         }
         return deleted(all)
@@ -43,8 +43,8 @@
         fun silentFor(quiet: Duration, backlog: Duration): Set<String> {
             val all = ArrayList<Action>()
             while (now < heard + quiet) {
-                for ((m, t) in others) all += say(report(m, listOf(t))).second
-                step { behind(backlog) }
+                for ((m, t) in others) all += say(heartbeat(m, listOf(t))).second
+                step { backlogMeasured(backlog) }
                 all += wait(200.milliseconds)
             }
             return deleted(all)
@@ -57,9 +57,9 @@
     @Test
     fun `an unanswered question counts only when the process keeps up, and then a lost machine is given up`() {
         val running = busy(10)
-        step { behind(2.seconds) }
-        step { probed(LOST, null) }
-        assertEquals(null, core.machines[LOST]?.mutedSince)
+        step { backlogMeasured(2.seconds) }
+        step { probeEnded(LOST, null) }
+        assertEquals(null, core.machines[LOST]?.unreachableSince)
         // The spell is over after a while: a question without an answer counts again.
         val all = ArrayList<Action>()
         repeat(10) { all += live(2.seconds, running - LOST, setOf(LOST)) }
@@ -71,7 +71,7 @@
         val running = busy(10)
         val all = ArrayList<Action>()
         repeat(30) {
-            step { behind(1.seconds) }
+            step { backlogMeasured(1.seconds) }
             all += live(2.seconds, running - LOST, emptySet())
         }
         assertEquals(setOf(LOST), deleted(all))
@@ -82,7 +82,7 @@
         busy(10)
         val all = ArrayList<Action>()
         repeat(20) {
-            step { behind(3.seconds) }
+            step { backlogMeasured(3.seconds) }
             all += wait(1.seconds)
         }
         assertTrue(all.none { it is Resign })
--- a/src/test/kotlin/glenspool/core/PacedStartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PacedStartsTest.kt
@@ -1,16 +1,16 @@
 package glenspool.core
 
-import glenspool.core.model.Amount
 import glenspool.core.model.Priority
-import glenspool.standin.Driven
-import glenspool.standin.config
-import glenspool.standin.job
+import glenspool.core.model.Resources
+import glenspool.simulation.SchedulerDriver
+import glenspool.simulation.config
+import glenspool.simulation.job
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
 /** Starts that have to wait go out in the order of their urgency, whenever they were decided. */
-class PacedStartsTest : Driven(config(), SchedulerHooks(gate = Allowance())) {
+class PacedStartsTest : SchedulerDriver(config(), SchedulerHooks(gate = Allowance())) {
     private val allowed = core.hooks.gate as Allowance
 
     /** How many starts may go out. */
@@ -21,8 +21,8 @@
     private fun placed(id: String, priority: Priority, deadline: Int) {
         submit(
             job(
-                id, need = Amount(14.0, 4.0, 50.0), priority = priority, deadline = deadline.seconds,
-                estimate =
+                id, resourceRequest = Resources(14.0, 4.0, 50.0), priority = priority, deadline = deadline.seconds,
+                estimatedDuration =
                     1
                         .seconds,
             ),
--- a/src/test/kotlin/glenspool/core/RoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -4,18 +4,18 @@
 import glenspool.core.cluster.allowed
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Priority
 import glenspool.core.model.Resource
-import glenspool.core.placement.Round
-import glenspool.core.placement.RoundView
+import glenspool.core.model.Resources
+import glenspool.core.placement.PlacementRound
+import glenspool.core.placement.PlacementView
 import glenspool.core.placement.bottleneck
-import glenspool.standin.bigType
-import glenspool.standin.job
-import glenspool.standin.leanType
+import glenspool.simulation.bigType
+import glenspool.simulation.job
+import glenspool.simulation.leanType
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -24,23 +24,22 @@
 import kotlin.time.Duration
 
 /** Rounds on random fleets against a slow plain model, which looks at every task, machine and rule in turn. */
-class RoundModelTest {
-    private class Plain(val limit: Map<String, Int>) : RoundView {
+class PlacementRoundModelTest {
+    private class Plain(val limit: Map<String, Int>) : PlacementView {
         override val types = listOf(bigType, leanType).associateBy { it.name }
         override val commonType = bigType
         override val factor = 2.0
-        override val effort = Effort()
+        override val workCounters = WorkCounters()
         val placed = ArrayList<Triple<Job, Int, Machine>>()
         val all = ArrayList<Machine>()
 
         override fun zoneOf(machine: String) = all.first { it.id == machine }.zone
 
-        override fun teamRoom(job: Job) =
-            (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
+        override fun remainingQuota(job: Job) = (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
 
         override fun withinGuarantee(job: Job) = false
 
-        override fun needsCache(job: Job) = job.spec.image == "i0"
+        override fun requiresCachedImage(job: Job) = job.spec.image == "i0"
 
         override fun fastestType(jobClass: String): String? = null
 
@@ -57,18 +56,18 @@
 
         override fun order(job: Job) = Duration.ZERO
 
-        override fun recordRoom(job: Job) = 50
+        override fun recordCapacity(job: Job) = 50
 
         override fun avoids(job: Job, machine: Machine) = machine.id in job.failedOn
 
-        override fun misfit(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
+        override fun costPenalty(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
     }
 
     private fun randomSpec(r: Random, n: Int): JobSpec {
         val kind = JobKind.entries[r.nextInt(3)]
         val gpu = if (r.nextBoolean()) 1.0 + r.nextInt(2) else 0.0
         return job(
-            "j$n", kind, 1 + r.nextInt(6), Amount(1.0 + r.nextInt(6), gpu, 2.0 + r.nextInt(30)), "t${r.nextInt(3)}",
+            "j$n", kind, 1 + r.nextInt(6), Resources(1.0 + r.nextInt(6), gpu, 2.0 + r.nextInt(30)), "t${r.nextInt(3)}",
             Priority.entries[
                 r
                     .nextInt(4),
@@ -109,7 +108,7 @@
         val jobs =
             List(1 + r.nextInt(12)) { Job(JobRecord(randomSpec(r, it), Duration.ZERO, 0, BitSet(), emptyList()), 1) }
         if (r.nextInt(4) == 0) jobs[0].failedOn.add("m0")
-        Round(view, view.all, jobs).run { false }
+        PlacementRound(view, view.all, jobs).run { false }
         return view to jobs
     }
 
@@ -117,10 +116,10 @@
     private fun legal(view: Plain, job: Job, m: Machine, others: List<Triple<Job, Int, Machine>>): Boolean {
         val s = job.spec
         val mates = others.filter { it.first === job }.map { it.third.zone }
-        val used = others.filter { it.third === m }.map { it.first.need }.fold(Amount.ZERO) { x, y -> x + y }
+        val used = others.filter { it.third === m }.map { it.first.resourceRequest }.fold(Resources.ZERO) { x, y -> x + y }
         return allowed(s, m) &&
             m.id !in job.failedOn &&
-            (used + s.need).fits(view.types.getValue(m.type).room) &&
+            (used + s.resourceRequest).fits(view.types.getValue(m.type).capacity) &&
             (!s.sameZone || mates.all { it == m.zone }) &&
             (!s.spread || mates.count { it == m.zone } + 1 <= (s.tasks + 1) / 2) &&
             others.count { it.first.spec.team == s.team } < (view.limit[s.team] ?: 1000)
@@ -156,11 +155,11 @@
 
     @Test
     fun `the bottleneck is the GPU if asked for, else what is asked for most by share`() {
-        assertEquals(Resource.GPU, bottleneck(Amount(8.0, 1.0, 64.0), bigType, 2.0))
-        assertEquals(Resource.MEMORY, bottleneck(Amount(1.0, 0.0, 32.0), bigType, 2.0))
-        assertEquals(Resource.CPU, bottleneck(Amount(4.0, 0.0, 32.0), bigType, 2.0))
-        assertEquals(Resource.CPU, bottleneck(Amount(1.0, 0.0, 8.0), bigType, 2.0))
-        assertEquals(Resource.CPU, bottleneck(Amount(1.0, 0.0, 60.0), null, 2.0))
+        assertEquals(Resource.GPU, bottleneck(Resources(8.0, 1.0, 64.0), bigType, 2.0))
+        assertEquals(Resource.MEMORY, bottleneck(Resources(1.0, 0.0, 32.0), bigType, 2.0))
+        assertEquals(Resource.CPU, bottleneck(Resources(4.0, 0.0, 32.0), bigType, 2.0))
+        assertEquals(Resource.CPU, bottleneck(Resources(1.0, 0.0, 8.0), bigType, 2.0))
+        assertEquals(Resource.CPU, bottleneck(Resources(1.0, 0.0, 60.0), null, 2.0))
     }
 
     @Test
@@ -171,9 +170,9 @@
         view.all += listOf(slow, sound)
         val jobs =
             List(2) {
-                Job(JobRecord(job("a$it", need = Amount(10.0, 3.0, 40.0)), Duration.ZERO, 0, BitSet(), emptyList()), 1)
+                Job(JobRecord(job("a$it", resourceRequest = Resources(10.0, 3.0, 40.0)), Duration.ZERO, 0, BitSet(), emptyList()), 1)
             }
-        Round(view, view.all, jobs).run { false }
+        PlacementRound(view, view.all, jobs).run { false }
         assertEquals(listOf("sound", "slow"), jobs.map { it.placements.getValue(0).machine })
     }
 
@@ -186,7 +185,7 @@
         val other = Job(JobRecord(job("o", tasks = 1, image = "x"), Duration.ZERO, 0, BitSet(), emptyList()), 1)
         view.place(other, 0, warm, null)
         val j = Job(JobRecord(job("a"), Duration.ZERO, 0, BitSet(), emptyList()), 1)
-        Round(view, view.all, listOf(j)).run { false }
+        PlacementRound(view, view.all, listOf(j)).run { false }
         assertEquals("warm", j.placements.getValue(0).machine)
     }
 }
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -1,15 +1,15 @@
 package glenspool.core
 
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Objective
 import glenspool.core.model.Priority
-import glenspool.standin.Weather
-import glenspool.standin.World
-import glenspool.standin.bigType
-import glenspool.standin.config
-import glenspool.standin.job
+import glenspool.core.model.Resources
+import glenspool.simulation.ClusterSimulation
+import glenspool.simulation.FaultRates
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -27,8 +27,8 @@
         largest: List<JobSpec>,
         objectives: List<Objective> = emptyList(),
         small: (Int) -> JobSpec,
-    ): World {
-        val w = World(7, config(objectives = objectives), listOf(bigType), Weather(), maxMachines = machines)
+    ): ClusterSimulation {
+        val w = ClusterSimulation(7, config(objectives = objectives), listOf(bigType), FaultRates(), maxMachines = machines)
         repeat(machines) { w.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
         w.elect()
         var n = 0
@@ -53,20 +53,19 @@
     }
 
     /** More work than the fleet can do: each takes a third of a machine for longer than a third of the pause. */
-    private fun small(n: Int, priority: Priority) =
-        job("small-$n", tasks = 6, priority = priority, estimate = 14.seconds, checkpoint = 5.seconds, image = "i${n % 3}")
+    private fun small(n: Int, priority: Priority) = job("small-$n", tasks = 6, priority = priority, estimatedDuration = 14.seconds, checkpointInterval = 5.seconds, image = "i${n % 3}")
 
     @Test
     fun `the largest array, too late for its aim from the first, begins among small ones that can still meet it`() {
         val aim = Objective("finished", "class-ARRAY", 30.seconds, 0.9)
         val large =
-            job("large", tasks = 90, need = Amount(4.0, 1.0, 16.0), estimate = 100.seconds, checkpoint = 5.seconds, image = "large")
+            job("large", tasks = 90, resourceRequest = Resources(4.0, 1.0, 16.0), estimatedDuration = 100.seconds, checkpointInterval = 5.seconds, image = "large")
         play(listOf(large), listOf(aim)) { small(it, Priority.STANDARD) }
     }
 
     @Test
     fun `a gang that takes the whole fleet begins among small work of its own priority`() {
-        play(listOf(job("large", JobKind.GANG, machines, Amount(14.0, 4.0, 50.0), priority = Priority.STANDARD))) {
+        play(listOf(job("large", JobKind.GANG, machines, Resources(14.0, 4.0, 50.0), priority = Priority.STANDARD))) {
             small(it, Priority.STANDARD)
         }
     }
@@ -75,13 +74,13 @@
     fun `the largest gang and service begin among small work below them`() {
         val gang =
             job(
-                "large-gang", JobKind.GANG, machines - 2, Amount(14.0, 4.0, 50.0), priority = Priority.URGENT,
-                estimate =
+                "large-gang", JobKind.GANG, machines - 2, Resources(14.0, 4.0, 50.0), priority = Priority.URGENT,
+                estimatedDuration =
                     40
                         .seconds,
             )
         val service =
-            job("large-service", JobKind.SERVICE, 6, Amount(2.0, 1.0, 8.0), priority = Priority.CRITICAL, spread = true)
+            job("large-service", JobKind.SERVICE, 6, Resources(2.0, 1.0, 8.0), priority = Priority.CRITICAL, spread = true)
         play(listOf(gang, service)) { small(it, Priority.STANDARD) }
     }
 }
--- a/src/test/kotlin/glenspool/meetings/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -1,7 +1,7 @@
-package glenspool.meetings
+package glenspool.faults
 
 import glenspool.config.WorkerSettings
-import glenspool.standin.Trio
+import glenspool.simulation.CancellationSimulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -20,8 +20,8 @@
     private val mill = WorkerSettings(1.5.seconds, 14.seconds, 30.seconds, 8.seconds, 44.seconds)
 
     /** All workers at the old leader, each with a job of each [kind] that bears its name. */
-    private fun atOldLeader(seed: Long, settings: WorkerSettings, vararg kind: String): Trio {
-        val t = Trio(seed, settings)
+    private fun atOldLeader(seed: Long, settings: WorkerSettings, vararg kind: String): CancellationSimulation {
+        val t = CancellationSimulation(seed, settings)
         for (w in t.workers) {
             w.home = 0
             kind.forEach { w.jobs += "$it-${w.name}" }
@@ -29,7 +29,7 @@
         return t
     }
 
-    private fun gap(seed: Long, settings: WorkerSettings = Trio.SETTINGS, more: Trio.() -> Unit = {}): Trio {
+    private fun gap(seed: Long, settings: WorkerSettings = CancellationSimulation.SETTINGS, more: CancellationSimulation.() -> Unit = {}): CancellationSimulation {
         val t = atOldLeader(seed, settings, "cancelled", "healthy")
         t.run(30.seconds)
         val (leader, b, c) = t.members
@@ -58,7 +58,7 @@
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5])
     fun `cancelled work is gone in time, and nothing else is lost`(seed: Long) {
-        for (s in listOf(Trio.SETTINGS, mill)) {
+        for (s in listOf(CancellationSimulation.SETTINGS, mill)) {
             val t = gap(seed, s)
             assertEquals(t.workers.size, t.confirmed.size)
             assertEquals(emptyList<String>(), t.killed, "seed $seed")
@@ -98,7 +98,7 @@
             assertEquals(0, soon.confirmed.size)
             assertTrue(soon.postponed > 0)
             // They come when it has not been reached for long: it lets the leases run out in time.
-            val t = atOldLeader(seed, Trio.SETTINGS, "cancelled")
+            val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
             t.run(30.seconds)
             t.members[0].peersCutUntil = 150.seconds
             t.members[0].refusedUntil = 150.seconds
@@ -113,7 +113,7 @@
     @ParameterizedTest
     @ValueSource(longs = [36, 37, 38])
     fun `all who know of a cancellation end before the old leader is reached again`(seed: Long) {
-        val t = atOldLeader(seed, Trio.SETTINGS, "cancelled")
+        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
         t.run(30.seconds)
         t.members[0].peersCutUntil = 70.seconds
         t.members[0].refusedUntil = 70.seconds
@@ -129,7 +129,7 @@
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44, 45])
     fun `the meeting comes twice within three minutes`(seed: Long) {
-        val t = Trio(seed)
+        val t = CancellationSimulation(seed)
         for (round in 0..1) {
             val from = 30.seconds + 84.seconds * round
             t.at(from) {
@@ -154,7 +154,7 @@
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
     fun `an outage in which nobody can confirm anything costs no work, however long, whoever ends in it`(seed: Long) {
-        val t = Trio(seed, mill)
+        val t = CancellationSimulation(seed, mill)
         for (w in t.workers) w.jobs += "healthy-${w.name}"
         t.run(30.seconds)
         t.stateOutUntil = 200.seconds
@@ -180,7 +180,7 @@
     fun `a node whose peers are of the production version keeps leases only as long as they can't hide a cancellation`(
         seed: Long,
     ) {
-        val t = atOldLeader(seed, Trio.SETTINGS, "cancelled")
+        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
         t.members[1].old = true
         t.members[2].old = true
         t.run(30.seconds)
@@ -197,7 +197,7 @@
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73])
     fun `hundreds of cancellations come within a fifth of a second`(seed: Long) {
-        val t = atOldLeader(seed, Trio.SETTINGS, "healthy")
+        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "healthy")
         val jobs = (0 until 600).map { "many-$it" }
         for ((i, j) in jobs.withIndex()) t.workers[i % t.workers.size].jobs += j
         t.run(30.seconds)
@@ -213,7 +213,7 @@
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83])
     fun `the node that stored a cancellation ends before its user hears, and another one confirms it`(seed: Long) {
-        val t = atOldLeader(seed, Trio.SETTINGS, "cancelled", "healthy")
+        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled", "healthy")
         t.run(30.seconds)
         t.members[0].refusedUntil = 44.seconds
         for (w in t.workers) t.at(30.2.seconds) { t.members[1].cancel("cancelled-${w.name}") }
@@ -244,7 +244,7 @@
         var told = 0
         for (seed in 1L..300L) {
             val r = Random(seed)
-            val t = Trio(seed, if (seed % 2 == 0L) mill else Trio.SETTINGS, loss = if (seed % 3 == 0L) 0.1 else 0.0)
+            val t = CancellationSimulation(seed, if (seed % 2 == 0L) mill else CancellationSimulation.SETTINGS, loss = if (seed % 3 == 0L) 0.1 else 0.0)
             var at = 20.0
             var n = 0
             while (at < 280.0) {
--- a/src/test/kotlin/glenspool/meetings/CloseLooksTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -1,23 +1,23 @@
-package glenspool.meetings
+package glenspool.faults
 
 import glenspool.api.UserApi
 import glenspool.config.SettingsReader
 import glenspool.config.SettingsTest
 import glenspool.controller.transactionOf
-import glenspool.core.FinishJob
-import glenspool.core.Store
+import glenspool.core.StoreChanges
+import glenspool.core.StoreFinalState
 import glenspool.core.model.JobSpec
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.rollout.UnmanagedFeatures
-import glenspool.standin.StateStandIn
-import glenspool.standin.bigType
-import glenspool.standin.job
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.bigType
+import glenspool.simulation.job
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
+import glenspool.state.StoreCache
 import glenspool.wire.Cbor
 import glenspool.wire.JobWire
 import org.http4k.core.Body
@@ -45,10 +45,10 @@
  * Users ask at all nodes at once, repeat submissions and cancel, right when jobs are accepted, end or are cancelled,
  * while answers of the state service are lost: no node may answer anything older than what any user was told before.
  */
-class CloseLooksTest {
+class ConsistentReadsTest {
     @TempDir
     lateinit var dir: File
-    private val state = StateStandIn()
+    private val state = InMemoryStore()
     private val outside = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 24, state::serve)
     private val open = ArrayList<AutoCloseable>()
     private val nodes by lazy { List(3) { node() } }
@@ -59,18 +59,18 @@
 
     private fun node(): UserApi {
         val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
-        val client = StateClient("127.0.0.1:${outside.port}", HttpCaller(2.seconds))
-        val replica = Replica(client, 2000.0) { _, _ -> }
+        val client = KeyValueStoreClient("127.0.0.1:${outside.port}", HttpCaller(2.seconds))
+        val cache = StoreCache(client, 2000.0) { _, _ -> }
         val duty =
             thread(isDaemon = true) {
                 try {
-                    replica.serveSyncs()
+                    cache.serveSyncs()
                 } catch (e: InterruptedException) {
                     Thread.currentThread().interrupt()
                 }
             }
         open.add(AutoCloseable { duty.interrupt() })
-        return UserApi(settings, client, replica, PeerClient(emptyList()), {
+        return UserApi(settings, client, cache, PeerClient(emptyList()), {
             false
         }, UnmanagedFeatures { true }, { true }) { listOf(bigType) }
     }
@@ -123,9 +123,9 @@
             val t =
                 transactionOf(
                     state.get(Keys.LEAD)?.version ?: 0,
-                    Store(
+                    StoreChanges(
                         listOf(
-                            FinishJob(
+                            StoreFinalState(
                                 id, record.version,
                                 state
                                     .get(Keys.cancel(id))
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -3,17 +3,17 @@
 import com.google.common.hash.Hashing
 import glenspool.controller.Transaction
 import glenspool.core.Action
-import glenspool.core.AskEnds
-import glenspool.core.Delete
-import glenspool.core.Direct
-import glenspool.core.Effort
-import glenspool.core.Note
+import glenspool.core.AdvanceFencingToken
+import glenspool.core.DeleteMachines
+import glenspool.core.LogMessage
 import glenspool.core.Probe
-import glenspool.core.RaiseToken
-import glenspool.core.Rent
+import glenspool.core.ReadFinalStates
 import glenspool.core.Resign
-import glenspool.core.SaveImages
-import glenspool.core.Store
+import glenspool.core.ScaleOut
+import glenspool.core.SendCommands
+import glenspool.core.StoreChanges
+import glenspool.core.StoreImageLocations
+import glenspool.core.WorkCounters
 import glenspool.core.model.Command
 import glenspool.core.model.ForgetTask
 import glenspool.core.model.StartTask
@@ -35,34 +35,32 @@
         hasher.putUnencodedChars("${at.inWholeMicroseconds} $line\n")
     }
 
-    /** [transaction]: what a [Store] comes to; other actions have none. Lines of the log are no decisions. */
-    fun action(at: Duration, action: Action, transaction: (Store) -> Transaction) =
+    /** [transaction]: what a [StoreChanges] comes to; other actions have none. Lines of the log are no decisions. */
+    fun action(at: Duration, action: Action, transaction: (StoreChanges) -> Transaction) =
         when (action) {
-            is Direct -> add(at, "direct ${action.machine} ${action.addr} ${action.token} ${action.session} ${spelled(action.commands)}")
+            is SendCommands -> add(at, "direct ${action.machine} ${action.addr} ${action.token} ${action.incarnation} ${spelled(action.commands)}")
             is Probe -> add(at, "probe ${action.machine} ${action.addr}")
-            is Rent -> {
+            is ScaleOut -> {
                 val causes = action.causes.entries.joinToString { (cause, number) -> "${cause.label}:$number" }
                 add(at, "rent ${action.request} ${action.type} ${action.zone} ${action.spot} $causes")
             }
-            is Delete ->
+            is DeleteMachines ->
                 add(
                     at,
                     "delete " + action.causes.entries.joinToString { (machine, cause) -> "$machine:${cause.label}" },
                 )
-            is RaiseToken -> add(at, "raise")
+            is AdvanceFencingToken -> add(at, "raise")
             is Resign -> add(at, "resign ${action.why}")
-            is SaveImages -> add(at, "images ${action.part} ${stored(ImagesWire.encode(action.images))}")
-            is AskEnds -> add(at, "ends ${action.jobs}")
-            is Note -> Unit
-            is Store -> add(at, "store ${spelled(transaction(action))}")
+            is StoreImageLocations -> add(at, "images ${action.part} ${stored(ImagesWire.encode(action.images))}")
+            is ReadFinalStates -> add(at, "ends ${action.jobs}")
+            is LogMessage -> Unit
+            is StoreChanges -> add(at, "store ${spelled(transaction(action))}")
         }
 
     /** What a worker was answered. */
-    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) =
-        add(at, "answer $machine $token ${spelled(commands)}")
+    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) = add(at, "answer $machine $token ${spelled(commands)}")
 
-    fun effort(effort: Effort) =
-        add(Duration.ZERO, "effort ${effort.scores} ${effort.storeLooks} ${effort.orderLooks} ${effort.rounds}")
+    fun workCounters(workCounters: WorkCounters) = add(Duration.ZERO, "effort ${workCounters.placementScores} ${workCounters.storeScans} ${workCounters.commandScans} ${workCounters.rounds}")
 
     private fun spelled(commands: List<Command>) =
         commands.joinToString {
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -1,31 +1,31 @@
 package glenspool.frozen
 
 import glenspool.controller.transactionOf
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
+import glenspool.core.CommandOutcome
 import glenspool.core.Scheduler
-import glenspool.core.Store
+import glenspool.core.SendCommands
+import glenspool.core.StoreChanges
 import glenspool.core.StoreOutcome
-import glenspool.core.model.Amount
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.Priority
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Resources
 import glenspool.core.model.StartTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import glenspool.core.model.Team
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryPolicy
 import glenspool.reconcile.RecoverySetting
 import glenspool.reconcile.StartKind
-import glenspool.standin.Weather
-import glenspool.standin.World
-import glenspool.standin.bigType
-import glenspool.standin.config
-import glenspool.standin.job
-import glenspool.standin.leanType
+import glenspool.simulation.ClusterSimulation
+import glenspool.simulation.FaultRates
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
+import glenspool.simulation.leanType
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import java.util.BitSet
@@ -44,7 +44,7 @@
 
     private class Day(
         val seed: Long,
-        val weather: Weather,
+        val faults: FaultRates,
         val chained: Boolean = false,
         val valueBytes: Int = 4096,
         val coldStarts: Boolean = false,
@@ -52,21 +52,21 @@
 
     private val days =
         mapOf(
-            "ordinary" to Day(1, Weather()),
-            "lost and held messages" to Day(2, Weather(lost = 0.1, held = 0.1)),
-            "leaders change" to Day(3, Weather(lost = 0.05, held = 0.05, takeovers = 0.04, forNext = 0.05)),
+            "ordinary" to Day(1, FaultRates()),
+            "lost and held messages" to Day(2, FaultRates(lost = 0.1, held = 0.1)),
+            "leaders change" to Day(3, FaultRates(lost = 0.05, held = 0.05, takeovers = 0.04, forNext = 0.05)),
             "machines fail" to
-                Day(4, Weather(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05, restarts = 0.02)),
-            "zones are cut off" to Day(5, Weather(zoneCuts = 0.03, lost = 0.03)),
-            "the store is out" to Day(6, Weather(outages = 0.04, lost = 0.05, atOnce = 0.3)),
-            "one way only" to Day(7, Weather(oneWay = 0.05, mute = 0.03, apart = 0.02)),
-            "cancellations" to Day(8, Weather(storms = 0.05, hangs = 0.02, takeovers = 0.02)),
-            "dependencies" to Day(9, Weather(lost = 0.05, takeovers = 0.03, deaths = 0.01), chained = true),
-            "split records" to Day(10, Weather(lost = 0.03, takeovers = 0.03), valueBytes = 800),
-            "an upgrade" to Day(11, Weather(lost = 0.03, takeovers = 0.05, olds = 0.5), chained = true),
-            "cold starts" to Day(12, Weather(mute = 0.02, deaths = 0.01), coldStarts = true),
+                Day(4, FaultRates(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05, restarts = 0.02)),
+            "zones are cut off" to Day(5, FaultRates(zoneCuts = 0.03, lost = 0.03)),
+            "the store is out" to Day(6, FaultRates(outages = 0.04, lost = 0.05, atOnce = 0.3)),
+            "one way only" to Day(7, FaultRates(oneWay = 0.05, mute = 0.03, apart = 0.02)),
+            "cancellations" to Day(8, FaultRates(storms = 0.05, hangs = 0.02, takeovers = 0.02)),
+            "dependencies" to Day(9, FaultRates(lost = 0.05, takeovers = 0.03, deaths = 0.01), chained = true),
+            "split records" to Day(10, FaultRates(lost = 0.03, takeovers = 0.03), valueBytes = 800),
+            "an upgrade" to Day(11, FaultRates(lost = 0.03, takeovers = 0.05, olds = 0.5), chained = true),
+            "cold starts" to Day(12, FaultRates(mute = 0.02, deaths = 0.01), coldStarts = true),
             "cold starts amid all troubles" to
-                Day(13, Weather(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02), chained = true, coldStarts = true),
+                Day(13, FaultRates(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02), chained = true, coldStarts = true),
         )
 
     private fun jobOf(random: Random, number: Int) =
@@ -78,7 +78,7 @@
                 )
             1 ->
                 job(
-                    "gang-$number", JobKind.GANG, 1 + random.nextInt(4), Amount(4.0, 2.0, 16.0), "t0", Priority.URGENT,
+                    "gang-$number", JobKind.GANG, 1 + random.nextInt(4), Resources(4.0, 2.0, 16.0), "t0", Priority.URGENT,
                     sameZone =
                         random
                             .nextBoolean(),
@@ -86,8 +86,8 @@
                 )
             2 ->
                 job(
-                    "cheap-$number", JobKind.ARRAY, 1 + random.nextInt(5), Amount(2.0, 0.0, 20.0), "t${random.nextInt(3)}", Priority.IDLE,
-                    zone = listOf(null, "a", "b")[random.nextInt(3)], spot = true, checkpoint = 3.seconds,
+                    "cheap-$number", JobKind.ARRAY, 1 + random.nextInt(5), Resources(2.0, 0.0, 20.0), "t${random.nextInt(3)}", Priority.IDLE,
+                    zone = listOf(null, "a", "b")[random.nextInt(3)], spot = true, checkpointInterval = 3.seconds,
                 )
             else ->
                 job(
@@ -113,7 +113,7 @@
 
     private fun play(day: Day): String {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = day.valueBytes)
-        val setting = RecoverySetting(deployment.lease, deployment.report, deployment.listLag)
+        val setting = RecoverySetting(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoverer = {
             token: Long,
             at: Duration,
@@ -122,19 +122,19 @@
             RecoveryEngine(RecoveryPolicy(), setting, token, at, kind)
         }
         val trace = DecisionTrace()
-        val world =
-            World(
-                day.seed, deployment, listOf(bigType, leanType), day.weather,
+        val simulation =
+            ClusterSimulation(
+                day.seed, deployment, listOf(bigType, leanType), day.faults,
                 recoverer =
                     recoverer.takeIf {
                         day.coldStarts
                     },
                 trace = trace,
             )
-        world.state.valueLimit = day.valueBytes
-        world.allNew = day.weather.olds == 0.0
+        simulation.state.valueLimit = day.valueBytes
+        simulation.allNew = day.faults.olds == 0.0
         for (number in 0 until 6) {
-            world.addMachine(
+            simulation.addMachine(
                 if (number % 3 ==
                     2
                 ) {
@@ -145,22 +145,22 @@
                 if (number % 2 == 0) "a" else "b", false, Duration.ZERO,
             )
         }
-        world.elect()
-        submitAll(world, day)
-        world.run(world.now + 120.seconds)
-        world.run(world.now + 120.seconds, calm = true)
-        assertEquals(emptyList<String>(), world.violations)
-        world.changeLeader(1.seconds)
+        simulation.elect()
+        submitAll(simulation, day)
+        simulation.run(simulation.now + 120.seconds)
+        simulation.run(simulation.now + 120.seconds, calm = true)
+        assertEquals(emptyList<String>(), simulation.violations)
+        simulation.changeLeader(1.seconds)
         return trace.digest()
     }
 
-    private fun submitAll(world: World, day: Day) {
+    private fun submitAll(simulation: ClusterSimulation, day: Day) {
         val random = Random(day.seed * 31)
         val ids = ArrayList<String>()
         for (number in 0 until 24) {
             val next = jobOf(random, number)
             val earlier = ids.filterNot { it.startsWith("service") }
-            val needs =
+            val dependencies =
                 if (day.chained &&
                     earlier.isNotEmpty() &&
                     random.nextInt(3) > 0
@@ -169,11 +169,11 @@
                 } else {
                     emptyList()
                 }
-            world.submit(next, needs)
+            simulation.submit(next, dependencies)
             ids.add(next.id)
-            world.run(world.now + random.nextInt(7).seconds)
-            if (random.nextInt(6) == 0) world.cancel(ids[random.nextInt(ids.size)])
-            if (day.coldStarts && random.nextInt(6) == 0) world.allAway((1 + random.nextInt(20)).seconds)
+            simulation.run(simulation.now + random.nextInt(7).seconds)
+            if (random.nextInt(6) == 0) simulation.cancel(ids[random.nextInt(ids.size)])
+            if (day.coldStarts && random.nextInt(6) == 0) simulation.allAway((1 + random.nextInt(20)).seconds)
         }
     }
 
@@ -183,11 +183,11 @@
         val core = Scheduler(config(), 5, Duration.ZERO)
         var now = Duration.ZERO
         var revision = 10L
-        val running = HashMap<String, HashMap<TaskKey, ReportedTask>>()
+        val running = HashMap<String, HashMap<TaskKey, TaskStatus>>()
         val sequences = HashMap<String, Long>()
 
-        fun report(machine: String) =
-            Report(
+        fun heartbeat(machine: String) =
+            Heartbeat(
                 machine, "addr-$machine", "big",
                 if (machine.length % 2 ==
                     0
@@ -205,25 +205,25 @@
             while (open.isNotEmpty()) {
                 val action = open.removeFirst()
                 trace.action(now, action) { transactionOf(1, it) }
-                if (action is Store) open.addAll(core.step(now, now) { stored(StoreOutcome.Stored(++revision)) })
-                if (action !is Direct) continue
+                if (action is StoreChanges) open.addAll(core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) })
+                if (action !is SendCommands) continue
                 for (start in action.commands.filterIsInstance<StartTask>()) {
                     running.getOrPut(action.machine) { HashMap() }[start.key] =
-                        ReportedTask(start.key, start.attempt, TaskState.RUNNING, null, false)
+                        TaskStatus(start.key, start.attempt, TaskState.RUNNING, null, false)
                 }
                 open
                     .addAll(
                         core.step(now, now) {
-                            directEnded(action.machine, action, DirectOutcome.DONE, report(action.machine))
+                            commandsEnded(action.machine, action, CommandOutcome.DONE, heartbeat(action.machine))
                         },
                     )
             }
         }
-        step { typesKnown(listOf(bigType)) }
+        step { machineTypesKnown(listOf(bigType)) }
         for (number in 1..400) {
             val spec =
                 job(
-                    "j$number", tasks = 16, need = Amount(4.0, 1.0, 16.0), image = "i${number % 7}",
+                    "j$number", tasks = 16, resourceRequest = Resources(4.0, 1.0, 16.0), image = "i${number % 7}",
                     priority =
                         Priority.entries[
                             number %
@@ -235,11 +235,11 @@
         repeat(8) { turn ->
             for (number in 1..4000) {
                 now += 0.25.milliseconds
-                if (turn < 4 || number % 50 > 0) step { reported(report("m$number")) }
+                if (turn < 4 || number % 50 > 0) step { heartbeatReceived(heartbeat("m$number")) }
             }
             step { tick() }
         }
-        trace.effort(core.effort)
+        trace.workCounters(core.workCounters)
         return trace.digest()
     }
 
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -8,28 +8,28 @@
 import glenspool.controller.RecoveryReplies
 import glenspool.controller.transactionOf
 import glenspool.core.DeletionCause
-import glenspool.core.FinishJob
 import glenspool.core.ForgetCause
 import glenspool.core.OrderCounts
-import glenspool.core.RentalCause
-import glenspool.core.SaveJob
+import glenspool.core.ScaleOutCause
 import glenspool.core.StartCause
 import glenspool.core.StopCause
-import glenspool.core.Store
-import glenspool.core.model.Exit
+import glenspool.core.StoreChanges
+import glenspool.core.StoreFinalState
+import glenspool.core.UpdateJobRecord
+import glenspool.core.model.ExitReason
+import glenspool.core.model.FinalState
 import glenspool.core.model.ForgetTask
-import glenspool.core.model.Intent
-import glenspool.core.model.JobEnd
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.Priority
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
-import glenspool.peer.CancelMessage
+import glenspool.core.model.TaskStatus
+import glenspool.peer.CancellationMessage
 import glenspool.peer.DifferenceList
 import glenspool.peer.PeerLevels
 import glenspool.peer.PeerPaths
@@ -65,8 +65,8 @@
 import glenspool.rollout.MemberSeen
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.RolloutState
-import glenspool.standin.CapturedRun
-import glenspool.standin.job
+import glenspool.simulation.CapturedRun
+import glenspool.simulation.job
 import glenspool.state.Keys
 import glenspool.wire.Cbor
 import glenspool.wire.CloudWire
@@ -78,7 +78,7 @@
 import glenspool.wire.RecoveryWire
 import glenspool.wire.RolloutWire
 import glenspool.wire.Stage
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import glenspool.wire.WorkerWire
 import kotlinx.collections.immutable.persistentHashMapOf
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -98,8 +98,7 @@
     private fun hex(bytes: ByteArray) = bytes.joinToString("") { "%02x".format(it) }
 
     /** The bytes, and what they say for those who read a difference. */
-    private fun spelled(fields: Fields): String =
-        Cbor.encode(fields).let { "${hex(it)} ${json.writeValueAsString(Cbor.decodeMap(it))}" }
+    private fun spelled(fields: Fields): String = Cbor.encode(fields).let { "${hex(it)} ${json.writeValueAsString(Cbor.decodeMap(it))}" }
 
     private val done =
         BitSet().apply {
@@ -109,18 +108,18 @@
     private val gang =
         job(
             "run-1", JobKind.GANG, 12, priority = Priority.URGENT, types = listOf("big"), zone = "a", sameZone = true,
-            checkpoint =
+            checkpointInterval =
                 5
                     .seconds,
             deadline = 90.seconds,
         )
-    private val places = listOf(Intent(1, 8, "i-1"), Intent(2, 9, "i-1"), Intent(3, 9, "i-2"))
-    private val record = JobRecord(gang, 1234.seconds, 9, done, places, ready = 1300.seconds)
+    private val places = listOf(StoredPlacement(1, 8, "i-1"), StoredPlacement(2, 9, "i-1"), StoredPlacement(3, 9, "i-2"))
+    private val record = JobRecord(gang, 1234.seconds, 9, done, places, dependenciesDoneAt = 1300.seconds)
     private val waiting =
-        JobRecord(job("run-2", spread = true), 5.seconds, 0, BitSet(), emptyList(), needs = listOf("run-1", "run-0"))
+        JobRecord(job("run-2", spread = true), 5.seconds, 0, BitSet(), emptyList(), dependencies = listOf("run-1", "run-0"))
     private val split =
         record
-            .copy(shelved = mapOf(1 to places.take(1), 2 to places.drop(1)), pieces = 2, intents = emptyList())
+            .copy(placementParts = mapOf(1 to places.take(1), 2 to places.drop(1)), descriptionParts = 2, placements = emptyList())
 
     @Test
     fun `stored values`() {
@@ -140,12 +139,12 @@
         val values =
             records.mapValues { RecordWire.encode(it.value) } +
                 mapOf(
-                    "part of a description" to RecordWire.encodePieces(waiting, 4096).single(),
+                    "part of a description" to RecordWire.encodeDescriptionParts(waiting, 4096).single(),
                     "part with places" to RecordWire.encodePlaces(places),
                     "done bits" to mapOf("done" to RecordWire.encodeBits(done)),
-                    "final state done" to FinalWire.encode(JobEnd.DONE, 12, null),
-                    "final state cancelled" to FinalWire.encode(JobEnd.CANCELLED, 12, null),
-                    "final state cancelled with another" to FinalWire.encode(JobEnd.CANCELLED, 12, "run-0"),
+                    "final state done" to FinalWire.encode(FinalState.DONE, 12, null),
+                    "final state cancelled" to FinalWire.encode(FinalState.CANCELLED, 12, null),
+                    "final state cancelled with another" to FinalWire.encode(FinalState.CANCELLED, 12, "run-0"),
                     "images" to ImagesWire.encode(mapOf("i-1" to mapOf("img" to 2.5))),
                     "operators' orders" to
                         RolloutWire.encode(
@@ -189,17 +188,17 @@
                 Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.images(3), Keys.job("run-1"), Keys.cancel("run-1"),
                 Keys
                     .chunk("run-1", 2),
-                Keys.piece("run-1", 2),
-                Keys.shelf("run-1", 2), Keys.final("run-1"), Keys.RECOVERY, Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE, Keys.LIVE,
+                Keys.descriptionPart("run-1", 2),
+                Keys.placementPart("run-1", 2), Keys.final("run-1"), Keys.RECOVERY, Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE, Keys.LIVE,
             )
         val writes =
             listOf(
-                SaveJob("run-1", 5, split, listOf(0), 3, needsUncancelled = true, shelves = mapOf(1 to 1L, 7 to 2L)),
-                FinishJob("run-3", 6, null, 4), FinishJob("run-4", 7, 8, 4), FinishJob("run-5", 9, null, 4, "run-4"),
+                UpdateJobRecord("run-1", 5, split, listOf(0), 3, requiresUncancelled = true, parts = mapOf(1 to 1L, 7 to 2L)),
+                StoreFinalState("run-3", 6, null, 4), StoreFinalState("run-4", 7, 8, 4), StoreFinalState("run-5", 9, null, 4, "run-4"),
             )
-        val transaction = transactionOf(11, Store(writes), mapOf(Keys.LEVEL to 12L))
+        val transaction = transactionOf(11, StoreChanges(writes), mapOf(Keys.LEVEL to 12L))
         val message =
-            StateWire
+            StoreWire
                 .transaction(
                     transaction.conditions,
                     transaction.puts.map {
@@ -209,15 +208,15 @@
                 )
         val requests =
             listOf(
-                StateWire.list("g/", "g/j/x"), StateWire.list("g/", null), StateWire.follow("g/", 7, 3.seconds),
-                StateWire
+                StoreWire.list("g/", "g/j/x"), StoreWire.list("g/", null), StoreWire.follow("g/", 7, 3.seconds),
+                StoreWire
                     .renew(7),
             )
         GoldenFile("keys-and-transactions.txt").check(
             mapOf(
                 "keys" to keys.joinToString(" "), "transaction" to spelled(message),
                 "requests" to requests.joinToString(" "),
-                "new lease" to spelled(StateWire.newLease(3.seconds)),
+                "new lease" to spelled(StoreWire.newLease(3.seconds)),
             ),
         )
     }
@@ -228,8 +227,8 @@
             TaskState.entries
                 .filter {
                     it != TaskState.EXITED
-                }.map { ReportedTask(TaskKey("run-1", it.ordinal), 3, it, null, true) } +
-                Exit.entries.map { ReportedTask(TaskKey("run-2", it.ordinal), 4, TaskState.EXITED, it, false) }
+                }.map { TaskStatus(TaskKey("run-1", it.ordinal), 3, it, null, true) } +
+                ExitReason.entries.map { TaskStatus(TaskKey("run-2", it.ordinal), 4, TaskState.EXITED, it, false) }
         val commands =
             listOf(
                 StartTask(TaskKey("run-1", 4), 2, StartCause.PLACED), StopTask(TaskKey("run-1", 1), 1, 10.seconds, StopCause.PREEMPTED),
@@ -243,7 +242,7 @@
         val messages =
             mapOf(
                 "report" to
-                    WorkerWire.encode(Report("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, 7.5.seconds, tasks)),
+                    WorkerWire.encode(Heartbeat("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, 7.5.seconds, tasks)),
                 "answer to a report" to WorkerWire.answer(7, commands),
                 "commands" to WorkerWire.direct(7, 2, commands),
                 "redirect" to WorkerWire.redirect("n2"),
@@ -291,7 +290,7 @@
         val status =
             PeerStatus("n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerWitness(7))
         val cancellations =
-            CancelMessage("n1", "boot", 5, listOf(CancelMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12)
+            CancellationMessage("n1", "boot", 5, listOf(CancellationMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12)
         val messages =
             mapOf(
                 "status" to PeerWire.encode(status),
@@ -321,7 +320,7 @@
     @Test
     fun `what operators see and write`() {
         val causes =
-            StartCause.entries + StopCause.entries + ForgetCause.entries + RentalCause.entries + DeletionCause.entries
+            StartCause.entries + StopCause.entries + ForgetCause.entries + ScaleOutCause.entries + DeletionCause.entries
         val counts = OrderCounts().also { counts -> causes.forEach { counts.add(it) } }
         val settings = SettingsReader().read(settingsFile())
         val table =
--- a/src/test/kotlin/glenspool/layout/LayersTest.kt
+++ b/src/test/kotlin/glenspool/layout/LayersTest.kt
@@ -64,7 +64,7 @@
         val odd = Regex("\"($names|awaits|aborted_with)\"")
         val wrong =
             files
-                .filter { layer(it) != "wire" && it.name != "Rehearsal.kt" }
+                .filter { layer(it) != "wire" && it.name != "ClassLoadingRun.kt" }
                 .flatMap { f -> f.readLines().filter { odd.containsMatchIn(it) }.map { "${f.name}: $it" } }
         assertEquals(emptyList<String>(), wrong)
     }
--- a/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
@@ -3,14 +3,14 @@
 import glenspool.core.OrderCause
 import glenspool.core.StartCause
 import glenspool.core.StopCause
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
+import glenspool.core.model.Resources
 import glenspool.core.model.TaskKey
 import glenspool.peer.RecoveryVerb
-import glenspool.standin.LoopbackService
-import glenspool.standin.OrderRateChecker
-import glenspool.standin.ReceivedOrder
-import glenspool.standin.job
+import glenspool.simulation.LoopbackService
+import glenspool.simulation.OrderRateChecker
+import glenspool.simulation.ReceivedOrder
+import glenspool.simulation.job
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -41,8 +41,7 @@
                 ?.phase
         }
 
-    private fun LoopbackService.ordered(verb: RecoveryVerb): Boolean =
-        leader?.let { recovery(it, verb).accepted } ?: false
+    private fun LoopbackService.ordered(verb: RecoveryVerb): Boolean = leader?.let { recovery(it, verb).accepted } ?: false
 
     /** The names of tasks that the leader lists as unrecorded. */
     private fun LoopbackService.unrecorded(): Set<String> {
@@ -55,7 +54,7 @@
 
     private fun service() =
         LoopbackService(
-            dir, null, seed = 3, recovery = policy, workers = WORKERS, report = 1500.milliseconds,
+            dir, null, seed = 3, recovery = policy, workers = WORKERS, heartbeatInterval = 1500.milliseconds,
             lease =
                 30
                     .seconds,
@@ -64,8 +63,8 @@
 
     private fun task(n: Int) =
         job(
-            "run-%06d".format(n), JobKind.ARRAY, WORKERS * SLOTS / JOBS, Amount(1.0, 1.0, 4.0), "a", imageGb = 0.0,
-            estimate =
+            "run-%06d".format(n), JobKind.ARRAY, WORKERS * SLOTS / JOBS, Resources(1.0, 1.0, 4.0), "a", imageGb = 0.0,
+            estimatedDuration =
                 1
                     .hours,
         )
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -1,17 +1,17 @@
 package glenspool.reconcile
 
 import glenspool.core.OrderKind
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.Priority
+import glenspool.core.model.Resources
 import glenspool.core.model.TaskKey
 import glenspool.core.model.Team
-import glenspool.standin.OrderRateChecker
-import glenspool.standin.Weather
-import glenspool.standin.World
-import glenspool.standin.bigType
-import glenspool.standin.config
-import glenspool.standin.job
+import glenspool.simulation.ClusterSimulation
+import glenspool.simulation.FaultRates
+import glenspool.simulation.OrderRateChecker
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
 import glenspool.state.Keys
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -28,7 +28,7 @@
  */
 class ColdStartScenariosTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoverySetting(config().lease, config().report, config().listLag)
+    private val setting = RecoverySetting(config().lease, config().heartbeatInterval, config().listLag)
     private val teams = listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 0.0, null, 4.0))
 
     /** What one row is about. [orders]: what may be received after the return, by kind. */
@@ -37,34 +37,34 @@
         val away: Duration = 4.seconds,
         val orders: Map<OrderKind, IntRange> = emptyMap(),
         val listed: Set<DifferenceKind> = emptySet(),
-        val plant: World.() -> Unit = {},
-        val afterReturn: World.() -> Unit = {},
+        val plant: ClusterSimulation.() -> Unit = {},
+        val afterReturn: ClusterSimulation.() -> Unit = {},
     )
 
-    private val whole = Amount(14.0, 4.0, 50.0)
+    private val whole = Resources(14.0, 4.0, 50.0)
     private val services = job("s", JobKind.SERVICE, 4, priority = Priority.CRITICAL, spread = true)
-    private val array = job("a", JobKind.ARRAY, 6, estimate = 5000.seconds)
-    private val gang = job("g", JobKind.GANG, 2, whole, priority = Priority.URGENT, estimate = 5000.seconds)
-    private val limited = job("l", JobKind.ARRAY, 4, team = "t1", estimate = 5000.seconds)
-    private val unknown = job("u", JobKind.ARRAY, 2, estimate = 5000.seconds)
+    private val array = job("a", JobKind.ARRAY, 6, estimatedDuration = 5000.seconds)
+    private val gang = job("g", JobKind.GANG, 2, whole, priority = Priority.URGENT, estimatedDuration = 5000.seconds)
+    private val limited = job("l", JobKind.ARRAY, 4, team = "t1", estimatedDuration = 5000.seconds)
+    private val unknown = job("u", JobKind.ARRAY, 2, estimatedDuration = 5000.seconds)
     private val tasks = 4 + 6 + 2 + 4
 
     /** A fleet in which everything runs that was submitted. */
-    private fun running(): World {
+    private fun running(): ClusterSimulation {
         val engine = { token: Long, at: Duration, kind: StartKind -> RecoveryEngine(policy, setting, token, at, kind) }
-        val world = World(7, config(teams, peerZones = setOf("b")), listOf(bigType), Weather(), recoverer = engine)
-        repeat(8) { world.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
-        world.elect()
-        world.run(3.seconds)
-        listOf(services, array, gang, limited).forEach(world::submit)
-        world.run(40.seconds, calm = true)
-        assertEquals(tasks, world.machineNames.sumOf { world.tasksOn(it).size })
-        return world
+        val simulation = ClusterSimulation(7, config(teams, peerZones = setOf("b")), listOf(bigType), FaultRates(), recoverer = engine)
+        repeat(8) { simulation.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
+        simulation.elect()
+        simulation.run(3.seconds)
+        listOf(services, array, gang, limited).forEach(simulation::submit)
+        simulation.run(40.seconds, calm = true)
+        assertEquals(tasks, simulation.machineNames.sumOf { simulation.tasksOn(it).size })
+        return simulation
     }
 
-    private fun World.machineWith(id: String) = machineNames.first { m -> tasksOn(m).any { it.job == id } }
+    private fun ClusterSimulation.machineWith(id: String) = machineNames.first { m -> tasksOn(m).any { it.job == id } }
 
-    private fun World.machineWithout(id: String) = machineNames.first { m -> tasksOn(m).none { it.job == id } }
+    private fun ClusterSimulation.machineWithout(id: String) = machineNames.first { m -> tasksOn(m).none { it.job == id } }
 
     private fun orders(vararg of: Pair<OrderKind, Int>) = of.associate { (kind, number) -> kind to number..number }
 
@@ -174,7 +174,7 @@
         )
 
     /** The lease of a machine that has a single task ends. */
-    private fun World.endLeaseOfOneTask() {
+    private fun ClusterSimulation.endLeaseOfOneTask() {
         machineNames
             .filter {
                 tasksOn(it).size == 1 && tasksOn(it).single().job != "g"
@@ -189,60 +189,60 @@
         }
 
     private fun play(row: Row) {
-        val world = running()
-        val before = world.machineNames
-        row.plant(world)
-        world.allAway(row.away)
-        world.run(world.now + row.away, calm = true)
-        world.received.clear()
-        row.afterReturn(world)
+        val simulation = running()
+        val before = simulation.machineNames
+        row.plant(simulation)
+        simulation.allAway(row.away)
+        simulation.run(simulation.now + row.away, calm = true)
+        simulation.received.clear()
+        row.afterReturn(simulation)
         val kinds = HashSet<DifferenceKind>()
         repeat(60) {
-            world.run(world.now + 1.seconds, calm = true)
-            world.recovery
+            simulation.run(simulation.now + 1.seconds, calm = true)
+            simulation.recovery
                 ?.snapshot
                 ?.findings
                 ?.values
                 ?.forEach { found -> found.differences.mapTo(kinds) { it.kind } }
         }
-        assertEquals(emptyList<String>(), world.violations)
-        val received = world.received.groupingBy { it.kind }.eachCount()
+        assertEquals(emptyList<String>(), simulation.violations)
+        val received = simulation.received.groupingBy { it.kind }.eachCount()
         for (kind in OrderKind.entries - OrderKind.FORGET) {
             val allowed = row.orders[kind] ?: 0..0
-            assertTrue((received[kind] ?: 0) in allowed, "${row.name}: $kind: ${received[kind] ?: 0} received, $allowed allowed; ${world.recoveryNotices}")
+            assertTrue((received[kind] ?: 0) in allowed, "${row.name}: $kind: ${received[kind] ?: 0} received, $allowed allowed; ${simulation.recoveryNotices}")
         }
         assertTrue(kinds.containsAll(row.listed), "${row.name}: found only $kinds")
-        assertTrue(world.recovery?.isActive != true, "${row.name}: the recovery did not end")
-        assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, before.size).faults(world.received))
+        assertTrue(simulation.recovery?.isActive != true, "${row.name}: the recovery did not end")
+        assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, before.size).faults(simulation.received))
     }
 
     @Test
     fun `the rows would notice a needless order and one above the rate`() {
-        val world = running()
-        world.allAway(4.seconds)
-        world.run(world.now + 4.seconds, calm = true)
-        world.received.clear()
-        world.run(world.now + 10.seconds, calm = true)
-        assertEquals(emptyList<Any>(), world.received)
+        val simulation = running()
+        simulation.allAway(4.seconds)
+        simulation.run(simulation.now + 4.seconds, calm = true)
+        simulation.received.clear()
+        simulation.run(simulation.now + 10.seconds, calm = true)
+        assertEquals(emptyList<Any>(), simulation.received)
         // A needless stop and start of the same task, as a scheduler would give them that takes it for lost.
-        val machine = world.machineWith("a")
-        val task: TaskKey = world.tasksOn(machine).first { it.job == "a" }
-        world.restart(machine, task)
-        assertEquals(listOf(OrderKind.STOP, OrderKind.START), world.received.map { it.kind })
+        val machine = simulation.machineWith("a")
+        val task: TaskKey = simulation.tasksOn(machine).first { it.job == "a" }
+        simulation.restart(machine, task)
+        assertEquals(listOf(OrderKind.STOP, OrderKind.START), simulation.received.map { it.kind })
         val checker = OrderRateChecker(policy.rates, 8)
-        assertEquals(emptyList<String>(), checker.faults(world.received))
+        assertEquals(emptyList<String>(), checker.faults(simulation.received))
         // Stops: 0.1 a second for each of 8 machines is one a second, and as many at once.
-        repeat(2) { world.restart(machine, task) }
-        assertEquals(1, checker.faults(world.received).size)
+        repeat(2) { simulation.restart(machine, task) }
+        assertEquals(1, checker.faults(simulation.received).size)
     }
 
     @Test
     fun `a restored task keeps its stored place, so that nothing is written for it`() {
-        val world = running()
-        world.allAway(30.seconds)
-        world.run(world.now + 30.seconds, calm = true)
+        val simulation = running()
+        simulation.allAway(30.seconds)
+        simulation.run(simulation.now + 30.seconds, calm = true)
         val records = {
-            world.state.entries
+            simulation.state.entries
                 .filterKeys {
                     it == Keys.job("s") ||
                         it == Keys.job("a") ||
@@ -250,8 +250,8 @@
                 }.mapValues { it.value.version }
         }
         val before = records()
-        world.run(world.now + 60.seconds, calm = true)
+        simulation.run(simulation.now + 60.seconds, calm = true)
         assertEquals(before, records())
-        assertEquals(tasks, world.machineNames.sumOf { world.tasksOn(it).size })
+        assertEquals(tasks, simulation.machineNames.sumOf { simulation.tasksOn(it).size })
     }
 }
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -1,18 +1,18 @@
 package glenspool.reconcile
 
-import glenspool.core.ReportSource
-import glenspool.core.model.Exit
-import glenspool.core.model.Intent
+import glenspool.core.HeartbeatSource
+import glenspool.core.model.ExitReason
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.ListedMachine
 import glenspool.core.model.MachineStage
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
-import glenspool.standin.PlainDifferences
-import glenspool.standin.job
+import glenspool.core.model.TaskStatus
+import glenspool.simulation.ReferenceDifferences
+import glenspool.simulation.job
 import net.jqwik.api.ForAll
 import net.jqwik.api.Property
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -26,7 +26,7 @@
 /** Differences kept up event by event, against comparing everything anew and against a slow plain model. */
 class DifferenceTrackerTest {
     private val tracker = DifferenceTracker()
-    private val plain = PlainDifferences()
+    private val plain = ReferenceDifferences()
     private val machines = List(5) { "m$it" }
     private val jobs = List(4) { "j$it" }
     private var now = Duration.ZERO
@@ -42,12 +42,12 @@
     private fun store(random: Random, id: String, adopted: Boolean) {
         val kind = if (id == "j0") JobKind.SERVICE else JobKind.ARRAY
         val done = BitSet().also { if (kind == JobKind.ARRAY && random.nextInt(3) == 0) it.set(random.nextInt(3)) }
-        val intents =
+        val placements =
             (0 until 3)
                 .filter {
                     random.nextBoolean()
                 }.map {
-                    Intent(
+                    StoredPlacement(
                         it, 1L + random.nextInt(2),
                         machines[
                             random
@@ -57,12 +57,12 @@
                 }
         val before =
             plain.records[id]
-                ?.intents
+                ?.placements
                 .orEmpty()
                 .toSet()
-        val record = JobRecord(job(id, kind, 3), now, 2, done, intents)
+        val record = JobRecord(job(id, kind, 3), now, 2, done, placements)
         plain.records[id] = record
-        for (i in intents) {
+        for (i in placements) {
             val name = "$id/${i.task}#${i.attempt}@${i.machine}"
             if (i !in before) {
                 if (adopted) {
@@ -79,17 +79,17 @@
         val tasks =
             jobs.flatMap { id -> (0 until 3).map { TaskKey(id, it) } }.filter { random.nextInt(5) == 0 }.map { key ->
                 val ended = random.nextInt(3) == 0
-                ReportedTask(key, 1L + random.nextInt(2), if (ended) TaskState.EXITED else TaskState.RUNNING, if (ended) Exit.DONE else null, false)
+                TaskStatus(key, 1L + random.nextInt(2), if (ended) TaskState.EXITED else TaskState.RUNNING, if (ended) ExitReason.DONE else null, false)
             }
-        val report = Report(machine, "addr", "big", "a", false, 1, ++sequence, 1, null, tasks)
-        val source = if (random.nextInt(3) == 0) ReportSource.DIRECT else ReportSource.WORKER
+        val heartbeat = Heartbeat(machine, "addr", "big", "a", false, 1, ++sequence, 1, null, tasks)
+        val source = if (random.nextInt(3) == 0) HeartbeatSource.DIRECT else HeartbeatSource.WORKER
         val trusted = random.nextInt(4) > 0
         plain.seen[machine] =
-            PlainDifferences.Seen(
-                report, trusted,
-                source == ReportSource.WORKER || plain.seen[machine]?.reportedItself == true,
+            ReferenceDifferences.Seen(
+                heartbeat, trusted,
+                source == HeartbeatSource.WORKER || plain.seen[machine]?.reportedItself == true,
             )
-        tracker.machineObserved(report, source, trusted, now)
+        tracker.machineObserved(heartbeat, source, trusted, now)
     }
 
     private fun list(random: Random) {
@@ -108,10 +108,10 @@
             if (m !in
                 named
             ) {
-                plain.listed[m] = PlainDifferences.Listed(old.stage, true)
+                plain.listed[m] = ReferenceDifferences.Listed(old.stage, true)
             }
         }
-        for ((m, stage) in named) plain.listed[m] = PlainDifferences.Listed(stage, false)
+        for ((m, stage) in named) plain.listed[m] = ReferenceDifferences.Listed(stage, false)
         tracker.machinesListed(
             named.map { (m, stage) ->
                 ListedMachine(m, "addr", "big", "a", false, stage, 9.seconds)
@@ -186,7 +186,7 @@
         for (seen in test.plain.seen.values) {
             test.tracker
                 .machineObserved(
-                    seen.report, if (seen.reportedItself) ReportSource.WORKER else ReportSource.DIRECT, seen.trusted,
+                    seen.heartbeat, if (seen.reportedItself) HeartbeatSource.WORKER else HeartbeatSource.DIRECT, seen.trusted,
                     99
                         .seconds,
                 )
@@ -198,24 +198,24 @@
     private fun comparisonsPerReport(fleet: Int): Long {
         val tracker = DifferenceTracker()
         for (j in 0 until fleet) {
-            val intents = (0 until 4).map { Intent(it, 1, "m${(j + it * 7) % fleet}") }
-            tracker.jobStored(JobRecord(job("j$j", tasks = 4), Duration.ZERO, 1, BitSet(), intents), adopted = true)
+            val placements = (0 until 4).map { StoredPlacement(it, 1, "m${(j + it * 7) % fleet}") }
+            tracker.jobStored(JobRecord(job("j$j", tasks = 4), Duration.ZERO, 1, BitSet(), placements), adopted = true)
         }
 
-        fun report(m: Int, sequence: Long): Report {
-            val state = if (sequence > 1) TaskState.SAVING else TaskState.RUNNING
+        fun heartbeat(m: Int, sequence: Long): Heartbeat {
+            val state = if (sequence > 1) TaskState.CHECKPOINTING else TaskState.RUNNING
             val tasks =
                 (0 until 4).map {
-                    ReportedTask(TaskKey("j${(m - it * 7).mod(fleet)}", it), 1, state, null, false)
+                    TaskStatus(TaskKey("j${(m - it * 7).mod(fleet)}", it), 1, state, null, false)
                 }
-            return Report("m$m", "addr", "big", "a", false, 1, sequence, 1, null, tasks)
+            return Heartbeat("m$m", "addr", "big", "a", false, 1, sequence, 1, null, tasks)
         }
-        for (m in 0 until fleet) tracker.machineObserved(report(m, 1), ReportSource.WORKER, true, 1.seconds)
+        for (m in 0 until fleet) tracker.machineObserved(heartbeat(m, 1), HeartbeatSource.WORKER, true, 1.seconds)
         assertEquals(DifferenceTotals(emptyMap(), fleet * 4, fleet * 4), tracker.totals())
         val before = tracker.comparisons
-        for (m in 0 until fleet) tracker.machineObserved(report(m, 1), ReportSource.WORKER, true, 2.seconds)
+        for (m in 0 until fleet) tracker.machineObserved(heartbeat(m, 1), HeartbeatSource.WORKER, true, 2.seconds)
         assertEquals(before, tracker.comparisons)
-        for (m in 0 until fleet) tracker.machineObserved(report(m, 2), ReportSource.WORKER, true, 2.seconds)
+        for (m in 0 until fleet) tracker.machineObserved(heartbeat(m, 2), HeartbeatSource.WORKER, true, 2.seconds)
         return (tracker.comparisons - before) / fleet
     }
 
@@ -227,12 +227,12 @@
 
     @Test
     fun `unheard is unknown, and only a report that shows this leader's token proves a task missing`() {
-        tracker.jobStored(JobRecord(job("a", tasks = 1), now, 1, BitSet(), listOf(Intent(0, 1, "m1"))), adopted = true)
+        tracker.jobStored(JobRecord(job("a", tasks = 1), now, 1, BitSet(), listOf(StoredPlacement(0, 1, "m1"))), adopted = true)
         assertEquals(listOf("UNHEARD_MACHINE m1"), names(tracker.findings))
-        val empty = Report("m1", "addr", "big", "a", false, 2, 1, 1, null, emptyList())
-        tracker.machineObserved(empty, ReportSource.WORKER, trusted = false, 1.seconds)
+        val empty = Heartbeat("m1", "addr", "big", "a", false, 2, 1, 1, null, emptyList())
+        tracker.machineObserved(empty, HeartbeatSource.WORKER, trusted = false, 1.seconds)
         assertTrue(tracker.findings.values.all { it.differences.isEmpty() })
-        tracker.machineObserved(empty, ReportSource.WORKER, trusted = true, 2.seconds)
+        tracker.machineObserved(empty, HeartbeatSource.WORKER, trusted = true, 2.seconds)
         assertEquals(listOf("MISSING_TASK m1 a/0"), names(tracker.findings))
         assertEquals(
             Evidence(EvidenceSource.REPORT, 2.seconds),
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -2,17 +2,17 @@
 
 import glenspool.core.DeletionCause
 import glenspool.core.ForgetCause
+import glenspool.core.HeartbeatSource
 import glenspool.core.OrderCause
 import glenspool.core.OrderKind
 import glenspool.core.ProposedOrder
-import glenspool.core.RentalCause
-import glenspool.core.ReportSource
+import glenspool.core.ScaleOutCause
 import glenspool.core.StartCause
 import glenspool.core.StopCause
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import glenspool.wire.MalformedMessage
 import glenspool.wire.RecoveryWire
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -81,7 +81,7 @@
     @Test
     fun `each phase admits what it should`() {
         val causes: List<OrderCause> =
-            listOf(StartCause.RESTORED, RentalCause.HEADROOM, StopCause.ORPHANED, DeletionCause.SILENT, ForgetCause.RECORDED)
+            listOf(StartCause.RESTORED, ScaleOutCause.HEADROOM, StopCause.ORPHANED, DeletionCause.SILENT, ForgetCause.RECORDED)
         val admitted =
             RecoveryPhase.entries.associateWith { phase ->
                 causes.filter { phase.admits(it) }.map { it.kind }
@@ -106,8 +106,7 @@
         repairable: Int = 1,
         paused: Boolean = false,
         breaker: BreakerState = BreakerState.CLOSED,
-    ) =
-        PhaseFacts(now, kind, true, GatheringProgress(listOf(GatheringProgress.Group("a", "big", 10, heard))), repairable, 0, true, breaker, paused)
+    ) = PhaseFacts(now, kind, true, GatheringProgress(listOf(GatheringProgress.Group("a", "big", 10, heard))), repairable, 0, true, breaker, paused)
 
     @Test
     fun `phases go on when they are complete or their time is over, and not while paused`() {
@@ -174,10 +173,10 @@
     fun `a task of an unknown job is stopped only when its key was read as absent after it was seen`() {
         val engine = RecoveryEngine(policy, setting, 2, 0.seconds, StartKind.COLD)
         val order = ProposedOrder(StopCause.UNRECORDED, "m1", TaskKey("u", 0))
-        val tasks = listOf(ReportedTask(order.task!!, 1, TaskState.RUNNING, null, false))
+        val tasks = listOf(TaskStatus(order.task!!, 1, TaskState.RUNNING, null, false))
         engine
             .machineObserved(
-                Report("m1", "addr", "big", "a", false, 1, 1, 2, null, tasks), ReportSource.WORKER, true,
+                Heartbeat("m1", "addr", "big", "a", false, 1, 1, 2, null, tasks), HeartbeatSource.WORKER, true,
                 3
                     .seconds,
             )
--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -1,9 +1,9 @@
 package glenspool.rollout
 
-import glenspool.core.model.Intent
 import glenspool.core.model.JobRecord
-import glenspool.standin.RolloutScene
-import glenspool.standin.job
+import glenspool.core.model.StoredPlacement
+import glenspool.simulation.RolloutSimulation
+import glenspool.simulation.job
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.conditions
@@ -19,13 +19,13 @@
 
 /** Leaving a level again: each stage, and what happens when it is interrupted there. */
 class DeactivationTest {
-    private val scene = RolloutScene()
+    private val scene = RolloutSimulation()
     private val split =
         JobRecord(
-            job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(Intent(1, 1, "i-1")),
-            shelved =
+            job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
+            placementParts =
                 mapOf(
-                    0 to listOf(Intent(2, 3, "i-2")),
+                    0 to listOf(StoredPlacement(2, 3, "i-2")),
                 ),
         )
 
@@ -54,7 +54,7 @@
         assertEquals(1 to LevelStage.LEAVING, stage())
         scene.members.forEach { assertNull(it.gate.permit(1)) }
         // Rewritten by the leader's ordinary changes.
-        store(split.copy(shelved = emptyMap()), null)
+        store(split.copy(placementParts = emptyMap()), null)
         scene.run(4.seconds)
         assertEquals(0 to LevelStage.ACTIVE, stage())
         scene.run(10.minutes)
@@ -82,13 +82,13 @@
 
     @Test
     fun `the leader may end at each stage, before, after or without an answer`() {
-        for (fate in listOf(RolloutScene.Fate.REFUSED, RolloutScene.Fate.LATE, RolloutScene.Fate.ANSWER_LOST)) {
+        for (fate in listOf(RolloutSimulation.Fate.REFUSED, RolloutSimulation.Fate.LATE, RolloutSimulation.Fate.ANSWER_LOST)) {
             scene.order(OperatorRequest.Deactivate(1))
             repeat(2) { step ->
                 scene.fate = fate
                 scene.now += 2.seconds
                 scene.round()
-                scene.fate = RolloutScene.Fate.DONE
+                scene.fate = RolloutSimulation.Fate.DONE
                 scene.elect(if (step == 0) "b" else "c")
                 scene.deliverLate()
                 assertTrue(stage() in setOf(1 to LevelStage.ACTIVE, 1 to LevelStage.LEAVING, 0 to LevelStage.ACTIVE), "${stage()}")
--- a/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
+++ b/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
@@ -1,6 +1,6 @@
 package glenspool.rollout
 
-import glenspool.standin.RolloutScene
+import glenspool.simulation.RolloutSimulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -11,8 +11,7 @@
 class HealthAndPlanTest {
     private val levels = BuildLevels("new", 0, 1)
 
-    private fun report(boot: String, refusals: Long) =
-        MemberReport("b", boot, levels, true, HealthCounts(0, 0, refusals, 0))
+    private fun report(boot: String, refusals: Long) = MemberReport("b", boot, levels, true, HealthCounts(0, 0, refusals, 0))
 
     @Test
     fun `the time since a step is compared with the time before it, over restarts`() {
@@ -36,7 +35,7 @@
 
     @Test
     fun `a service that got worse with the last step stops the plan and holds the level`() {
-        val scene = RolloutScene(RolloutPolicy(health = HealthLimits(tolerated = 3)))
+        val scene = RolloutSimulation(RolloutPolicy(health = HealthLimits(tolerated = 3)))
         scene.elect("a")
         val engine = RolloutEngine(scene.leader.registry, scene.policy, listOf("a", "b", "c"), scene.now)
         var refusals = 0L
@@ -58,7 +57,7 @@
 
     @Test
     fun `followers come first, the leader last, and none while another is not well`() {
-        val scene = RolloutScene()
+        val scene = RolloutSimulation()
         listOf("a", "b").forEach { scene.member(it).restart(0, unmanaged = true) }
         scene.elect("c")
         scene.run(10.seconds)
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -1,6 +1,6 @@
 package glenspool.rollout
 
-import glenspool.standin.RolloutScene
+import glenspool.simulation.RolloutSimulation
 import glenspool.state.Keys
 import glenspool.state.Put
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -15,7 +15,7 @@
 
 /** Activation and its hard cases, one by one, in simulated time. */
 class RolloutCasesTest {
-    private val scene = RolloutScene()
+    private val scene = RolloutSimulation()
 
     private fun hold() = scene.overview().hold
 
@@ -117,9 +117,9 @@
     @Test
     fun `a leader that ends before its write leaves the old level, and the next one gathers evidence of its own`() {
         scene.elect("a")
-        scene.fate = RolloutScene.Fate.REFUSED
+        scene.fate = RolloutSimulation.Fate.REFUSED
         scene.run(40.seconds)
-        scene.fate = RolloutScene.Fate.DONE
+        scene.fate = RolloutSimulation.Fate.DONE
         scene.member("a").up = false
         scene.elect("b")
         scene.run(40.seconds)
@@ -133,7 +133,7 @@
     @Test
     fun `an activation whose answer is lost is stored once, and the next leader does not repeat it`() {
         scene.elect("a")
-        scene.fate = RolloutScene.Fate.ANSWER_LOST
+        scene.fate = RolloutSimulation.Fate.ANSWER_LOST
         scene.run(30.seconds)
         scene.elect("b")
         scene.run(1.minutes)
@@ -144,10 +144,10 @@
     @Test
     fun `a deposed leader's activation that arrives late changes nothing`() {
         scene.elect("a")
-        scene.fate = RolloutScene.Fate.LATE
+        scene.fate = RolloutSimulation.Fate.LATE
         scene.run(30.seconds)
         scene.member("c").restart(0, unmanaged = true)
-        scene.fate = RolloutScene.Fate.DONE
+        scene.fate = RolloutSimulation.Fate.DONE
         scene.elect("b")
         scene.run(10.seconds)
         scene.deliverLate()
@@ -158,9 +158,9 @@
     @Test
     fun `a late activation of the same leader that meets a newer record changes nothing`() {
         scene.elect("a")
-        scene.fate = RolloutScene.Fate.LATE
+        scene.fate = RolloutSimulation.Fate.LATE
         scene.run(24.seconds)
-        scene.fate = RolloutScene.Fate.DONE
+        scene.fate = RolloutSimulation.Fate.DONE
         scene.run(4.seconds)
         assertEquals(1, scene.active)
         val before = scene.records.level()
@@ -239,7 +239,7 @@
 
     @Test
     fun `the operator's word is waited for where the policy says so, and a hold stands until it is taken back`() {
-        val manual = RolloutScene(RolloutPolicy(mode = ActivationMode.MANUAL))
+        val manual = RolloutSimulation(RolloutPolicy(mode = ActivationMode.MANUAL))
         manual.elect("a")
         manual.run(1.minutes)
         assertEquals(HoldCause.AWAITING_OPERATOR, manual.overview().hold?.cause)
--- a/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
@@ -1,8 +1,8 @@
 package glenspool.rollout
 
-import glenspool.standin.LaggingView
-import glenspool.standin.StateStandIn
-import glenspool.standin.registryUpTo
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.LaggingView
+import glenspool.simulation.registryUpTo
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
@@ -31,7 +31,7 @@
         val boot: String,
         val registry: FeatureRegistry,
         val start: Duration,
-        state: StateStandIn,
+        state: InMemoryStore,
     ) {
         var end: Duration? = null
         val view = LaggingView(state)
@@ -40,13 +40,13 @@
         val gate = FeatureGate(levels, records::level)
     }
 
-    private class Leader(val process: Process, val token: Long, val mark: Long, val engine: RolloutEngine)
+    private class Leader(val process: Process, val token: Long, val recordVersion: Long, val engine: RolloutEngine)
 
     private class Transaction(val conditions: Map<String, Long>, val put: Put)
 
     private inner class Run(seed: Long) {
         val random = Random(seed)
-        val state = StateStandIn()
+        val state = InMemoryStore()
         val policy = RolloutPolicy(settle = 8.seconds, evidenceAge = 5.seconds)
         val names = listOf("a", "b", "c")
         val live = HashMap<String, Process>()
@@ -135,7 +135,7 @@
          */
         fun judgeReader(process: Process) {
             if (!process.view.loaded) return
-            val forms = process.view.under(FORMS).map { it.value["form"] as Long }
+            val forms = process.view.withPrefix(FORMS).map { it.value["form"] as Long }
             val highest = forms.maxOrNull() ?: return
             if (highest > process.levels.highest &&
                 process.gate.fence() == null
@@ -152,9 +152,9 @@
             token++
             state
                 .transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("node" to process.member, "token" to token))), emptyList())
-            val mark = state.revision
+            val recordVersion = state.revision
             catchUp(process)
-            leader = Leader(process, token, mark, RolloutEngine(process.registry, policy, names, now))
+            leader = Leader(process, token, recordVersion, RolloutEngine(process.registry, policy, names, now))
         }
 
         fun round() {
@@ -171,7 +171,7 @@
                     process.records
                         .state(),
                 ) { level ->
-                    process.view.under(FORMS).count { it.value["form"] == level.toLong() }
+                    process.view.withPrefix(FORMS).count { it.value["form"] == level.toLong() }
                 }
             for (action in current.engine.step(input)) {
                 when (action) {
@@ -195,7 +195,7 @@
         fun sendAsLeader(leader: Leader, key: String, version: Long, value: Fields) =
             send(
                 mapOf(
-                    Keys.LEAD to leader.mark, key to version,
+                    Keys.LEAD to leader.recordVersion, key to version,
                 ),
                 key, value,
             )
@@ -241,9 +241,9 @@
             val process = leader?.process ?: return
             val record = process.records.level().valueOrNull() ?: return
             if (record.stage != LevelStage.LEAVING) return
-            val item = process.view.under(FORMS).firstOrNull { it.value["form"] == record.level.toLong() } ?: return
+            val item = process.view.withPrefix(FORMS).firstOrNull { it.value["form"] == record.level.toLong() } ?: return
             send(
-                mapOf(Keys.LEAD to checkNotNull(leader).mark, item.key to item.version), item.key,
+                mapOf(Keys.LEAD to checkNotNull(leader).recordVersion, item.key to item.version), item.key,
                 mapOf(
                     "form" to (record.level - 1).toLong(),
                 ),
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -1,12 +1,12 @@
 package glenspool.rollout
 
-import glenspool.standin.OldVersion
-import glenspool.standin.StateStandIn
-import glenspool.standin.job
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.OldVersion
+import glenspool.simulation.job
+import glenspool.state.JobRecordReader
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
-import glenspool.state.StoredJob
 import glenspool.wire.Cbor
 import glenspool.wire.Fields
 import glenspool.wire.MalformedMessage
@@ -97,7 +97,7 @@
             RolloutWire::level,
             RolloutWire::orders,
             RolloutWire::state,
-            { StoredJob(StateStandIn()).read("a", it) },
+            { JobRecordReader(InMemoryStore()).read("a", it) },
             { OldVersion.reads(it) },
         )
 
@@ -140,14 +140,14 @@
         assertNull(readOrNull(RolloutWire::orders, back))
         assertNull(readOrNull(RolloutWire::state, back))
         assertNull(OldVersion.reads(back))
-        assertNull(readOrNull({ StoredJob(StateStandIn()).read("a", it) }, back))
+        assertNull(readOrNull({ JobRecordReader(InMemoryStore()).read("a", it) }, back))
     }
 
     @Property(seed = "4714")
     fun `whatever lies under the level's key permits nothing beyond what it says`(
         @ForAll @LongRange(min = 0) seed: Long,
     ) {
-        val state = StateStandIn()
+        val state = InMemoryStore()
         state.transact(emptyMap(), listOf(Put(Keys.LEVEL, damagedRecord(seed))), emptyList())
         val gate = FeatureGate(FeatureRegistry.CURRENT.of("b"), RolloutRecords(state) { true }::level)
         val level = readOrNull(RolloutWire::level, state.entries.getValue(Keys.LEVEL).value) as LevelRecord?
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -3,11 +3,11 @@
 import glenspool.http.CallResult
 import glenspool.peer.RolloutRequest
 import glenspool.peer.RolloutVerb
-import glenspool.standin.HistoryChecker
-import glenspool.standin.HistoryEvent
-import glenspool.standin.JobHistory
-import glenspool.standin.LoopbackService
-import glenspool.standin.registryUpTo
+import glenspool.simulation.HistoryChecker
+import glenspool.simulation.HistoryEvent
+import glenspool.simulation.JobHistory
+import glenspool.simulation.LoopbackService
+import glenspool.simulation.registryUpTo
 import glenspool.state.Keys
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/glenspool/standin/Trio.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -1,9 +1,9 @@
-package glenspool.standin
+package glenspool.simulation
 
 import glenspool.api.LeaseKeeper
 import glenspool.config.WorkerSettings
-import glenspool.core.cluster.CancelNews
 import glenspool.core.cluster.Cancellation
+import glenspool.core.cluster.CancellationUpdate
 import glenspool.core.cluster.Cancellations
 import java.util.PriorityQueue
 import java.util.Random
@@ -16,7 +16,7 @@
  * [LeaseKeeper], with the state service, the messages between them, the workers and the users as stand-ins. Every rule
  * about cancelled work is checked at every step.
  */
-class Trio(seed: Long, val settings: WorkerSettings = SETTINGS, private val loss: Double = 0.0, workers: Int = 12) {
+class CancellationSimulation(seed: Long, val settings: WorkerSettings = SETTINGS, private val loss: Double = 0.0, workers: Int = 12) {
     private val random = Random(seed)
 
     private class Timed(val at: Duration, val order: Long, val body: () -> Unit)
@@ -70,7 +70,7 @@
             read.clear()
             readAt = null
             cancellations =
-                Cancellations("$name-$lives", members.map { it.name } - name, settings.cancel * 4, ::clock) { now }
+                Cancellations("$name-$lives", members.map { it.name } - name, settings.cancellationDeadline * 4, ::clock) { now }
             keeper = LeaseKeeper(settings, 2, ::clock)
             val life = lives
             after(random.nextInt(500).milliseconds) { look(life) }
@@ -114,15 +114,15 @@
             if (old) return
             val life = lives
             val asked = clock()
-            val news = cancellations.newsFor(m.name)
+            val update = cancellations.updateFor(m.name)
             val lost = chance(loss)
             // A cut may hold a message back and deliver it when nobody waits for its answer any more.
             if (now < peersCutUntil || now < m.peersCutUntil || lost) {
-                if (chance(0.5)) after(random.nextInt(60).seconds) { m.hear(this, news) }
+                if (chance(0.5)) after(random.nextInt(60).seconds) { m.hear(this, update) }
                 return
             }
             after(delay()) {
-                val answer = m.hear(this, news)
+                val answer = m.hear(this, update)
                 after(delay()) {
                     if (life != lives || chance(loss) || now < peersCutUntil) return@after
                     if (m.old && m.up) cancellations.isOld(m.name)
@@ -135,13 +135,13 @@
             }
         }
 
-        private fun hear(from: Node, news: CancelNews): CancelNews? =
+        private fun hear(from: Node, update: CancellationUpdate): CancellationUpdate? =
             if (!up ||
                 old
             ) {
                 null
             } else {
-                cancellations.answer(from.name, news)?.first
+                cancellations.answer(from.name, update)?.first
             }
 
         val isolated get() = now < peersCutUntil && !hasState
@@ -149,7 +149,7 @@
         fun knows(job: String) = if (old) job in read else cancellations.knows(job)
 
         /** Whether it answers a worker of which it knows no leader. */
-        fun keeps(w: Worker) = old || keeper.keeps(w.name, cancellations.complete(), isolated)
+        fun renewsLease(w: Worker) = old || keeper.renewsLease(w.name, cancellations.complete(), isolated)
 
         /** As the users' requests do it: store, read back, tell the others, answer. */
         fun cancel(job: String) {
@@ -179,15 +179,15 @@
         var answeredAt = Duration.ZERO
 
         fun live() {
-            after(settings.report * (0.75 + random.nextDouble() / 2)) { report() }
+            after(settings.heartbeatInterval * (0.75 + random.nextDouble() / 2)) { heartbeat() }
         }
 
-        private fun report() {
+        private fun heartbeat() {
             live()
             expire()
             val n = members[home]
             val sent = now
-            if (!n.up || !n.keeps(this)) {
+            if (!n.up || !n.renewsLease(this)) {
                 // Refused, or nobody there: the next node, a second later.
                 home = (home + 1) % members.size
                 return
@@ -243,7 +243,7 @@
             for (j in w.jobs) {
                 confirmed[j]?.let {
                     if (now - it >
-                        settings.cancel
+                        settings.cancellationDeadline
                     ) {
                         violations += "$now ran_cancelled $j on ${w.name}, confirmed at $it"
                     }
@@ -255,7 +255,7 @@
             val complete = n.cancellations.complete() ?: continue
             // What the node claims: it knows all that was confirmed up to then, except what has to be gone long since.
             for ((job, told) in confirmed) {
-                if (now - told > settings.cancel * 2) continue
+                if (now - told > settings.cancellationDeadline * 2) continue
                 if ((told - n.began) * n.drift >= complete || n.cancellations.knows(job)) continue
                 violations += "$now ${n.name} does not know $job, confirmed at $told, and claims all up to $complete"
             }
--- a/src/test/kotlin/glenspool/standin/CapturedRun.kt
+++ b/src/test/kotlin/glenspool/simulation/CapturedRun.kt
@@ -1,4 +1,4 @@
-package glenspool.standin
+package glenspool.simulation
 
 import java.io.ByteArrayOutputStream
 import java.io.PrintStream
--- a/src/test/kotlin/glenspool/standin/World.kt
+++ b/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
@@ -1,55 +1,55 @@
-package glenspool.standin
+package glenspool.simulation
 
-import glenspool.api.Awaited
-import glenspool.api.Ends
+import glenspool.api.DependencyResolver
+import glenspool.api.FinalStates
 import glenspool.controller.Transaction
 import glenspool.controller.transactionOf
 import glenspool.core.Action
-import glenspool.core.AskEnds
-import glenspool.core.Delete
-import glenspool.core.Direct
-import glenspool.core.DirectOutcome
-import glenspool.core.Note
+import glenspool.core.AdvanceFencingToken
+import glenspool.core.CommandOutcome
+import glenspool.core.DeleteMachines
+import glenspool.core.LogMessage
 import glenspool.core.OrderCause
 import glenspool.core.OrderKind
 import glenspool.core.Probe
-import glenspool.core.RaiseToken
-import glenspool.core.Rent
+import glenspool.core.ReadFinalStates
 import glenspool.core.Resign
-import glenspool.core.SaveImages
+import glenspool.core.ScaleOut
 import glenspool.core.Scheduler
 import glenspool.core.SchedulerConfig
 import glenspool.core.SchedulerHooks
+import glenspool.core.SendCommands
 import glenspool.core.StartCause
 import glenspool.core.StopCause
-import glenspool.core.Store
+import glenspool.core.StoreChanges
+import glenspool.core.StoreImageLocations
 import glenspool.core.StoreOutcome
 import glenspool.core.model.Command
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
+import glenspool.core.model.FinalState
 import glenspool.core.model.ForgetTask
-import glenspool.core.model.JobEnd
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.JobSpec
 import glenspool.core.model.ListedMachine
 import glenspool.core.model.MachineStage
 import glenspool.core.model.MachineType
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import glenspool.frozen.DecisionTrace
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
 import glenspool.reconcile.StartKind
+import glenspool.state.JobRecordReader
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.StateResult
-import glenspool.state.StoredJob
+import glenspool.state.StoreResult
 import glenspool.wire.RecordWire
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import java.util.BitSet
 import java.util.PriorityQueue
 import java.util.Random
@@ -58,7 +58,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How bad the world is. */
-data class Weather(
+data class FaultRates(
     val lost: Double = 0.0,
     val held: Double = 0.0,
     val deaths: Double = 0.0,
@@ -101,11 +101,11 @@
  * the core can break. Messages may be lost or held back for minutes; leaders are replaced while their commands
  * and transactions are still on their way.
  */
-class World(
+class ClusterSimulation(
     seed: Long,
     private val config: SchedulerConfig,
     private val types: List<MachineType>,
-    private val weather: Weather,
+    private val faults: FaultRates,
     private val maxMachines: Int = 24,
     /** Makes the recovery of a term that begins like this; null: recovery is not managed. */
     private val recoverer: ((token: Long, at: Duration, kind: StartKind) -> RecoveryEngine)? = null,
@@ -120,13 +120,13 @@
     private var order = 0L
     var now: Duration = Duration.ZERO
         private set
-    val state = StateStandIn().also { it.opsLimit = config.txnOps }
+    val state = InMemoryStore().also { it.opsLimit = config.txnOps }
     private var token = 0L
     private var leadMark = 0L
     private var leader: Scheduler? = null
     private var stateDownUntil = Duration.ZERO
     private var applied = 0L
-    private val stored = StoredJob(state)
+    private val stored = JobRecordReader(state)
 
     val specs = HashMap<String, JobSpec>()
     private val cancelled = HashMap<String, Duration>()
@@ -139,8 +139,8 @@
     private val told = HashMap<String, String>()
 
     private inner class Worker(val id: String, val type: MachineType, val zone: String, val spot: Boolean) {
-        var session = 1L
-        var seq = 0L
+        var incarnation = 1L
+        var sequence = 0L
         var seen = 0L
         val tasks = LinkedHashMap<Slot, Task>()
         var up = false
@@ -164,10 +164,10 @@
         val rentedAt = now
         val hanging get() = now < hungUntil
 
-        fun report() =
-            Report(
-                id, "addr-$id", type.name, zone, spot, session, ++seq, seen, recallAt?.let { it - now },
-                tasks.map { (k, t) -> ReportedTask(k.key, t.attempt, t.state, t.exit, false) },
+        fun heartbeat() =
+            Heartbeat(
+                id, "addr-$id", type.name, zone, spot, incarnation, ++sequence, seen, recallAt?.let { it - now },
+                tasks.map { (k, t) -> TaskStatus(k.key, t.attempt, t.state, t.exit, false) },
             )
     }
 
@@ -176,7 +176,7 @@
         val job get() = key.job
     }
 
-    private class Task(val attempt: Long, var state: TaskState, var at: Duration, var exit: Exit? = null)
+    private class Task(val attempt: Long, var state: TaskState, var at: Duration, var exit: ExitReason? = null)
 
     private val workers = LinkedHashMap<String, Worker>()
     private val requests = HashMap<String, List<String>>()
@@ -202,13 +202,13 @@
         return w.id
     }
 
-    fun submit(spec: JobSpec, needs: List<String> = emptyList()) {
+    fun submit(spec: JobSpec, dependencies: List<String> = emptyList()) {
         specs[spec.id] = spec
         unrecorded.remove(spec.id)
         submitted[spec.id] = now
-        if (needs.isNotEmpty()) needsOf[spec.id] = needs
+        if (dependencies.isNotEmpty()) dependenciesOf[spec.id] = dependencies
         trulyDone[spec.id] = BitSet()
-        val record = RecordWire.encode(JobRecord(spec, now, 0, BitSet(), emptyList(), needs))
+        val record = RecordWire.encode(JobRecord(spec, now, 0, BitSet(), emptyList(), dependencies))
         store(mapOf(Keys.job(spec.id) to 0L, Keys.final(spec.id) to 0L), listOf(Put(Keys.job(spec.id), record)))
     }
 
@@ -216,7 +216,7 @@
 
     /** Jobs of which workers have tasks, though the state service knows nothing of them. */
     private val unrecorded = HashSet<String>()
-    val needsOf = HashMap<String, List<String>>()
+    val dependenciesOf = HashMap<String, List<String>>()
 
     /**
      * The slow plain model: since when the job is aborted, because it or any job that it needs, directly or through
@@ -224,7 +224,7 @@
      */
     fun abortedSince(id: String): Duration? {
         val own = listOfNotNull(cancelled[id])
-        val others = needsOf[id].orEmpty().mapNotNull { abortedSince(it) }.map { maxOf(it, submitted.getValue(id)) }
+        val others = dependenciesOf[id].orEmpty().mapNotNull { abortedSince(it) }.map { maxOf(it, submitted.getValue(id)) }
         return (own + others).minOrNull()
     }
 
@@ -260,8 +260,8 @@
     var allNew = false
 
     fun elect() {
-        leader?.let { trace?.effort(it.effort) }
-        oldLeads = !allNew && chance(weather.olds)
+        leader?.let { trace?.workCounters(it.workCounters) }
+        oldLeads = !allNew && chance(faults.olds)
         val lease = state.newLease()
         token++
         state.transact(
@@ -298,14 +298,14 @@
         val s = Scheduler(config, token, now, recovery?.hooks ?: SchedulerHooks())
         leader = s
         step {
-            membersKnown(allNew)
-            typesKnown(this@World.types)
-            for ((k, e) in state.entries) if (k.startsWith(Keys.JOB)) change(StateWire.Change(k, e.value, e.version))
-            for ((k, e) in state.entries) if (k.startsWith(Keys.CANCEL)) change(StateWire.Change(k, e.value, e.version))
+            membersChecked(allNew)
+            machineTypesKnown(this@ClusterSimulation.types)
+            for ((k, e) in state.entries) if (k.startsWith(Keys.JOB)) change(StoreWire.Change(k, e.value, e.version))
+            for ((k, e) in state.entries) if (k.startsWith(Keys.CANCEL)) change(StoreWire.Change(k, e.value, e.version))
         }
         applied = state.revision
         // Old reports arrive just as it begins, in any order.
-        for (r in kept.shuffled(random)) after(random.nextInt(300).milliseconds) { step { reported(r) } }
+        for (r in kept.shuffled(random)) after(random.nextInt(300).milliseconds) { step { heartbeatReceived(r) } }
         kept.clear()
     }
 
@@ -329,9 +329,9 @@
         recoveryDue = engine.isActive
     }
 
-    private val kept = ArrayList<Report>()
+    private val kept = ArrayList<Heartbeat>()
 
-    private fun Scheduler.change(c: StateWire.Change) {
+    private fun Scheduler.change(c: StoreWire.Change) {
         val v = c.value
         if (c.key.startsWith(Keys.JOB)) {
             val id = c.key.removePrefix(Keys.JOB)
@@ -350,7 +350,7 @@
         if (now < stateDownUntil) return
         val fresh = state.log.filter { it.third > applied }
         applied = state.revision
-        if (fresh.isNotEmpty()) step { fresh.forEach { (k, v, n) -> change(StateWire.Change(k, v, n)) } }
+        if (fresh.isNotEmpty()) step { fresh.forEach { (k, v, n) -> change(StoreWire.Change(k, v, n)) } }
     }
 
     private fun step(body: Scheduler.() -> Unit) {
@@ -367,27 +367,27 @@
 
     private fun perform(a: Action, s: Scheduler) {
         when (a) {
-            is Direct -> direct(a, s)
+            is SendCommands -> direct(a, s)
             is Probe -> {
                 val w = workers[a.machine]
                 after(delay()) {
-                    val r = if (w != null && reachable(w) && now >= w.unreachedUntil) w.report() else null
-                    ifLeading(s) { probed(a.machine, r) }
+                    val r = if (w != null && reachable(w) && now >= w.unreachedUntil) w.heartbeat() else null
+                    ifLeading(s) { probeEnded(a.machine, r) }
                 }
             }
-            is Rent -> rent(a, s)
-            is Delete -> {
+            is ScaleOut -> rent(a, s)
+            is DeleteMachines -> {
                 a.causes.values.forEach { count(it) }
-                val fails = chance(weather.lost)
+                val fails = chance(faults.lost)
                 after(
                     delay() * 5 +
-                        (if (weather.cloudLate > 0) random.nextInt(weather.cloudLate).seconds else Duration.ZERO),
+                        (if (faults.cloudLate > 0) random.nextInt(faults.cloudLate).seconds else Duration.ZERO),
                 ) {
                     if (!fails || chance(0.5)) a.machines.forEach { id -> workers.remove(id)?.let { it.gone = true } }
                     ifLeading(s) { deletionEnded(a.machines, !fails) }
                 }
             }
-            is RaiseToken ->
+            is AdvanceFencingToken ->
                 after(delay()) {
                     val t = token + 1
                     val ok = leader === s && now >= stateDownUntil
@@ -395,45 +395,45 @@
                         token = t
                         state.transact(emptyMap(), listOf(Put(Keys.TERM, mapOf("token" to t))), emptyList())
                     }
-                    ifLeading(s) { tokenRaised(if (ok) t else null) }
+                    ifLeading(s) { fencingTokenAdvanced(if (ok) t else null) }
                 }
-            is AskEnds ->
+            is ReadFinalStates ->
                 after(delay()) {
-                    val answered = now >= stateDownUntil && !chance(weather.lost)
-                    val found = HashMap<String, JobEnd>()
-                    if (answered) for (id in a.jobs) (ends.read(id) as? Ends.Ended)?.let { found[id] = it.end }
-                    ifLeading(s) { endsRead(a.jobs, found) }
+                    val answered = now >= stateDownUntil && !chance(faults.lost)
+                    val found = HashMap<String, FinalState>()
+                    if (answered) for (id in a.jobs) (finalStates.read(id) as? FinalStates.Ended)?.let { found[id] = it.end }
+                    ifLeading(s) { finalStatesRead(a.jobs, found) }
                 }
-            is SaveImages -> check(a.images.values.none { it.isEmpty() })
+            is StoreImageLocations -> check(a.images.values.none { it.isEmpty() })
             is Resign -> {
                 if (leader === s) leader = null
                 after(1.seconds) { electWhenUp() }
             }
-            is Note -> check(a.text.isNotEmpty())
-            is Store -> write(a, s)
+            is LogMessage -> check(a.text.isNotEmpty())
+            is StoreChanges -> write(a, s)
         }
     }
 
-    private fun write(a: Store, s: Scheduler) {
+    private fun write(a: StoreChanges, s: Scheduler) {
         val t =
             transactionOf(leadMark, a).let {
                 if (oldLeads) it.copy(puts = it.puts.map(OldVersion::rewrites)) else it
             }
         if (now < stateDownUntil) {
-            after(delay()) { ifLeading(s) { stored(StoreOutcome.Refused(emptySet())) } }
+            after(delay()) { ifLeading(s) { storeEnded(StoreOutcome.Refused(emptySet())) } }
         } else if (t.puts.any(state::tooLarge)) {
             refusedForSize++
-            after(delay()) { ifLeading(s) { stored(StoreOutcome.TooLarge()) } }
-        } else if (chance(weather.lost / 2)) {
+            after(delay()) { ifLeading(s) { storeEnded(StoreOutcome.TooLarge()) } }
+        } else if (chance(faults.lost / 2)) {
             // No answer, and it is applied at once or much later, if its conditions still hold.
-            if (chance(weather.atOnce)) {
+            if (chance(faults.atOnce)) {
                 commit(t)
             } else if (chance(0.7)) {
                 after(random.nextInt(20).seconds) { commit(t) }
             }
             after(1500.milliseconds) {
                 feed()
-                ifLeading(s) { stored(StoreOutcome.Unknown) }
+                ifLeading(s) { storeEnded(StoreOutcome.Unknown) }
             }
         } else {
             after(delay()) {
@@ -442,7 +442,7 @@
                 after(delay()) {
                     if (failed != null) feed()
                     ifLeading(s) {
-                        stored(
+                        storeEnded(
                             if (failed ==
                                 null
                             ) {
@@ -481,7 +481,7 @@
         return failed
     }
 
-    private fun rent(a: Rent, s: Scheduler) {
+    private fun rent(a: ScaleOut, s: Scheduler) {
         if (a.request !in requests) a.causes.forEach(::count)
         after(delay() * 10) {
             val names =
@@ -501,64 +501,64 @@
                         addMachine(type, a.zone, a.spot, boot)
                     }.also { if (n > 0) requests[a.request] = it }
                 }
-            if (chance(weather.lost)) {
+            if (chance(faults.lost)) {
                 ifLeading(s) {
-                    rentUnknown(a)
+                    scaleOutUnanswered(a)
                 }
             } else {
-                ifLeading(s) { if (names.isEmpty()) rentRefused(a) else rented(a, names) }
+                ifLeading(s) { if (names.isEmpty()) scaleOutRefused(a) else scaleOutSucceeded(a, names) }
             }
         }
     }
 
     private fun reachable(w: Worker) = !w.gone && w.up && now >= w.cutUntil && now >= w.zoneCutUntil && !w.hanging
 
-    private fun direct(a: Direct, s: Scheduler) {
+    private fun direct(a: SendCommands, s: Scheduler) {
         val w = workers[a.machine]
         if (w == null || w.gone || !w.up) {
-            after(800.milliseconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.NOT_SENT, null) } }
+            after(800.milliseconds) { ifLeading(s) { commandsEnded(a.machine, a, CommandOutcome.NOT_SENT, null) } }
             return
         }
         if (now < w.unreachedUntil) {
             after(3.seconds) {
                 ifLeading(s) {
-                    directEnded(a.machine, a, if (chance(0.5)) DirectOutcome.UNKNOWN else DirectOutcome.NOT_SENT, null)
+                    commandsEnded(a.machine, a, if (chance(0.5)) CommandOutcome.UNKNOWN else CommandOutcome.NOT_SENT, null)
                 }
             }
             return
         }
         val life = w.life
-        val held = now < w.cutUntil || now < w.zoneCutUntil || w.hanging || chance(weather.held)
+        val held = now < w.cutUntil || now < w.zoneCutUntil || w.hanging || chance(faults.held)
         if (held) {
             // Delivered when the cut ends or minutes late, though the sender has long given up.
             val late =
                 maxOf(w.cutUntil - now, w.zoneCutUntil - now, w.hungUntil - now, Duration.ZERO) +
                     random.nextInt(60).seconds
             after(late) { if (!w.gone && !w.hanging && w.life == life) execute(w, a) }
-            after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.UNKNOWN, null) } }
+            after(3.seconds) { ifLeading(s) { commandsEnded(a.machine, a, CommandOutcome.UNKNOWN, null) } }
             return
         }
         after(delay()) {
             if (!w.gone && !w.hanging && w.life == life) {
                 val ok = execute(w, a)
-                val report = w.report()
-                if (chance(weather.lost)) {
-                    after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.UNKNOWN, null) } }
+                val heartbeat = w.heartbeat()
+                if (chance(faults.lost)) {
+                    after(3.seconds) { ifLeading(s) { commandsEnded(a.machine, a, CommandOutcome.UNKNOWN, null) } }
                 } else {
                     after(delay()) {
                         ifLeading(s) {
-                            directEnded(a.machine, a, if (ok) DirectOutcome.DONE else DirectOutcome.REFUSED, report)
+                            commandsEnded(a.machine, a, if (ok) CommandOutcome.DONE else CommandOutcome.REFUSED, heartbeat)
                         }
                     }
                 }
             } else {
-                after(3.seconds) { ifLeading(s) { directEnded(a.machine, a, DirectOutcome.UNKNOWN, null) } }
+                after(3.seconds) { ifLeading(s) { commandsEnded(a.machine, a, CommandOutcome.UNKNOWN, null) } }
             }
         }
     }
 
-    private fun execute(w: Worker, a: Direct): Boolean {
-        if (a.token < w.seen || a.session != w.session) return false
+    private fun execute(w: Worker, a: SendCommands): Boolean {
+        if (a.token < w.seen || a.incarnation != w.incarnation) return false
         w.seen = a.token
         a.commands.forEach { command(w, it) }
         return true
@@ -576,7 +576,7 @@
             is StopTask ->
                 if (t != null && t.exit == null) {
                     count(c.cause)
-                    exit(t, Exit.STOPPED)
+                    exit(t, ExitReason.STOPPED)
                 }
             is ForgetTask -> if (t != null && t.exit != null) w.tasks.remove(slot)
         }
@@ -584,11 +584,11 @@
 
     private fun start(w: Worker, c: StartTask): Task {
         val spec = specs[c.key.job]
-        if (spec == null || c.key.task >= spec.tasks) return Task(c.attempt, TaskState.EXITED, now, Exit.UNKNOWN)
+        if (spec == null || c.key.task >= spec.tasks) return Task(c.attempt, TaskState.EXITED, now, ExitReason.UNKNOWN)
         val live = w.tasks.filterValues { it.exit == null }
-        if (live.keys.any { it.key == c.key }) return Task(c.attempt, TaskState.EXITED, now, Exit.BUSY)
-        val room = live.keys.map { specs.getValue(it.job).need }.fold(spec.need) { x, y -> x + y }
-        if (!room.fits(w.type.room)) return Task(c.attempt, TaskState.EXITED, now, Exit.NO_ROOM)
+        if (live.keys.any { it.key == c.key }) return Task(c.attempt, TaskState.EXITED, now, ExitReason.ALREADY_PRESENT)
+        val available = live.keys.map { specs.getValue(it.job).resourceRequest }.fold(spec.resourceRequest) { x, y -> x + y }
+        if (!available.fits(w.type.capacity)) return Task(c.attempt, TaskState.EXITED, now, ExitReason.INSUFFICIENT_RESOURCES)
         check(c, spec, w)
         val fetch =
             if (spec.image in
@@ -639,44 +639,44 @@
                 .filter { (_, k, _) ->
                     specs.getValue(k.job).team == spec.team
                 }.sumOf { (_, k, _) ->
-                    specs.getValue(k.job).need.gpus
+                    specs.getValue(k.job).resourceRequest.gpus
                 } +
-                spec.need.gpus
+                spec.resourceRequest.gpus
         if (team.gpusMax != null && used > team.gpusMax + 1e-6) violations += "$now quota ${spec.team}: $used"
         val told = cancelled[spec.id]
-        if (told != null && now - told > config.cancel) violations += "$now ran_cancelled start ${c.key}"
-        for (n in needsOf[spec.id].orEmpty()) if (end(n) != "done") violations += "$now too_early ${c.key} before $n"
+        if (told != null && now - told > config.cancellationDeadline) violations += "$now ran_cancelled start ${c.key}"
+        for (n in dependenciesOf[spec.id].orEmpty()) if (end(n) != "done") violations += "$now too_early ${c.key} before $n"
     }
 
-    private fun exit(t: Task, e: Exit) {
+    private fun exit(t: Task, e: ExitReason) {
         t.state = TaskState.EXITED
         t.exit = e
     }
 
     private fun heartbeat(w: Worker) {
         if (w.gone) return
-        after(config.report * (0.75 + random.nextDouble() / 2)) { heartbeat(w) }
+        after(config.heartbeatInterval * (0.75 + random.nextDouble() / 2)) { heartbeat(w) }
         if (w.hanging) return
         if (now - w.answered > config.lease) {
             w.tasks.clear()
-            w.session++
+            w.incarnation++
             w.answered = now
         }
-        if (now < w.cutUntil || now < w.muteUntil || chance(weather.lost)) return
+        if (now < w.cutUntil || now < w.muteUntil || chance(faults.lost)) return
         val sent = now
-        val r = w.report()
+        val r = w.heartbeat()
         val s = if (now < w.keptUntil) null else leader
-        if (chance(weather.forNext)) kept.add(r)
-        if (chance(weather.copies)) after((1 + random.nextInt(COPIES_LATE)).seconds) { step { reported(r) } }
+        if (chance(faults.forNext)) kept.add(r)
+        if (chance(faults.copies)) after((1 + random.nextInt(COPIES_LATE)).seconds) { step { heartbeatReceived(r) } }
         after(delay()) {
             if (now < awayUntil) return@after
             if (s == null || leader !== s || w.gone) {
                 // No leader is known where it reports: that node keeps the lease with the worker's own token.
-                if (r.session == w.session && now >= w.unreachedUntil) w.answered = sent
+                if (r.incarnation == w.incarnation && now >= w.unreachedUntil) w.answered = sent
                 return@after
             }
             var commands: List<Command> = emptyList()
-            step { commands = reported(r) }
+            step { commands = heartbeatReceived(r) }
             val answerToken = s.token
             trace?.answer(now, w.id, answerToken, commands)
             after(delay()) {
@@ -684,7 +684,7 @@
                     w.hanging ||
                     now < w.cutUntil ||
                     now < w.unreachedUntil ||
-                    r.session != w.session ||
+                    r.incarnation != w.incarnation ||
                     answerToken < w.seen
                 ) {
                     return@after
@@ -721,13 +721,13 @@
         if (answer == "live" && aborted != null) violations += "$now orphaned $id"
     }
 
-    private val ends = Ends { key -> state.get(key)?.let { StateResult.Ok(it) } ?: StateResult.Missing }
-    private val awaited = Awaited(state, stored, ends)
+    private val finalStates = FinalStates { key -> state.get(key)?.let { StoreResult.Ok(it) } ?: StoreResult.Missing }
+    private val dependencyResolver = DependencyResolver(state, stored, finalStates)
 
     private fun liveAnswer(id: String): String {
         val record = state.get(Keys.job(id)) ?: return "unknown"
-        val needs = stored.read(id, record.value).needs
-        return if (needs.isNotEmpty() && awaited.judge(needs) is Awaited.Cut) "cancelled" else "live"
+        val dependencies = stored.read(id, record.value).dependencies
+        return if (dependencies.isNotEmpty() && dependencyResolver.judge(dependencies) is DependencyResolver.Aborted) "cancelled" else "live"
     }
 
     /** What happens by itself on the machines, and the rules that hold at every moment. */
@@ -742,7 +742,7 @@
                 val told = cancelled[k.job]
                 if (t.exit == null &&
                     told != null &&
-                    now - told > config.cancel
+                    now - told > config.cancellationDeadline
                 ) {
                     violations += "$now ran_cancelled ${k.key} on ${w.id}"
                 }
@@ -756,12 +756,12 @@
         if (t.state == TaskState.FETCHING) {
             w.images.add(spec.image)
             t.state = if (spec.kind == JobKind.GANG) TaskState.WAITING else TaskState.RUNNING
-            t.at = now + if (spec.kind == JobKind.GANG) config.gangWait else spec.estimate
+            t.at = now + if (spec.kind == JobKind.GANG) config.gangWait else spec.estimatedDuration
         } else if (t.state == TaskState.RUNNING && spec.kind == JobKind.ARRAY) {
             trulyDone.getValue(k.job).set(k.task)
-            exit(t, Exit.DONE)
+            exit(t, ExitReason.DONE)
         } else if (t.state == TaskState.WAITING) {
-            exit(t, Exit.ALONE)
+            exit(t, ExitReason.GANG_INCOMPLETE)
         }
     }
 
@@ -778,16 +778,16 @@
             if (waiting.size == spec.tasks) {
                 waiting.forEach {
                     it.third.state = TaskState.RUNNING
-                    it.third.at = now + spec.estimate
+                    it.third.at = now + spec.estimatedDuration
                 }
             } else if (running.size == spec.tasks && running.all { (w, _, t) -> !w.hanging && now >= t.at }) {
                 // They complete together.
                 running.forEach { (_, k, t) ->
                     trulyDone.getValue(k.job).set(k.task)
-                    exit(t, Exit.DONE)
+                    exit(t, ExitReason.DONE)
                 }
             } else if (running.isNotEmpty() && running.size < spec.tasks) {
-                running.forEach { exit(it.third, Exit.PEERS) }
+                running.forEach { exit(it.third, ExitReason.GANG_BROKEN) }
             }
         }
     }
@@ -795,42 +795,42 @@
     private fun weatherNow() {
         val w =
             workers.values.filter { it.up }.let { if (it.isEmpty()) null else it[random.nextInt(it.size)] } ?: return
-        if (chance(weather.deaths)) {
+        if (chance(faults.deaths)) {
             w.gone = true
             workers.remove(w.id)
         }
-        if (chance(weather.cuts)) w.cutUntil = now + (5 + random.nextInt(40)).seconds
-        if (chance(weather.oneWay)) w.unreachedUntil = now + (5 + random.nextInt(60)).seconds
-        if (chance(weather.mute)) w.muteUntil = now + (5 + random.nextInt(60)).seconds
-        if (chance(weather.storms)) storm(8, hang = true)
-        if (chance(weather.restarts)) {
+        if (chance(faults.cuts)) w.cutUntil = now + (5 + random.nextInt(40)).seconds
+        if (chance(faults.oneWay)) w.unreachedUntil = now + (5 + random.nextInt(60)).seconds
+        if (chance(faults.mute)) w.muteUntil = now + (5 + random.nextInt(60)).seconds
+        if (chance(faults.storms)) storm(8, hang = true)
+        if (chance(faults.restarts)) {
             w.life++
             w.tasks.clear()
             w.images.clear()
-            w.session = 1
-            w.seq = 0
+            w.incarnation = 1
+            w.sequence = 0
             w.seen = 0
         }
-        if (chance(weather.apart)) {
+        if (chance(faults.apart)) {
             // The old leader is cut off with most of the workers; they are served there until they find the new one.
             leader = null
             for (x in workers.values) if (chance(0.8)) x.keptUntil = now + (5 + random.nextInt(30)).seconds
             after((1 + random.nextInt(6)).seconds) { electWhenUp() }
         }
-        if (chance(weather.zoneCuts)) cutZone(w.zone, (10 + random.nextInt(50)).seconds)
-        if (chance(weather.hangs)) w.hungUntil = now + (2 + random.nextInt(20)).seconds
-        if (chance(weather.notices) && w.spot && w.recallAt == null) {
+        if (chance(faults.zoneCuts)) cutZone(w.zone, (10 + random.nextInt(50)).seconds)
+        if (chance(faults.hangs)) w.hungUntil = now + (2 + random.nextInt(20)).seconds
+        if (chance(faults.notices) && w.spot && w.recallAt == null) {
             w.recallAt = now + 10.seconds
             after(10.seconds) {
                 w.gone = true
                 workers.remove(w.id)
             }
         }
-        if (chance(weather.takeovers)) {
+        if (chance(faults.takeovers)) {
             leader = null
             after((1 + random.nextInt(6)).seconds) { electWhenUp() }
         }
-        if (chance(weather.outages)) stateDownUntil = now + (3 + random.nextInt(15)).seconds
+        if (chance(faults.outages)) stateDownUntil = now + (3 + random.nextInt(15)).seconds
     }
 
     /** Cancels up to [most] jobs that have work on machines, and lets some of those machines hang. */
@@ -857,7 +857,7 @@
 
     /** The leader ends; its messages stay on their way. [span]: until another is elected. */
     fun changeLeader(span: Duration) {
-        leader?.let { trace?.effort(it.effort) }
+        leader?.let { trace?.workCounters(it.workCounters) }
         leader = null
         after(span) { electWhenUp() }
     }
@@ -877,14 +877,14 @@
     }
 
     /** Picks machines that are up and does something to them. */
-    fun trouble(share: Double, what: Trouble, span: Duration) {
+    fun trouble(share: Double, what: Fault, span: Duration) {
         for (w in workers.values.filter { it.up && chance(share) }) {
             when (what) {
-                Trouble.CUT -> w.cutUntil = now + span
-                Trouble.HANG -> w.hungUntil = now + span
-                Trouble.DEAF -> w.unreachedUntil = now + span
-                Trouble.MUTE -> w.muteUntil = now + span
-                Trouble.DIE -> {
+                Fault.CUT -> w.cutUntil = now + span
+                Fault.HANG -> w.hungUntil = now + span
+                Fault.DEAF -> w.unreachedUntil = now + span
+                Fault.MUTE -> w.muteUntil = now + span
+                Fault.DIE -> {
                     w.gone = true
                     workers.remove(w.id)
                 }
@@ -930,7 +930,7 @@
     fun endLease(machine: String) {
         val w = workers.getValue(machine)
         w.tasks.clear()
-        w.session++
+        w.incarnation++
         w.answered = now
     }
 
@@ -949,7 +949,7 @@
         workers.remove(machine)?.gone = true
     }
 
-    enum class Trouble { CUT, HANG, DEAF, MUTE, DIE }
+    enum class Fault { CUT, HANG, DEAF, MUTE, DIE }
 
     /**
      * Its workers are served by the controller there, which leads nobody; if the leader was there, another is elected.
@@ -979,7 +979,7 @@
         lists.removeIf { now - it.first > config.listLag * 3 }
         val lag = config.listLag * (0.5 + random.nextDouble() * 1.5)
         val old = lists.lastOrNull { now - it.first >= lag }?.second ?: return
-        if (leader != null) step { listed(old) }
+        if (leader != null) step { machinesListed(old) }
     }
 
     /** Runs until the given time. [calm]: the weather is over, and everything can come to its end. */
@@ -998,14 +998,14 @@
             if (leader != null && now >= stateDownUntil) {
                 feed()
                 step {
-                    membersKnown(allNew && !oldLeads)
+                    membersChecked(allNew && !oldLeads)
                     tick()
                 }
                 tickRecovery()
             }
             val l = leader
             if (l != null && now < stateDownUntil) {
-                for (o in l.overdue(now)) {
+                for (o in l.overdueMachines(now)) {
                     val w = workers[o.machine] ?: continue
                     if (reachable(w) &&
                         now >= w.unreachedUntil &&
@@ -1050,39 +1050,39 @@
         val there = on.filter { it.job == spec.id }.map { it.task }.toSet()
         val left = (0 until spec.tasks).count { it !in there && !trulyDone.getValue(spec.id)[it] }
         val team = config.teams.first { it.name == spec.team }
-        val used = on.sumOf { k -> specs.getValue(k.job).let { if (it.team == spec.team) it.need.gpus else 0.0 } }
+        val used = on.sumOf { k -> specs.getValue(k.job).let { if (it.team == spec.team) it.resourceRequest.gpus else 0.0 } }
         // Gangs, and jobs bound by where their other tasks are, may wait for more than one place.
         val simple =
             spec.kind != JobKind.GANG &&
                 !spec.sameZone &&
                 !spec.spread &&
-                needsOf[spec.id].orEmpty().all { end(it) == "done" }
+                dependenciesOf[spec.id].orEmpty().all { end(it) == "done" }
         val open =
             left > 0 &&
                 live(spec.id) &&
                 abortedSince(spec.id) == null &&
-                team.gpusMax.let { it == null || used + spec.need.gpus <= it + 1e-6 }
-        val room =
+                team.gpusMax.let { it == null || used + spec.resourceRequest.gpus <= it + 1e-6 }
+        val available =
             simple &&
                 open &&
                 workers.values.any { w ->
                     val busy =
                         w.tasks.entries
                             .filter { it.value.exit == null }
-                            .map { specs.getValue(it.key.job).need }
-                            .fold(spec.need) { x, y ->
+                            .map { specs.getValue(it.key.job).resourceRequest }
+                            .fold(spec.resourceRequest) { x, y ->
                                 x +
                                     y
                             }
                     w.up &&
                         w.recallAt == null &&
                         !w.hanging &&
-                        busy.fits(w.type.room) &&
+                        busy.fits(w.type.capacity) &&
                         (spec.types == null || w.type.name in spec.types) &&
                         (spec.zone == null || spec.zone == w.zone) &&
                         (spec.spot || !w.spot)
                 }
-        if (!room) {
+        if (!available) {
             waitingSince.remove(spec.id)
         } else if (now - waitingSince.getOrPut(spec.id) { now } > 90.seconds) {
             violations += "$now waits_in_vain ${spec.id}: ${describe(spec.id)}"
@@ -1098,14 +1098,14 @@
         val where =
             j.placements.values.joinToString { p ->
                 val m = leader?.machines?.get(p.machine)
-                "${p.key.task}#${p.attempt}@${p.machine} ${p.step}/${p.state} sent=${p.startSent} stop=${p.stop} machine[trusted=${m?.trusted} heard=${m?.heard} deleting=${m?.deleting} loose=${m?.loose} busy=${m?.directBusy}]"
+                "${p.key.task}#${p.attempt}@${p.machine} ${p.step}/${p.state} sent=${p.startSent} stop=${p.stop} machine[trusted=${m?.trusted} heard=${m?.lastHeardAt} deleting=${m?.isDeleting} loose=${m?.unconfirmedStarts} busy=${m?.requestInFlight}]"
             }
-        return "now=$now writing=${j.writing} changes=${j.changes}/${j.saved} version=${j.version} orphans=${j.orphans} " +
+        return "now=$now writing=${j.writeInFlight} changes=${j.changes}/${j.storedChanges} version=${j.version} orphans=${j.orphans} " +
             "waiting=${j.waiting(9)} notBefore=${j.notBefore} failedOn=${j.failedOn} $where"
     }
 
     /** Whether the job waits for its team's limit alone. */
-    fun teamIsFull(id: String) = leader?.let { l -> l.jobs[id]?.let { l.teamRoom(it) } } == 0
+    fun teamIsFull(id: String) = leader?.let { l -> l.jobs[id]?.let { l.remainingQuota(it) } } == 0
 
     fun live(id: String) = Keys.job(id) in state.entries
 
--- a/src/test/kotlin/glenspool/standin/StateStandIn.kt
+++ b/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
@@ -1,10 +1,10 @@
-package glenspool.standin
+package glenspool.simulation
 
-import glenspool.state.LiveKeys
+import glenspool.state.LiveKeyReader
 import glenspool.state.Put
 import glenspool.wire.Cbor
 import glenspool.wire.Fields
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import glenspool.wire.count
 import glenspool.wire.maps
 import glenspool.wire.text
@@ -17,7 +17,7 @@
 import java.util.TreeMap
 
 /** The state service as the protocol describes it, in memory. Leases end only when told to. */
-class StateStandIn : LiveKeys {
+class InMemoryStore : LiveKeyReader {
     data class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     val entries = TreeMap<String, Entry>()
@@ -88,17 +88,17 @@
         return null
     }
 
-    override fun get(key: String): StateWire.Item? = entries[key]?.let { StateWire.Item(key, it.value, it.version) }
+    override fun get(key: String): StoreWire.Item? = entries[key]?.let { StoreWire.Item(key, it.value, it.version) }
 
     @Synchronized
-    override fun <T> atOnce(read: () -> T): T = read()
+    override fun <T> atomically(read: () -> T): T = read()
 
-    override fun under(prefix: String): List<StateWire.Item> =
+    override fun withPrefix(prefix: String): List<StoreWire.Item> =
         entries
             .filterKeys {
                 it.startsWith(prefix)
             }.map {
-                StateWire
+                StoreWire
                     .Item(it.key, it.value.value, it.value.version)
             }
 
--- a/src/test/kotlin/glenspool/standin/JobHistory.kt
+++ b/src/test/kotlin/glenspool/simulation/JobHistory.kt
@@ -1,4 +1,4 @@
-package glenspool.standin
+package glenspool.simulation
 
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
--- a/src/test/kotlin/glenspool/standin/LaggingView.kt
+++ b/src/test/kotlin/glenspool/simulation/LaggingView.kt
@@ -1,16 +1,16 @@
-package glenspool.standin
+package glenspool.simulation
 
-import glenspool.state.LiveKeys
+import glenspool.state.LiveKeyReader
 import glenspool.wire.Fields
-import glenspool.wire.StateWire
+import glenspool.wire.StoreWire
 import java.util.TreeMap
 
 /**
  * A replica that is behind: what the state stand-in held at an earlier revision, or pages of it read one after the
  * other.
  */
-class LaggingView(private val state: StateStandIn) : LiveKeys {
-    private val entries = TreeMap<String, StateWire.Item>()
+class LaggingView(private val state: InMemoryStore) : LiveKeyReader {
+    private val entries = TreeMap<String, StoreWire.Item>()
     var revision = 0L
         private set
     private var page: String? = null
@@ -48,15 +48,15 @@
 
     private fun put(key: String, value: Fields?, version: Long) {
         if (entries[key].let { it != null && it.version > version }) return
-        if (value == null) entries.remove(key) else entries[key] = StateWire.Item(key, value, version)
+        if (value == null) entries.remove(key) else entries[key] = StoreWire.Item(key, value, version)
     }
 
-    override fun get(key: String): StateWire.Item? = entries[key]
+    override fun get(key: String): StoreWire.Item? = entries[key]
 
-    override fun under(prefix: String): Collection<StateWire.Item> =
+    override fun withPrefix(prefix: String): Collection<StoreWire.Item> =
         entries
             .subMap(prefix, prefix + Char.MAX_VALUE)
             .values
 
-    override fun <T> atOnce(read: () -> T): T = read()
+    override fun <T> atomically(read: () -> T): T = read()
 }
--- a/src/test/kotlin/glenspool/standin/LoopbackFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
@@ -1,10 +1,10 @@
-package glenspool.standin
+package glenspool.simulation
 
-import glenspool.core.model.Exit
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
+import glenspool.core.model.ExitReason
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
@@ -30,7 +30,7 @@
     workers: Int,
     private val nodes: () -> Map<String, String>,
     private val history: JobHistory,
-    private val report: Duration = REPORT,
+    private val heartbeatInterval: Duration = REPORT,
     private val lease: Duration = LEASE,
     private val runTime: Duration = RUN_TIME,
     private val now: () -> Duration,
@@ -43,12 +43,12 @@
 
     init {
         repeat(workers) { n -> Worker("i-%06d".format(n + 1), n).let { this.workers[it.name] = it } }
-        val period = report.inWholeMilliseconds
+        val period = heartbeatInterval.inWholeMilliseconds
         this.workers.values.forEachIndexed {
             n,
             w,
             ->
-            timer.scheduleAtFixedRate(w::report, 100 + period * n / workers, period, TimeUnit.MILLISECONDS)
+            timer.scheduleAtFixedRate(w::heartbeat, 100 + period * n / workers, period, TimeUnit.MILLISECONDS)
         }
     }
 
@@ -77,12 +77,12 @@
         workers.getValue(machine).silent = silent
     }
 
-    private class RunningTask(val attempt: Long, val until: Duration, var exit: Exit? = null)
+    private class RunningTask(val attempt: Long, val until: Duration, var exit: ExitReason? = null)
 
     private inner class Worker(val name: String, private var turn: Int) {
         private val tasks = HashMap<TaskKey, RunningTask>()
         private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), name, 2, ::serve)
-        private var session = 1L
+        private var incarnation = 1L
         private var sequence = 0L
         private var token = 0L
         private var leaseBegan = now()
@@ -103,11 +103,11 @@
         fun loseLease() = endSession()
 
         @Synchronized
-        fun describe(): Report {
-            for ((key, task) in tasks) if (task.exit == null && now() >= task.until) leave(key, task, Exit.DONE)
+        fun describe(): Heartbeat {
+            for ((key, task) in tasks) if (task.exit == null && now() >= task.until) leave(key, task, ExitReason.DONE)
             val reported =
                 tasks.map { (key, task) ->
-                    ReportedTask(
+                    TaskStatus(
                         key, task.attempt,
                         if (task.exit ==
                             null
@@ -119,16 +119,16 @@
                         task.exit, false,
                     )
                 }
-            return Report(name, "127.0.0.1:${listener.port}", "big", "here", false, session, ++sequence, token, null, reported)
+            return Heartbeat(name, "127.0.0.1:${listener.port}", "big", "here", false, incarnation, ++sequence, token, null, reported)
         }
 
-        private fun leave(key: TaskKey, task: RunningTask, exit: Exit) {
+        private fun leave(key: TaskKey, task: RunningTask, exit: ExitReason) {
             task.exit = exit
-            history.add { HistoryEvent.Left(it, key.job, name, exit == Exit.DONE) }
+            history.add { HistoryEvent.Left(it, key.job, name, exit == ExitReason.DONE) }
         }
 
         /** A worker that is sent on reports there at once. */
-        fun report() {
+        fun heartbeat() {
             if (reportOnce() && !silent) reportOnce()
         }
 
@@ -136,18 +136,18 @@
             if (silent) return false
             val addresses = nodes()
             val sent = now()
-            val report = describe()
+            val heartbeat = describe()
             val to = addresses[node] ?: addresses.values.toList().let { it[turn++ % it.size] }
-            val answer = http.post(to, "/checkin", WorkerWire.encode(report), 2.seconds)
-            synchronized(this) { take(answer, report, sent) }
+            val answer = http.post(to, "/checkin", WorkerWire.encode(heartbeat), 2.seconds)
+            synchronized(this) { take(answer, heartbeat, sent) }
             return (answer as? CallResult.Answer)?.status == MISDIRECTED
         }
 
-        private fun take(answer: CallResult, report: Report, sent: Duration) {
+        private fun take(answer: CallResult, heartbeat: Heartbeat, sent: Duration) {
             val body = (answer as? CallResult.Answer)?.body
             when ((answer as? CallResult.Answer)?.status) {
                 OK ->
-                    if (report.session == session && (body?.get("baton") as? Long ?: 0) >= token) {
+                    if (heartbeat.incarnation == incarnation && (body?.get("baton") as? Long ?: 0) >= token) {
                         leaseBegan = sent
                         obey(checkNotNull(body))
                     }
@@ -158,9 +158,9 @@
         }
 
         private fun endSession() {
-            tasks.forEach { (key, task) -> if (task.exit == null) leave(key, task, Exit.STOPPED) }
+            tasks.forEach { (key, task) -> if (task.exit == null) leave(key, task, ExitReason.STOPPED) }
             tasks.clear()
-            session++
+            incarnation++
             leaseBegan = now()
         }
 
@@ -185,7 +185,7 @@
                 verb == "stop" ->
                     if (known.exit == null) {
                         carriedOut.add(CarriedOut(now(), verb, name, key))
-                        leave(key, known, Exit.STOPPED)
+                        leave(key, known, ExitReason.STOPPED)
                     }
                 verb == "clear" -> if (known.exit != null) tasks.remove(key)
             }
@@ -196,7 +196,7 @@
             val body = Cbor.decodeMap(request.body.stream.readAllBytes())
             val executed =
                 synchronized(this) {
-                    (body["baton"] as Long >= token && body["shift"] as Long == session).also { if (it) obey(body) }
+                    (body["baton"] as Long >= token && body["shift"] as Long == incarnation).also { if (it) obey(body) }
                 }
             return cbor(if (executed) Status.OK else Status.CONFLICT, WorkerWire.encode(describe()))
         }
--- a/src/test/kotlin/glenspool/standin/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -1,11 +1,11 @@
-package glenspool.standin
+package glenspool.simulation
 
 import glenspool.config.SettingsReader
 import glenspool.controller.Node
 import glenspool.core.Tuning
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
+import glenspool.core.model.Resources
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
@@ -42,7 +42,7 @@
     seed: Int,
     private val recovery: RecoveryPolicy? = null,
     private val workers: Int = 4,
-    private val report: Duration = LoopbackFleet.REPORT,
+    private val heartbeatInterval: Duration = LoopbackFleet.REPORT,
     private val lease: Duration = LoopbackFleet.LEASE,
     runTime: Duration = LoopbackFleet.RUN_TIME,
     /** Whether jobs of one task each come all the time. */
@@ -54,7 +54,7 @@
 
     /** Since the start of the service. */
     val now: Duration get() = clock.elapsedNow()
-    val state = StateStandIn()
+    val state = InMemoryStore()
     private val stateListener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 16, state::serve)
     private val names = listOf("bobbin-0", "bobbin-1", "bobbin-2")
     private val ports = generateSequence { freePort() }.distinct().take(names.size * 2).toList()
@@ -63,7 +63,7 @@
     val fleet =
         LoopbackFleet(workers, {
             apiPorts.mapValues { "127.0.0.1:${it.value}" }
-        }, history, report, lease, runTime, clock::elapsedNow)
+        }, history, heartbeatInterval, lease, runTime, clock::elapsedNow)
     private val nodes = HashMap<String, Node>()
     private val http = HttpCaller(300.milliseconds)
     private val failure = AtomicReference<Throwable>()
@@ -144,8 +144,7 @@
     }
 
     /** What a controller answers about its recovery. */
-    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply =
-        checkNotNull(nodes[name]).recoveryAnswer(RecoveryRequest(verb))
+    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply = checkNotNull(nodes[name]).recoveryAnswer(RecoveryRequest(verb))
 
     /** A job as a user submits it, any number of tasks. */
     fun submitJob(spec: JobSpec) {
@@ -185,7 +184,7 @@
     /** As a user would: any controller, again after a refusal, for a while. */
     private fun submit(id: String, awaits: List<String>?): Boolean {
         val body =
-            JobWire.encode(job(id, JobKind.ARRAY, 1, Amount(1.0, 1.0, 4.0), "a", estimate = 1.seconds, imageGb = 0.0)) +
+            JobWire.encode(job(id, JobKind.ARRAY, 1, Resources(1.0, 1.0, 4.0), "a", estimatedDuration = 1.seconds, imageGb = 0.0)) +
                 (if (awaits == null) emptyMap() else mapOf("awaits" to awaits))
         val begun = TimeSource.Monotonic.markNow()
         while (begun.elapsedNow() < PATIENCE) {
@@ -276,7 +275,7 @@
             gpus = 0.0
             gpus_max = 0.0
             [settings.workers]
-            report_s = ${report.inWholeMilliseconds / 1000.0}
+            report_s = ${heartbeatInterval.inWholeMilliseconds / 1000.0}
             lease_s = ${lease.inWholeMilliseconds / 1000.0}
             gang_wait_s = 10.0
             gang_peer_s = 3.0
--- a/src/test/kotlin/glenspool/standin/OldVersion.kt
+++ b/src/test/kotlin/glenspool/simulation/OldVersion.kt
@@ -1,4 +1,4 @@
-package glenspool.standin
+package glenspool.simulation
 
 import glenspool.state.Put
 import glenspool.wire.Fields
--- a/src/test/kotlin/glenspool/standin/OrderRateChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
@@ -1,4 +1,4 @@
-package glenspool.standin
+package glenspool.simulation
 
 import glenspool.core.DeletionCause
 import glenspool.core.OrderKind
--- a/src/test/kotlin/glenspool/standin/PlainDifferences.kt
+++ b/src/test/kotlin/glenspool/simulation/ReferenceDifferences.kt
@@ -1,10 +1,10 @@
-package glenspool.standin
+package glenspool.simulation
 
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.MachineStage
-import glenspool.core.model.Report
 import glenspool.core.model.TaskState
 import glenspool.reconcile.DifferenceKind
 
@@ -12,8 +12,8 @@
  * The slow plain model of differences: plain lists, looked through from one end to the other. It knows the newest
  * record of each job and the newest report of each machine, and names a difference by its kind, machine and task.
  */
-class PlainDifferences {
-    class Seen(val report: Report, val trusted: Boolean, val reportedItself: Boolean)
+class ReferenceDifferences {
+    class Seen(val heartbeat: Heartbeat, val trusted: Boolean, val reportedItself: Boolean)
 
     class Listed(val stage: MachineStage, val missing: Boolean)
 
@@ -32,20 +32,20 @@
 
     private fun places() =
         records.values.flatMap { r ->
-            r.intents.map { Place(r.spec.id, it.task, it.attempt, it.machine) }
+            r.placements.map { Place(r.spec.id, it.task, it.attempt, it.machine) }
         }
 
     fun names(): List<String> = (ofTasks() + ofPlaces() + ofMachines()).sorted()
 
     private fun ofTasks(): List<String> =
         seen.values.flatMap { s ->
-            s.report.tasks.flatMap { t ->
+            s.heartbeat.tasks.flatMap { t ->
                 val record = records[t.key.job]
-                val what = "${s.report.machine} ${t.key.job}/${t.key.task}"
+                val what = "${s.heartbeat.machine} ${t.key.job}/${t.key.task}"
                 when {
                     t.state == TaskState.EXITED -> {
                         val result =
-                            t.exit == Exit.DONE &&
+                            t.exit == ExitReason.DONE &&
                                 record != null &&
                                 record.spec.kind != JobKind.SERVICE &&
                                 t.key.job !in cancelled &&
@@ -58,12 +58,12 @@
                                 it.job == t.key.job &&
                                     it.task == t.key.task &&
                                     it.attempt == t.attempt &&
-                                    it.machine == s.report.machine
+                                    it.machine == s.heartbeat.machine
                             }
                         val others =
                             seen.values.any { o ->
                                 o !== s &&
-                                    o.report.tasks.any { it.key == t.key && it.state != TaskState.EXITED }
+                                    o.heartbeat.tasks.any { it.key == t.key && it.state != TaskState.EXITED }
                             }
                         val kind =
                             when {
@@ -86,7 +86,7 @@
     private fun ofPlaces(): List<String> =
         places().mapNotNull { p ->
             val s = seen[p.machine] ?: return@mapNotNull null
-            val shown = s.report.tasks.any { it.key.job == p.job && it.key.task == p.task && it.attempt == p.attempt }
+            val shown = s.heartbeat.tasks.any { it.key.job == p.job && it.key.task == p.task && it.attempt == p.attempt }
             when {
                 records.getValue(p.job).done[p.task] -> "${DifferenceKind.OBSOLETE_PLACE} ${p.machine} ${p.job}/${p.task}"
                 p.name in adopted && s.trusted && !shown && p.job !in cancelled -> "${DifferenceKind.MISSING_TASK} ${p.machine} ${p.job}/${p.task}"
--- a/src/test/kotlin/glenspool/standin/RolloutScene.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -1,4 +1,4 @@
-package glenspool.standin
+package glenspool.simulation
 
 import glenspool.rollout.BuildLevels
 import glenspool.rollout.FeatureGate
@@ -34,14 +34,13 @@
     )
 
 /** A build that knows levels up to [highest] of [FUTURE_LEVELS]. */
-fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE) =
-    FeatureRegistry(FUTURE_LEVELS.take(highest), lowest)
+fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE) = FeatureRegistry(FUTURE_LEVELS.take(highest), lowest)
 
 /**
  * A rollout in simulated time: real engines, gates and stored forms against a stand-in for the state service. Members
  * are what the tests say they are.
  */
-class RolloutScene(val policy: RolloutPolicy = RolloutPolicy(), names: List<String> = listOf("a", "b", "c")) {
+class RolloutSimulation(val policy: RolloutPolicy = RolloutPolicy(), names: List<String> = listOf("a", "b", "c")) {
     inner class Member(val name: String) {
         var registry = registryUpTo(1)
 
@@ -78,12 +77,12 @@
             )
     }
 
-    val state = StateStandIn()
+    val state = InMemoryStore()
     val records = RolloutRecords(state) { true }
     val members = names.map { Member(it) }
     var now = 100.seconds
     private var token = 0L
-    private var mark = 0L
+    private var recordVersion = 0L
     lateinit var leader: Member
         private set
     private lateinit var engine: RolloutEngine
@@ -107,7 +106,7 @@
         leader = member(name)
         token++
         state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("node" to name, "token" to token))), emptyList())
-        mark = state.revision
+        recordVersion = state.revision
         engine = RolloutEngine(leader.registry, policy, members.map { it.name }, now)
     }
 
@@ -124,8 +123,7 @@
         }
     }
 
-    fun input() =
-        RolloutInput(now, now, token, leader.name, records.level(), records.orders(), records.state(), recordsIn)
+    fun input() = RolloutInput(now, now, token, leader.name, records.level(), records.orders(), records.state(), recordsIn)
 
     fun overview() = engine.overview(input())
 
@@ -154,7 +152,7 @@
     }
 
     private fun store(key: String, version: Long, value: Map<String, Any?>, done: () -> Unit) {
-        val conditions = mapOf(Keys.LEAD to mark, key to version)
+        val conditions = mapOf(Keys.LEAD to recordVersion, key to version)
         val carryOut = { if (state.transact(conditions, listOf(Put(key, value)), emptyList()) == null) done() }
         when (fate) {
             Fate.DONE, Fate.ANSWER_LOST -> carryOut()
--- a/src/test/kotlin/glenspool/standin/ServedApi.kt
+++ b/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
@@ -1,23 +1,23 @@
-package glenspool.standin
+package glenspool.simulation
 
 import glenspool.api.UserApi
 import glenspool.config.Member
 import glenspool.config.SettingsReader
 import glenspool.config.SettingsTest
-import glenspool.core.model.Amount
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
 import glenspool.core.model.MachineType
+import glenspool.core.model.Resources
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.rollout.FeaturePermits
 import glenspool.rollout.UnmanagedFeatures
+import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.Replica
-import glenspool.state.StateClient
+import glenspool.state.StoreCache
 import glenspool.wire.JobWire
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.io.TempDir
@@ -27,33 +27,33 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The users' requests over real sockets on loopback, against a stand-in for the state service. */
-abstract class ServedApi(private val settingsText: String = SettingsTest.GOOD) {
+abstract class ServedUserApi(private val settingsText: String = SettingsTest.GOOD) {
     @TempDir
     lateinit var dir: File
-    protected val state = StateStandIn()
+    protected val state = InMemoryStore()
     protected val outside = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
     protected val http = HttpCaller(2.seconds)
-    protected val client = StateClient("127.0.0.1:${outside.port}", http)
-    private val replica = Replica(client, 1000.0) { _, _ -> }
-    private val syncs = syncing(replica)
+    protected val client = KeyValueStoreClient("127.0.0.1:${outside.port}", http)
+    private val cache = StoreCache(client, 1000.0) { _, _ -> }
+    private val syncs = syncing(cache)
     protected var types: List<MachineType>? = listOf(bigType)
     protected val settings by lazy { SettingsReader().read(File(dir, "s.toml").also { it.writeText(settingsText) }) }
     protected var members = emptyList<Member>()
-    protected var membersNew = true
-    protected var features: FeaturePermits = UnmanagedFeatures { membersNew }
+    protected var allMembersReadSplitRecords = true
+    protected var features: FeaturePermits = UnmanagedFeatures { allMembersReadSplitRecords }
     protected var cutOff = false
     protected var confirmable = true
     private val node by lazy {
         val users =
-            UserApi(settings, client, replica, PeerClient(members), { cutOff }, features, { confirmable }) { types }
+            UserApi(settings, client, cache, PeerClient(members), { cutOff }, features, { confirmable }) { types }
         HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 8, users)
     }
     protected val addr get() = "127.0.0.1:${node.port}"
 
-    protected fun syncing(replica: Replica) =
+    protected fun syncing(cache: StoreCache) =
         thread(isDaemon = true) {
             try {
-                replica.serveSyncs()
+                cache.serveSyncs()
             } catch (e: InterruptedException) {
                 Thread.currentThread().interrupt()
             }
@@ -69,10 +69,10 @@
     protected fun spec(
         id: String,
         tasks: Int = 1,
-        need: Amount = Amount(2.0, 1.0, 8.0),
+        resourceRequest: Resources = Resources(2.0, 1.0, 8.0),
         kind: JobKind = JobKind.ARRAY,
         team: String = "a",
-    ) = job(id, kind, tasks, need, team)
+    ) = job(id, kind, tasks, resourceRequest, team)
 
     protected fun submit(s: JobSpec, awaits: Any? = null) =
         http.post(
@@ -91,8 +91,7 @@
 
     protected fun show(id: String) = http.get(addr, "/api/jobs/$id", 20.seconds) as CallResult.Answer
 
-    protected fun withdraw(id: String) =
-        http.post(addr, "/api/jobs/$id/withdraw", emptyMap(), 10.seconds) as CallResult.Answer
+    protected fun withdraw(id: String) = http.post(addr, "/api/jobs/$id/withdraw", emptyMap(), 10.seconds) as CallResult.Answer
 
     protected fun end(id: String, word: String) {
         state
--- a/src/test/kotlin/glenspool/state/ReplicaLoadTest.kt
+++ b/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** A replica that is read page by page while the state goes on changing. */
-class ReplicaLoadTest {
+class StoreCacheLoadTest {
     @Test
     fun `changes from before a page was read take no key of it back`() {
         val listener =
@@ -33,17 +33,17 @@
                     }
                 cbor(Status.OK, body)
             })
-        val replica = Replica(StateClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds)), 1000.0) { _, _ -> }
+        val cache = StoreCache(KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds)), 1000.0) { _, _ -> }
         val syncs =
             thread(isDaemon = true) {
                 try {
-                    replica.serveSyncs()
+                    cache.serveSyncs()
                 } catch (e: InterruptedException) {
                     Thread.currentThread().interrupt()
                 }
             }
-        repeat(2) { assertTrue(replica.sync(5.seconds)) }
-        assertEquals(listOf("g/a" to 20L, "g/b" to 16L), replica.under("g/").map { it.key to it.version })
+        repeat(2) { assertTrue(cache.sync(5.seconds)) }
+        assertEquals(listOf("g/a" to 20L, "g/b" to 16L), cache.withPrefix("g/").map { it.key to it.version })
         syncs.interrupt()
         listener.close()
     }
@@ -51,7 +51,7 @@
     @Test
     fun `the active level is read after everything that may be written under it`() {
         val others =
-            listOf(Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL, Keys.CHUNK, Keys.PIECE, Keys.SHELF)
+            listOf(Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL, Keys.CHUNK, Keys.DESCRIPTION_PART, Keys.PLACEMENT_PART)
         assertTrue(others.all { it < Keys.ROLLOUT && it.startsWith(Keys.LIVE) })
         assertTrue(listOf(Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE).all { it.startsWith(Keys.ROLLOUT) })
     }
