--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -2,13 +2,13 @@
 
 import glenspool.config.Member
 import glenspool.controller.transactionOf
-import glenspool.core.SaveJob
-import glenspool.core.Store
-import glenspool.core.model.Intent
-import glenspool.core.model.JobEnd
+import glenspool.core.StoreChanges
+import glenspool.core.UpdateJobRecord
+import glenspool.core.model.FinalState
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.Priority
+import glenspool.core.model.StoredPlacement
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerPaths
@@ -17,12 +17,12 @@
 import glenspool.peer.PeerWire
 import glenspool.peer.RelayAnswer
 import glenspool.peer.RelayRequest
-import glenspool.standin.OldVersion
-import glenspool.standin.StateStandIn
-import glenspool.standin.job
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.OldVersion
+import glenspool.simulation.job
+import glenspool.state.JobRecordReader
 import glenspool.state.Keys
 import glenspool.state.Put
-import glenspool.state.StoredJob
 import glenspool.wire.Cbor
 import glenspool.wire.FinalWire
 import glenspool.wire.ImagesWire
@@ -43,7 +43,7 @@
 
 /** Old and new versions on each other's data: see docs/upgrade.md. */
 class UpgradeTest {
-    private val state = StateStandIn()
+    private val state = InMemoryStore()
 
     private fun made(name: String): ByteArray =
         javaClass.getResourceAsStream("/stored-by-production/$name.cbor").use {
@@ -53,18 +53,18 @@
 
     private fun stored(key: String) = Cbor.decodeMap(made(key.replace('/', '~')))
 
-    private fun read(id: String) = StoredJob(state).read(id, stored(Keys.job(id)))
+    private fun read(id: String) = JobRecordReader(state).read(id, stored(Keys.job(id)))
 
     private fun bits(vararg n: Int) = BitSet().apply { n.forEach(::set) }
 
     @Test
     fun `jobs that the version in production stored are read`() {
-        val wide = job("run-000412", tasks = 160, priority = Priority.IDLE, spot = true, checkpoint = 15.seconds)
+        val wide = job("run-000412", tasks = 160, priority = Priority.IDLE, spot = true, checkpointInterval = 15.seconds)
         assertEquals(
             JobRecord(
                 wide, 1000.seconds, 400, bits(0, 7, 159),
                 (1..120).map {
-                    Intent(
+                    StoredPlacement(
                         it, 200L + it,
                         "i-%06d"
                             .format(it),
@@ -83,7 +83,7 @@
             JobRecord(
                 gang, 1002.seconds, 2, BitSet(),
                 (0..2).map {
-                    Intent(it, 2, "i-000001")
+                    StoredPlacement(it, 2, "i-000001")
                 },
             ),
             read("run-000414"),
@@ -93,7 +93,7 @@
     @Test
     fun `its ends, cancellations, hints and leadership are read`() {
         assertEquals(
-            listOf(JobEnd.DONE, JobEnd.CANCELLED),
+            listOf(FinalState.DONE, FinalState.CANCELLED),
             listOf("run-000001", "run-000002").map {
                 FinalWire
                     .end(stored(Keys.final(it)))
@@ -126,8 +126,8 @@
         assertEquals(OldStatus("bobbin-1", false, "bobbin-0", true), old.decodeFromByteArray<OldStatus>(new))
     }
 
-    private fun saved(r: JobRecord, shelves: Map<Int, Long> = emptyMap()) =
-        transactionOf(7, Store(listOf(SaveJob(r.spec.id, 3, r, emptyList(), 1, false, shelves)))).puts.associate {
+    private fun saved(r: JobRecord, parts: Map<Int, Long> = emptyMap()) =
+        transactionOf(7, StoreChanges(listOf(UpdateJobRecord(r.spec.id, 3, r, emptyList(), 1, false, parts)))).puts.associate {
             it.key to
                 Cbor.decodeMap(Cbor.encode(it.value))
         }
@@ -136,35 +136,35 @@
     fun `a job that may run is stored so that it reads all of it, and loses nothing that a rule needs`() {
         val r =
             JobRecord(
-                job("a", tasks = 9), 5.seconds, 3, bits(1), listOf(Intent(2, 3, "i-1")), emptyList(),
-                ready =
+                job("a", tasks = 9), 5.seconds, 3, bits(1), listOf(StoredPlacement(2, 3, "i-1")), emptyList(),
+                dependenciesDoneAt =
                     7
                         .seconds,
             )
         val seen = OldVersion.reads(saved(r).getValue(Keys.job("a")))
-        val back = StoredJob(state).read("a", OldVersion.rewrites(Put(Keys.job("a"), checkNotNull(seen))).value)
+        val back = JobRecordReader(state).read("a", OldVersion.rewrites(Put(Keys.job("a"), checkNotNull(seen))).value)
         // Only when it became ready is lost, which orders work.
-        assertEquals(r.copy(ready = null), back)
-        assertEquals(r, StoredJob(state).read("a", saved(r).getValue(Keys.job("a"))))
+        assertEquals(r.copy(dependenciesDoneAt = null), back)
+        assertEquals(r, JobRecordReader(state).read("a", saved(r).getValue(Keys.job("a"))))
     }
 
     @Test
     fun `a job that waits, or has places or words stored apart, is unreadable to it, so it neither starts nor rewrites it`() {
         val waiting = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), listOf("b"))
         assertNull(OldVersion.reads(RecordWire.encode(waiting)))
-        val shelved =
+        val placementParts =
             JobRecord(
-                job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(Intent(1, 1, "i-1")),
-                shelved =
+                job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
+                placementParts =
                     mapOf(
-                        0 to listOf(Intent(2, 3, "i-2")),
+                        0 to listOf(StoredPlacement(2, 3, "i-2")),
                     ),
             )
-        val puts = saved(shelved, mapOf(0 to 1L))
+        val puts = saved(placementParts, mapOf(0 to 1L))
         assertNull(OldVersion.reads(puts.getValue(Keys.job("a"))))
         state.transact(emptyMap(), puts.map { Put(it.key, it.value) }, emptyList())
-        assertEquals(shelved, StoredJob(state).read("a", puts.getValue(Keys.job("a"))))
-        assertNull(OldVersion.reads(RecordWire.encode(waiting.copy(needs = emptyList(), pieces = 2))))
+        assertEquals(placementParts, JobRecordReader(state).read("a", puts.getValue(Keys.job("a"))))
+        assertNull(OldVersion.reads(RecordWire.encode(waiting.copy(dependencies = emptyList(), descriptionParts = 2))))
     }
 
     @Test
--- a/src/test/kotlin/glenspool/wire/WireTest.kt
+++ b/src/test/kotlin/glenspool/wire/WireTest.kt
@@ -5,20 +5,20 @@
 import glenspool.core.ForgetCause
 import glenspool.core.StartCause
 import glenspool.core.StopCause
-import glenspool.core.model.Exit
+import glenspool.core.model.ExitReason
 import glenspool.core.model.ForgetTask
-import glenspool.core.model.Intent
+import glenspool.core.model.Heartbeat
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.Priority
-import glenspool.core.model.Report
-import glenspool.core.model.ReportedTask
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
+import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
-import glenspool.standin.StateStandIn
-import glenspool.state.StoredJob
+import glenspool.core.model.TaskStatus
+import glenspool.simulation.InMemoryStore
+import glenspool.state.JobRecordReader
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -52,21 +52,21 @@
     fun `a report that is encoded here is decoded as it was`() {
         val tasks =
             TaskState.entries.map {
-                ReportedTask(
+                TaskStatus(
                     TaskKey("run-1", it.ordinal), 3, it,
                     if (it ==
                         TaskState.EXITED
                     ) {
-                        Exit.NO_ROOM
+                        ExitReason.INSUFFICIENT_RESOURCES
                     } else {
                         null
                     },
                     false,
                 )
             }
-        for (notice in listOf(null, 7.5.seconds)) {
-            val r = Report("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, notice, tasks)
-            assertEquals(r, WorkerWire.decodeReport(Cbor.decodeMap(Cbor.encode(WorkerWire.encode(r)))))
+        for (preemptionNotice in listOf(null, 7.5.seconds)) {
+            val r = Heartbeat("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, preemptionNotice, tasks)
+            assertEquals(r, WorkerWire.decodeHeartbeat(Cbor.decodeMap(Cbor.encode(WorkerWire.encode(r)))))
         }
     }
 
@@ -133,7 +133,7 @@
     @Test
     fun `a report reads as in the protocol`() {
         val r =
-            WorkerWire.decodeReport(
+            WorkerWire.decodeHeartbeat(
                 outside(
                     """{"spindle":"i-000231","addr":"10.1.0.232:9000","frame":"g8","hall":"a","loaners":true,
                  "shift":1,"stitch":88,"baton":41,"recall_s":null,
@@ -142,11 +142,11 @@
                           {"thread":"run-000398/1","try":1,"stage":"ended","cause":"stopped","stored":true}]}""",
                 ),
             )
-        assertEquals(1L to 88L, r.session to r.seq)
+        assertEquals(1L to 88L, r.incarnation to r.sequence)
         assertEquals(TaskKey("run-000412", 3), r.tasks[0].key)
         assertEquals(TaskState.RUNNING, r.tasks[0].state)
-        assertEquals(Exit.DONE, r.tasks[1].exit)
-        assertEquals(true, r.tasks[2].saved)
+        assertEquals(ExitReason.DONE, r.tasks[1].exit)
+        assertEquals(true, r.tasks[2].checkpointed)
     }
 
     @Test
@@ -168,15 +168,15 @@
     fun `a transaction writes as in the protocol`() {
         assertSays(
             """{"guards":[{"key":"a/b","mark":0}],"apply":[{"set":"a/b","data":{"x":1},"tenure":7},{"remove":"c/d"}]}""",
-            StateWire.transaction(mapOf("a/b" to 0L), listOf(Triple("a/b", mapOf("x" to 1L), 7L)), listOf("c/d")),
+            StoreWire.transaction(mapOf("a/b" to 0L), listOf(Triple("a/b", mapOf("x" to 1L), 7L)), listOf("c/d")),
         )
         assertSays(
             """{"guards":[{"key":"a","mark":3}]}""",
-            StateWire
+            StoreWire
                 .transaction(mapOf("a" to 3L), emptyList(), emptyList()),
         )
         val changes =
-            StateWire
+            StoreWire
                 .changes(outside("""{"ledger":433,"log":[{"set":"c/9","data":{},"mark":433},{"remove":"c/d","mark":432}]}"""))
         assertEquals(listOf("c/9", "c/d"), changes.map { it.key })
         assertNull(changes[1].value)
@@ -196,7 +196,7 @@
                 set(15)
             }
         val r =
-            JobRecord(JobWire.decode(outside(job)), 1234.seconds, 9, done, listOf(Intent(1, 8, "i-1"), Intent(2, 9, "i-1"), Intent(3, 9, "i-2")))
-        assertEquals(r, StoredJob(StateStandIn()).read(r.spec.id, Cbor.decodeMap(Cbor.encode(RecordWire.encode(r)))))
+            JobRecord(JobWire.decode(outside(job)), 1234.seconds, 9, done, listOf(StoredPlacement(1, 8, "i-1"), StoredPlacement(2, 9, "i-1"), StoredPlacement(3, 9, "i-2")))
+        assertEquals(r, JobRecordReader(InMemoryStore()).read(r.spec.id, Cbor.decodeMap(Cbor.encode(RecordWire.encode(r)))))
     }
 }
