--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -387,7 +387,7 @@
      * The pieces of a description are conditions of the transaction that accepts the job, and it takes only so many.
      */
     private fun tooLong(r: JobRecord): Fault? {
-        if (r.spec.recordBytes >
+        if (r.spec.maxRecordBytes >
             settings.storeLimits.now.valueBytes / 2
         ) {
             return Fault(Status.BAD_REQUEST, "the job's description is too long")
@@ -428,7 +428,7 @@
         val fits =
             known.any { t ->
                 (spec.types == null || t.name in spec.types) &&
-                    spec.resourceRequest.fits(t.capacity) &&
+                    spec.resourceRequest.fitsIn(t.capacity) &&
                     (spec.zone == null || spec.zone in t.zones || spec.zone in settings.zones)
             }
         return if (fits) null else fault("no allowed machine type is large enough")
--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -121,7 +121,7 @@
         val engine = RecoveryEngine(RecoveryPolicy(), setting, 2, Duration.ZERO, StartKind.COLD)
         val fleet = WarmUpFleet(config, engine.hooks)
         repeat(RECOVERY_TURNS) {
-            fleet.turn()
+            fleet.runTurn()
             engine.tick(fleet.now).forEach { it.toString() }
         }
         engine.snapshot?.let { RecoveryReplies.differences(it) }
--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -118,8 +118,8 @@
                             .FinalStatesRead(a.jobs, readEnds(a.jobs), term),
                     )
                 }
-            is Resign -> call({ log.warn("could not resign") }) { leadership.resign(a.why, standBack) }
-            is LogMessage -> if (a.important) log.info(a.text) else log.debug(a.text)
+            is Resign -> call({ log.warn("could not resign") }) { leadership.resign(a.reason, standBack) }
+            is LogMessage -> if (a.isImportant) log.info(a.text) else log.debug(a.text)
             is StoreChanges -> if (!writer.offer(term, a)) post(Event.StoreEnded(StoreOutcome.Unknown, term))
         }
     }
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -52,7 +52,7 @@
     private val recoveries: () -> RecoveryManager? = { null },
 ) : AutoCloseable {
     /** What the core is told of the deployment. */
-    val config = schedulerConfig(settings, tuning, notes = log.isDebugEnabled)
+    val config = schedulerConfig(settings, tuning, logsDetails = log.isDebugEnabled)
 
     private class LeadershipTerm(val term: Term, val scheduler: Scheduler, val recovery: RecoveryEngine?)
 
@@ -309,12 +309,12 @@
 }
 
 /** What a core is told of the deployment that [settings] describe. */
-internal fun schedulerConfig(settings: Settings, tuning: Tuning, notes: Boolean = false) =
+internal fun schedulerConfig(settings: Settings, tuning: Tuning, logsDetails: Boolean = false) =
     SchedulerConfig(
         settings.teams, settings.objectives, settings.zones,
         settings.workers.heartbeatInterval, settings.workers.lease, settings.workers.gangWait, settings.workers.gangPeer, settings.workers.cancellationDeadline,
         settings.cloudLimits.listLag, settings.storeLimits.safe.txnOps, settings.storeLimits.safe.writeRps,
-        settings.storeLimits.safe.valueBytes, tuning, settings.members.map { it.zone }.toSet() - settings.zone, notes,
+        settings.storeLimits.safe.valueBytes, tuning, settings.members.map { it.zone }.toSet() - settings.zone, logsDetails,
     )
 
 /** The time of day, as a span since the epoch. */
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -249,7 +249,7 @@
             leadership.recordedLeader(),
             recovery != null,
             loop.orderCounts?.snapshot()?.entries?.associate { (cause, number) ->
-                "${cause.kind.name.lowercase()}.${cause.label}" to
+                "${cause.qualifiedLabel}" to
                     number
             },
             recovery?.let { manager -> manager.snapshot()?.let(manager::describe) },
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -130,7 +130,7 @@
     }
 
     /** What a scheduler is given in a term in which nothing has to be recovered. */
-    val ordinaryHooks = SchedulerHooks(newWorkNeedsOwnReport = true)
+    val ordinaryHooks = SchedulerHooks(newWorkNeedsOwnHeartbeat = true)
 
     /** What the engine told at a tick; called by the core's thread. */
     fun noticed(notices: List<RecoveryNotice>) {
--- a/src/main/kotlin/glenspool/controller/Transaction.kt
+++ b/src/main/kotlin/glenspool/controller/Transaction.kt
@@ -54,7 +54,7 @@
             is StoreFinalState -> {
                 // Done and cancelled exclude each other: a cancellation is stored only while no final state is.
                 conditions[Keys.cancel(w.id)] = w.cancelVersion ?: 0
-                puts.add(Put(Keys.final(w.id), FinalWire.encode(w.end, w.tasks, w.abortedBy)))
+                puts.add(Put(Keys.final(w.id), FinalWire.encode(w.finalState, w.tasks, w.abortedBy)))
                 removes.add(Keys.job(w.id))
                 if (w.cancelVersion != null) removes.add(Keys.cancel(w.id))
             }
--- a/src/main/kotlin/glenspool/controller/WarmUp.kt
+++ b/src/main/kotlin/glenspool/controller/WarmUp.kt
@@ -44,7 +44,7 @@
         repeat(TURNS) {
             if (leads()) return
             val slice = TimeSource.Monotonic.markNow()
-            fleet.turn()
+            fleet.runTurn()
             outside(fleet)
             repeat(ASKS_A_TURN) { if (asks) asks = ask(fleet) }
             worked += slice.elapsedNow()
--- a/src/main/kotlin/glenspool/core/WarmUpFleet.kt
+++ b/src/main/kotlin/glenspool/core/WarmUpFleet.kt
@@ -23,136 +23,163 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A made-up fleet that a [Scheduler] of its own leads: it gets places, starts, reports, results, cancellations and
- * lists, in made-up time. Nothing of it leaves this object. It is there to run the code that a leader runs (see
+ * A simulated fleet with a [Scheduler] of its own: placements, starts, heartbeats, results, cancellations and lists, in
+ * simulated time. Nothing of it leaves this object. It is there to run the code that a leader runs (see
  * `controller.WarmUp`).
  */
 class WarmUpFleet(config: SchedulerConfig, hooks: SchedulerHooks = SchedulerHooks()) {
-    private class Standing(val attempt: Long, var left: Int)
+    private class SimulatedTask(val attempt: Long, var turnsLeft: Int)
 
     private val team = config.teams.maxByOrNull { it.gpusMax ?: Double.MAX_VALUE }?.name ?: ""
     private val zone = config.zones.first()
     private val type = MachineType("any", Resources(8.0, 4.0, 64.0), 100.0, 1.0, 8.0, 2.0, 20.seconds, config.zones)
-    private val core = Scheduler(config.copy(peerZones = emptySet(), notes = false), 1, Duration.ZERO, hooks)
+    private val scheduler =
+        Scheduler(config.copy(peerZones = emptySet(), logsDetails = false), 1, Duration.ZERO, hooks)
     private val sequences = LongArray(MACHINES)
-    private val tasks = List(MACHINES) { LinkedHashMap<TaskKey, Standing>() }
+    private val tasks = List(MACHINES) { LinkedHashMap<TaskKey, SimulatedTask>() }
 
-    /** The made-up time. */
+    /** The simulated time. */
     var now = Duration.ZERO
         private set
     private var revision = 1L
-    private var jobs = 0
+    private var jobCount = 0
 
-    /** What the code outside the core is rehearsed with. */
+    /** The last messages, to warm up the code outside the scheduler with. */
     var lastHeartbeat: Heartbeat = heartbeat(0)
         private set
     var lastStore: StoreChanges? = null
         private set
 
-    /** Tasks that were started, and jobs that came to their end, so far. */
+    /** Tasks that were started, and jobs whose final state was stored, so far. */
     var started = 0
         private set
     var ended = 0
         private set
 
     /** Jobs that are not over. */
-    val open: Int get() = core.jobs.size
+    val openJobs: Int get() = scheduler.jobs.size
 
     init {
         step { machineTypesKnown(listOf(type)) }
     }
 
-    /** A moment of a leader's life: every machine reports, a few jobs come, one is cancelled. */
-    fun turn() {
-        now += 250.milliseconds
+    /** One turn of a leader's life: a job comes, one may be cancelled, every machine sends a heartbeat, time passes. */
+    fun runTurn() {
+        now += TURN
         submit()
-        if (jobs % 5 == 0) step { jobCancelled("job-${jobs - 2}", ++revision, now) }
-        for (m in 0 until MACHINES) {
-            now += 1.milliseconds
-            tasks[m].values.forEach { it.left-- }
-            lastHeartbeat = heartbeat(m)
-            var commands = emptyList<Command>()
-            step { commands = heartbeatReceived(lastHeartbeat) }
-            commands.forEach { carryOut(m, it) }
-        }
+        if (jobCount % JOBS_PER_CANCELLATION == 0) step { jobCancelled("job-${jobCount - 2}", ++revision, now) }
+        for (machine in 0 until MACHINES) sendHeartbeat(machine)
         step { tick() }
-        if (jobs % 8 ==
-            0
-        ) {
-            step {
-                machinesListed(
-                    (0 until MACHINES).map {
-                        ListedMachine("m$it", "m$it:1", type.name, zone, false, MachineStage.RUNNING, now)
-                    },
-                )
-            }
-        }
+        if (jobCount % JOBS_PER_LIST == 0) step { machinesListed(List(MACHINES, ::listed)) }
+    }
+
+    private fun listed(machine: Int) = ListedMachine("m$machine", "m$machine:1", type.name, zone, false, MachineStage.RUNNING, now)
+
+    private fun sendHeartbeat(machine: Int) {
+        now += 1.milliseconds
+        tasks[machine].values.forEach { it.turnsLeft-- }
+        lastHeartbeat = heartbeat(machine)
+        var commands = emptyList<Command>()
+        step { commands = heartbeatReceived(lastHeartbeat) }
+        commands.forEach { execute(machine, it) }
     }
 
     private fun submit() {
-        val kind = if (jobs % 4 == 3) JobKind.GANG else JobKind.ARRAY
         val spec =
             JobSpec(
-                "job-${jobs++}", "any", team, kind, Priority.STANDARD, 1 + jobs % 3, Resources(1.0, 1.0, 4.0), "img-${jobs % 3}", 1.0,
-                null, null, false, false, true, 3.seconds, Duration.ZERO, Duration.ZERO, 30.seconds,
+                id = "job-${jobCount++}",
+                jobClass = "any",
+                team = team,
+                kind = if (jobCount % JOBS_PER_GANG == 0) JobKind.GANG else JobKind.ARRAY,
+                priority = Priority.STANDARD,
+                tasks = 1 + jobCount % MAX_TASKS,
+                resourceRequest = Resources(1.0, 1.0, 4.0),
+                image = "img-${jobCount % IMAGES}",
+                imageGb = 1.0,
+                types = null,
+                zone = null,
+                sameZone = false,
+                spread = false,
+                spot = true,
+                estimatedDuration = 3.seconds,
+                checkpointInterval = Duration.ZERO,
+                checkpointDuration = Duration.ZERO,
+                deadline = 30.seconds,
             )
         step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
     }
 
-    private fun heartbeat(m: Int): Heartbeat =
+    private fun heartbeat(machine: Int): Heartbeat =
         Heartbeat(
-            "m$m", "m$m:1", type.name, zone, false, 1, ++sequences[m], core.token, null,
-            tasks[m].entries.map { (k, s) ->
-                if (s.left >
-                    0
-                ) {
-                    TaskStatus(k, s.attempt, TaskState.RUNNING, null, false)
-                } else {
-                    TaskStatus(k, s.attempt, TaskState.EXITED, ExitReason.DONE, false)
-                }
-            },
+            machine = "m$machine",
+            addr = "m$machine:1",
+            type = type.name,
+            zone = zone,
+            spot = false,
+            incarnation = 1,
+            sequence = ++sequences[machine],
+            token = scheduler.token,
+            preemptionNotice = null,
+            tasks = tasks[machine].entries.map { (key, task) -> status(key, task) },
         )
 
-    private fun carryOut(m: Int, c: Command) {
-        when (c) {
-            is StartTask -> if (tasks[m].putIfAbsent(c.key, Standing(c.attempt, TURNS_A_TASK)) == null) started++
-            is StopTask -> tasks[m][c.key]?.left = 0
-            is ForgetTask -> tasks[m].remove(c.key)
+    private fun status(key: TaskKey, task: SimulatedTask): TaskStatus {
+        val isRunning = task.turnsLeft > 0
+        val state = if (isRunning) TaskState.RUNNING else TaskState.EXITED
+        return TaskStatus(key, task.attempt, state, if (isRunning) null else ExitReason.DONE, false)
+    }
+
+    private fun execute(machine: Int, command: Command) {
+        val onMachine = tasks[machine]
+        when (command) {
+            is StartTask -> {
+                val task = SimulatedTask(command.attempt, TURNS_PER_TASK)
+                if (onMachine.putIfAbsent(command.key, task) == null) started++
+            }
+            is StopTask -> onMachine[command.key]?.turnsLeft = 0
+            is ForgetTask -> onMachine.remove(command.key)
         }
     }
 
-    /** What the core wants is answered at once, as by a world without troubles. */
+    /** Every action is answered at once, as without any faults. */
     private fun step(event: Scheduler.() -> Unit) {
-        val open = ArrayDeque(core.step(now, now, event))
-        var left = MOST_ANSWERS
-        while (open.isNotEmpty() && left-- > 0) {
-            val a = open.removeFirst()
-            open.addAll(
-                when (a) {
-                    is StoreChanges -> {
-                        lastStore = a
-                        ended += a.writes.count { it is StoreFinalState }
-                        core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) }
-                    }
-                    is SendCommands -> {
-                        val m = a.machine.drop(1).toInt()
-                        a.commands.forEach { carryOut(m, it) }
-                        core.step(now, now) { commandsEnded(a.machine, a, CommandOutcome.DONE, heartbeat(m)) }
-                    }
-                    is ScaleOut -> core.step(now, now) { scaleOutRefused(a) }
-                    is DeleteMachines -> core.step(now, now) { deletionEnded(a.machines, false) }
-                    is Probe -> core.step(now, now) { probeEnded(a.machine, null, false) }
-                    is ReadFinalStates -> core.step(now, now) { finalStatesRead(a.jobs, emptyMap()) }
-                    is AdvanceFencingToken -> core.step(now, now) { fencingTokenAdvanced(null) }
-                    is Resign, is StoreImageLocations, is LogMessage -> emptyList()
-                },
-            )
+        val open = ArrayDeque(scheduler.step(now, now, event))
+        var answersLeft = MAX_ANSWERS
+        while (open.isNotEmpty() && answersLeft-- > 0) {
+            val answer = answerTo(open.removeFirst()) ?: continue
+            open.addAll(scheduler.step(now, now, answer))
         }
     }
 
+    private fun answerTo(action: Action): (Scheduler.() -> Unit)? =
+        when (action) {
+            is StoreChanges -> {
+                lastStore = action
+                ended += action.writes.count { it is StoreFinalState }
+                ({ storeEnded(StoreOutcome.Stored(++revision)) })
+            }
+            is SendCommands -> {
+                val machine = action.machine.drop(1).toInt()
+                action.commands.forEach { execute(machine, it) }
+                ({ commandsEnded(action.machine, action, CommandOutcome.DONE, heartbeat(machine)) })
+            }
+            is ScaleOut -> ({ scaleOutRefused(action) })
+            is DeleteMachines -> ({ deletionEnded(action.machines, false) })
+            is Probe -> ({ probeEnded(action.machine, null, false) })
+            is ReadFinalStates -> ({ finalStatesRead(action.jobs, emptyMap()) })
+            is AdvanceFencingToken -> ({ fencingTokenAdvanced(null) })
+            is Resign, is StoreImageLocations, is LogMessage -> null
+        }
+
     private companion object {
         const val MACHINES = 12
-        const val TURNS_A_TASK = 4
-        const val MOST_ANSWERS = 50
+        val TURN = 250.milliseconds
+        const val TURNS_PER_TASK = 4
+        const val MAX_ANSWERS = 50
+        const val JOBS_PER_CANCELLATION = 5
+        const val JOBS_PER_GANG = 4
+        const val JOBS_PER_LIST = 8
+        const val MAX_TASKS = 3
+        const val IMAGES = 3
     }
 }
--- a/src/main/kotlin/glenspool/core/WorkCounters.kt
+++ b/src/main/kotlin/glenspool/core/WorkCounters.kt
@@ -1,7 +1,7 @@
 package glenspool.core
 
 /**
- * What the core has done so far, as counts. Processor time can't be asserted in a test, and differs from machine to
+ * Counts of what the scheduler has done so far. Processor time can't be asserted in a test, and differs from machine to
  * machine; these can, and show whether the work of an event grows with the fleet.
  */
 class WorkCounters {
@@ -13,6 +13,8 @@
 
     /** Machines looked at for commands to send. */
     var commandScans = 0L
+
+    /** Placement rounds. */
     var rounds = 0L
 
     val total: Long get() = placementScores + storeScans + commandScans
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -1,158 +1,171 @@
 package glenspool.core.cluster
 
 import glenspool.core.CommandOutcome
+import glenspool.core.OverloadMonitor
 import glenspool.core.ProposedOrder
-import glenspool.core.Scheduler
+import glenspool.core.SchedulingContext
 import glenspool.core.SendCommands
 import glenspool.core.StopCause
+import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
 import glenspool.core.lifecycle.PlacementStage
 import glenspool.core.model.Command
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
-import glenspool.core.model.asWorkersSeeIt
+import glenspool.core.model.withoutCause
+import glenspool.core.placement.DeadlinePolicy
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/**
- * Commands on their way to machines: one request to a machine at a time, and only machines with commands are looked at.
- */
-class CommandQueue(private val core: Scheduler) {
-    private val pending = LinkedHashSet<Machine>()
+/** Commands on their way to machines: one request to a machine at a time; only machines with commands are looked at. */
+class CommandQueue(
+    private val context: SchedulingContext,
+    private val cluster: ClusterState,
+    private val deadlines: DeadlinePolicy,
+    private val overload: OverloadMonitor,
+) {
+    private val machinesWithCommands = LinkedHashSet<Machine>()
+    private val machinesWithUnconfirmedStarts = LinkedHashSet<Machine>()
 
-    /** Machines with a start that may still be carried out. */
-    private val unconfirmedStarts = LinkedHashSet<Machine>()
+    /** Whether starts had to wait at the last [flush]: the most urgent go first then. */
+    private var wereStartsHeld = false
 
-    fun add(m: Machine, c: Command) {
-        m.pendingCommands.add(c)
-        pending.add(m)
+    /** Lets a command wait for the next request to the machine. */
+    fun add(machine: Machine, command: Command) {
+        machine.requests.add(command)
+        machinesWithCommands.add(machine)
     }
 
-    fun stop(p: Placement, cause: StopCause, grace: Duration) {
-        if (p.stop != null && !(cause == StopCause.CANCELLED && p.stop != StopCause.CANCELLED)) return
-        p.stop = cause
-        core.note {
-            "stop task=${p.key.job}/${p.task} attempt=${p.attempt} machine=${p.machine} reason=$cause grace=$grace"
-        }
-        p.stopGrace = grace
-        p.stopSent = null
-        val m = core.machines[p.machine] ?: return
-        if (p.step == PlacementStage.PLANNED) return
-        add(m, StopTask(p.key, p.attempt, grace, cause))
-        p.stopSent = core.now
+    /** Stops a task. A cancellation overrides any other cause; otherwise the first one stands. */
+    fun stop(placement: Placement, cause: StopCause, grace: Duration) {
+        val overrides = cause == StopCause.CANCELLED && placement.stopCause != StopCause.CANCELLED
+        if (placement.stopCause != null && !overrides) return
+        context.log { "stop task=$placement machine=${placement.machine} reason=$cause grace=$grace" }
+        placement.stopRequested(cause, grace)
+        val machine = cluster.machines[placement.machine] ?: return
+        if (placement.stage == PlacementStage.PLANNED) return
+        add(machine, StopTask(placement.key, placement.attempt, grace, cause))
+        placement.stopSent(context.now)
     }
 
-    /** Whether starts had to wait at the last [flush]: the most urgent go first then. */
-    private var startsHeld = false
-
+    /** Sends what may be sent now. */
     fun flush() {
-        if (pending.isEmpty()) return
-        val machines = if (startsHeld) pending.sortedWith(byUrgency) else pending.toList()
-        startsHeld = false
-        for (m in machines) {
-            core.workCounters.commandScans++
-            if (m.pendingCommands.isEmpty() || m.isDeleting) {
-                pending.remove(m)
-            } else if (!m.requestInFlight && m.addr.isNotEmpty() && m.trusted && core.now >= m.nextRequestAt) {
-                sendCommands(m)
+        if (machinesWithCommands.isEmpty()) return
+        val machines =
+            if (wereStartsHeld) machinesWithCommands.sortedWith(byUrgency) else machinesWithCommands.toList()
+        wereStartsHeld = false
+        for (machine in machines) {
+            context.workCounters.commandScans++
+            if (machine.requests.pendingCommands.isEmpty() || machine.isDeleting) {
+                machinesWithCommands.remove(machine)
+            } else if (mayBeSent(machine)) {
+                sendPending(machine)
             }
         }
     }
 
-    private fun sendCommands(m: Machine) {
-        val commands = takeCommands(m)
+    private fun mayBeSent(machine: Machine): Boolean {
+        val requests = machine.requests
+        val isAddressed = machine.addr.isNotEmpty() && machine.isTrusted
+        return !requests.isInFlight && isAddressed && context.now >= requests.nextRequestAt
+    }
+
+    private fun sendPending(machine: Machine) {
+        val commands = takeCommands(machine)
         // What is held back goes out as soon as it may.
-        if (m.pendingCommands.isEmpty()) pending.remove(m) else startsHeld = true
-        if (commands.isNotEmpty()) send(m, commands)
+        if (machine.requests.pendingCommands.isEmpty()) {
+            machinesWithCommands.remove(machine)
+        } else {
+            wereStartsHeld = true
+        }
+        if (commands.isNotEmpty()) send(machine, commands)
     }
 
-    /**
-     * By the most urgent job that waits for a start there: highest priority, then the one that has to start first;
-     * hopeless ones last.
-     */
+    /** By the most urgent job that waits for a start there: highest priority, then the one that has to start first. */
     private val byUrgency =
-        compareByDescending<Machine> { m ->
-            waitingJobs(m).maxOfOrNull { it.effectivePriority }
-        }.thenBy { m -> waitingJobs(m).minOfOrNull(core::order) }
+        compareByDescending<Machine> { machine ->
+            jobsWithPendingStarts(machine).maxOfOrNull { it.effectivePriority }
+        }.thenBy { machine -> jobsWithPendingStarts(machine).minOfOrNull { deadlines.latestStart(it) } }
 
-    private fun waitingJobs(m: Machine) = m.pendingCommands.filterIsInstance<StartTask>().mapNotNull { core.jobs[it.key.job] }
+    private fun jobsWithPendingStarts(machine: Machine): List<Job> =
+        machine.requests.pendingCommands
+            .filterIsInstance<StartTask>()
+            .mapNotNull { cluster.jobs[it.key.job] }
 
     /** The machine's commands that are still wanted and may be sent now; starts that have to wait stay with it. */
-    private fun takeCommands(m: Machine): List<Command> {
+    private fun takeCommands(machine: Machine): List<Command> {
+        val wanted = withoutRepeats(machine.requests.pendingCommands.filter { isStillWanted(machine, it) })
         val (admitted, held) =
-            withoutRepeats(m.pendingCommands.filter { stillWanted(m, it) })
-                .partition { it !is StartTask || core.hooks.gate.admits(ProposedOrder(it.cause, m.id, it.key)) }
-        m.pendingCommands.clear()
-        m.pendingCommands.addAll(held)
-        admitted.filterIsInstance<StartTask>().forEach { started(m, it) }
+            wanted.partition { command ->
+                command !is StartTask || context.hooks.gate.admits(ProposedOrder(command.cause, machine.id, command.key))
+            }
+        machine.requests.replacePending(held)
+        admitted.filterIsInstance<StartTask>().forEach { startSent(machine, it) }
         return admitted
     }
 
-    private fun withoutRepeats(commands: List<Command>) =
-        if (commands.size >
-            1
-        ) {
-            commands.distinctBy { it.asWorkersSeeIt() }
-        } else {
-            commands
-        }
+    private fun withoutRepeats(commands: List<Command>) = if (commands.size > 1) commands.distinctBy { it.withoutCause() } else commands
 
-    private fun stillWanted(m: Machine, c: Command): Boolean {
-        if (c !is StartTask) return true
-        val p = m.placements[c.key]
-        return p != null && p.attempt == c.attempt && p.step != PlacementStage.PLANNED && p.stop == null
+    private fun isStillWanted(machine: Machine, command: Command): Boolean {
+        if (command !is StartTask) return true
+        val placement = machine.placements[command.key] ?: return false
+        val isStored = placement.stage != PlacementStage.PLANNED
+        return placement.attempt == command.attempt && isStored && placement.stopCause == null
     }
 
-    private fun started(m: Machine, c: StartTask) {
-        m.unconfirmedStarts.add(UnconfirmedStart(c.key, c.attempt, core.token, m.incarnation, core.now))
-        unconfirmedStarts.add(m)
-        m.placements[c.key]?.startSent = core.now
+    private fun startSent(machine: Machine, start: StartTask) {
+        val unconfirmed =
+            UnconfirmedStart(start.key, start.attempt, context.token, machine.incarnation, context.now)
+        machine.requests.startSent(unconfirmed)
+        machinesWithUnconfirmedStarts.add(machine)
+        machine.placements[start.key]?.startSent(context.now)
     }
 
-    fun send(m: Machine, commands: List<Command>) {
-        m.requestSentAt = core.now
-        m.requestInFlight = true
-        commands.forEach { core.orderCounts.add(it.cause) }
-        core.act(SendCommands(m.id, m.addr, core.token, m.incarnation, commands))
+    /** Sends commands at once; with none, the request tells the worker the leader's token. */
+    fun send(machine: Machine, commands: List<Command>) {
+        machine.requests.sent(context.now)
+        context.countOrders(commands)
+        context.act(SendCommands(machine.id, machine.addr, context.token, machine.incarnation, commands))
     }
 
-    fun ended(m: Machine, sent: SendCommands, outcome: CommandOutcome) {
-        m.requestInFlight = false
+    /** A request to the machine has ended. */
+    fun ended(machine: Machine, request: SendCommands, outcome: CommandOutcome) {
+        val requests = machine.requests
+        requests.ended()
         when (outcome) {
-            CommandOutcome.DONE -> m.markReachable(core.now)
-            CommandOutcome.REFUSED -> m.markReachable(core.now)
-            CommandOutcome.NOT_SENT, CommandOutcome.UNKNOWN -> if (!core.overloaded) m.markUnreachable(m.requestSentAt ?: core.now)
+            CommandOutcome.DONE, CommandOutcome.REFUSED -> machine.reachability.reached(context.now)
+            CommandOutcome.NOT_SENT, CommandOutcome.UNKNOWN -> noteNoAnswer(machine)
             CommandOutcome.NOT_TRIED -> Unit
         }
         if (outcome == CommandOutcome.UNKNOWN) {
-            m.nextRequestAt = core.now + 1.seconds
+            requests.pauseUntil(context.now + PAUSE_AFTER_NO_ANSWER)
             return
         }
-        m.unconfirmedStarts.removeIf { l -> l.token == sent.token && l.incarnation == sent.incarnation && l.since == m.requestSentAt }
+        requests.confirmLastRequest(request.token, request.incarnation)
         if (outcome == CommandOutcome.DONE) return
-        m.nextRequestAt = core.now + 500.milliseconds
-        for (c in sent.commands) {
-            if (c is StartTask) {
-                m.placements[c.key]?.let {
-                    if (it.attempt == c.attempt &&
-                        it.step == PlacementStage.STORED
-                    ) {
-                        it.startSent = null
-                    }
-                }
-            }
-        }
+        requests.pauseUntil(context.now + PAUSE_AFTER_REFUSAL)
+        request.commands.filterIsInstance<StartTask>().forEach { startNotCarriedOut(machine, it) }
+    }
+
+    private fun noteNoAnswer(machine: Machine) {
+        if (!overload.isOverloaded) machine.reachability.unanswered(machine.requests.sentAt ?: context.now)
+    }
+
+    private fun startNotCarriedOut(machine: Machine, start: StartTask) {
+        val placement = machine.placements[start.key] ?: return
+        if (placement.attempt == start.attempt && placement.stage == PlacementStage.STORED) placement.startNotSent()
     }
 
-    /** Whether a start has been without an answer for so long that the token should be raised. */
+    /** Whether a start has been without an answer for so long that the fencing token should be advanced. */
     fun hasStaleStart(): Boolean {
-        val each = unconfirmedStarts.iterator()
-        while (each.hasNext()) {
-            val m = each.next()
-            if (m.unconfirmedStarts.isEmpty() || m.id !in core.machines) {
-                each.remove()
-            } else if (m.unconfirmedStarts.any { core.now - it.since > LOOSE_PATIENCE }) {
+        val remaining = machinesWithUnconfirmedStarts.iterator()
+        while (remaining.hasNext()) {
+            val machine = remaining.next()
+            val starts = machine.requests.unconfirmedStarts
+            if (starts.isEmpty() || machine.id !in cluster.machines) {
+                remaining.remove()
+            } else if (starts.any { context.now - it.since > START_TIMEOUT }) {
                 return true
             }
         }
@@ -160,6 +173,8 @@
     }
 
     private companion object {
-        val LOOSE_PATIENCE = 1.seconds
+        val START_TIMEOUT = 1.seconds
+        val PAUSE_AFTER_NO_ANSWER = 1.seconds
+        val PAUSE_AFTER_REFUSAL = 500.milliseconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatAnswer.kt
@@ -0,0 +1,79 @@
+package glenspool.core.cluster
+
+import glenspool.core.ForgetCause
+import glenspool.core.ProposedOrder
+import glenspool.core.SchedulingContext
+import glenspool.core.StopCause
+import glenspool.core.lifecycle.Job
+import glenspool.core.lifecycle.Placement
+import glenspool.core.model.Command
+import glenspool.core.model.ExitReason
+import glenspool.core.model.ForgetTask
+import glenspool.core.model.JobKind
+import glenspool.core.model.StopTask
+import glenspool.core.model.TaskKey
+import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
+import kotlin.time.Duration
+
+/**
+ * What a worker is told in the answer to its heartbeat, besides the commands that are sent to it: repeated stops, stops
+ * of orphans, and which exited tasks it may forget.
+ */
+class HeartbeatAnswer(private val context: SchedulingContext, private val cluster: ClusterState) {
+    /** The commands for the machine, from the tasks that its newest heartbeat showed. */
+    fun commandsFor(machine: Machine): List<Command> {
+        if (machine.taskStatuses.isEmpty()) return emptyList()
+        val commands = machine.taskStatuses.mapNotNull { commandFor(machine, it) }
+        context.countOrders(commands)
+        return commands
+    }
+
+    private fun commandFor(machine: Machine, status: TaskStatus): Command? {
+        val job = cluster.jobs[status.key.job]
+        val placement = machine.placements[status.key]?.takeIf { it.attempt == status.attempt }
+        return when {
+            status.state == TaskState.EXITED -> forget(machine, job, status)
+            placement != null -> repeatedStop(placement, status)
+            else -> stopOrphan(machine, job, status)
+        }
+    }
+
+    private fun forget(machine: Machine, job: Job?, status: TaskStatus): ForgetTask? {
+        // A start still on its way would start the task again after this.
+        if (machine.requests.mayStillStart(status.key, status.attempt)) return null
+        val isDone = status.exit == ExitReason.DONE && job != null
+        if (isDone && isResultNeeded(job, status.key.task)) return null
+        val cause = if (isDone) ForgetCause.RECORDED else ForgetCause.NO_RESULT
+        return ForgetTask(status.key, status.attempt, cause)
+    }
+
+    /** The result is not known to be stored yet. */
+    private fun isResultNeeded(job: Job, task: Int): Boolean = !job.isFinished && job.spec.kind != JobKind.SERVICE && !job.storedDone[task]
+
+    private fun stopOrphan(machine: Machine, job: Job?, status: TaskStatus): StopTask? {
+        val cause =
+            when {
+                job == null -> StopCause.UNRECORDED
+                job.isCancelled -> StopCause.CANCELLED
+                else -> StopCause.ORPHANED
+            }
+        if (!mayStopOrphan(machine, status.key, cause)) return null
+        return StopTask(status.key, status.attempt, Duration.ZERO, cause)
+    }
+
+    private fun mayStopOrphan(machine: Machine, key: TaskKey, cause: StopCause): Boolean = cause == StopCause.CANCELLED || context.hooks.gate.admits(ProposedOrder(cause, machine.id, key))
+
+    /** A stop that should have been carried out by now. */
+    private fun repeatedStop(placement: Placement, status: TaskStatus): StopTask? {
+        val cause = placement.stopCause ?: return null
+        val sentAt = placement.stopSentAt ?: return null
+        val patience = context.config.heartbeatInterval * PATIENCE_INTERVALS
+        if (context.now - sentAt <= patience || status.state == TaskState.CHECKPOINTING) return null
+        return StopTask(status.key, status.attempt, placement.stopGrace, cause)
+    }
+
+    private companion object {
+        const val PATIENCE_INTERVALS = 0.7
+    }
+}
--- a/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
@@ -1,79 +1,89 @@
 package glenspool.core.cluster
 
-import glenspool.core.Scheduler
+import glenspool.core.SchedulingContext
 import glenspool.core.StoreImageLocations
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
+/** The images of machines with their sizes in GB, by machine and image. */
+typealias ImagesByMachine = Map<String, Map<String, Double>>
+
 /**
- * Word of which machine has which images, left for a later leader: a take-over would otherwise forget it, and every
- * task would fetch again. It is spread over as many parts as the fleet needs; one part is stored at a time, so the
- * hints never take more than a little of what the state service allows.
+ * Hints for a later leader: which machine has which images. A failover would otherwise forget it, and every task would
+ * fetch again. They are spread over several values, of which one is stored at a time, so that they never take more than
+ * a little of what the key-value store allows.
  */
-class ImageLocations(private val core: Scheduler) {
-    private var remembered: Map<String, Map<String, Double>> = emptyMap()
-    private val stored = HashMap<Int, Map<String, Map<String, Double>>>()
-    private var savedAt = core.now
-    private var next = 0
+class ImageLocations(private val context: SchedulingContext, private val cluster: ClusterState) {
+    /** What an earlier leader left. */
+    private var remembered: ImagesByMachine = emptyMap()
+    private val storedParts = HashMap<Int, ImagesByMachine>()
+    private var storedAt = context.now
+    private var nextPart = 0
 
-    fun remember(images: Map<String, Map<String, Double>>) {
+    /** Takes over what an earlier leader left. */
+    fun remember(images: ImagesByMachine) {
         remembered = images
-        for ((part, list) in images.entries.groupBy { partOf(it.key) }) {
-            stored[part] =
-                list.associate { it.key to it.value }
+        for ((part, entries) in images.entries.groupBy { partOf(it.key) }) {
+            storedParts[part] = entries.associate { it.key to it.value }
         }
     }
 
-    /** Taken over when a machine is first heard. */
-    fun hand(m: Machine) {
-        val cache = core.types[m.type]?.cacheGb ?: 0.0
-        remembered[m.id]?.forEach { (image, gb) -> m.sawImage(image, gb, cache) }
+    /** Gives a machine that is heard for the first time the images that it had for an earlier leader. */
+    fun restore(machine: Machine) {
+        val cacheGb = cluster.typeOf(machine)?.cacheGb ?: 0.0
+        remembered[machine.id]?.forEach { (image, gb) -> machine.imageCache.used(image, gb, cacheGb) }
     }
 
-    fun save(now: Duration) {
-        if (now - savedAt < PERIOD) return
-        val parts = HashMap<Int, LinkedHashMap<String, Map<String, Double>>>()
-        val room = HashMap<Int, Int>()
+    /** Stores the next part that has changed, now and then. */
+    fun storeChanges() {
+        if (context.now - storedAt < STORE_INTERVAL) return
+        val parts = currentParts()
+        for (offset in 0 until PARTS) {
+            val part = (nextPart + offset) % PARTS
+            val images = parts[part] ?: emptyMap()
+            if (images == storedParts[part].orEmpty()) continue
+            nextPart = part + 1
+            storedAt = context.now
+            storedParts[part] = images
+            context.act(StoreImageLocations(part, images))
+            return
+        }
+    }
 
-        fun put(id: String, images: Map<String, Double>) {
-            val part = partOf(id)
-            val left =
-                (room[part] ?: (core.config.valueBytes * 3 / 4)) - id.length - BYTES_PER_ENTRY -
-                    images.keys.sumOf { it.length + BYTES_PER_ENTRY }
-            if (images.isEmpty() || left < 0) return
-            room[part] = left
-            parts.getOrPut(part) { LinkedHashMap() }[id] = images.toMap()
+    private fun currentParts(): Map<Int, ImagesByMachine> {
+        val parts = PartBuilder(context.config.valueBytes * 3 / 4)
+        for (machine in cluster.machines.values) {
+            if (machine.isTrusted && !machine.isDeleting) parts.add(machine.id, machine.imageCache.images)
         }
-        for (m in core.machines.values) if (m.trusted && !m.isDeleting) put(m.id, m.cachedImages())
-        // What was handed down for a machine not heard yet must not be lost by storing the part anew.
-        if (now - core.startedAt <
-            KEEP
-        ) {
-            for ((id, own) in remembered) {
-                if (core.machines[id]?.wasHeard != true &&
-                    !core.wasDeleted(id)
-                ) {
-                    put(id, own)
-                }
-            }
+        if (context.now - context.startedAt >= KEEP_REMEMBERED) return parts.parts
+        // What was left for a machine that is not heard yet must not be lost by storing its part anew.
+        for ((id, images) in remembered) {
+            val wasHeard = cluster.machines[id]?.reachability?.wasHeard == true
+            if (!wasHeard && !cluster.wasDeleted(id)) parts.add(id, images)
         }
-        for (i in 0 until PARTS) {
-            val part = (next + i) % PARTS
-            val images = parts[part] ?: emptyMap()
-            if (images == (stored[part] ?: emptyMap<String, Map<String, Double>>())) continue
-            next = part + 1
-            savedAt = now
-            stored[part] = images
-            core.act(StoreImageLocations(part, images))
-            return
+        return parts.parts
+    }
+
+    /** Collects parts of at most [maxBytes] each; what does not fit is left out. */
+    private class PartBuilder(private val maxBytes: Int) {
+        val parts = HashMap<Int, LinkedHashMap<String, Map<String, Double>>>()
+        private val bytesLeft = HashMap<Int, Int>()
+
+        fun add(machine: String, images: Map<String, Double>) {
+            val part = partOf(machine)
+            val bytes = machine.length + BYTES_PER_ENTRY + images.keys.sumOf { it.length + BYTES_PER_ENTRY }
+            val left = (bytesLeft[part] ?: maxBytes) - bytes
+            if (images.isEmpty() || left < 0) return
+            bytesLeft[part] = left
+            parts.getOrPut(part) { LinkedHashMap() }[machine] = images.toMap()
         }
     }
 
     companion object {
         /** Enough for a thousand machines with a few images each in the smallest value there may be. */
         const val PARTS = 16
-        private val PERIOD = 3.seconds
-        private val KEEP = 60.seconds
+        private val STORE_INTERVAL = 3.seconds
+        private val KEEP_REMEMBERED: Duration = 60.seconds
         private const val BYTES_PER_ENTRY = 12
 
         private fun partOf(machine: String): Int = (machine.hashCode() and Int.MAX_VALUE) % PARTS
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -1,12 +1,13 @@
 package glenspool.core.cluster
 
 import glenspool.core.DeletionCause
+import glenspool.core.HeartbeatSource
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
-import glenspool.core.model.Command
 import glenspool.core.model.Heartbeat
-import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
+import glenspool.core.model.ListedMachine
+import glenspool.core.model.MachineStage
 import glenspool.core.model.MachineType
 import glenspool.core.model.Resources
 import glenspool.core.model.TaskKey
@@ -14,232 +15,274 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A start command whose outcome is unknown: it may still be executed while token and session match. */
-data class UnconfirmedStart(val key: TaskKey, val attempt: Long, val token: Long, val incarnation: Long, val since: Duration)
+/** One machine of the cluster as the leader knows it. It changes by what is told of it, see the methods. */
+class Machine(val id: String, type: String, zone: String, spot: Boolean, val firstSeen: Duration) {
+    /** Its type's name; empty while only a stored placement names the machine. */
+    var type: String = type
+        private set
+
+    /** Its zone; empty while only a stored placement names the machine. */
+    var zone: String = zone
+        private set
+    var spot: Boolean = spot
+        private set
 
-/** What is known of one machine, and how. */
-class Machine(val id: String, var type: String, var zone: String, var spot: Boolean, val firstSeen: Duration) {
+    /** Where its worker takes commands; empty while that is not known. */
     var addr: String = ""
+        private set
+
+    /** The incarnation and the sequence number of the newest heartbeat. */
     var incarnation = 0L
-    var sequence = 0L
+        private set
+    private var sequence = 0L
 
-    /** The highest token that a report of this machine has shown. */
+    /** The highest fencing token that a heartbeat of this machine has shown. */
     var token = 0L
+        private set
 
-    /** When it was last heard of, by report or by an answer to a direct request. Null: never. */
-    var lastHeardAt: Duration? = null
+    /** The time that was left until its preemption, as the newest heartbeat told; null: it is not preempted. */
     var preemptionNotice: Duration? = null
+        private set
 
-    /** When its worker last sent a report by itself. Null: not in this term. */
-    var lastHeartbeatAt: Duration? = null
+    /** The tasks of the newest heartbeat. */
+    var taskStatuses: List<TaskStatus> = emptyList()
+        private set
 
-    /** When it first answered a question or a command in this term. */
-    var firstReplyAt: Duration? = null
+    /** Whether the newest heartbeat came under the current leader's token, so that it shows what will not change. */
+    var isTrusted = false
+        private set
+
+    /** Whether the cloud has ever listed it. */
+    var isListed = false
+        private set
 
-    /** True once a report under the current leader's token has shown what is on the machine. */
-    var trusted = false
-    var listed = false
-    var booting = true
+    /** Since when it has been missing in the cloud's list. */
     var unlistedSince: Duration? = null
-    var failed = false
+        private set
+
+    /** The time since it was rented, as the cloud last listed it. */
+    var age: Duration = Duration.ZERO
+        private set
+    var isBooting = true
+        private set
+
+    /** Whether the cloud says that it stopped by itself. */
+    var hasFailed = false
+        private set
 
-    /** Why a deletion was sent or is wanted; the machine is never used again. Null: it is not given up. */
+    /** Why it is given up; it is never used again. Null: it is not. */
     var deletionCause: DeletionCause? = null
+        private set
     val isDeleting: Boolean get() = deletionCause != null
-    var deletionSentAt: Duration? = null
 
-    /** Gets no more short work, so that it becomes empty and can be returned. */
-    var cordoned = false
-    var idleSince: Duration? = null
-
-    /**
-     * A gang for which work was stopped here, or that was here: nothing of its rank or below takes the room before it
-     * or that time.
-     */
-    var reservedFor: Job? = null
+    /** Whether the cloud was asked to delete it, and has not refused. */
+    var isDeletionSent = false
         private set
-    private var reservedUntil: Duration = Duration.ZERO
 
-    /** Longer than work takes to save and its end to be reported; renewed while the gang waits. */
-    fun reserve(job: Job, now: Duration) {
-        reservedFor = job
-        reservedUntil = now + RESERVED
-    }
+    /** Gets no more short work, so that it becomes empty and can be returned. */
+    var isCordoned = false
 
-    fun reservedAgainst(job: Job, now: Duration): Boolean {
-        val owner = reservedFor ?: return false
-        // Not while some of its last attempt is still leaving: then it needs the room as soon as all of that is gone.
-        if (now >= reservedUntil || owner.waitingCount() == 0) {
-            reservedFor = null
-            return false
-        }
-        return owner !== job && job.effectivePriority <= owner.effectivePriority
-    }
+    /** Since when it has been seen without any task; kept by the scale-in policy. */
+    var idleSince: Duration? = null
 
-    var age: Duration = Duration.ZERO
+    val reachability = Reachability()
+    val workload = MachineWorkload()
+    val requests = MachineRequests()
+    val imageCache = ImageCache()
+    val health = MachineHealth()
 
-    private val placed = LinkedHashMap<TaskKey, Placement>()
-    private val orphanTasks = HashMap<TaskKey, Resources>()
+    val placements: Map<TaskKey, Placement> get() = workload.placements
+    val orphans: Map<TaskKey, Resources> get() = workload.orphans
 
-    /** What the placements and orphans take; null after a change, since rounds ask far more often than it changes. */
-    private var usedNow: Resources? = null
-    private var servicesNow = 0
-    val placements: Map<TaskKey, Placement> get() = placed
-    val orphans: Map<TaskKey, Resources> get() = orphanTasks
+    private var reservedFor: Job? = null
+    private var reservedUntil: Duration = Duration.ZERO
 
-    /** Since when tasks without a place have been here. */
-    var orphanSince: Duration? = null
-    var taskStatuses: List<TaskStatus> = emptyList()
-    val unconfirmedStarts = ArrayList<UnconfirmedStart>()
-    val pendingCommands = ArrayList<Command>()
-    var requestInFlight = false
+    /** Whether the heartbeat is newer than all that came before; a copy is not. */
+    fun isNewer(heartbeat: Heartbeat): Boolean =
+        heartbeat.incarnation > incarnation ||
+            (heartbeat.incarnation == incarnation && heartbeat.sequence > sequence)
+
+    /** A stored placement names it, so it must have been up once. */
+    fun assumeBooted() {
+        isBooting = false
+    }
 
-    /** When the last direct request was sent: it tells that request's starts from earlier ones. */
-    var requestSentAt: Duration? = null
-    var nextRequestAt: Duration = Duration.ZERO
-    var nextProbeAt: Duration = Duration.ZERO
+    /** Takes over what a newer heartbeat says of the machine itself. */
+    fun describedBy(heartbeat: Heartbeat) {
+        type = heartbeat.type
+        zone = heartbeat.zone
+        spot = heartbeat.spot
+        addr = heartbeat.addr
+        isBooting = false
+    }
 
     /**
-     * Since when direct requests have gone without an answer. Being heard is not being reachable: reports may
-     * arrive from a machine that no answer and no command reaches. Only an answered request ends this.
+     * Takes over the rest of a newer heartbeat. [leaderToken]: the token with which this leader sends now;
+     * [electionToken]: the token of its election.
+     *
+     * Until the worker has seen this leader's token, commands of an earlier leader may still be carried out: such a
+     * heartbeat shows what is there, but not what will not be. A worker that began anew has forgotten the token, so it
+     * is this heartbeat's that counts, not the highest that the machine ever showed.
      */
-    var unreachableSince: Duration? = null
-
-    /** When a direct request was last answered. */
-    var lastReachedAt: Duration? = null
-
-    fun markReachable(now: Duration) {
-        lastReachedAt = now
-        unreachableSince = null
+    fun observed(
+        heartbeat: Heartbeat,
+        source: HeartbeatSource,
+        leaderToken: Long,
+        electionToken: Long,
+        now: Duration,
+    ) {
+        val isNewIncarnation = heartbeat.incarnation > incarnation
+        requests.dropVoidStarts(heartbeat.token, heartbeat.incarnation, isNewIncarnation)
+        incarnation = heartbeat.incarnation
+        sequence = heartbeat.sequence
+        // It has learnt a token since: something of ours has reached it.
+        if (heartbeat.token > token && heartbeat.token >= leaderToken) reachability.reached(now)
+        token = maxOf(token, heartbeat.token)
+        reachability.heard(source, now)
+        preemptionNotice = heartbeat.preemptionNotice
+        taskStatuses = heartbeat.tasks
+        isTrusted = heartbeat.token >= electionToken
     }
 
-    fun markUnreachable(since: Duration) {
-        if (unreachableSince == null) unreachableSince = since
+    /** The cloud listed it. */
+    fun listed(entry: ListedMachine) {
+        if (type.isEmpty()) {
+            type = entry.type
+            zone = entry.zone
+            spot = entry.spot
+        }
+        if (addr.isEmpty()) addr = entry.addr
+        isListed = true
+        unlistedSince = null
+        age = entry.age
+        if (!reachability.wasHeard) isBooting = entry.stage == MachineStage.BOOTING
+        if (entry.stage == MachineStage.FAILED) hasFailed = true
     }
 
-    /** Images that tasks were seen to have here, most recently used last. */
-    private val images = LinkedHashMap<String, Double>()
-    var consecutiveFailures = 0
-    var quarantinedUntil: Duration? = null
-
-    /** Relative speed as seen from tasks that completed; 1 is usual. */
-    var slowness = 1.0
-
-    /** Whether a start of this attempt may still arrive here. */
-    fun mayStillStart(key: TaskKey, attempt: Long): Boolean = unconfirmedStarts.any { it.key == key && it.attempt == attempt }
-
-    val wasHeard: Boolean get() = lastHeardAt != null
+    /** The cloud's list lacks it. */
+    fun missingInList(now: Duration) {
+        if (unlistedSince == null) unlistedSince = now
+    }
 
-    fun place(p: Placement) {
-        if (placed
-                .put(p.key, p)
-                ?.job
-                ?.spec
-                ?.kind == JobKind.SERVICE
-        ) {
-            servicesNow--
-        }
-        if (p.job.spec.kind == JobKind.SERVICE) servicesNow++
-        usedNow = null
+    /** Gives the machine up for good: it is never used again. */
+    fun giveUp(cause: DeletionCause) {
+        deletionCause = cause
+        requests.clearPending()
     }
 
-    fun unplace(p: Placement) {
-        if (placed[p.key] !== p) return
-        placed.remove(p.key)
-        if (p.job.spec.kind == JobKind.SERVICE) servicesNow--
-        usedNow = null
+    /** The cloud is asked to delete it. */
+    fun deletionSent() {
+        isDeletionSent = true
     }
 
-    /** True if the orphan was not known before. */
-    fun addOrphan(k: TaskKey, a: Resources, now: Duration): Boolean {
-        if (orphanSince == null) orphanSince = now
-        usedNow = null
-        return orphanTasks.put(k, a) == null
+    /** The cloud did not delete it; it is asked again at [retryAt]. */
+    fun deletionFailed(retryAt: Duration) {
+        isDeletionSent = false
+        requests.pauseUntil(retryAt)
     }
 
-    fun removeOrphan(k: TaskKey) {
-        orphanTasks.remove(k)
-        if (orphanTasks.isEmpty()) orphanSince = null
-        usedNow = null
+    /**
+     * Keeps its resources for a gang for which work was stopped here, or that was here: nothing of the gang's priority
+     * or below gets them before it. That lasts longer than work takes to checkpoint and its end to be reported; it is
+     * renewed while the gang waits.
+     */
+    fun reserve(job: Job, now: Duration) {
+        reservedFor = job
+        reservedUntil = now + RESERVATION
     }
 
-    /** Replicas placed here. */
-    val services: Int get() = servicesNow
+    /** Whether it is reserved for the job. */
+    fun isReservedFor(job: Job): Boolean = reservedFor === job
 
-    /** Summed anew after each change, so that rounding errors can't add up. */
-    fun used(): Resources =
-        usedNow ?: run {
-            var sum = Resources.ZERO
-            for (p in placed.values) sum += p.job.resourceRequest
-            for (a in orphanTasks.values) sum += a
-            sum.also { usedNow = it }
+    /** Whether the job must not use it, since another one's reservation stands. */
+    fun isReservedAgainst(job: Job, now: Duration): Boolean {
+        val owner = reservedFor ?: return false
+        // While some of the owner's last attempt is still leaving, the reservation ends.
+        if (now >= reservedUntil || owner.waitingCount() == 0) {
+            reservedFor = null
+            return false
         }
+        return owner !== job && job.effectivePriority <= owner.effectivePriority
+    }
 
-    fun free(type: MachineType): Resources = type.capacity - used()
+    /** What is free of its capacity. */
+    fun available(type: MachineType): Resources = type.capacity - workload.used()
 
-    fun newer(r: Heartbeat): Boolean = r.incarnation > incarnation || (r.incarnation == incarnation && r.sequence > sequence)
+    fun hasImage(image: String): Boolean = image in imageCache
 
-    fun cachedImages(): Map<String, Double> = images
+    /** Whether the image is here or being fetched by some task. */
+    fun willHaveImage(image: String): Boolean = hasImage(image) || placements.values.any { it.job.spec.image == image }
 
-    fun hasImage(image: String): Boolean = image in images
+    /** Whether it may get work. */
+    fun isReady(now: Duration, freshness: Duration): Boolean {
+        if (!reachability.wasHeardWithin(freshness, now) || reachability.isUnreachable) return false
+        return isTrusted && !isDeleting && !hasFailed && preemptionNotice == null && !health.isQuarantined(now)
+    }
 
-    /** Whether the image is here or being fetched by some task. */
-    fun willHaveImage(image: String): Boolean = image in images || placed.values.any { it.job.spec.image == image }
-
-    fun sawImage(image: String, gb: Double, cacheGb: Double) {
-        images.remove(image)
-        images[image] = gb
-        var sum = images.values.sum()
-        val it = images.entries.iterator()
-        while (sum > cacheGb && it.hasNext()) {
-            val e = it.next()
-            if (e.key == image) break
-            sum -= e.value
-            it.remove()
-        }
+    private companion object {
+        val RESERVATION = 10.seconds
     }
+}
 
-    fun isReady(now: Duration, freshness: Duration): Boolean {
-        val h = lastHeardAt ?: return false
-        val bad = quarantinedUntil
-        return trusted &&
-            !isDeleting &&
-            !failed &&
-            preemptionNotice == null &&
-            unreachableSince == null &&
-            now - h <= freshness &&
-            (bad == null || now >= bad)
+/** What a machine's tasks tell of its health. */
+class MachineHealth {
+    private var consecutiveFailures = 0
+    private var quarantinedUntil: Duration? = null
+
+    /** How long tasks run here, relative to other machines of the type; 1 is usual. */
+    var slowness = 1.0
+        private set
+
+    fun isQuarantined(now: Duration): Boolean = quarantinedUntil.let { it != null && now < it }
+
+    /** A task failed here; several in a row set the machine aside for a while. */
+    fun taskFailed(now: Duration) {
+        consecutiveFailures++
+        if (consecutiveFailures >= FAILURES_TO_QUARANTINE) quarantinedUntil = now + QUARANTINE
     }
 
-    fun busyTasks(): Int = placed.size + orphanTasks.size
+    /** A task completed; [relativeDuration]: its duration as a multiple of the usual one. */
+    fun taskCompleted(relativeDuration: Double) {
+        consecutiveFailures = 0
+        slowness = slowness * OLD_WEIGHT + relativeDuration.coerceAtMost(MAX_SLOWNESS) * NEW_WEIGHT
+    }
 
     private companion object {
-        val RESERVED = 10.seconds
+        const val FAILURES_TO_QUARANTINE = 3
+        val QUARANTINE = 60.seconds
+        const val MAX_SLOWNESS = 5.0
+
+        /** Weights of the moving average. */
+        const val OLD_WEIGHT = 0.6
+        const val NEW_WEIGHT = 0.4
     }
 }
 
 /** Whether a job may use a machine at all, whatever else runs. */
-fun allowed(spec: JobSpec, m: Machine): Boolean = (spec.types == null || m.type in spec.types) && (spec.zone == null || spec.zone == m.zone) && (spec.spot || !m.spot)
+fun isAllowed(spec: JobSpec, machine: Machine): Boolean =
+    (spec.types == null || machine.type in spec.types) &&
+        (spec.zone == null || spec.zone == machine.zone) &&
+        (spec.spot || !machine.spot)
 
 /**
- * Whether one more task of the job may be in the zone, counting every task that is or may be somewhere.
- * Placements and orphans both count, since neither is proved gone.
+ * Whether one more task of the job may be in the zone, counting every task that is or may be somewhere. Placements and
+ * orphans both count, since neither is proved gone. [zoneOf]: the zone of a machine, null if it is not known.
  */
-fun zoneAllows(job: Job, zone: String, zoneOf: (String) -> String?): Boolean {
+fun isZoneAllowed(job: Job, zone: String, zoneOf: (String) -> String?): Boolean {
     if (!job.spec.sameZone && !job.spec.spread) return true
     var inZone = 0
-    for (p in job.placements.values) {
-        val z = zoneOf(p.machine)
-        if (job.spec.sameZone && z != zone) return false
-        // A machine whose zone is not known yet could be anywhere: count it against every zone.
-        if (z == null || z == zone) inZone++
+
+    /** Counts a task's machine; false if the job's tasks must not be here because of it. */
+    fun admits(machine: String): Boolean {
+        val taskZone = zoneOf(machine)
+        if (job.spec.sameZone && taskZone != zone) return false
+        // A machine whose zone is not known yet could be anywhere: it counts against every zone.
+        if (taskZone == null || taskZone == zone) inZone++
+        return true
     }
+    for (placement in job.placements.values) if (!admits(placement.machine)) return false
     for (machines in job.orphans.values) {
-        for (id in machines) {
-            val z = zoneOf(id)
-            if (job.spec.sameZone && z != zone) return false
-            if (z == null || z == zone) inZone++
-        }
+        for (machine in machines) if (!admits(machine)) return false
     }
-    return inZone < job.spec.zoneCap
+    return inZone < job.spec.maxTasksPerZone
 }
--- a/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
@@ -1,65 +1,86 @@
 package glenspool.core.cluster
 
-import glenspool.core.Scheduler
+import glenspool.core.SchedulingContext
 import kotlin.time.Duration
 
 /**
- * Tells a zone that is cut off from machines that are lost. In a zone with a controller of its own the work goes on
- * while it is cut off, since that controller keeps its workers' leases; giving its machines up would stop a good part
- * of all work, to rent the same again. So its machines are waited for, but not without end: a controller there may have
+ * Tells a zone that is partitioned off from machines that are lost. In a zone with a controller of its own the work
+ * goes on meanwhile, since that controller keeps its workers' leases; giving its machines up would stop a good part of
+ * all work, to rent the same again. So its machines are waited for, but not without end: a controller there may have
  * ended too. Machines that died with their zone show in the cloud's list, and cancelled work is never waited for.
  */
-class ZonePartitionDetector(private val core: Scheduler) {
-    private class Count {
-        var machines = 0
+class ZonePartitionDetector(private val context: SchedulingContext) {
+    private class HeardMachines {
+        var total = 0
         var fresh = 0
     }
 
-    private val counts = HashMap<String, Count>()
+    /** A partition: since when, and when it was last seen. */
+    private class Partition(val since: Duration, val lastSeen: Duration)
 
-    /** Of zones that are cut off, or were until a moment ago: since when, and when that was last seen. */
-    private val cuts = HashMap<String, Pair<Duration, Duration>>()
+    private val heardByZone = HashMap<String, HeardMachines>()
 
-    fun begin() = counts.clear()
+    /** Zones that are partitioned off, or were until a moment ago. */
+    private val partitions = HashMap<String, Partition>()
+
+    /** Begins to count anew. */
+    fun beginCount() = heardByZone.clear()
 
     /** Counts a machine that is up. */
-    fun add(m: Machine) {
-        val c = counts.getOrPut(m.zone) { Count() }
-        c.machines++
-        // Half of the machines that report at all did so within this time: it shows a cut before the first is given up.
-        if (m.lastHeardAt.let { it != null && core.now - it <= core.config.heartbeatInterval / 2 }) c.fresh++
+    fun count(machine: Machine) {
+        val heard = heardByZone.getOrPut(machine.zone) { HeardMachines() }
+        heard.total++
+        // Half of the machines that are heard at all were heard within this time: it shows a partition before the
+        // first machine is given up.
+        val span = context.config.heartbeatInterval / 2
+        if (machine.reachability.wasHeardWithin(span, context.now)) heard.fresh++
+    }
+
+    /** Judges from what was counted. */
+    fun update() {
+        val total = heardByZone.values.sumOf { it.total }
+        val fresh = heardByZone.values.sumOf { it.fresh }
+        for (zone in context.config.peerZones) {
+            val heard = heardByZone[zone] ?: HeardMachines()
+            // The other zones must be heard, or the fault is this node's own.
+            val othersAreHeard = (fresh - heard.fresh) * ONE_IN_HEARD_ELSEWHERE > total - heard.total
+            val isSilent = heard.total >= MIN_MACHINES && heard.fresh * ONE_IN_STILL_HEARD <= heard.total
+            update(zone, isSilent && othersAreHeard)
+        }
     }
 
-    fun judge() {
-        val all = counts.values.sumOf { it.machines }
-        val fresh = counts.values.sumOf { it.fresh }
-        for (zone in core.config.peerZones) {
-            val c = counts[zone] ?: Count()
-            // The other zones must be heard, or the trouble is this node's own.
-            val silent =
-                c.machines >= FEW && c.fresh * NEARLY_NONE <= c.machines && (fresh - c.fresh) * USUAL > all - c.machines
-            val known = cuts[zone]
-            if (silent) {
-                cuts[zone] = (known?.first ?: core.now) to core.now
-            } else if (known != null && core.now - known.second > core.config.heartbeatInterval * REPORTS_TO_RETURN) {
-                // Not sooner: the first workers to be heard again must not condemn those that need a moment more.
-                cuts.remove(zone)
-            }
+    private fun update(zone: String, isSilent: Boolean) {
+        val known = partitions[zone]
+        if (isSilent) {
+            partitions[zone] = Partition(known?.since ?: context.now, context.now)
+            return
         }
+        // Not sooner: the first workers to be heard again must not condemn those that need a moment more.
+        val patience = context.config.heartbeatInterval * INTERVALS_TO_RETURN
+        if (known != null && context.now - known.lastSeen > patience) partitions.remove(zone)
     }
 
-    fun cut(zone: String): Boolean = cuts[zone].let { it != null && core.now - it.first < core.config.lease * PATIENCE }
+    /** Whether the zone's machines are to be waited for. */
+    fun isPartitioned(zone: String): Boolean {
+        val partition = partitions[zone] ?: return false
+        return context.now - partition.since < context.config.lease * MAX_LEASES
+    }
 
     private companion object {
         /** With fewer machines, chance alone would often leave none heard of late. */
-        const val FEW = 4
+        const val MIN_MACHINES = 4
+
+        /** One machine in so many may still be heard in a zone that counts as partitioned off. */
+        const val ONE_IN_STILL_HEARD = 20
 
-        /** One in so many may still be heard in a zone that counts as cut off. */
-        const val NEARLY_NONE = 20
+        /**
+         * More than one machine in so many of the other zones was heard within half a heartbeat interval; usually it is
+         * one in two.
+         */
+        const val ONE_IN_HEARD_ELSEWHERE = 4
 
-        /** More than one in so many of the others was heard within half a report's time; usually it is one in two. */
-        const val USUAL = 4
-        const val PATIENCE = 4
-        const val REPORTS_TO_RETURN = 3
+        /** A partition is waited for as long as so many leases. */
+        const val MAX_LEASES = 4
+        const val INTERVALS_TO_RETURN = 3
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -1,220 +1,324 @@
 package glenspool.core.lifecycle
 
-import glenspool.core.StopCause
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Priority
 import glenspool.core.model.Resources
-import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
-import glenspool.core.model.TaskState
 import it.unimi.dsi.fastutil.ints.Int2ObjectRBTreeMap
 import java.util.BitSet
 import kotlin.time.Duration
-
-/** How far a placement has come. */
-enum class PlacementStage {
-    /** Decided and reserved; not stored yet, so no command may be sent. */
-    PLANNED,
-
-    /** Stored; the start command may have been sent, so the task may be on its machine. */
-    STORED,
-
-    /** A report has shown the task on its machine. */
-    OBSERVED,
-}
-
-/**
- * One attempt of a task on one machine. It holds room, team limit and zone from before its start command is
- * sent until there is proof that it is gone.
- */
-class Placement(val job: Job, val task: Int, val attempt: Long, val machine: String, val since: Duration) {
-    var step = PlacementStage.PLANNED
-    var state: TaskState? = null
-
-    /** The job's change count that has to be stored before the start command may be sent. */
-    var storedAt = 0L
-    var startSent: Duration? = null
-
-    /** The start waits until the gang's other tasks have their image; a waiting task gives up after a while. */
-    var deferred = false
-    var runningSince: Duration? = null
-    var stop: StopCause? = null
-    var stopGrace: Duration = Duration.ZERO
-    var stopSent: Duration? = null
-
-    /** Where it is stored, see [PlacementParts]. */
-    var part = PlacementParts.RECORD
-    val key = TaskKey(job.spec.id, task)
-}
+import kotlin.time.Duration.Companion.seconds
 
 /**
- * A live job as the leader knows it. [touched] is told of every change that may have to be stored, so that nobody
- * has to look through all jobs for those that changed.
+ * A live job as the leader knows it. [onDirty] is told of every change that may have to be stored, so that nobody has
+ * to look through all jobs for those that changed.
  */
 class Job(
     record: JobRecord,
+    /** The version of its record in the key-value store. */
     var version: Long,
     val parts: PlacementParts = PlacementParts(Int.MAX_VALUE, Int.MAX_VALUE),
-    private val touched: (Job) -> Unit = {},
+    private val onDirty: (Job) -> Unit = {},
 ) {
     val spec: JobSpec = record.spec
+    val resourceRequest: Resources get() = spec.resourceRequest
+
+    /** When it was accepted, as a time of day. */
     val submitted: Duration = record.submitted
 
-    /** So many pieces hold its description, stored apart from the record. */
+    /** When the job became known here, in steady time. */
+    var knownSince: Duration = Duration.ZERO
+
+    /** The number of parts that hold its description, stored apart from the record. */
     var descriptionParts = record.descriptionParts
 
-    /** It waits for other jobs: none of its tasks may have a place. Every way to a start asks [waitingCount]. */
+    // Dependencies, see JobDependencies.
+
+    /** None of its tasks may be placed before its dependencies are done; [waitingCount] holds that. */
     var waitsForDependencies = record.dependencies.isNotEmpty()
+        private set
 
-    /** When the last job that it needed was done, by the time of day. */
+    /** When the last dependency was done, by the time of day. */
     var dependenciesDoneAt: Duration? = record.dependenciesDoneAt
+        private set
 
-    /** The cancelled job that it needs, directly or through others: it can only be closed. */
+    /** The cancelled job that it depends on, directly or through others: it can only be closed. */
     var abortedBy: String? = null
+        private set
 
-    /** The highest priority of the jobs that need it. */
+    /** The highest priority of the jobs that depend on it. */
     var inheritedPriority: Priority? = null
+        private set
 
-    /** By when it should be done so that those that need it can meet their deadlines, by the time of day. */
+    /** By when it should be done so that its dependents can meet their deadlines, by the time of day. */
     var inheritedDeadline: Duration? = null
+        private set
+
+    // Tasks.
+
+    /** Tasks that are done. */
     val done: BitSet = record.done.clone() as BitSet
     private var doneCount = done.cardinality()
 
-    /** Done bits that are known to be stored; only these tasks may be forgotten by their workers. */
+    /** Tasks that are known to be stored as done; only these may be forgotten by their workers. */
     val storedDone: BitSet = record.done.clone() as BitSet
+
+    /** The highest attempt number so far. */
     var lastAttempt: Long = record.lastAttempt
+        private set
     private val placed = Int2ObjectRBTreeMap<Placement>()
 
-    /** Placements of tasks that are not done; kept as a count, since every round asks for it. */
-    private var placedOpen = 0
+    /** Placements of tasks that are not done; kept as a count, since every placement round asks for it. */
+    private var placedNotDone = 0
+
+    /** Placements by task, in order. */
     val placements: Map<Int, Placement> get() = placed
+
+    /** Tasks that are on machines without a placement, and those machines. */
+    val orphans = HashMap<TaskKey, MutableSet<String>>()
+
+    // Cancellation and end.
+
+    /** The version of its cancellation in the key-value store; null: it is not cancelled. */
     var cancelVersion: Long? = null
+        private set
+
+    /** When it was cancelled, in steady time. */
     var cancelledAt: Duration? = null
+        private set
+
+    /** Whether its final state is stored. */
+    var isFinished = false
+        private set
+
+    // Storing, see RecordWriteScheduler.
 
-    /** Counts changes that must be stored; [storedChanges] is the last stored one. */
+    /** Counts changes that must be stored before the work can go on; [storedChanges] is the last stored one. */
     var changes = 0L
+        private set
     var storedChanges = 0L
+        private set
+
+    /** Since when there has been something that should be stored within a while. */
     var storeLaterSince: Duration? = null
-    var writeInFlight = false
-    var finished = false
+        private set
+    var isWriteInFlight = false
+        private set
 
-    /** Its change was too large for the state service: it is not tried again before this. */
+    /** Its change was too large for the key-value store: it is not tried again before this. */
     var storeAfter: Duration = Duration.ZERO
 
-    /** Tasks that are on machines without a placement of ours (an earlier leader's remains). */
-    val orphans = HashMap<TaskKey, MutableSet<String>>()
+    // Placing.
+
+    /** Machines on which a task of it failed. */
     val failedOn = LinkedHashSet<String>()
-    var notBefore: Duration? = null
 
-    /** Room is being made for it on a machine with its image until about then; set once in its life. */
+    /** No task is placed before this time; null: at any time. */
+    var retryAfter: Duration? = null
+
+    /** Resources are being freed for it on a machine with its image until about then; set once in its life. */
     var resourcesExpectedBy: Duration? = null
+
+    /** The attempt number that the tasks of a placed gang share. */
     var gangAttempt: Long? = null
+
+    /** Whether all tasks of the gang's attempt ran at the same time. */
     var gangStarted = false
 
-    /** When the job became known here, in steady time. */
-    var knownSince: Duration = Duration.ZERO
+    val isCancelled: Boolean get() = cancelVersion != null
+
+    /** Whether it is neither cancelled nor over. */
+    val isLive: Boolean get() = !isCancelled && !isFinished
+
+    /** Whether all of its tasks are done. */
+    val isComplete: Boolean get() = spec.kind != JobKind.SERVICE && doneCount >= spec.tasks
+
+    /** Whether any of its tasks ever had a placement or a result. */
+    val hasStarted: Boolean get() = lastAttempt > 0
+
+    /** A job counts as much as any that depends on it. */
+    val effectivePriority: Priority get() = inheritedPriority?.let { maxOf(it, spec.priority) } ?: spec.priority
+
+    /** Times other than its deadline count from here. */
+    val waitingSince: Duration get() = dependenciesDoneAt ?: submitted
 
-    val cancelled: Boolean get() = cancelVersion != null
-    val complete: Boolean get() = spec.kind != JobKind.SERVICE && doneCount >= spec.tasks
+    /** By when it should be done, by its own deadline or that of dependents, by the time of day. */
+    val dueBy: Duration?
+        get() {
+            val own = spec.deadline?.let { submitted + it } ?: return inheritedDeadline
+            return inheritedDeadline?.let { minOf(own, it) } ?: own
+        }
 
-    /** Something that must be stored before the work can go on. */
+    /** The grace that a stopped task needs to write a checkpoint. */
+    val checkpointGrace: Duration get() = spec.checkpointDuration + GRACE_MARGIN
+
+    /** Something that must be stored before the work can go on; the number of this change. */
     fun storeSoon(): Long {
-        touched(this)
+        markDirty()
         return ++changes
     }
 
     /** Something that should be stored within a while. */
     fun storeLater(now: Duration) {
         if (storeLaterSince == null) storeLaterSince = now
-        touched(this)
+        markDirty()
     }
 
-    fun markDirty() = touched(this)
+    /** It may have something to store. */
+    fun markDirty() = onDirty(this)
 
-    /** Whether any of its tasks ever had a place or a result. */
-    val hasStarted: Boolean get() = lastAttempt > 0
+    /** A write of it is on its way; [includesResults]: it holds all that was to be stored later. */
+    fun writeBegun(includesResults: Boolean) {
+        isWriteInFlight = true
+        if (includesResults) storeLaterSince = null
+    }
+
+    /** The write has ended, whatever its outcome. */
+    fun writeEnded() {
+        isWriteInFlight = false
+    }
+
+    /** Everything up to the change is stored. */
+    fun changeStored(change: Long) {
+        storedChanges = change
+    }
+
+    /** All dependencies are done: from now on it is like any other job. */
+    fun dependenciesDone(wallTime: Duration, now: Duration) {
+        waitsForDependencies = false
+        dependenciesDoneAt = wallTime
+        knownSince = now
+    }
+
+    /** A job that it depends on was cancelled. */
+    fun abort(by: String) {
+        abortedBy = by
+        markDirty()
+    }
+
+    /** Takes over priority and deadline from dependents. True if either has changed. */
+    fun inherit(priority: Priority?, deadline: Duration?): Boolean {
+        if (priority == inheritedPriority && deadline == inheritedDeadline) return false
+        inheritedPriority = priority
+        inheritedDeadline = deadline
+        return true
+    }
+
+    /** Its cancellation was stored under [version], at [at] in steady time. */
+    fun cancel(version: Long, at: Duration) {
+        cancelVersion = version
+        cancelledAt = at
+    }
+
+    /** Its cancellation is now stored under [version]. */
+    fun updateCancelVersion(version: Long) {
+        cancelVersion = version
+    }
+
+    /** Its final state is stored. */
+    fun finish() {
+        isFinished = true
+    }
+
+    /** A new attempt number. */
+    fun newAttempt(): Long = ++lastAttempt
 
     fun placementOf(task: Int): Placement? = placed.get(task)
 
-    /** [storedOn]: the shelf where its place is stored already; null for a new one. */
-    fun place(p: Placement, storedOn: Int? = null, maySplit: Boolean = false) {
-        unplace(p.task)
-        if (storedOn != null) parts.put(p, storedOn) else parts.add(p, maySplit)
-        placed.put(p.task, p)
-        if (!done[p.task]) placedOpen++
+    /** Adds a new placement; [maySplit]: whether it may be stored apart from the record. */
+    fun place(placement: Placement, maySplit: Boolean) {
+        unplace(placement.task)
+        parts.add(placement, maySplit)
+        add(placement)
     }
 
-    /** Whether places lie apart from the record. */
-    val isSplit: Boolean get() = placed.values.any { it.part != PlacementParts.RECORD }
+    /** Adds a placement that is stored in [part] already. */
+    fun restore(placement: Placement, part: Int) {
+        unplace(placement.task)
+        parts.put(placement, part)
+        add(placement)
+    }
 
-    /** Brings such places back into the record as far as it has room. Whether any was moved. */
-    fun mergeParts(): Boolean = parts.mergeIntoRecord(placed.values)
+    private fun add(placement: Placement) {
+        placed.put(placement.task, placement)
+        if (!done[placement.task]) placedNotDone++
+    }
 
+    /** Removes the task's placement, if it has one. */
     fun unplace(task: Int) {
-        val old = placed.remove(task) ?: return
-        parts.remove(old)
-        if (!done[old.task]) placedOpen--
+        val removed = placed.remove(task) ?: return
+        parts.remove(removed)
+        if (!done[task]) placedNotDone--
     }
 
+    /** Whether placements are stored apart from the record. */
+    val isSplit: Boolean get() = placed.values.any { it.part != PlacementParts.RECORD }
+
+    /** Brings such placements back into the record as far as it has space. Whether any was moved. */
+    fun mergeParts(): Boolean = parts.mergeIntoRecord(placed.values)
+
     /** The task's result is known. */
     fun finishTask(task: Int) {
         if (done[task]) return
-        if (placed.containsKey(task)) placedOpen--
+        if (placed.containsKey(task)) placedNotDone--
         done.set(task)
         doneCount++
     }
 
+    /** The results of all tasks are known. */
     fun finishAllTasks() {
-        for (t in 0 until spec.tasks) finishTask(t)
+        for (task in 0 until spec.tasks) finishTask(task)
     }
 
-    /** Tasks that are neither done nor placed, lowest first, at most [limit]. */
-    fun waiting(limit: Int): List<Int> {
+    /** Tasks that are neither done nor placed nor orphaned, lowest first, at most [limit]. */
+    fun waitingTasks(limit: Int): List<Int> {
         if (waitingCount() <= 0) return emptyList()
-        val result = ArrayList<Int>(minOf(limit, 16))
-        var t = done.nextClearBit(0)
-        while (t < spec.tasks && result.size < limit) {
-            if (!placed.containsKey(t) && (orphans.isEmpty() || TaskKey(spec.id, t) !in orphans)) result.add(t)
-            t = done.nextClearBit(t + 1)
+        val result = ArrayList<Int>(minOf(limit, INITIAL_LIST_SIZE))
+        var task = done.nextClearBit(0)
+        while (task < spec.tasks && result.size < limit) {
+            if (!placed.containsKey(task) && !isOrphaned(task)) result.add(task)
+            task = done.nextClearBit(task + 1)
         }
         return result
     }
 
-    /** How many tasks wait for a place; those that are somewhere without a place of ours count as waiting. */
-    fun waitingCount(): Int = if (cancelled || finished || waitsForDependencies) 0 else spec.tasks - doneCount - placedOpen
+    private fun isOrphaned(task: Int) = orphans.isNotEmpty() && TaskKey(spec.id, task) in orphans
+
+    /** Whether any task waits to be placed. */
+    fun hasWaitingTask(): Boolean = waitingTasks(1).isNotEmpty()
+
+    /** How many tasks wait to be placed; orphaned ones count as waiting. */
+    fun waitingCount(): Int = if (isCancelled || isFinished || waitsForDependencies) 0 else spec.tasks - doneCount - placedNotDone
 
+    /** The job as it has to be stored. */
     fun record() =
         JobRecord(
-            spec,
-            submitted,
-            lastAttempt,
-            done.clone() as BitSet,
-            PlacementParts.storedPlacements(placed.values, PlacementParts.RECORD),
-            emptyList(),
-            dependenciesDoneAt,
-            placed.values
-                .filter { it.part != PlacementParts.RECORD }
-                .groupBy({ it.part }, { StoredPlacement(it.task, it.attempt, it.machine) }),
-            descriptionParts,
+            spec = spec,
+            submitted = submitted,
+            lastAttempt = lastAttempt,
+            done = done.clone() as BitSet,
+            placements = placed.values.filter { it.part == PlacementParts.RECORD }.map { it.toStored() },
+            dependencies = emptyList(),
+            dependenciesDoneAt = dependenciesDoneAt,
+            placementParts = placed.values.filter { it.part != PlacementParts.RECORD }.groupBy({ it.part }, { it.toStored() }),
+            descriptionParts = descriptionParts,
         )
 
     /**
-     * What stopping it now would throw away: the [fetch] of its image as far as it has come, and progress not saved.
+     * What stopping the task now would lose: the fetch of its image as far as it has come, and progress without a
+     * checkpoint. [fetch]: how long a fetch usually takes.
      */
-    fun lossOf(p: Placement, now: Duration, fetch: Duration): Duration {
-        val ran = p.runningSince?.let { now - it } ?: return minOf(now - p.since, fetch)
-        return fetch + if (spec.checkpointInterval > Duration.ZERO) minOf(ran, spec.checkpointInterval) else ran
+    fun lostWork(placement: Placement, now: Duration, fetch: Duration): Duration {
+        val runTime = placement.runningSince?.let { now - it } ?: return minOf(now - placement.since, fetch)
+        val hasCheckpoints = spec.checkpointInterval > Duration.ZERO
+        return fetch + if (hasCheckpoints) minOf(runTime, spec.checkpointInterval) else runTime
     }
 
-    /** A job counts as much as any that needs it. */
-    val effectivePriority: Priority get() = inheritedPriority?.let { maxOf(it, spec.priority) } ?: spec.priority
-
-    /** Times other than its deadline count from here. */
-    val waitingSince: Duration get() = dependenciesDoneAt ?: submitted
-
-    /** By when it should be done, if anybody said so: it, or jobs that need it. */
-    val dueBy: Duration? get() = spec.deadline?.let { d -> minOf(submitted + d, inheritedDeadline ?: (submitted + d)) } ?: inheritedDeadline
-    val resourceRequest: Resources get() = spec.resourceRequest
+    private companion object {
+        /** From the decision to stop a task until its worker has been told. */
+        val GRACE_MARGIN = 2.seconds
+        const val INITIAL_LIST_SIZE = 16
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
@@ -0,0 +1,132 @@
+package glenspool.core.lifecycle
+
+import glenspool.core.SchedulingContext
+import glenspool.core.StopCause
+import glenspool.core.autoscaling.Autoscaler
+import glenspool.core.cluster.ClusterState
+import glenspool.core.cluster.CommandQueue
+import glenspool.core.cluster.Orphans
+import glenspool.core.model.JobKind
+import glenspool.core.model.JobRecord
+import glenspool.core.model.StoredPlacement
+import kotlin.time.Duration
+import kotlin.time.DurationUnit
+
+/**
+ * Applies what the key-value store tells of jobs: new records, cancellations, final states. [onDirty] is told of jobs
+ * that may have something to store.
+ */
+class JobIntake(
+    private val context: SchedulingContext,
+    private val cluster: ClusterState,
+    private val splitting: RecordSplitting,
+    private val orphans: Orphans,
+    private val commands: CommandQueue,
+    private val autoscaler: Autoscaler,
+    private val onDirty: (Job) -> Unit,
+) {
+    private val now: Duration get() = context.now
+
+    private class LocatedPlacement(val placement: StoredPlacement, val part: Int)
+
+    /** A record of a job that is not known was read. */
+    fun jobRead(record: JobRecord, version: Long, dependencies: JobDependencies) {
+        val job = Job(record, version, splitting.partsFor(record.spec), onDirty)
+        job.knownSince = now
+        context.hooks.observer.jobRead(record)
+        if (record.dependencies.isNotEmpty()) {
+            dependencies.add(job, record.dependencies)
+            dependencies.appeared(record.spec.id)
+            return
+        }
+        cluster.addJob(job)
+        dependencies.appeared(record.spec.id)
+        restorePlacements(job, record)
+        orphans.adopt(job)
+        if (job.isComplete) job.markDirty()
+        mayRun(job)
+    }
+
+    /**
+     * An earlier leader may have started what is stored. The parts of a record are not all stored at the same moment:
+     * an older one may still name a task that has a newer placement by now.
+     */
+    private fun restorePlacements(job: Job, record: JobRecord) {
+        val outdatedParts = ArrayList<Int>()
+        for (sameTask in locatedPlacements(record).groupBy { it.placement.task }.values) {
+            val newest = sameTask.maxBy { it.placement.attempt }
+            restore(job, newest)
+            (sameTask - newest).mapTo(outdatedParts) { it.part }
+        }
+        job.parts.markAllStored()
+        outdatedParts.forEach(job.parts::markDirty)
+        if (job.spec.kind == JobKind.GANG && job.placements.isNotEmpty()) {
+            job.gangAttempt = job.placements.values.maxOf { it.attempt }
+            job.gangStarted = true
+        }
+    }
+
+    private fun locatedPlacements(record: JobRecord): List<LocatedPlacement> {
+        val inRecord = record.placements.map { LocatedPlacement(it, PlacementParts.RECORD) }
+        val inParts =
+            record.placementParts.flatMap { (part, placements) ->
+                placements.map { LocatedPlacement(it, part) }
+            }
+        return inRecord + inParts
+    }
+
+    private fun restore(job: Job, located: LocatedPlacement) {
+        val stored = located.placement
+        val placement = Placement(job, stored.task, stored.attempt, stored.machine, now)
+        placement.restored(now)
+        cluster.restore(placement, located.part)
+    }
+
+    /** All dependencies of the job are done: from now on it is like any other. */
+    fun dependenciesDone(job: Job) {
+        job.dependenciesDone(context.wallTime, now)
+        cluster.addJob(job)
+        context.log {
+            val waited = (context.wallTime - job.submitted).toDouble(DurationUnit.SECONDS)
+            "dependencies-done job=${job.spec.id} class=${job.spec.jobClass} waited-s=$waited"
+        }
+        mayRun(job)
+    }
+
+    private fun mayRun(job: Job) {
+        autoscaler.jobArrived(job)
+        context.requestRound()
+    }
+
+    /** The job's cancellation is stored under [version] since [at], a time of day. */
+    fun jobCancelled(job: Job, version: Long, at: Duration, dependencies: JobDependencies) {
+        job.markDirty()
+        if (job.isCancelled) {
+            job.updateCancelVersion(version)
+            return
+        }
+        job.cancel(version, now - maxOf(Duration.ZERO, context.wallTime - at))
+        context.hooks.observer.jobCancelled(job.spec.id)
+        dependencies.cancelled(job.spec.id)
+        for (placement in job.placements.values.toList()) {
+            // No start of a placement that is neither stored nor being stored can be on its way.
+            if (placement.stage == PlacementStage.PLANNED && !job.isWriteInFlight) {
+                cluster.unplace(placement)
+            } else {
+                commands.stop(placement, StopCause.CANCELLED, Duration.ZERO)
+            }
+        }
+        context.requestRound()
+    }
+
+    /** The job has its final state. */
+    fun jobEnded(id: String) {
+        context.hooks.observer.jobEnded(id)
+        val job = cluster.removeJob(id) ?: return
+        job.finish()
+        job.placements.values
+            .toList()
+            .forEach(cluster::unplace)
+        context.requestRound()
+    }
+}
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -1,8 +1,11 @@
 package glenspool.core.lifecycle
 
-import glenspool.core.Scheduler
+import glenspool.core.SchedulingContext
 import glenspool.core.StartCause
 import glenspool.core.StopCause
+import glenspool.core.cluster.ClusterState
+import glenspool.core.cluster.CommandQueue
+import glenspool.core.cluster.Machine
 import glenspool.core.model.JobKind
 import glenspool.core.model.StartTask
 import glenspool.core.model.StopTask
@@ -10,104 +13,128 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/**
- * Sees each job's places through: starts and stops that were not carried out are sent again, broken gangs are ended.
- */
-class JobSupervisor(private val core: Scheduler) {
-    private val now: Duration get() = core.now
+/** Sees each job's placements through: starts and stops that had no effect are sent again, broken gangs are stopped. */
+class JobSupervisor(
+    private val context: SchedulingContext,
+    private val cluster: ClusterState,
+    private val commands: CommandQueue,
+) {
+    private val now: Duration get() = context.now
 
-    fun tend(job: Job) {
-        if (job.placements.isEmpty()) return
-        if (job.cancelled && !job.writeInFlight) {
+    /** Looks at all jobs. */
+    fun tick() {
+        for (job in cluster.jobs.values.toList()) if (job.placements.isNotEmpty()) supervise(job)
+    }
+
+    private fun supervise(job: Job) {
+        if (job.isCancelled && !job.isWriteInFlight) {
             job.placements.values
-                .filter { it.step == PlacementStage.PLANNED }
-                .forEach(core::drop)
+                .filter { it.stage == PlacementStage.PLANNED }
+                .forEach(cluster::unplace)
         }
-        if (job.spec.kind == JobKind.GANG && !job.cancelled && job.placements.isNotEmpty()) tendGang(job)
-        for (p in job.placements.values.toList()) {
-            // A place that is seen and not being stopped needs nothing.
-            if (p.step == PlacementStage.OBSERVED && p.stop == null) continue
-            val m = core.machines[p.machine] ?: continue
-            if (p.stop != null && p.step == PlacementStage.STORED && p.startSent == null && !m.mayStillStart(p.key, p.attempt)) {
-                // Its start was never sent, or surely not carried out: no report would ever show it ended.
-                core.drop(p)
-                job.storeLater(now)
-                continue
-            }
-            if (p.step == PlacementStage.STORED &&
-                p.startSent == null &&
-                !p.deferred &&
-                now >= m.nextRequestAt &&
-                m.pendingCommands.none { it.key == p.key && it.attempt == p.attempt }
-            ) {
-                core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RETRIED))
-            }
-            if (p.step == PlacementStage.STORED &&
-                m.unconfirmedStarts.any { it.key == p.key } &&
-                p.startSent.let { it != null && now - it > 2.seconds }
-            ) {
-                core.commands.add(m, StartTask(p.key, p.attempt, StartCause.RETRIED))
-                p.startSent = now
-            }
-            val sent = p.stopSent
-            val stop = p.stop
-            if (stop != null &&
-                p.step != PlacementStage.PLANNED &&
-                (sent == null || now - sent > maxOf(2.seconds, core.config.heartbeatInterval))
-            ) {
-                if (p.state != TaskState.CHECKPOINTING ||
-                    stop == StopCause.CANCELLED
-                ) {
-                    core.commands.add(m, StopTask(p.key, p.attempt, p.stopGrace, stop))
-                }
-                p.stopSent = now
-            }
+        if (job.spec.kind == JobKind.GANG && !job.isCancelled && job.placements.isNotEmpty()) superviseGang(job)
+        for (placement in job.placements.values.toList()) supervise(placement)
+    }
+
+    private fun supervise(placement: Placement) {
+        // A placement that is observed and not being stopped needs nothing.
+        if (placement.stage == PlacementStage.OBSERVED && placement.stopCause == null) return
+        val machine = cluster.machines[placement.machine] ?: return
+        if (isStoppedBeforeStart(placement, machine)) {
+            // No heartbeat would ever show that it ended.
+            cluster.unplace(placement)
+            placement.job.storeLater(now)
+            return
         }
+        retryStart(placement, machine)
+        retryStop(placement, machine)
+    }
+
+    /** Its start was never sent, or surely not carried out. */
+    private fun isStoppedBeforeStart(placement: Placement, machine: Machine): Boolean {
+        val isStopped = placement.stopCause != null && placement.stage == PlacementStage.STORED
+        return isStopped &&
+            !placement.wasStartSent &&
+            !machine.requests.mayStillStart(placement.key, placement.attempt)
+    }
+
+    private fun retryStart(placement: Placement, machine: Machine) {
+        if (placement.stage != PlacementStage.STORED) return
+        if (isStartMissing(placement, machine)) sendStart(placement, machine)
+        if (isStartUnanswered(placement, machine)) {
+            sendStart(placement, machine)
+            placement.startSent(now)
+        }
+    }
+
+    private fun isStartMissing(placement: Placement, machine: Machine): Boolean {
+        val requests = machine.requests
+        if (placement.wasStartSent || placement.isDeferred || now < requests.nextRequestAt) return false
+        return !requests.hasPending(placement.key, placement.attempt)
+    }
+
+    private fun isStartUnanswered(placement: Placement, machine: Machine): Boolean {
+        val sentAt = placement.startSentAt ?: return false
+        return now - sentAt > START_PATIENCE && machine.requests.unconfirmedStarts.any { it.key == placement.key }
+    }
+
+    private fun sendStart(placement: Placement, machine: Machine) = commands.add(machine, StartTask(placement.key, placement.attempt, StartCause.RETRIED))
+
+    private fun retryStop(placement: Placement, machine: Machine) {
+        val cause = placement.stopCause ?: return
+        if (placement.stage == PlacementStage.PLANNED) return
+        val sentAt = placement.stopSentAt
+        val patience = maxOf(MIN_STOP_PATIENCE, context.config.heartbeatInterval)
+        if (sentAt != null && now - sentAt <= patience) return
+        // A task that writes its checkpoint is left alone, unless it is cancelled.
+        if (placement.taskState != TaskState.CHECKPOINTING || cause == StopCause.CANCELLED) {
+            commands.add(machine, StopTask(placement.key, placement.attempt, placement.stopGrace, cause))
+        }
+        placement.stopSent(now)
     }
 
     /**
-     * A gang whose tasks are on machines with and without the image: those without start first, since a task
-     * that has its image gives up when the others take longer than the gang's waiting time.
+     * A gang has been placed whose tasks are on machines with and without the image: those without start first, since a
+     * task that has its image gives up when the others take longer than the gang's waiting time.
      */
-    fun deferCached(job: Job) {
-        val (cached, fetching) =
-            job.placements.values.partition {
-                core.machines[it.machine]?.hasImage(job.spec.image) ==
-                    true
+    fun deferTasksWithImage(gang: Job) {
+        val (withImage, fetching) =
+            gang.placements.values.partition { placement ->
+                cluster.machines[placement.machine]?.hasImage(gang.spec.image) == true
             }
-        if (fetching.isEmpty()) return
-        cached.forEach { it.deferred = true }
+        if (fetching.isNotEmpty()) withImage.forEach { it.isDeferred = true }
     }
 
-    private fun tendGang(job: Job) {
-        val all = job.placements.values.toList()
-        val missing = all.size < job.spec.tasks - job.done.cardinality()
-        val stopping = all.any { it.stop != null }
-        if (!missing && !stopping) {
-            if (all.any { it.deferred } &&
-                all.all { it.deferred || (it.state != null && it.state != TaskState.FETCHING) }
-            ) {
-                all.forEach {
-                    it.deferred =
-                        false
-                }
-            }
-            return
-        }
-        // Places that were only reserved are given up at once: no start was ever sent.
-        all.filter { it.deferred && it.startSent == null }.forEach(core::drop)
-        val started = job.gangStarted || all.any { it.state == TaskState.RUNNING || it.state == TaskState.CHECKPOINTING }
+    private fun superviseGang(gang: Job) {
+        val placements = gang.placements.values.toList()
+        val isWhole = placements.size >= gang.spec.tasks - gang.done.cardinality()
+        val isStopping = placements.any { it.stopCause != null }
+        if (isWhole && !isStopping) return startDeferred(placements)
+        // Placements that were only reserved are given up at once: no start was ever sent.
+        placements.filter { it.isDeferred && !it.wasStartSent }.forEach(cluster::unplace)
+        val hasStarted = gang.gangStarted || placements.any { it.taskState.isRunning }
         // Before the start, fetches under way are let through: stopping them would throw the image away, and the
         // next attempt would run into the same waiting time for ever.
-        if (!started &&
-            !stopping &&
-            job.placements.values.any { it.state == null || it.state == TaskState.FETCHING }
-        ) {
-            return
-        }
-        val grace = if (!missing) job.spec.checkpointDuration + Scheduler.GRACE_SLACK else Duration.ZERO
-        for (p in job.placements.values) {
-            if (p.stop == null && p.step != PlacementStage.PLANNED) core.stop(p, StopCause.GANG_BROKEN, grace)
+        if (!hasStarted && !isStopping && gang.placements.values.any { it.taskState.isWithoutImage }) return
+        val grace = if (isWhole) gang.checkpointGrace else Duration.ZERO
+        for (placement in gang.placements.values) {
+            val isToBeStopped = placement.stopCause == null && placement.stage != PlacementStage.PLANNED
+            if (isToBeStopped) commands.stop(placement, StopCause.GANG_BROKEN, grace)
         }
     }
+
+    /** All tasks without the image have fetched it by now. */
+    private fun startDeferred(placements: List<Placement>) {
+        if (placements.none { it.isDeferred }) return
+        if (placements.all { it.isDeferred || !it.taskState.isWithoutImage }) placements.forEach { it.isDeferred = false }
+    }
+
+    private val TaskState?.isRunning get() = this == TaskState.RUNNING || this == TaskState.CHECKPOINTING
+
+    private val TaskState?.isWithoutImage get() = this == null || this == TaskState.FETCHING
+
+    private companion object {
+        val START_PATIENCE = 2.seconds
+        val MIN_STOP_PATIENCE = 2.seconds
+    }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
@@ -1,11 +1,10 @@
 package glenspool.core.lifecycle
 
-import glenspool.core.model.StoredPlacement
-
 /**
- * Where a job's places are stored. As many as fit are kept in the record itself, in the form that every version reads;
- * the others lie on numbered shelves, each a value of its own, so that a job of any size stays within the state
- * service's limit for one value.
+ * Where a job's placements are stored. As many as fit are kept in the record itself, in the form that every version
+ * reads; the others are in numbered parts, each a value of its own, so that a job of any size stays within the
+ * key-value store's limit for one value. [recordCapacity] and [partCapacity]: the bytes that a record and a part have
+ * for placements.
  */
 class PlacementParts(private val recordCapacity: Int, private val partCapacity: Int) {
     private class Part {
@@ -14,129 +13,131 @@
     }
 
     private val inRecord = Part()
-    private val apart = ArrayList<Part>()
+    private val parts = ArrayList<Part>()
+
+    /** Parts whose stored value is not what they hold, with the number of their last change. */
     private val dirty = LinkedHashMap<Int, Long>()
-    private var stamp = 0L
+    private var changeCount = 0L
 
-    /** What the record still holds of places, at least. */
-    val recordBytesLeft: Int get() = recordCapacity - inRecord.bytes - maxOf(0, apart.size - LISTED_PARTS) * PART_NUMBER_BYTES
+    /** The bytes that the record still has for placements, at least. The record lists its parts, too. */
+    private val recordBytesLeft: Int
+        get() = recordCapacity - inRecord.bytes - maxOf(0, parts.size - PARTS_IN_OVERHEAD) * PART_NUMBER_BYTES
 
     val dirtyCount: Int get() = dirty.size
 
-    /** How many more places there is surely room for. The record lists its shelves, so there are only so many. */
-    fun room(maySplit: Boolean): Int {
-        if (!maySplit) return recordBytesLeft / BYTES_PER_PLACE
-        val onShelves =
-            apart.sumOf { maxOf(0, partCapacity - it.bytes) / BYTES_PER_PLACE } +
-                (MAX_PARTS - apart.size) * (partCapacity / BYTES_PER_PLACE)
-        return maxOf(0, recordBytesLeft) / BYTES_PER_PLACE + onShelves
+    /** How many more placements there is surely space for. */
+    fun capacityLeft(maySplit: Boolean): Int {
+        if (!maySplit) return recordBytesLeft / BYTES_PER_PLACEMENT
+        val inParts = parts.sumOf { maxOf(0, partCapacity - it.bytes) / BYTES_PER_PLACEMENT }
+        val inNewParts = (MAX_PARTS - parts.size) * (partCapacity / BYTES_PER_PLACEMENT)
+        return maxOf(0, recordBytesLeft) / BYTES_PER_PLACEMENT + inParts + inNewParts
     }
 
-    /** Puts a place into the record if it fits, or if nothing else is allowed; else on the first shelf with room. */
-    fun add(p: Placement, maySplit: Boolean) {
-        val n = if (!maySplit || cost(inRecord, p) <= recordBytesLeft) RECORD else partFor(p)
-        put(p, n)
+    /** Puts a placement into the record if it fits, or if nothing else is allowed; else into a part with space. */
+    fun add(placement: Placement, maySplit: Boolean) {
+        val fitsRecord = bytesOf(placement, inRecord) <= recordBytesLeft
+        put(placement, if (!maySplit || fitsRecord) RECORD else partFor(placement))
     }
 
-    /** The place as it was stored. */
-    fun put(p: Placement, part: Int) {
-        p.part = part
-        while (apart.size <= part) apart.add(Part())
-        val s = of(part)
-        s.bytes += cost(s, p)
-        s.machines.merge(p.machine, 1, Int::plus)
-        touched(part)
+    /** Puts a placement into the given part. */
+    fun put(placement: Placement, number: Int) {
+        placement.part = number
+        while (parts.size <= number) parts.add(Part())
+        val part = partAt(number)
+        part.bytes += bytesOf(placement, part)
+        part.machines.merge(placement.machine, 1, Int::plus)
+        markDirty(number)
     }
 
-    fun remove(p: Placement) {
-        val s = of(p.part)
-        val left = (s.machines[p.machine] ?: return) - 1
-        if (left == 0) s.machines.remove(p.machine) else s.machines[p.machine] = left
-        s.bytes -= cost(s, p)
-        touched(p.part)
+    fun remove(placement: Placement) {
+        val part = partAt(placement.part)
+        val left = (part.machines[placement.machine] ?: return) - 1
+        if (left == 0) part.machines.remove(placement.machine) else part.machines[placement.machine] = left
+        part.bytes -= bytesOf(placement, part)
+        markDirty(placement.part)
     }
 
     /** What is stored already is as it should be. */
-    fun clean() = dirty.clear()
+    fun markAllStored() = dirty.clear()
 
-    /** Moves places out of a record that is too large, onto [most] shelves at the most. */
-    fun relieve(places: Collection<Placement>, most: Int) {
+    /** Moves placements out of a record that is too large; at most [maxDirtyParts] parts are then to be stored. */
+    fun shrinkRecord(placements: Collection<Placement>, maxDirtyParts: Int) {
         if (recordBytesLeft >= 0) return
         val used = HashSet<Int>(dirty.keys)
-        for (p in places) {
+        for (placement in placements) {
             if (recordBytesLeft >= 0) return
-            if (p.part != RECORD) continue
-            val to = partFor(p)
-            if (to == RECORD || to !in used && used.size >= most) return
-            used.add(to)
-            remove(p)
-            put(p, to)
+            if (placement.part != RECORD) continue
+            val target = partFor(placement)
+            if (target == RECORD || target !in used && used.size >= maxDirtyParts) return
+            used.add(target)
+            remove(placement)
+            put(placement, target)
         }
     }
 
-    /** Moves places back into the record as far as it has room. Whether any was moved. */
-    fun mergeIntoRecord(places: Collection<Placement>): Boolean {
-        var moved = false
-        for (p in places) {
-            if (p.part == RECORD || cost(inRecord, p) > recordBytesLeft) continue
-            remove(p)
-            put(p, RECORD)
-            moved = true
+    /** Moves placements back into the record as far as it has space. Whether any was moved. */
+    fun mergeIntoRecord(placements: Collection<Placement>): Boolean {
+        var wasMoved = false
+        for (placement in placements) {
+            if (placement.part == RECORD || bytesOf(placement, inRecord) > recordBytesLeft) continue
+            remove(placement)
+            put(placement, RECORD)
+            wasMoved = true
         }
-        return moved
+        return wasMoved
     }
 
-    /** Changed shelves that are not known to be stored, [most] at the most. */
-    fun toStore(most: Int): Map<Int, Long> = dirty.entries.take(most).associate { it.key to it.value }
+    /** Parts to be stored, at most [limit], each with the number of its last change. */
+    fun partsToStore(limit: Int): Map<Int, Long> = dirty.entries.take(limit).associate { it.key to it.value }
 
-    fun stored(parts: Map<Int, Long>) = parts.forEach { (n, at) -> dirty.remove(n, at) }
+    /** These parts are stored, as of the given changes. */
+    fun stored(changes: Map<Int, Long>) = changes.forEach { (number, change) -> dirty.remove(number, change) }
 
-    /** What is stored of the shelf is not what it holds. */
-    fun touched(part: Int) {
-        if (part != RECORD) dirty[part] = ++stamp
+    /** What is stored of the part is not what it holds. */
+    fun markDirty(number: Int) {
+        if (number != RECORD) dirty[number] = ++changeCount
     }
 
-    private fun of(part: Int) = if (part == RECORD) inRecord else apart[part]
+    private fun partAt(number: Int) = if (number == RECORD) inRecord else parts[number]
 
-    private fun partFor(p: Placement): Int {
-        val found = apart.indexOfFirst { cost(it, p) <= partCapacity - it.bytes }
+    private fun partFor(placement: Placement): Int {
+        val found = parts.indexOfFirst { bytesOf(placement, it) <= partCapacity - it.bytes }
         return when {
             found >= 0 -> found
-            apart.size < MAX_PARTS -> apart.size
+            parts.size < MAX_PARTS -> parts.size
             else -> RECORD
         }
     }
 
-    /** A machine is written once with all its tasks: name and marks for the first, two numbers for each. */
-    private fun cost(s: Part, p: Placement): Int =
-        p.task.toString().length + p.attempt.toString().length + 2 +
-            if (p.machine in s.machines) 0 else p.machine.length + MACHINE_OVERHEAD
+    /** A machine is written once with all its tasks: its name for the first, two numbers for each. */
+    private fun bytesOf(placement: Placement, part: Part): Int {
+        val numbers = placement.task.toString().length + placement.attempt.toString().length + NUMBERS_OVERHEAD
+        val isNamed = placement.machine in part.machines
+        return numbers + if (isNamed) 0 else placement.machine.length + MACHINE_OVERHEAD
+    }
 
     companion object {
+        /** The number that stands for the record itself. */
         const val RECORD = -1
+
+        /** The punctuation of a task's two numbers, and of a machine's name. */
+        private const val NUMBERS_OVERHEAD = 2
         private const val MACHINE_OVERHEAD = 6
 
-        /** What a shelf takes besides its places. */
+        /** The bytes that a part takes besides its placements. */
         const val PART_OVERHEAD = 64
 
         /** A record must be able to list them all beside its description. */
         private const val MAX_PARTS = 256
 
-        /**
-         * So many are listed within [RECORD_MARKS]; the number of each further one takes room that places could have.
-         */
-        private const val LISTED_PARTS = 16
+        /** So many parts are listed within [RECORD_OVERHEAD]; each further one takes space from placements. */
+        private const val PARTS_IN_OVERHEAD = 16
         private const val PART_NUMBER_BYTES = 4
 
-        /** The list of a record's shelves and other marks that its description does not have. */
+        /** The list of a record's parts and other bytes that its description does not have. */
         const val RECORD_OVERHEAD = 96
 
-        /** A place at most: the names of machines are short, numbers have at most seven digits. */
-        const val BYTES_PER_PLACE = 28
-
-        fun storedPlacements(places: Collection<Placement>, part: Int): List<StoredPlacement> =
-            places
-                .filter { it.part == part }
-                .map { StoredPlacement(it.task, it.attempt, it.machine) }
+        /** The largest size of a placement: the names of machines are short, numbers have at most seven digits. */
+        const val BYTES_PER_PLACEMENT = 28
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/core/model/Deployment.kt
@@ -0,0 +1,45 @@
+package glenspool.core.model
+
+import kotlin.time.Duration
+
+/** A machine type as the cloud offers it. Prices are per hour. */
+data class MachineType(
+    val name: String,
+    val capacity: Resources,
+    /** The size of the image cache. */
+    val cacheGb: Double,
+    val fetchGbPerS: Double,
+    val price: Double,
+    val spotPrice: Double,
+    /** How long a machine usually takes to start. */
+    val boot: Duration,
+    val zones: List<String>,
+)
+
+/** A team's quota: what it is guaranteed of CPUs and GPUs, and what it may use at most; null where there is no limit. */
+data class Team(val name: String, val cpus: Double, val gpus: Double, val cpusMax: Double?, val gpusMax: Double?)
+
+/** A service-level objective of the deployment, as far as scheduling can use it. */
+data class Objective(val kind: String, val jobClass: String?, val within: Duration?, val share: Double) {
+    companion object {
+        /** The [kind] of objectives for the time in which tasks start. */
+        const val WAIT = "wait"
+
+        /** The [kind] of objectives for the time in which jobs are done. */
+        const val FINISHED = "finished"
+    }
+}
+
+/** The state of a machine as the cloud sees it. */
+enum class MachineStage { BOOTING, RUNNING, FAILED }
+
+/** A machine as the cloud lists it. [age]: the time since it was rented. */
+data class ListedMachine(
+    val id: String,
+    val addr: String,
+    val type: String,
+    val zone: String,
+    val spot: Boolean,
+    val stage: MachineStage,
+    val age: Duration,
+)
--- /dev/null
+++ b/src/main/kotlin/glenspool/core/model/Heartbeat.kt
@@ -0,0 +1,55 @@
+package glenspool.core.model
+
+import kotlin.time.Duration
+
+/** The state of a task on a machine, as its worker reports it. */
+enum class TaskState { FETCHING, WAITING, RUNNING, CHECKPOINTING, EXITED }
+
+/** Why a task exited, or was refused. */
+enum class ExitReason {
+    DONE,
+    STOPPED,
+
+    /** Another task of its gang was lost. */
+    GANG_BROKEN,
+
+    /** The other tasks of its gang did not come in time. */
+    GANG_INCOMPLETE,
+    ERROR,
+
+    /** Refused: the machine has not enough free resources. */
+    INSUFFICIENT_RESOURCES,
+
+    /** Refused: another attempt of the task is on the machine. */
+    ALREADY_PRESENT,
+
+    /** Refused: the worker knows no such job or task. */
+    UNKNOWN,
+}
+
+/** One task in a heartbeat. [checkpointed]: whether it saved its progress when it was stopped. */
+data class TaskStatus(
+    val key: TaskKey,
+    val attempt: Long,
+    val state: TaskState,
+    val exit: ExitReason?,
+    val checkpointed: Boolean,
+)
+
+/** A worker's heartbeat with the status of its tasks. */
+data class Heartbeat(
+    val machine: String,
+    val addr: String,
+    val type: String,
+    val zone: String,
+    val spot: Boolean,
+    /** Grows whenever the worker's lease expires; what was sent to an earlier incarnation is void. */
+    val incarnation: Long,
+    /** Orders the heartbeats of one incarnation. */
+    val sequence: Long,
+    /** The highest fencing token that the worker has seen. */
+    val token: Long,
+    /** The time until the cloud preempts the machine; null: it does not. */
+    val preemptionNotice: Duration?,
+    val tasks: List<TaskStatus>,
+)
--- /dev/null
+++ b/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
@@ -0,0 +1,129 @@
+package glenspool.core.placement
+
+import glenspool.core.SchedulingContext
+import glenspool.core.WorkCounters
+import glenspool.core.cluster.ClusterState
+import glenspool.core.cluster.Machine
+import glenspool.core.cluster.TypePerformance
+import glenspool.core.lifecycle.Job
+import glenspool.core.lifecycle.JobSupervisor
+import glenspool.core.lifecycle.Placement
+import glenspool.core.lifecycle.RecordSplitting
+import glenspool.core.model.MachineType
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.microseconds
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/** Runs placement rounds when something has changed, and makes the placements that they decide on. */
+class PlacementScheduler(
+    private val context: SchedulingContext,
+    private val cluster: ClusterState,
+    private val splitting: RecordSplitting,
+    private val deadlines: DeadlinePolicy,
+    private val performance: TypePerformance,
+    private val preemptor: Preemptor,
+    private val supervisor: JobSupervisor,
+) : PlacementView {
+    private val config get() = context.config
+    private val now: Duration get() = context.now
+    private var lastRoundAt = context.startedAt - LONG_AGO
+
+    override val types: Map<String, MachineType> get() = cluster.types
+    override val commonType: MachineType? get() = cluster.commonType
+    override val resourceFactor: Double get() = config.tuning.resourceFactor
+    override val workCounters: WorkCounters get() = context.workCounters
+
+    /** The time between rounds for what matching machines and tasks may take: the longer, the larger the fleet is. */
+    private val minInterval: Duration get() = maxOf(MIN_INTERVAL, INTERVAL_PER_MACHINE * cluster.machines.size)
+
+    /** Runs a round if one is due. Whether it was run. */
+    fun runIfDue(): Boolean {
+        val sinceLast = now - lastRoundAt
+        val isDue = context.isRoundRequested && sinceLast >= minInterval || sinceLast >= config.tuning.roundPeriod
+        if (!isDue) return false
+        lastRoundAt = now
+        context.beginRound()
+        workCounters.rounds++
+        if (types.isEmpty()) return false
+        runRound()
+        return true
+    }
+
+    private fun runRound() {
+        val waiting = cluster.jobs.values.filter { mayBePlaced(it) }
+        if (waiting.isEmpty()) return
+        val ready = cluster.machines.values.filter { isFitForNewWork(it) }
+        if (ready.isEmpty()) return
+        preemptor.freeMachinesWithImage(waiting, ready)
+        val jobs = waiting.filterNot { preemptor.isWaitingForImage(it, ready) }
+        PlacementRound(this, ready, jobs).run { now - it.knownSince > config.tuning.gangWaitBound }
+        preemptor.preempt(ready)
+    }
+
+    private fun mayBePlaced(job: Job): Boolean {
+        if (job.waitingCount() <= 0 || job.retryAfter.let { it != null && now < it }) return false
+        return job.hasWaitingTask()
+    }
+
+    /** See also [glenspool.core.SchedulerHooks.newWorkNeedsOwnHeartbeat]. */
+    private fun isFitForNewWork(machine: Machine): Boolean {
+        val freshness = config.heartbeatFreshness
+        if (!machine.isReady(now, freshness) || machine.type !in types) return false
+        val needsOwnHeartbeat = context.hooks.newWorkNeedsOwnHeartbeat
+        return !needsOwnHeartbeat || machine.reachability.sentHeartbeatWithin(freshness, now)
+    }
+
+    override fun zoneOf(machine: String): String? = cluster.zoneOf(machine)
+
+    override fun remainingQuota(job: Job): Int = cluster.quotas.remaining(job)
+
+    override fun isWithinGuarantee(job: Job): Boolean = cluster.quotas.isWithinGuarantee(job)
+
+    override fun requiresCachedImage(job: Job): Boolean = deadlines.requiresCachedImage(job)
+
+    override fun fastestType(jobClass: String): String? = performance.fastestType(jobClass)
+
+    override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
+        val placement = Placement(job, task, attempt ?: job.newAttempt(), machine.id, now)
+        placement.requires(job.storeSoon())
+        cluster.place(placement, machine, splitting.isAllowed)
+        context.log {
+            "place task=$placement class=${job.spec.jobClass} machine=${machine.id} " +
+                "cached=${machine.hasImage(job.spec.image)} waited=${now - job.knownSince}"
+        }
+    }
+
+    override fun newGangAttempt(gang: Job): Long {
+        gang.gangStarted = false
+        return gang.newAttempt().also { gang.gangAttempt = it }
+    }
+
+    override fun gangPlaced(gang: Job) = supervisor.deferTasksWithImage(gang)
+
+    override fun latestStart(job: Job): Duration = deadlines.latestStart(job)
+
+    override fun recordCapacity(job: Job): Int = splitting.capacityLeft(job)
+
+    override fun isAvoided(job: Job, machine: Machine): Boolean = hasReasonToAvoid(job, machine) || machine.isReservedAgainst(job, now)
+
+    override fun costPenalty(job: Job, machine: Machine): Int = if (job.spec.spot && !machine.spot) 1 else 0
+
+    private companion object {
+        val MIN_INTERVAL = 30.milliseconds
+        val INTERVAL_PER_MACHINE = 200.microseconds
+        val LONG_AGO = 1000.seconds
+    }
+}
+
+/** A job that failed on as many machines is at fault itself: it avoids none of them any more. */
+private const val MAX_AVOIDED_MACHINES = 4
+
+/**
+ * Whether the job avoids the machine because it failed there, or because a start of it may still arrive there late:
+ * another attempt would only meet that one.
+ */
+internal fun hasReasonToAvoid(job: Job, machine: Machine): Boolean {
+    val hasFailedThere = machine.id in job.failedOn && job.failedOn.size < MAX_AVOIDED_MACHINES
+    return hasFailedThere || machine.requests.mayStillStart(job.spec.id)
+}
--- /dev/null
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -0,0 +1,134 @@
+package glenspool.core.placement
+
+import glenspool.core.cluster.Machine
+import glenspool.core.cluster.isAllowed
+import glenspool.core.cluster.isZoneAllowed
+import glenspool.core.lifecycle.Job
+import glenspool.core.model.JobKind
+import glenspool.core.model.Resource
+import glenspool.core.model.Resources
+
+/**
+ * Matches single tasks with machines: queues of machines per resource are drawn from in turn, and each machine takes a
+ * waiting task that is bound by that resource.
+ */
+class TaskMatcher(private val view: PlacementView, private val resources: RoundResources) {
+    private val scores = HashMap<Job, MachineScores>()
+    private val scorer = MachineScorer(view)
+
+    init {
+        resources.onTaken { machine -> scores.values.forEach { it.changed(machine) } }
+    }
+
+    /** Places tasks of [jobs], which are of one priority and in the order in which they should start. */
+    fun match(jobs: List<Job>) {
+        if (jobs.isEmpty()) return
+        val byResource = jobs.groupBy { bottleneck(it.resourceRequest, view.commonType, view.resourceFactor) }
+        for (preferredOnly in listOf(true, false)) {
+            val waiting = byResource.mapValues { (_, bound) -> bound.filterTo(ArrayList()) { it.waitingCount() > 0 } }
+            drawInTurn(waiting, preferredOnly)
+        }
+    }
+
+    private fun drawInTurn(waiting: Map<Resource, MutableList<Job>>, preferredOnly: Boolean) {
+        val queues =
+            Resource.entries.associateWith { resource ->
+                if (waiting[resource].isNullOrEmpty()) ArrayDeque() else ArrayDeque(machinesBy(resource))
+            }
+        while (queues.values.any { it.isNotEmpty() }) {
+            for (resource in Resource.entries) {
+                val queue = queues.getValue(resource)
+                val machine = queue.removeFirstOrNull() ?: continue
+                val jobs = waiting[resource]
+                if (jobs.isNullOrEmpty()) {
+                    queue.clear()
+                    continue
+                }
+                val wasPlaced = placeOne(machine, jobs, preferredOnly)
+                if (wasPlaced && hasAny(machine, resource)) queue.addLast(machine)
+            }
+        }
+    }
+
+    /** Machines that have some of the resource, largest capacity, then most free, first. */
+    private fun machinesBy(resource: Resource): List<Machine> =
+        resources.machines
+            .filter { !resources.isReserved(it) && hasAny(it, resource) }
+            .sortedWith(
+                compareByDescending<Machine> {
+                    view.types
+                        .getValue(it.type)
+                        .capacity
+                        .of(resource)
+                }.thenByDescending { resources.freeOn(it).of(resource) },
+            )
+
+    private fun hasAny(machine: Machine, resource: Resource) = resources.freeOn(machine).of(resource) > Resources.EPSILON
+
+    /** Gives the machine one task. */
+    private fun placeOne(machine: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Boolean {
+        val job = chooseJob(machine, jobs, preferredOnly) ?: return false
+        view.place(job, job.waitingTasks(1).first(), machine, null)
+        resources.take(machine, job)
+        return true
+    }
+
+    /**
+     * In the first pass only a job that no other machine suits better; in the second, of the jobs next in order, one
+     * whose image is here goes first, since each needless fetch keeps resources from work.
+     */
+    private fun chooseJob(machine: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Job? {
+        val available = resources.freeOn(machine)
+        var firstFitting: Job? = null
+        var passedOver = 0
+        val remaining = jobs.iterator()
+        while (remaining.hasNext()) {
+            val job = remaining.next()
+            if (!mayBePlaced(job)) {
+                // What no machine can do for the job now, no later draw of this round can.
+                remaining.remove()
+                continue
+            }
+            if (!isFitting(job, machine, available)) continue
+            if (preferredOnly) {
+                if (isPreferred(job, machine)) return job
+                continue
+            }
+            if (machine.hasImage(job.spec.image)) return job
+            if (firstFitting == null) firstFitting = job
+            if (++passedOver >= MAX_PASSED_OVER) break
+        }
+        return firstFitting
+    }
+
+    private fun mayBePlaced(job: Job): Boolean {
+        if (job.waitingCount() <= 0 || view.remainingQuota(job) <= 0) return false
+        return view.recordCapacity(job) > 0 && job.hasWaitingTask()
+    }
+
+    private fun isFitting(job: Job, machine: Machine, available: Resources): Boolean {
+        if (!job.resourceRequest.fitsIn(available) || isClosedTo(job, machine)) return false
+        if (!isAllowed(job.spec, machine) || view.isAvoided(job, machine)) return false
+        return isZoneAllowed(job, machine.zone, view::zoneOf)
+    }
+
+    /** A cordoned machine takes no short work. */
+    private fun isClosedTo(job: Job, machine: Machine) = machine.isCordoned && job.spec.kind == JobKind.ARRAY
+
+    /** Whether no other machine suits the job better. */
+    private fun isPreferred(job: Job, machine: Machine): Boolean {
+        val best = scores.getOrPut(job) { MachineScores(job, scorer, resources.machines) { isUsable(job, it) } }.best()
+        return best >= scorer.score(job, machine)
+    }
+
+    private fun isUsable(job: Job, machine: Machine): Boolean {
+        if (isClosedTo(job, machine) || resources.isReserved(machine)) return false
+        if (!job.resourceRequest.fitsIn(resources.freeOn(machine))) return false
+        return isAllowed(job.spec, machine) && !view.isAvoided(job, machine)
+    }
+
+    private companion object {
+        /** So many jobs without their image here may be passed over for one that has it. */
+        const val MAX_PASSED_OVER = 6
+    }
+}
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -104,7 +104,7 @@
     val isActive: Boolean get() = phase != RecoveryPhase.NORMAL
 
     /** What the scheduler of this term is to be given. */
-    val hooks = SchedulerHooks(gate = this, observer = this, newWorkNeedsOwnReport = true, absence = ::absenceRule)
+    val hooks = SchedulerHooks(gate = this, observer = this, newWorkNeedsOwnHeartbeat = true, missingTaskPolicy = ::absenceRule)
 
     /** The state at the last judgement; null before the first. */
     @Volatile
--- a/src/main/kotlin/glenspool/reconcile/RepairBudget.kt
+++ b/src/main/kotlin/glenspool/reconcile/RepairBudget.kt
@@ -53,7 +53,7 @@
         mapOf(
             OrderKind.START to perSecond(rates.starts, fleet),
             OrderKind.STOP to perSecond(rates.stops, fleet),
-            OrderKind.RENTAL to perSecond(rates.rentals, fleet),
+            OrderKind.SCALE_OUT to perSecond(rates.rentals, fleet),
             OrderKind.DELETION to perSecond(rates.deletions, fleet),
         )
 
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -15,8 +15,8 @@
  */
 object RecordWire {
     /** Jobs of up to this many tasks keep their done bits in the record itself, larger ones in chunks. */
-    const val INLINE_TASKS = glenspool.core.CHUNKED_ABOVE
-    const val CHUNK_TASKS = glenspool.core.CHUNK
+    const val INLINE_TASKS = glenspool.core.model.JobRecord.MAX_INLINE_TASKS
+    const val CHUNK_TASKS = glenspool.core.model.JobRecord.TASKS_PER_CHUNK
 
     fun encode(r: JobRecord): Fields {
         val m = LinkedHashMap<String, Any?>()
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -160,7 +160,7 @@
     @Test
     fun `a description that was short enough before is kept in pieces when values become smaller`() {
         val long = spec("run-1").copy(types = List(300) { "some-type-$it" } + "big")
-        assertTrue(long.recordBytes in 2049..8192)
+        assertTrue(long.maxRecordBytes in 2049..8192)
         // Old controllers may lead: it is stored in their form as long as the state service takes it.
         allMembersReadSplitRecords = false
         assertEquals(201, submit(long).status)
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -22,16 +22,16 @@
     @Test
     fun `the made-up fleet lives a leader's life, and nothing piles up in it`() {
         val fleet = WarmUpFleet(config())
-        repeat(240) { fleet.turn() }
+        repeat(240) { fleet.runTurn() }
         assertTrue(fleet.started > 300, "${fleet.started} started")
         assertTrue(fleet.ended > 150, "${fleet.ended} ended")
-        assertTrue(fleet.open < 60, "${fleet.open} open")
+        assertTrue(fleet.openJobs < 60, "${fleet.openJobs} open")
     }
 
     @Test
     fun `a team without room for anything does no harm`() {
         val fleet = WarmUpFleet(config(listOf(Team("t0", 0.0, 0.0, 0.1, 0.1))))
-        repeat(240) { fleet.turn() }
+        repeat(240) { fleet.runTurn() }
         assertEquals(0, fleet.started)
     }
 
@@ -69,7 +69,7 @@
     @Test
     fun `the answer to a made-up report orders nothing and vouches for nothing but its own token`() {
         val fleet = WarmUpFleet(config())
-        fleet.turn()
+        fleet.runTurn()
         val r =
             WarmUp
                 .answer(
--- a/src/test/kotlin/glenspool/core/GuardsTest.kt
+++ b/src/test/kotlin/glenspool/core/GuardsTest.kt
@@ -48,7 +48,7 @@
         )
         // Both count for room: the task that was placed beside it, and the orphan until the machine shows that it is
         // gone.
-        assertEquals(Resources(12.0, 2.0, 48.0), core.machines.getValue("m1").free(bigType))
+        assertEquals(Resources(12.0, 2.0, 48.0), core.machines.getValue("m1").available(bigType))
         say(heartbeat("m1"))
         wait(2.seconds)
         confirm()
@@ -289,8 +289,17 @@
         }
         runOn("a", 10.seconds)
         runOn("b", 10.seconds)
-        assertTrue(core.machines.getValue("m1").slowness > 1.5, "${core.machines.getValue("m1").slowness}")
-        assertTrue(core.machines.getValue("m2").slowness < 1.2)
+        assertTrue(
+            core.machines
+                .getValue("m1")
+                .health.slowness > 1.5,
+            "${core.machines.getValue("m1").health.slowness}",
+        )
+        assertTrue(
+            core.machines
+                .getValue("m2")
+                .health.slowness < 1.2,
+        )
     }
 
     @Test
@@ -417,7 +426,7 @@
             if (it % 5 == 0) for (m in listOf("m1", "m2", "m3")) say(heartbeat(m))
         }
         assertTrue(starts in 3..12, "$starts starts within a minute")
-        assertFalse(core.jobs.getValue("bad").complete)
+        assertFalse(core.jobs.getValue("bad").isComplete)
     }
 
     @Test
@@ -438,7 +447,7 @@
         assertFalse(core.machines.getValue(m).isReady(now, 60.seconds))
         // A question that was never sent, for want of threads, says nothing of the machine.
         val other = (running.keys - m).single()
-        step { probeEnded(other, null, asked = false) }
+        step { probeEnded(other, null, wasSent = false) }
         assertTrue(core.machines.getValue(other).isReady(now, 60.seconds))
         live(6.seconds, running, emptySet())
         assertTrue(core.machines.getValue(m).isReady(now, 60.seconds))
@@ -471,11 +480,19 @@
         started()
         val last = heartbeat("m1")
         say(last)
-        val heard = core.machines.getValue("m1").lastHeardAt
+        val heard =
+            core.machines
+                .getValue("m1")
+                .reachability.lastHeardAt
         now += 3.seconds
         say(last)
         say(last.copy(sequence = last.sequence - 1))
-        assertEquals(heard, core.machines.getValue("m1").lastHeardAt)
+        assertEquals(
+            heard,
+            core.machines
+                .getValue("m1")
+                .reachability.lastHeardAt,
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -40,7 +40,7 @@
         val (_, seen) = say(heartbeat("m1", listOf(task("a", 0, start.attempt, TaskState.EXITED, ExitReason.DONE))))
         val before = seen + wait(3.seconds)
         assertEquals(listOf("a"), before.finishes().map { it.id })
-        assertTrue(core.chains["b"].let { it != null && it.waitsForDependencies && it.waitingCount() == 0 && it.waiting(1).isEmpty() })
+        assertTrue(core.dependencies["b"].let { it != null && it.waitsForDependencies && it.waitingCount() == 0 && it.waitingTasks(1).isEmpty() })
         assertTrue(before.filterIsInstance<StoreChanges>().flatMap { it.writes }.none { it.id == "b" })
         val places = confirm() + wait(1.seconds)
         assertEquals("b", (store(places).writes.single() as UpdateJobRecord).id)
@@ -73,11 +73,11 @@
         while (closed.size < n) {
             val f = acts.finishes()
             assertTrue(f.isNotEmpty(), "stopped after ${closed.size}")
-            for (w in f) assertEquals(FinalState.CANCELLED to (if (w.id == "j0") null else "j0"), w.end to w.abortedBy)
+            for (w in f) assertEquals(FinalState.CANCELLED to (if (w.id == "j0") null else "j0"), w.finalState to w.abortedBy)
             closed.addAll(f.map { it.id })
             acts = confirm() + wait(1.seconds)
         }
-        assertEquals(0, core.chains.size)
+        assertEquals(0, core.dependencies.size)
         assertTrue(core.jobs.isEmpty())
     }
 
@@ -96,11 +96,11 @@
     fun `priority and deadline go up the chain, as long as somebody needs the job`() {
         submit(job("a", priority = Priority.IDLE))
         submit(job("b", priority = Priority.IDLE, estimatedDuration = 20.seconds), dependencies = listOf("a"))
-        val plain = core.order(core.jobs.getValue("a"))
+        val plain = core.latestStart(core.jobs.getValue("a"))
         submit(job("c", priority = Priority.URGENT, deadline = 90.seconds), dependencies = listOf("b"))
         val a = core.jobs.getValue("a")
-        assertEquals(Priority.URGENT to Priority.URGENT, a.effectivePriority to core.chains["b"]?.effectivePriority)
-        assertTrue(core.order(a) < plain, "a chain's deadline comes before a job without one")
+        assertEquals(Priority.URGENT to Priority.URGENT, a.effectivePriority to core.dependencies["b"]?.effectivePriority)
+        assertTrue(core.latestStart(a) < plain, "a chain's deadline comes before a job without one")
         assertTrue(a.dueBy.let { it != null && it < 90.seconds - 30.seconds })
         step { jobCancelled("c", ++revision, now) }
         wait(1.seconds)
@@ -224,7 +224,7 @@
 
     private fun same(m: Model, where: String) {
         for (id in m.dependencies.keys.filter { it !in m.ends }) {
-            val held = core.chains[id]
+            val held = core.dependencies[id]
             val waits = m.dependencies.getValue(id).isNotEmpty() && !m.ready(id)
             assertEquals(waits, held != null, "$where: $id waits")
             assertEquals(!waits, id in core.jobs, "$where: $id is released")
--- a/src/test/kotlin/glenspool/core/LargeFleetTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetTest.kt
@@ -214,7 +214,7 @@
             step { tick() }
         }
         assertEquals(listOf(0, 0, 0), listOf(started, writes, deletions))
-        assertEquals(2000, core.jobs.values.sumOf { j -> j.placements.values.count { it.state == TaskState.RUNNING } })
+        assertEquals(2000, core.jobs.values.sumOf { j -> j.placements.values.count { it.taskState == TaskState.RUNNING } })
         assertTrue(questions < 2000, "$questions questions for 2,000 machines that report by themselves")
     }
 
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -59,7 +59,7 @@
         val running = busy(10)
         step { backlogMeasured(2.seconds) }
         step { probeEnded(LOST, null) }
-        assertEquals(null, core.machines[LOST]?.unreachableSince)
+        assertEquals(null, core.machines[LOST]?.reachability?.unreachableSince)
         // The spell is over after a while: a question without an answer counts again.
         val all = ArrayList<Action>()
         repeat(10) { all += live(2.seconds, running - LOST, setOf(LOST)) }
--- a/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
@@ -12,7 +12,7 @@
 /**
  * PROTOCOL: "Direct commands do not renew the lease." What a worker is given that can't report is lost with its lease.
  */
-class OwnHeartbeatTest : SchedulerDriver(config(), SchedulerHooks(newWorkNeedsOwnReport = true)) {
+class OwnHeartbeatTest : SchedulerDriver(config(), SchedulerHooks(newWorkNeedsOwnHeartbeat = true)) {
     private val whole = Resources(14.0, 4.0, 50.0)
 
     private fun placed() =
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -1,7 +1,7 @@
 package glenspool.core
 
 import glenspool.core.cluster.Machine
-import glenspool.core.cluster.allowed
+import glenspool.core.cluster.isAllowed
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
 import glenspool.core.model.JobKind
@@ -28,7 +28,7 @@
     private class Plain(val limit: Map<String, Int>) : PlacementView {
         override val types = listOf(bigType, leanType).associateBy { it.name }
         override val commonType = bigType
-        override val factor = 2.0
+        override val resourceFactor = 2.0
         override val workCounters = WorkCounters()
         val placed = ArrayList<Triple<Job, Int, Machine>>()
         val all = ArrayList<Machine>()
@@ -37,7 +37,7 @@
 
         override fun remainingQuota(job: Job) = (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
 
-        override fun withinGuarantee(job: Job) = false
+        override fun isWithinGuarantee(job: Job) = false
 
         override fun requiresCachedImage(job: Job) = job.spec.image == "i0"
 
@@ -45,20 +45,20 @@
 
         override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
             val p = Placement(job, task, attempt ?: 1, machine.id, Duration.ZERO)
-            job.place(p)
-            machine.place(p)
+            job.place(p, maySplit = false)
+            machine.workload.place(p)
             placed.add(Triple(job, task, machine))
         }
 
-        override fun newGangAttempt(job: Job) = 1L
+        override fun newGangAttempt(gang: Job) = 1L
 
-        override fun gangPlaced(job: Job) = Unit
+        override fun gangPlaced(gang: Job) = Unit
 
-        override fun order(job: Job) = Duration.ZERO
+        override fun latestStart(job: Job) = Duration.ZERO
 
         override fun recordCapacity(job: Job) = 50
 
-        override fun avoids(job: Job, machine: Machine) = machine.id in job.failedOn
+        override fun isAvoided(job: Job, machine: Machine) = machine.id in job.failedOn
 
         override fun costPenalty(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
     }
@@ -102,7 +102,7 @@
                     },
                     if (r.nextBoolean()) "a" else "b", r.nextBoolean(), Duration.ZERO,
                 )
-            if (r.nextBoolean()) m.sawImage("i${r.nextInt(3)}", 1.0, 100.0)
+            if (r.nextBoolean()) m.imageCache.used("i${r.nextInt(3)}", 1.0, 100.0)
             view.all.add(m)
         }
         val jobs =
@@ -117,9 +117,9 @@
         val s = job.spec
         val mates = others.filter { it.first === job }.map { it.third.zone }
         val used = others.filter { it.third === m }.map { it.first.resourceRequest }.fold(Resources.ZERO) { x, y -> x + y }
-        return allowed(s, m) &&
+        return isAllowed(s, m) &&
             m.id !in job.failedOn &&
-            (used + s.resourceRequest).fits(view.types.getValue(m.type).capacity) &&
+            (used + s.resourceRequest).fitsIn(view.types.getValue(m.type).capacity) &&
             (!s.sameZone || mates.all { it == m.zone }) &&
             (!s.spread || mates.count { it == m.zone } + 1 <= (s.tasks + 1) / 2) &&
             others.count { it.first.spec.team == s.team } < (view.limit[s.team] ?: 1000)
@@ -165,7 +165,7 @@
     @Test
     fun `a slow machine is taken last`() {
         val view = Plain(emptyMap())
-        val slow = Machine("slow", "big", "a", false, Duration.ZERO).also { it.slowness = 3.0 }
+        val slow = Machine("slow", "big", "a", false, Duration.ZERO).also { slow -> repeat(2) { slow.health.taskCompleted(5.0) } }
         val sound = Machine("sound", "big", "a", false, Duration.ZERO)
         view.all += listOf(slow, sound)
         val jobs =
@@ -180,7 +180,7 @@
     fun `a cached image wins over a larger or emptier machine`() {
         val view = Plain(emptyMap())
         val full = Machine("full", "big", "a", false, Duration.ZERO)
-        val warm = Machine("warm", "big", "a", false, Duration.ZERO).also { it.sawImage("img", 2.0, 100.0) }
+        val warm = Machine("warm", "big", "a", false, Duration.ZERO).also { it.imageCache.used("img", 2.0, 100.0) }
         view.all += listOf(full, warm)
         val other = Job(JobRecord(job("o", tasks = 1, image = "x"), Duration.ZERO, 0, BitSet(), emptyList()), 1)
         view.place(other, 0, warm, null)
--- a/src/test/kotlin/glenspool/core/RecordMergerTest.kt
+++ b/src/test/kotlin/glenspool/core/RecordMergerTest.kt
@@ -98,10 +98,10 @@
         assertFalse(RecordWire.isSealed(stored()))
         assertTrue(places().size in 30..159, "${places().size}")
         // Nor does a value that is refused for its size lead to a split one now.
-        step { limitsLowered() }
-        assertFalse(core.maySplit)
+        step { storeEnded(StoreOutcome.TooLarge()) }
+        assertFalse(core.maySplitRecords)
         step { splittingForbidden(false) }
-        assertTrue(core.maySplit)
+        assertTrue(core.maySplitRecords)
         val taken = places().values
         for (n in 1..160) "i-%06d".format(n).let { if (it !in taken) say(heartbeat(it)) }
         storeAll(wait(2.seconds), 60)
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -15,7 +15,7 @@
 class RestoreInPlaceTest :
     SchedulerDriver(
         config(),
-        SchedulerHooks(newWorkNeedsOwnReport = true, absence = {
+        SchedulerHooks(newWorkNeedsOwnHeartbeat = true, missingTaskPolicy = {
             MissingTaskPolicy.RESTORE
         }),
     ) {
--- a/src/test/kotlin/glenspool/core/SmallValuesTest.kt
+++ b/src/test/kotlin/glenspool/core/SmallValuesTest.kt
@@ -149,7 +149,7 @@
             say(heartbeat("i-000001", ended)).first.filterIsInstance<glenspool.core.model.ForgetTask>().map {
                 it.key.task
             }
-        assertEquals(write.chunks, forgotten.map { it / CHUNK })
+        assertEquals(write.chunks, forgotten.map { it / JobRecord.TASKS_PER_CHUNK })
         assertEquals(2, forgotten.size)
     }
 
@@ -192,7 +192,7 @@
         val acts = storeAll(submit(job("small")) + wait(2.seconds))
         assertEquals(listOf("small"), acts.starts().map { it.key.job })
         assertTrue(tooLarge in 1..4, "tried $tooLarge times in a minute")
-        assertTrue(acts.filterIsInstance<LogMessage>().any { it.important && "too-large job=huge" in it.text })
+        assertTrue(acts.filterIsInstance<LogMessage>().any { it.isImportant && "too-large job=huge" in it.text })
         // Its description was stored in pieces, so that the record fits.
         now += 60.seconds
         val retry = store(wait(1.seconds))
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -50,7 +50,7 @@
                     "delete " + action.causes.entries.joinToString { (machine, cause) -> "$machine:${cause.label}" },
                 )
             is AdvanceFencingToken -> add(at, "raise")
-            is Resign -> add(at, "resign ${action.why}")
+            is Resign -> add(at, "resign ${action.reason}")
             is StoreImageLocations -> add(at, "images ${action.part} ${stored(ImagesWire.encode(action.images))}")
             is ReadFinalStates -> add(at, "ends ${action.jobs}")
             is LogMessage -> Unit
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -84,7 +84,7 @@
                 "its user submits it again meanwhile",
                 orders =
                     mapOf(
-                        OrderKind.STOP to 1..1, OrderKind.START to 2..2, OrderKind.RENTAL to 0..1,
+                        OrderKind.STOP to 1..1, OrderKind.START to 2..2, OrderKind.SCALE_OUT to 0..1,
                         OrderKind.DELETION to 0..1,
                     ),
                 listed = setOf(DifferenceKind.ORPHAN_TASK),
@@ -132,7 +132,7 @@
                 orders =
                     mapOf(
                         OrderKind.START to 1..8, OrderKind.STOP to 0..2,
-                        OrderKind.DELETION to 1..1, OrderKind.RENTAL to 0..4,
+                        OrderKind.DELETION to 1..1, OrderKind.SCALE_OUT to 0..4,
                     ),
                 listed = setOf(DifferenceKind.UNHEARD_MACHINE), plant = { take(machineWith("a")) },
             ),
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -82,7 +82,7 @@
                 TaskStatus(key, 1L + random.nextInt(2), if (ended) TaskState.EXITED else TaskState.RUNNING, if (ended) ExitReason.DONE else null, false)
             }
         val heartbeat = Heartbeat(machine, "addr", "big", "a", false, 1, ++sequence, 1, null, tasks)
-        val source = if (random.nextInt(3) == 0) HeartbeatSource.DIRECT else HeartbeatSource.WORKER
+        val source = if (random.nextInt(3) == 0) HeartbeatSource.REPLY else HeartbeatSource.WORKER
         val trusted = random.nextInt(4) > 0
         plain.seen[machine] =
             ReferenceDifferences.Seen(
@@ -186,7 +186,7 @@
         for (seen in test.plain.seen.values) {
             test.tracker
                 .machineObserved(
-                    seen.heartbeat, if (seen.reportedItself) HeartbeatSource.WORKER else HeartbeatSource.DIRECT, seen.trusted,
+                    seen.heartbeat, if (seen.reportedItself) HeartbeatSource.WORKER else HeartbeatSource.REPLY, seen.trusted,
                     99
                         .seconds,
                 )
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -90,11 +90,11 @@
             mapOf(
                 RecoveryPhase.READING to listOf(OrderKind.FORGET),
                 RecoveryPhase.GATHERING to listOf(OrderKind.START, OrderKind.FORGET),
-                RecoveryPhase.ADOPTING to listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.FORGET),
+                RecoveryPhase.ADOPTING to listOf(OrderKind.START, OrderKind.SCALE_OUT, OrderKind.FORGET),
                 RecoveryPhase.REPAIRING to
-                    listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
+                    listOf(OrderKind.START, OrderKind.SCALE_OUT, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
                 RecoveryPhase.NORMAL to
-                    listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
+                    listOf(OrderKind.START, OrderKind.SCALE_OUT, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
             )
         assertEquals(expected, admitted)
     }
--- a/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
@@ -588,7 +588,7 @@
         val live = w.tasks.filterValues { it.exit == null }
         if (live.keys.any { it.key == c.key }) return Task(c.attempt, TaskState.EXITED, now, ExitReason.ALREADY_PRESENT)
         val available = live.keys.map { specs.getValue(it.job).resourceRequest }.fold(spec.resourceRequest) { x, y -> x + y }
-        if (!available.fits(w.type.capacity)) return Task(c.attempt, TaskState.EXITED, now, ExitReason.INSUFFICIENT_RESOURCES)
+        if (!available.fitsIn(w.type.capacity)) return Task(c.attempt, TaskState.EXITED, now, ExitReason.INSUFFICIENT_RESOURCES)
         check(c, spec, w)
         val fetch =
             if (spec.image in
@@ -628,7 +628,7 @@
             violations += "$now wrong_place same zone ${c.key}"
         }
         if (spec.spread &&
-            mates.count { (x, _, _) -> x.zone == w.zone } + 1 > spec.zoneCap
+            mates.count { (x, _, _) -> x.zone == w.zone } + 1 > spec.maxTasksPerZone
         ) {
             violations +=
                 "$now wrong_place spread ${c.key}"
@@ -1077,7 +1077,7 @@
                     w.up &&
                         w.recallAt == null &&
                         !w.hanging &&
-                        busy.fits(w.type.capacity) &&
+                        busy.fitsIn(w.type.capacity) &&
                         (spec.types == null || w.type.name in spec.types) &&
                         (spec.zone == null || spec.zone == w.zone) &&
                         (spec.spot || !w.spot)
@@ -1098,10 +1098,12 @@
         val where =
             j.placements.values.joinToString { p ->
                 val m = leader?.machines?.get(p.machine)
-                "${p.key.task}#${p.attempt}@${p.machine} ${p.step}/${p.state} sent=${p.startSent} stop=${p.stop} machine[trusted=${m?.trusted} heard=${m?.lastHeardAt} deleting=${m?.isDeleting} loose=${m?.unconfirmedStarts} busy=${m?.requestInFlight}]"
+                "$p@${p.machine} ${p.stage}/${p.taskState} sent=${p.startSentAt} stop=${p.stopCause} trusted=${m?.isTrusted} " +
+                    "heard=${m?.reachability?.lastHeardAt} deleting=${m?.isDeleting} " +
+                    "starts=${m?.requests?.unconfirmedStarts} inFlight=${m?.requests?.isInFlight}"
             }
-        return "now=$now writing=${j.writeInFlight} changes=${j.changes}/${j.storedChanges} version=${j.version} orphans=${j.orphans} " +
-            "waiting=${j.waiting(9)} notBefore=${j.notBefore} failedOn=${j.failedOn} $where"
+        return "now=$now writing=${j.isWriteInFlight} changes=${j.changes}/${j.storedChanges} version=${j.version} orphans=${j.orphans} " +
+            "waiting=${j.waitingTasks(9)} retryAfter=${j.retryAfter} failedOn=${j.failedOn} $where"
     }
 
     /** Whether the job waits for its team's limit alone. */
--- a/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
@@ -16,7 +16,7 @@
     private val limits =
         mapOf(
             OrderKind.START to rates.starts, OrderKind.STOP to rates.stops,
-            OrderKind.DELETION to rates.deletions, OrderKind.RENTAL to rates.rentals,
+            OrderKind.DELETION to rates.deletions, OrderKind.SCALE_OUT to rates.rentals,
         ).mapValues { (_, rate) -> ceil(rate * fleet).toInt().coerceAtLeast(1) }
 
     fun faults(received: List<ReceivedOrder>): List<String> =
