--- a/src/main/kotlin/glenspool/core/OrderCause.kt
+++ b/src/main/kotlin/glenspool/core/OrderCause.kt
@@ -10,8 +10,8 @@
 }
 
 /**
- * Why an order was given. Every order carries one, so that all that a leader did can be counted by kind and cause, and a
- * new way to give an order does not compile without saying why.
+ * Why an order was given. Every order carries one, so that all that a leader did can be counted by kind and cause, and
+ * a new way to give an order does not compile without saying why.
  */
 sealed interface OrderCause {
     val kind: OrderKind
@@ -138,6 +138,7 @@
 
     companion object {
         /** As one line of the log: `start.placed=12 stop.cancelled=3`. */
-        fun describe(counts: Map<OrderCause, Long>): String = counts.entries.joinToString(" ") { (cause, number) -> "${cause.qualifiedLabel}=$number" }
+        fun describe(counts: Map<OrderCause, Long>): String =
+            counts.entries.joinToString(" ") { (cause, number) -> "${cause.qualifiedLabel}=$number" }
     }
 }
--- a/src/main/kotlin/glenspool/core/WarmUpFleet.kt
+++ b/src/main/kotlin/glenspool/core/WarmUpFleet.kt
@@ -73,7 +73,8 @@
         if (jobCount % JOBS_PER_LIST == 0) step { machinesListed(List(MACHINES, ::listed)) }
     }
 
-    private fun listed(machine: Int) = ListedMachine("m$machine", "m$machine:1", type.name, zone, false, MachineStage.RUNNING, now)
+    private fun listed(machine: Int) =
+        ListedMachine("m$machine", "m$machine:1", type.name, zone, false, MachineStage.RUNNING, now)
 
     private fun sendHeartbeat(machine: Int) {
         now += 1.milliseconds
--- a/src/main/kotlin/glenspool/core/autoscaling/FleetTimes.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/FleetTimes.kt
@@ -11,7 +11,11 @@
 private const val MIN_FETCH_GB_PER_S = 0.01
 
 /** How long a machine of the type takes to fetch an image of [gb] gigabytes. */
-internal fun fetchTime(gb: Double, type: MachineType): Duration = (gb / type.fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_S)).seconds
+internal fun fetchTime(gb: Double, type: MachineType): Duration =
+    (
+        gb /
+            type.fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_S)
+    ).seconds
 
 /** How long a machine of the type takes to fetch the job's image. */
 internal fun fetchTime(spec: JobSpec, type: MachineType): Duration = fetchTime(spec.imageGb, type)
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -66,10 +66,12 @@
         }
     }
 
-    private fun hasOnlyShortWork(machine: Machine): Boolean = machine.placements.values.all { it.job.spec.kind == JobKind.ARRAY } && machine.orphans.isEmpty()
+    private fun hasOnlyShortWork(machine: Machine): Boolean =
+        machine.placements.values.all { it.job.spec.kind == JobKind.ARRAY } && machine.orphans.isEmpty()
 
     /** How much of the machine is in use, by its fullest resource. */
-    private fun loadOf(machine: Machine): Double = cluster.typeOf(machine)?.let { machine.workload.used().dominantShareOf(it.capacity) } ?: 0.0
+    private fun loadOf(machine: Machine): Double =
+        cluster.typeOf(machine)?.let { machine.workload.used().dominantShareOf(it.capacity) } ?: 0.0
 
     /** How many machines of the commonest type the waiting tasks would fill. */
     private fun loadOf(job: Job): Double {
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
@@ -222,7 +222,8 @@
     private fun fitsNowhere(spec: JobSpec): Boolean =
         cluster.machines.values.none { machine ->
             val type = cluster.typeOf(machine)
-            val stays = !machine.isDeleting && !machine.hasFailed && !machine.isCordoned && machine.preemptionNotice == null
+            val stays =
+                !machine.isDeleting && !machine.hasFailed && !machine.isCordoned && machine.preemptionNotice == null
             stays && isAllowed(spec, machine) && type != null && spec.resourceRequest.fitsIn(type.capacity)
         }
 
@@ -239,7 +240,11 @@
         return type.boot * BOOT_MARGIN + fetchTime(spec, type)
     }
 
-    private fun firstTypeFor(spec: JobSpec): MachineType? = cluster.types.values.firstOrNull { spec.resourceRequest.fitsIn(it.capacity) }
+    private fun firstTypeFor(spec: JobSpec): MachineType? =
+        cluster.types.values.firstOrNull {
+            spec.resourceRequest
+                .fitsIn(it.capacity)
+        }
 
     private companion object {
         const val MAX_TASKS_PER_JOB = 400
--- a/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
@@ -65,7 +65,11 @@
         /** Takes the machine's slots out of the count if enough remain. */
         fun release(machine: Machine): Boolean {
             val lost = rates.associateWith { slotsOn(machine, it.spec) }
-            val isNeeded = lost.any { (rate, slots) -> slots > 0 && available.getValue(rate) - slots < needed.getValue(rate) }
+            val isNeeded =
+                lost.any { (rate, slots) ->
+                    slots > 0 &&
+                        available.getValue(rate) - slots < needed.getValue(rate)
+                }
             if (isNeeded) return false
             for ((rate, slots) in lost) available.merge(rate, -slots, Int::plus)
             return true
@@ -93,7 +97,13 @@
     }
 
     private fun isAvailable(machine: Machine): Boolean {
-        if (machine.isCordoned || machine.isDeleting || machine.hasFailed || machine.preemptionNotice != null) return false
+        if (machine.isCordoned ||
+            machine.isDeleting ||
+            machine.hasFailed ||
+            machine.preemptionNotice != null
+        ) {
+            return false
+        }
         return machine.isTrusted && !machine.reachability.isUnreachable && !machine.isSilent(context)
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -128,7 +128,8 @@
 
     /** What [member] has to be told now. */
     @Synchronized
-    fun updateFor(member: String): CancellationUpdate = updateAfter(members.getValue(member), members.getValue(member).acknowledged)
+    fun updateFor(member: String): CancellationUpdate =
+        updateAfter(members.getValue(member), members.getValue(member).acknowledged)
 
     /** Takes in what [member] says by itself, and answers it. */
     @Synchronized
@@ -174,7 +175,13 @@
         val began = now() - update.uptime * (1 - DRIFT)
         if (m.covered.let { it != null && it >= began }) {
             m.covered =
-                later(m.covered, maxOf(asked, asked - update.contactAge * (1 + DRIFT) + ISOLATION_TIMEOUT * (1 - DRIFT) - MARGIN))
+                later(
+                    m.covered,
+                    maxOf(
+                        asked,
+                        asked - update.contactAge * (1 + DRIFT) + ISOLATION_TIMEOUT * (1 - DRIFT) - MARGIN,
+                    ),
+                )
         }
         return fresh
     }
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWorkDeadline.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkDeadline.kt
@@ -53,7 +53,10 @@
         return !machine.isDeleting && since != null && at - since > deadline * LAST_MOMENT_SHARE
     }
 
-    private fun wasNamed(machine: Machine, at: Duration) = namedAt[machine.id].let { it != null && at - it < NAME_AGAIN }
+    private fun wasNamed(machine: Machine, at: Duration) =
+        namedAt[machine.id].let {
+            it != null && at - it < NAME_AGAIN
+        }
 
     private fun cancelledJobsOn(machine: Machine): Set<String> {
         val jobs = machine.placements.values.map { it.job } + machine.orphans.keys.mapNotNull { cluster.jobs[it.job] }
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -98,14 +98,22 @@
         val wanted = withoutRepeats(machine.requests.pendingCommands.filter { isStillWanted(machine, it) })
         val (admitted, held) =
             wanted.partition { command ->
-                command !is StartTask || context.hooks.gate.admits(ProposedOrder(command.cause, machine.id, command.key))
+                command !is StartTask ||
+                    context.hooks.gate.admits(ProposedOrder(command.cause, machine.id, command.key))
             }
         machine.requests.replacePending(held)
         admitted.filterIsInstance<StartTask>().forEach { startSent(machine, it) }
         return admitted
     }
 
-    private fun withoutRepeats(commands: List<Command>) = if (commands.size > 1) commands.distinctBy { it.withoutCause() } else commands
+    private fun withoutRepeats(commands: List<Command>) =
+        if (commands.size >
+            1
+        ) {
+            commands.distinctBy { it.withoutCause() }
+        } else {
+            commands
+        }
 
     private fun isStillWanted(machine: Machine, command: Command): Boolean {
         if (command !is StartTask) return true
--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -85,7 +85,8 @@
      * Its heartbeats come in, but nothing reaches it: its tasks die with its lease, again and again. Only while other
      * machines are reached, or it is our own way out that is cut.
      */
-    private fun isUnreachableAlone(machine: Machine): Boolean = machine.reachability.isUnreachableFor(maxSilence, now) && census.reached > census.unreachable
+    private fun isUnreachableAlone(machine: Machine): Boolean =
+        machine.reachability.isUnreachableFor(maxSilence, now) && census.reached > census.unreachable
 
     private fun isLost(machine: Machine, silence: Duration): Boolean {
         val isGone = isGone(machine)
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatAnswer.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatAnswer.kt
@@ -49,7 +49,8 @@
     }
 
     /** The result is not known to be stored yet. */
-    private fun isResultNeeded(job: Job, task: Int): Boolean = !job.isFinished && job.spec.kind != JobKind.SERVICE && !job.storedDone[task]
+    private fun isResultNeeded(job: Job, task: Int): Boolean =
+        !job.isFinished && job.spec.kind != JobKind.SERVICE && !job.storedDone[task]
 
     private fun stopOrphan(machine: Machine, job: Job?, status: TaskStatus): StopTask? {
         val cause =
@@ -62,7 +63,8 @@
         return StopTask(status.key, status.attempt, Duration.ZERO, cause)
     }
 
-    private fun mayStopOrphan(machine: Machine, key: TaskKey, cause: StopCause): Boolean = cause == StopCause.CANCELLED || context.hooks.gate.admits(ProposedOrder(cause, machine.id, key))
+    private fun mayStopOrphan(machine: Machine, key: TaskKey, cause: StopCause): Boolean =
+        cause == StopCause.CANCELLED || context.hooks.gate.admits(ProposedOrder(cause, machine.id, key))
 
     /** A stop that should have been carried out by now. */
     private fun repeatedStop(placement: Placement, status: TaskStatus): StopTask? {
--- a/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
@@ -1,6 +1,8 @@
 package glenspool.core.cluster
 
-/** The images that tasks were seen to have on a machine, least recently used first; the machine evicts in that order. */
+/**
+ * The images that tasks were seen to have on a machine, least recently used first; the machine evicts in that order.
+ */
 class ImageCache {
     private val sizes = LinkedHashMap<String, Double>()
 
--- a/src/main/kotlin/glenspool/core/cluster/MachineRequests.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineRequests.kt
@@ -14,7 +14,9 @@
     val since: Duration,
 )
 
-/** The requests to one machine: commands that wait, the request on its way, and starts that may still be carried out. */
+/**
+ * The requests to one machine: commands that wait, the request on its way, and starts that may still be carried out.
+ */
 class MachineRequests {
     private val waiting = ArrayList<Command>()
     private val starts = ArrayList<UnconfirmedStart>()
--- a/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
@@ -79,7 +79,14 @@
         machine.health.taskFailed(now)
         val machines = job.failedOn.size
         // On several machines the job is at fault: it must not consume the fleet.
-        val backoff = if (machines < 2) RETRY else minOf(MAX_BACKOFF, BASE_BACKOFF * (1 shl minOf(machines, MAX_DOUBLINGS)))
+        val backoff =
+            if (machines <
+                2
+            ) {
+                RETRY
+            } else {
+                minOf(MAX_BACKOFF, BASE_BACKOFF * (1 shl minOf(machines, MAX_DOUBLINGS)))
+            }
         job.retryAfter = now + backoff
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/Reachability.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Reachability.kt
@@ -43,7 +43,8 @@
     fun wasReachedWithin(span: Duration, now: Duration): Boolean = lastReachedAt.isWithin(span, now)
 
     /** Whether requests have gone without an answer for more than [span]. */
-    fun isUnreachableFor(span: Duration, now: Duration): Boolean = unreachableSince.let { it != null && now - it > span }
+    fun isUnreachableFor(span: Duration, now: Duration): Boolean =
+        unreachableSince.let { it != null && now - it > span }
 
     private fun Duration?.isWithin(span: Duration, now: Duration) = this != null && now - this <= span
 
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -290,7 +290,15 @@
     fun hasWaitingTask(): Boolean = waitingTasks(1).isNotEmpty()
 
     /** How many tasks wait to be placed; orphaned ones count as waiting. */
-    fun waitingCount(): Int = if (isCancelled || isFinished || waitsForDependencies) 0 else spec.tasks - doneCount - placedNotDone
+    fun waitingCount(): Int =
+        if (isCancelled ||
+            isFinished ||
+            waitsForDependencies
+        ) {
+            0
+        } else {
+            spec.tasks - doneCount - placedNotDone
+        }
 
     /** The job as it has to be stored. */
     fun record() =
@@ -302,7 +310,10 @@
             placements = placed.values.filter { it.part == PlacementParts.RECORD }.map { it.toStored() },
             dependencies = emptyList(),
             dependenciesDoneAt = dependenciesDoneAt,
-            placementParts = placed.values.filter { it.part != PlacementParts.RECORD }.groupBy({ it.part }, { it.toStored() }),
+            placementParts =
+                placed.values
+                    .filter { it.part != PlacementParts.RECORD }
+                    .groupBy({ it.part }, { it.toStored() }),
             descriptionParts = descriptionParts,
         )
 
--- a/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
@@ -199,7 +199,8 @@
     }
 
     /** When what the job waits for should be done: it has to be placed and fetch its image before it can begin. */
-    private fun startBy(job: Job, dueBy: Duration): Duration = deadlines.latestStart(job, dueBy) - HANDOVER - deadlines.fetchTime(job)
+    private fun startBy(job: Job, dueBy: Duration): Duration =
+        deadlines.latestStart(job, dueBy) - HANDOVER - deadlines.fetchTime(job)
 
     private companion object {
         const val MAX_READS = 8
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -78,7 +78,9 @@
         return now - sentAt > START_PATIENCE && machine.requests.unconfirmedStarts.any { it.key == placement.key }
     }
 
-    private fun sendStart(placement: Placement, machine: Machine) = commands.add(machine, StartTask(placement.key, placement.attempt, StartCause.RETRIED))
+    private fun sendStart(placement: Placement, machine: Machine) =
+        commands
+            .add(machine, StartTask(placement.key, placement.attempt, StartCause.RETRIED))
 
     private fun retryStop(placement: Placement, machine: Machine) {
         val cause = placement.stopCause ?: return
@@ -126,7 +128,12 @@
     /** All tasks without the image have fetched it by now. */
     private fun startDeferred(placements: List<Placement>) {
         if (placements.none { it.isDeferred }) return
-        if (placements.all { it.isDeferred || !it.taskState.isWithoutImage }) placements.forEach { it.isDeferred = false }
+        if (placements.all {
+                it.isDeferred || !it.taskState.isWithoutImage
+            }
+        ) {
+            placements.forEach { it.isDeferred = false }
+        }
     }
 
     private val TaskState?.isRunning get() = this == TaskState.RUNNING || this == TaskState.CHECKPOINTING
--- a/src/main/kotlin/glenspool/core/model/Command.kt
+++ b/src/main/kotlin/glenspool/core/model/Command.kt
@@ -14,11 +14,7 @@
 }
 
 /** Start the task, unless this attempt is known already. */
-data class StartTask(
-    override val key: TaskKey,
-    override val attempt: Long,
-    override val cause: StartCause,
-) : Command
+data class StartTask(override val key: TaskKey, override val attempt: Long, override val cause: StartCause) : Command
 
 /** Stop the task; it may take [grace] to write a checkpoint. */
 data class StopTask(
@@ -29,11 +25,7 @@
 ) : Command
 
 /** Forget an exited task, which then no longer appears in heartbeats. */
-data class ForgetTask(
-    override val key: TaskKey,
-    override val attempt: Long,
-    override val cause: ForgetCause,
-) : Command
+data class ForgetTask(override val key: TaskKey, override val attempt: Long, override val cause: ForgetCause) : Command
 
 /** The command as workers receive it: causes are known to controllers only, so commands may differ in them alone. */
 fun Command.withoutCause(): Command =
--- a/src/main/kotlin/glenspool/core/model/Deployment.kt
+++ b/src/main/kotlin/glenspool/core/model/Deployment.kt
@@ -16,7 +16,9 @@
     val zones: List<String>,
 )
 
-/** A team's quota: what it is guaranteed of CPUs and GPUs, and what it may use at most; null where there is no limit. */
+/**
+ * A team's quota: what it is guaranteed of CPUs and GPUs, and what it may use at most; null where there is no limit.
+ */
 data class Team(val name: String, val cpus: Double, val gpus: Double, val cpusMax: Double?, val gpusMax: Double?)
 
 /** A service-level objective of the deployment, as far as scheduling can use it. */
--- a/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
@@ -23,11 +23,7 @@
  * queues per resource are drawn from in turn, each largest capacity, then most free resources first, and each machine
  * takes a waiting task that is bound by that resource.
  */
-class PlacementRound(
-    private val view: PlacementView,
-    machines: List<Machine>,
-    private val jobs: List<Job>,
-) {
+class PlacementRound(private val view: PlacementView, machines: List<Machine>, private val jobs: List<Job>) {
     private val resources = RoundResources(view, machines, jobs)
     private val gangs = GangPlanner(view, resources)
     private val tasks = TaskMatcher(view, resources)
--- a/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
@@ -105,7 +105,8 @@
 
     override fun recordCapacity(job: Job): Int = splitting.capacityLeft(job)
 
-    override fun isAvoided(job: Job, machine: Machine): Boolean = hasReasonToAvoid(job, machine) || machine.isReservedAgainst(job, now)
+    override fun isAvoided(job: Job, machine: Machine): Boolean =
+        hasReasonToAvoid(job, machine) || machine.isReservedAgainst(job, now)
 
     override fun costPenalty(job: Job, machine: Machine): Int = if (job.spec.spot && !machine.spot) 1 else 0
 
--- a/src/main/kotlin/glenspool/core/placement/Preemptor.kt
+++ b/src/main/kotlin/glenspool/core/placement/Preemptor.kt
@@ -56,7 +56,14 @@
         return !isLeaving(job) && deadlines.fetchTime(job) >= patienceOf(job) * 2
     }
 
-    private fun patienceOf(job: Job): Duration = if (job.effectivePriority == Priority.CRITICAL) PATIENCE else PATIENCE_WITH_CHECKPOINT
+    private fun patienceOf(job: Job): Duration =
+        if (job.effectivePriority ==
+            Priority.CRITICAL
+        ) {
+            PATIENCE
+        } else {
+            PATIENCE_WITH_CHECKPOINT
+        }
 
     private fun freeMachinesWithImage(job: Job, ready: List<Machine>) {
         val wanted = minOf(job.waitingCount(), cluster.quotas.remaining(job))
@@ -89,7 +96,11 @@
     private fun minimumAtOnce(job: Job) = if (job.isGang) job.waitingCount() else 1
 
     /** How many tasks of the job the machines have free resources for. */
-    private fun countAvailable(job: Job, machines: List<Machine>): Int = machines.sumOf { machine -> availableOn(machine)?.let { job.resourceRequest.countIn(it) } ?: 0 }
+    private fun countAvailable(job: Job, machines: List<Machine>): Int =
+        machines.sumOf { machine ->
+            availableOn(machine)?.let { job.resourceRequest.countIn(it) }
+                ?: 0
+        }
 
     private fun availableOn(machine: Machine): Resources? = cluster.typeOf(machine)?.let { machine.available(it) }
 
@@ -179,7 +190,9 @@
         return fetch + lost / preempted.size
     }
 
-    private fun lostWork(placement: Placement): Duration = placement.job.lostWork(placement, now, deadlines.fetchTime(placement.job))
+    private fun lostWork(placement: Placement): Duration =
+        placement.job
+            .lostWork(placement, now, deadlines.fetchTime(placement.job))
 
     private fun isUsable(job: Job, machine: Machine): Boolean {
         if (!isAllowed(job.spec, machine) || hasReasonToAvoid(job, machine)) return false
--- a/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -63,7 +63,8 @@
                 }.thenByDescending { resources.freeOn(it).of(resource) },
             )
 
-    private fun hasAny(machine: Machine, resource: Resource) = resources.freeOn(machine).of(resource) > Resources.EPSILON
+    private fun hasAny(machine: Machine, resource: Resource) =
+        resources.freeOn(machine).of(resource) > Resources.EPSILON
 
     /** Gives the machine one task. */
     private fun placeOne(machine: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Boolean {
--- a/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
@@ -16,7 +16,9 @@
     private val work = CancelledWorkTracker(40.seconds)
     private val places = mapOf("a" to listOf("m1", "m2"), "b" to listOf("m2", "m3"))
 
-    private fun due(at: Int, known: Map<String, Int> = mapOf("a" to 0, "b" to 4)) = work.due(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
+    private fun due(at: Int, known: Map<String, Int> = mapOf("a" to 0, "b" to 4)) =
+        work
+            .due(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
 
     @Test
     fun `machines are asked when their time is half over, and only about what was cancelled`() {
--- a/src/test/kotlin/glenspool/core/ClusterSimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/ClusterSimulationTest.kt
@@ -40,7 +40,14 @@
             ->
             RecoveryEngine(RecoveryPolicy(), setting, token, at, kind)
         }
-        val w = ClusterSimulation(seed, deployment, listOf(bigType, leanType), faults, recoverer = recoverer.takeIf { coldStarts })
+        val w =
+            ClusterSimulation(
+                seed, deployment, listOf(bigType, leanType), faults,
+                recoverer =
+                    recoverer.takeIf {
+                        coldStarts
+                    },
+            )
         w.state.valueLimit = valueBytes
         for (i in 0 until 6) {
             w.addMachine(
--- a/src/test/kotlin/glenspool/core/FleetGuardsTest.kt
+++ b/src/test/kotlin/glenspool/core/FleetGuardsTest.kt
@@ -113,7 +113,13 @@
         }
         val cancelled = now
         assertEquals(emptyList<String>(), core.overdueMachines(cancelled + 31.seconds).map { it.machine })
-        assertEquals(listOf("m3" to setOf("a")), core.overdueMachines(cancelled + 33.seconds).map { it.machine to it.jobs })
+        assertEquals(
+            listOf("m3" to setOf("a")),
+            core.overdueMachines(cancelled + 33.seconds).map {
+                it.machine to
+                    it.jobs
+            },
+        )
         assertEquals(emptyList<String>(), core.overdueMachines(cancelled + 34.seconds).map { it.machine })
         assertEquals(listOf("m3"), core.overdueMachines(cancelled + 37.seconds).map { it.machine })
         step { deletionEnded(listOf("m3"), true) }
@@ -181,7 +187,17 @@
         submit(job("small", tasks = 4, resourceRequest = whole))
         val (first, second) = gang.keys.toList()
 
-        fun breaks(m: String) = say(heartbeat(m, listOf(gang.getValue(m).copy(state = TaskState.EXITED, exit = ExitReason.GANG_BROKEN))))
+        fun breaks(m: String) =
+            say(
+                heartbeat(
+                    m,
+                    listOf(
+                        gang
+                            .getValue(m)
+                            .copy(state = TaskState.EXITED, exit = ExitReason.GANG_BROKEN),
+                    ),
+                ),
+            )
         breaks(first)
         val meanwhile = wait(2.seconds)
         assertTrue(
@@ -226,7 +242,13 @@
     @Test
     fun `a new leader does not wait a whole lease for a machine that no list names`() {
         step { machineTypesKnown(listOf(bigType)) }
-        submit(job("a", tasks = 4, resourceRequest = whole), (0..3).map { StoredPlacement(it, it + 1L, "m${it + 1}") }, last = 4)
+        submit(
+            job("a", tasks = 4, resourceRequest = whole),
+            (0..3).map {
+                StoredPlacement(it, it + 1L, "m${it + 1}")
+            },
+            last = 4,
+        )
         val alive = (1..3).associate { "m$it" to task("a", it - 1, it.toLong(), TaskState.RUNNING) }
         val all = ArrayList<Action>()
         repeat(6) {
--- a/src/test/kotlin/glenspool/core/GuardsTest.kt
+++ b/src/test/kotlin/glenspool/core/GuardsTest.kt
@@ -143,7 +143,14 @@
         step { commandsEnded("m1", direct, CommandOutcome.UNKNOWN, null) }
         val (commands, _) = say(heartbeat("m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.ERROR))))
         assertFalse(commands.any { it is ForgetTask })
-        val (later, _) = say(heartbeat("m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.ERROR)), token = TOKEN + 1))
+        val (later, _) =
+            say(
+                heartbeat(
+                    "m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.ERROR)),
+                    token =
+                        TOKEN + 1,
+                ),
+            )
         assertTrue(later.contains(ForgetTask(TaskKey("a", 0), 1, ForgetCause.NO_RESULT)))
     }
 
@@ -188,7 +195,9 @@
         wait(1.seconds)
         val old = heartbeat("m1")
         val d = confirm().filterIsInstance<SendCommands>().single()
-        step { commandsEnded("m1", d, CommandOutcome.DONE, heartbeat("m1", listOf(task("a", 0, 1, TaskState.RUNNING)))) }
+        step {
+            commandsEnded("m1", d, CommandOutcome.DONE, heartbeat("m1", listOf(task("a", 0, 1, TaskState.RUNNING))))
+        }
         say(old)
         assertEquals(
             1,
@@ -254,7 +263,12 @@
             heartbeatReceived(heartbeat("m1", token = TOKEN + 1))
         }
         assertTrue(next.machines.getValue("m1").hasImage("img"))
-        assertTrue(next.step(now + 10.seconds, now) { tick() }.none { it is StoreImageLocations && it.images.isEmpty() })
+        assertTrue(
+            next
+                .step(now + 10.seconds, now) {
+                    tick()
+                }.none { it is StoreImageLocations && it.images.isEmpty() },
+        )
     }
 
     @Test
@@ -418,7 +432,8 @@
                                 task("bad", it.key.task, it.attempt, TaskState.EXITED, ExitReason.ERROR)
                             }
                         starts += failed.size
-                        actions += step { commandsEnded(a.machine, a, CommandOutcome.DONE, heartbeat(a.machine, failed)) }
+                        actions +=
+                            step { commandsEnded(a.machine, a, CommandOutcome.DONE, heartbeat(a.machine, failed)) }
                     }
                     else -> Unit
                 }
@@ -526,7 +541,9 @@
     fun `a worker that forgot the token proves nothing gone, whatever its count`() {
         // It began anew: commands of an earlier leader that are still on their way would be carried out again.
         commanded().let { d ->
-            step { commandsEnded("m1", d, CommandOutcome.DONE, heartbeat("m1", listOf(task("a", 0, 1, TaskState.RUNNING)))) }
+            step {
+                commandsEnded("m1", d, CommandOutcome.DONE, heartbeat("m1", listOf(task("a", 0, 1, TaskState.RUNNING))))
+            }
         }
         say(heartbeat("m1", token = 0))
         assertEquals(
@@ -614,7 +631,14 @@
         }
         submit(job("more", tasks = 8, resourceRequest = Resources(14.0, 4.0, 50.0)))
         submit(job("gang", JobKind.GANG, 2, Resources(14.0, 4.0, 50.0), priority = Priority.URGENT))
-        assertEquals(2, wait(1.seconds).filterIsInstance<SendCommands>().flatMap { it.commands }.count { it is StopTask })
+        assertEquals(
+            2,
+            wait(1.seconds)
+                .filterIsInstance<SendCommands>()
+                .flatMap {
+                    it.commands
+                }.count { it is StopTask },
+        )
         // One machine is free before the other: it must wait for the gang, not take another small task.
         val (m, c) = running.entries.first()
         say(heartbeat(m, listOf(task("small", c.key.task, c.attempt, TaskState.EXITED, ExitReason.STOPPED))))
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -22,7 +22,10 @@
 class JobDependenciesTest : SchedulerDriver() {
     private fun List<Action>.asked() = filterIsInstance<ReadFinalStates>().flatMap { it.jobs }
 
-    private fun List<Action>.finishes() = filterIsInstance<StoreChanges>().flatMap { it.writes }.filterIsInstance<StoreFinalState>()
+    private fun List<Action>.finishes() =
+        filterIsInstance<StoreChanges>()
+            .flatMap { it.writes }
+            .filterIsInstance<StoreFinalState>()
 
     @Test
     fun `a job that waits gets no place before the end of what it needs is stored`() {
@@ -40,7 +43,14 @@
         val (_, seen) = say(heartbeat("m1", listOf(task("a", 0, start.attempt, TaskState.EXITED, ExitReason.DONE))))
         val before = seen + wait(3.seconds)
         assertEquals(listOf("a"), before.finishes().map { it.id })
-        assertTrue(core.dependencies["b"].let { it != null && it.waitsForDependencies && it.waitingCount() == 0 && it.waitingTasks(1).isEmpty() })
+        assertTrue(
+            core.dependencies["b"].let {
+                it != null &&
+                    it.waitsForDependencies &&
+                    it.waitingCount() == 0 &&
+                    it.waitingTasks(1).isEmpty()
+            },
+        )
         assertTrue(before.filterIsInstance<StoreChanges>().flatMap { it.writes }.none { it.id == "b" })
         val places = confirm() + wait(1.seconds)
         assertEquals("b", (store(places).writes.single() as UpdateJobRecord).id)
@@ -73,7 +83,20 @@
         while (closed.size < n) {
             val f = acts.finishes()
             assertTrue(f.isNotEmpty(), "stopped after ${closed.size}")
-            for (w in f) assertEquals(FinalState.CANCELLED to (if (w.id == "j0") null else "j0"), w.finalState to w.abortedBy)
+            for (w in f) {
+                assertEquals(
+                    FinalState.CANCELLED to (
+                        if (w.id ==
+                            "j0"
+                        ) {
+                            null
+                        } else {
+                            "j0"
+                        }
+                    ),
+                    w.finalState to w.abortedBy,
+                )
+            }
             closed.addAll(f.map { it.id })
             acts = confirm() + wait(1.seconds)
         }
@@ -99,7 +122,10 @@
         val plain = core.latestStart(core.jobs.getValue("a"))
         submit(job("c", priority = Priority.URGENT, deadline = 90.seconds), dependencies = listOf("b"))
         val a = core.jobs.getValue("a")
-        assertEquals(Priority.URGENT to Priority.URGENT, a.effectivePriority to core.dependencies["b"]?.effectivePriority)
+        assertEquals(
+            Priority.URGENT to Priority.URGENT,
+            a.effectivePriority to core.dependencies["b"]?.effectivePriority,
+        )
         assertTrue(core.latestStart(a) < plain, "a chain's deadline comes before a job without one")
         assertTrue(a.dueBy.let { it != null && it < 90.seconds - 30.seconds })
         step { jobCancelled("c", ++revision, now) }
@@ -131,7 +157,13 @@
         fun ready(id: String): Boolean = dependencies.getValue(id).all { ends[it] == FinalState.DONE }
 
         fun effectivePriority(id: String): Priority {
-            val waiting = dependencies.keys.filter { id in dependencies.getValue(it) && it !in ends && !aborted(it) && !ready(it) }
+            val waiting =
+                dependencies.keys.filter {
+                    id in dependencies.getValue(it) &&
+                        it !in ends &&
+                        !aborted(it) &&
+                        !ready(it)
+                }
             return (waiting.map(::effectivePriority) + priority.getValue(id)).max()
         }
 
@@ -177,7 +209,12 @@
             happen(m, tell = n >= 39)
             if (n >= 40) same(m, "seed $seed, job $n")
         }
-        assertTrue(m.ends.values.count { it == FinalState.DONE } > 10 && m.ends.values.count { it == FinalState.CANCELLED } > 3)
+        assertTrue(
+            m.ends.values.count {
+                it == FinalState.DONE
+            } > 10 &&
+                m.ends.values.count { it == FinalState.CANCELLED } > 3,
+        )
     }
 
     /** One thing that is stored: an end, or a cancellation. */
@@ -233,7 +270,11 @@
             ) {
                 assertEquals(m.dependencies.getValue(id).any(m::aborted), held.abortedBy != null, "$where: $id is cut off")
             }
-            if (held == null || held.abortedBy == null) assertEquals(m.effectivePriority(id), core.job(id)?.effectivePriority, "$where: rank of $id")
+            if (held == null ||
+                held.abortedBy == null
+            ) {
+                assertEquals(m.effectivePriority(id), core.job(id)?.effectivePriority, "$where: rank of $id")
+            }
         }
     }
 }
--- a/src/test/kotlin/glenspool/core/LargeFleetTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetTest.kt
@@ -135,7 +135,8 @@
         step { machineTypesKnown(listOf(bigType)) }
         for (n in 0 until machines / 8) {
             val placements = (0 until 8).map { StoredPlacement(it, it + 1L, "m${n * 8 + it}") }
-            val spec = job("j$n", tasks = 8, resourceRequest = Resources(14.0, 4.0, 50.0), estimatedDuration = 1000.seconds)
+            val spec =
+                job("j$n", tasks = 8, resourceRequest = Resources(14.0, 4.0, 50.0), estimatedDuration = 1000.seconds)
             step { jobStored(JobRecord(spec, now, 8, BitSet(), placements), ++revision) }
             for (placement in placements) {
                 TaskKey(spec.id, placement.task).let {
@@ -183,7 +184,12 @@
         }
         val record = core.jobs.getValue("wide").record()
         assertEquals(4000, started)
-        assertEquals((0 until 4000).toSet(), (record.placements + record.placementParts.values.flatten()).map { it.task }.toSet())
+        assertEquals(
+            (0 until 4000).toSet(),
+            (record.placements + record.placementParts.values.flatten())
+                .map { it.task }
+                .toSet(),
+        )
         assertTrue(record.placementParts.size > 16, "${record.placementParts.size} shelves")
         val values = record.placementParts.values.map { RecordWire.encodePlaces(it) } + RecordWire.encode(record)
         assertTrue(values.all { Cbor.jsonBytes(it) <= config().valueBytes }, "${values.map { Cbor.jsonBytes(it) }}")
@@ -196,7 +202,12 @@
         for ((n, part) in all.chunked(8).withIndex()) {
             val placements = part.mapIndexed { i, m -> StoredPlacement(i, i + 1L, m) }
             val spec =
-                job("j$n", tasks = 8, resourceRequest = Resources(14.0, 4.0, 50.0), image = "i${n % 7}", estimatedDuration = 1000.seconds)
+                job(
+                    "j$n", tasks = 8, resourceRequest = Resources(14.0, 4.0, 50.0), image = "i${n % 7}",
+                    estimatedDuration =
+                        1000
+                            .seconds,
+                )
             step { jobStored(JobRecord(spec, now, 8, BitSet(), placements), ++revision) }
             for (i in placements) {
                 TaskKey(spec.id, i.task).let {
@@ -205,16 +216,37 @@
                 }
             }
         }
-        step { machinesListed(all.map { ListedMachine(it, "addr-$it", "big", "a", false, MachineStage.RUNNING, 100.seconds) }) }
+        step {
+            machinesListed(
+                all.map {
+                    ListedMachine(
+                        it, "addr-$it", "big", "a", false, MachineStage.RUNNING,
+                        100
+                            .seconds,
+                    )
+                },
+            )
+        }
         // They find the new leader by and by, a tenth of them in each half second, and report every two seconds from
         // then on.
         repeat(60) { n ->
-            all.filterIndexed { i, _ -> i % 10 <= n && (i + n) % 4 == 0 }.forEach { m -> step { heartbeatReceived(heartbeat(m)) } }
+            all
+                .filterIndexed {
+                    i,
+                    _,
+                    ->
+                    i % 10 <= n && (i + n) % 4 == 0
+                }.forEach { m -> step { heartbeatReceived(heartbeat(m)) } }
             now += 500.milliseconds
             step { tick() }
         }
         assertEquals(listOf(0, 0, 0), listOf(started, writes, deletions))
-        assertEquals(2000, core.jobs.values.sumOf { j -> j.placements.values.count { it.taskState == TaskState.RUNNING } })
+        assertEquals(
+            2000,
+            core.jobs.values.sumOf { j ->
+                j.placements.values.count { it.taskState == TaskState.RUNNING }
+            },
+        )
         assertTrue(questions < 2000, "$questions questions for 2,000 machines that report by themselves")
     }
 
@@ -262,7 +294,11 @@
             jobStored(JobRecord(job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL), now, 0, BitSet(), emptyList()), ++revision)
         }
         // One transaction was on its way; the next begins with what somebody waits for.
-        val store = core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) }.filterIsInstance<StoreChanges>().single()
+        val store =
+            core
+                .step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) }
+                .filterIsInstance<StoreChanges>()
+                .single()
         assertEquals("s", store.writes.first().id)
     }
 }
--- a/src/test/kotlin/glenspool/core/OrderCountsTest.kt
+++ b/src/test/kotlin/glenspool/core/OrderCountsTest.kt
@@ -48,7 +48,13 @@
         assertEquals(2L, before[ScaleOutCause.WAITING_WORK])
         val request = requests.first()
         step { scaleOutUnanswered(request) }
-        assertEquals(listOf(request), wait(3.seconds).filterIsInstance<ScaleOut>().filter { it.request == request.request })
+        assertEquals(
+            listOf(request),
+            wait(3.seconds).filterIsInstance<ScaleOut>().filter {
+                it.request ==
+                    request.request
+            },
+        )
         assertEquals(before[ScaleOutCause.WAITING_WORK], counts[ScaleOutCause.WAITING_WORK])
     }
 }
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -10,7 +10,8 @@
 
 /** A leader with too little processor time must not take its own lateness for the failure of machines. */
 class OverloadTest : SchedulerDriver() {
-    private fun deleted(actions: List<Action>) = actions.filterIsInstance<DeleteMachines>().flatMap { it.machines }.toSet()
+    private fun deleted(actions: List<Action>) =
+        actions.filterIsInstance<DeleteMachines>().flatMap { it.machines }.toSet()
 
     /** Machines of which [lost] are silent while the process is [backlog] behind for [spell]. */
     private fun lostDuring(backlog: Duration, spell: Duration): Set<String> {
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -35,7 +35,8 @@
 
         override fun zoneOf(machine: String) = all.first { it.id == machine }.zone
 
-        override fun remainingQuota(job: Job) = (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
+        override fun remainingQuota(job: Job) =
+            (limit[job.spec.team] ?: 1000) - placed.count { it.first.spec.team == job.spec.team }
 
         override fun isWithinGuarantee(job: Job) = false
 
@@ -116,7 +117,11 @@
     private fun legal(view: Plain, job: Job, m: Machine, others: List<Triple<Job, Int, Machine>>): Boolean {
         val s = job.spec
         val mates = others.filter { it.first === job }.map { it.third.zone }
-        val used = others.filter { it.third === m }.map { it.first.resourceRequest }.fold(Resources.ZERO) { x, y -> x + y }
+        val used =
+            others.filter { it.third === m }.map { it.first.resourceRequest }.fold(Resources.ZERO) { x, y ->
+                x +
+                    y
+            }
         return isAllowed(s, m) &&
             m.id !in job.failedOn &&
             (used + s.resourceRequest).fitsIn(view.types.getValue(m.type).capacity) &&
@@ -165,7 +170,10 @@
     @Test
     fun `a slow machine is taken last`() {
         val view = Plain(emptyMap())
-        val slow = Machine("slow", "big", "a", false, Duration.ZERO).also { slow -> repeat(2) { slow.health.taskCompleted(5.0) } }
+        val slow =
+            Machine("slow", "big", "a", false, Duration.ZERO).also { slow ->
+                repeat(2) { slow.health.taskCompleted(5.0) }
+            }
         val sound = Machine("sound", "big", "a", false, Duration.ZERO)
         view.all += listOf(slow, sound)
         val jobs =
--- a/src/test/kotlin/glenspool/core/RecordMergerTest.kt
+++ b/src/test/kotlin/glenspool/core/RecordMergerTest.kt
@@ -111,7 +111,8 @@
     @Test
     fun `what an earlier leader split is brought back after a take-over`() {
         val placementParts = mapOf(0 to (3..9).map { StoredPlacement(it, 1, "i-00000$it") })
-        val record = JobRecord(wide, now, 9, BitSet(), listOf(StoredPlacement(1, 1, "i-000001")), placementParts = placementParts)
+        val record =
+            JobRecord(wide, now, 9, BitSet(), listOf(StoredPlacement(1, 1, "i-000001")), placementParts = placementParts)
         step { machineTypesKnown(listOf(glenspool.simulation.bigType)) }
         val actions =
             step {
--- a/src/test/kotlin/glenspool/core/SmallValuesTest.kt
+++ b/src/test/kotlin/glenspool/core/SmallValuesTest.kt
@@ -24,7 +24,8 @@
             it.valueLimit = LIMIT
             it.opsLimit = 4
         }
-    private val wide = job("wide", tasks = 160, resourceRequest = Resources(14.0, 4.0, 60.0), estimatedDuration = 1000.seconds)
+    private val wide =
+        job("wide", tasks = 160, resourceRequest = Resources(14.0, 4.0, 60.0), estimatedDuration = 1000.seconds)
 
     /** Carries out what is to be stored, as the state service does; what it refuses for its size, and how often. */
     private var tooLarge = 0
@@ -53,7 +54,9 @@
         return others
     }
 
-    private fun stored(): JobRecord = JobRecordReader(state).read("wide", state.entries.getValue(Keys.job("wide")).value)
+    private fun stored(): JobRecord =
+        JobRecordReader(state)
+            .read("wide", state.entries.getValue(Keys.job("wide")).value)
 
     private fun fleet(n: Int) {
         step { machineTypesKnown(listOf(glenspool.simulation.bigType)) }
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -28,7 +28,8 @@
         objectives: List<Objective> = emptyList(),
         small: (Int) -> JobSpec,
     ): ClusterSimulation {
-        val w = ClusterSimulation(7, config(objectives = objectives), listOf(bigType), FaultRates(), maxMachines = machines)
+        val w =
+            ClusterSimulation(7, config(objectives = objectives), listOf(bigType), FaultRates(), maxMachines = machines)
         repeat(machines) { w.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
         w.elect()
         var n = 0
@@ -53,13 +54,20 @@
     }
 
     /** More work than the fleet can do: each takes a third of a machine for longer than a third of the pause. */
-    private fun small(n: Int, priority: Priority) = job("small-$n", tasks = 6, priority = priority, estimatedDuration = 14.seconds, checkpointInterval = 5.seconds, image = "i${n % 3}")
+    private fun small(n: Int, priority: Priority) =
+        job("small-$n", tasks = 6, priority = priority, estimatedDuration = 14.seconds, checkpointInterval = 5.seconds, image = "i${n % 3}")
 
     @Test
     fun `the largest array, too late for its aim from the first, begins among small ones that can still meet it`() {
         val aim = Objective("finished", "class-ARRAY", 30.seconds, 0.9)
         val large =
-            job("large", tasks = 90, resourceRequest = Resources(4.0, 1.0, 16.0), estimatedDuration = 100.seconds, checkpointInterval = 5.seconds, image = "large")
+            job(
+                "large", tasks = 90, resourceRequest = Resources(4.0, 1.0, 16.0), estimatedDuration = 100.seconds,
+                checkpointInterval =
+                    5
+                        .seconds,
+                image = "large",
+            )
         play(listOf(large), listOf(aim)) { small(it, Priority.STANDARD) }
     }
 
