--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -67,7 +67,7 @@
         if (leader != null && keeper.mayRedirect(heartbeat.machine)) return cbor(MISDIRECTED, WorkerWire.redirect(leader))
         // A build that may not understand what is stored can't say which work was cancelled.
         if (node.fenced()) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
-        if (!keeper.renewsLease(heartbeat.machine, node.cancellations.complete(), node.isolated())) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
+        if (!keeper.renewsLease(heartbeat.machine, node.cancellations.completeUpTo(), node.isolated())) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
         // Nobody is known to lead, or not to be sent to now. Answering with the worker's own token starts nothing and
         // keeps its tasks alive.
         return answer(heartbeat, heartbeat.token, stopsOfCancelled(heartbeat))
--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -70,12 +70,12 @@
         val asked = uptime()
         return when (val r = peers.exchange(member, message(cancellations.updateFor(member.name)))) {
             is PeerClient.Exchange.Answered -> {
-                take(cancellations.answered(member.name, update(r.message), asked))
+                take(cancellations.replied(member.name, update(r.message), asked))
                 lock.withLock { told.signalAll() }
                 true
             }
             PeerClient.Exchange.Unsupported -> {
-                cancellations.isOld(member.name)
+                cancellations.markUnsupported(member.name)
                 lock.withLock { told.signalAll() }
                 false
             }
@@ -85,7 +85,7 @@
 
     /** What another controller says by itself, and the answer to it; null if it is none of ours. */
     fun answer(m: CancellationMessage): CancellationMessage? {
-        val (answer, fresh) = cancellations.answer(m.node, update(m)) ?: return null
+        val (answer, fresh) = cancellations.reply(m.node, update(m)) ?: return null
         take(fresh)
         return message(answer)
     }
@@ -103,7 +103,7 @@
         val begun = TimeSource.Monotonic.markNow()
         while (true) {
             lock.withLock {
-                if (cancellations.confirmable(job)) return true
+                if (cancellations.mayConfirm(job)) return true
                 val left = PATIENCE - begun.elapsedNow()
                 if (left <= Duration.ZERO) return false
                 told.await(left.inWholeMilliseconds + 1, TimeUnit.MILLISECONDS)
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -45,7 +45,7 @@
     }
 
     private fun look() {
-        val due = work.due(wall(), cancellations.all(), ::machinesOf)
+        val due = work.suspects(wall(), cancellations.all(), ::machinesOf)
         if (due.isEmpty()) return
         // Without the cloud a machine's address is not known here, and it can't be deleted either: it is asked for
         // again.
@@ -64,11 +64,11 @@
                 }
             if (!taken) asked.remove(s.machine)
         }
-        val late = work.late(wall())
+        val late = work.overdue(wall())
         for (machines in late.chunked(DeleteMachines.MAX_MACHINES)) {
             val ok = cloud.delete(machines)
             log.info("delete machines={} reason=cancelled-work leading=false ok={}", machines, ok)
-            if (ok) machines.forEach(work::gone)
+            if (ok) machines.forEach(work::deleted)
         }
     }
 
@@ -85,13 +85,13 @@
 
     private fun see(s: SuspectMachine, addr: String) {
         val heartbeat = if (addr.isEmpty()) null else workers.show(addr)?.takeIf { it.machine == s.machine }
-        val stops = work.seen(s, heartbeat)
+        val stops = work.probed(s, heartbeat)
         if (heartbeat == null || stops.isEmpty()) return
         // With the worker's own token: it starts nothing, and a cancellation is for ever.
         val (outcome, after) = workers.command(SendCommands(s.machine, addr, heartbeat.token, heartbeat.incarnation, stops))
         log
             .info("stop machine={} commands={} reason=cancelled-work leading=false outcome={}", s.machine, stops, outcome)
-        if (outcome == CommandOutcome.DONE) work.seen(s, after)
+        if (outcome == CommandOutcome.DONE) work.probed(s, after)
     }
 
     override fun close() = pool.close()
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -317,7 +317,7 @@
     private fun storedWithElection(token: Long): List<Put> = recovery?.recordAtElection(token).orEmpty()
 
     private fun stateRead(sentAgo: Duration) {
-        cancellations.stateRead(uptime() - sentAgo)
+        cancellations.storeRead(uptime() - sentAgo)
         recovery?.stateRead(sentAgo)
     }
 
--- a/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
@@ -133,9 +133,9 @@
         a.exchange.stored(stored("run-1"))
         serving(a.exchange, m)
         assertTrue(a.exchange.confirm("run-1"))
-        a.known.stateRead(now)
+        a.known.storeRead(now)
         now = 20.seconds
         // Nor is anything known of what it confirms.
-        assertEquals(Duration.ZERO, a.known.complete())
+        assertEquals(Duration.ZERO, a.known.completeUpTo())
     }
 }
--- a/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
@@ -18,7 +18,7 @@
 
     private fun due(at: Int, known: Map<String, Int> = mapOf("a" to 0, "b" to 4)) =
         work
-            .due(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
+            .suspects(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
 
     @Test
     fun `machines are asked when their time is half over, and only about what was cancelled`() {
@@ -39,39 +39,39 @@
         assertEquals(
             emptyList<StopTask>(),
             work
-                .seen(m1, heartbeat("m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.STOPPED), task("other", 0, 1, TaskState.RUNNING)))),
+                .probed(m1, heartbeat("m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.STOPPED), task("other", 0, 1, TaskState.RUNNING)))),
         )
         val running =
             heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING), task("b", 0, 3, TaskState.EXITED, ExitReason.DONE)))
-        assertEquals(listOf("a" to 7L), work.seen(m2, running).map { it.key.job to it.attempt })
-        assertEquals(emptyList<StopTask>(), work.seen(m3, null))
+        assertEquals(listOf("a" to 7L), work.probed(m2, running).map { it.key.job to it.attempt })
+        assertEquals(emptyList<StopTask>(), work.probed(m3, null))
         assertEquals(listOf("m2" to setOf("a"), "m3" to setOf("b")), due(22).map { it.machine to it.jobs })
     }
 
     @Test
     fun `a machine that does not answer, or does not obey, is deleted before the time is over, and no other`() {
         val (m1, m2, _) = due(21)
-        work.seen(m1, heartbeat("m1"))
-        work.seen(m2, heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING))))
+        work.probed(m1, heartbeat("m1"))
+        work.probed(m2, heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING))))
         due(30)
-        assertEquals(emptyList<String>(), work.late(30.seconds))
+        assertEquals(emptyList<String>(), work.overdue(30.seconds))
         due(31)
-        assertEquals(listOf("m2"), work.late(31.seconds))
+        assertEquals(listOf("m2"), work.overdue(31.seconds))
         // One that was never asked may be rid of it.
         val (_, m3) = due(35)
-        assertEquals(listOf("m2"), work.late(35.seconds))
-        work.seen(m3, null)
-        assertEquals(listOf("m2", "m3"), work.late(35.seconds))
-        work.gone("m2")
+        assertEquals(listOf("m2"), work.overdue(35.seconds))
+        work.probed(m3, null)
+        assertEquals(listOf("m2", "m3"), work.overdue(35.seconds))
+        work.deleted("m2")
         due(36)
-        assertEquals(listOf("m3"), work.late(36.seconds))
+        assertEquals(listOf("m3"), work.overdue(36.seconds))
     }
 
     @Test
     fun `what ended meanwhile, or was cancelled very long ago, is nobody's concern`() {
         assertEquals(emptyList<String>(), due(81, mapOf("a" to 0)).map { it.machine })
         assertEquals(emptyList<String>(), due(21, mapOf("gone" to 0)).map { it.machine })
-        assertEquals(emptyList<String>(), work.late(100.seconds))
+        assertEquals(emptyList<String>(), work.overdue(100.seconds))
     }
 
     @Test
--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -90,7 +90,7 @@
                     readAt = now
                     read.addAll(all.map { it.job })
                     all.forEach { cancellations.add(it) }
-                    cancellations.stateRead(sent)
+                    cancellations.storeRead(sent)
                 }
             }
         }
@@ -125,9 +125,9 @@
                 val answer = m.hear(this, update)
                 after(delay()) {
                     if (life != lives || chance(loss) || now < peersCutUntil) return@after
-                    if (m.old && m.up) cancellations.isOld(m.name)
+                    if (m.old && m.up) cancellations.markUnsupported(m.name)
                     if (answer != null) {
-                        cancellations.answered(m.name, answer, asked)
+                        cancellations.replied(m.name, answer, asked)
                         // As the duty does: what a message had no room for goes at once.
                         if (cancellations.lacks(m.name)) send(m)
                     }
@@ -141,7 +141,7 @@
             ) {
                 null
             } else {
-                cancellations.answer(from.name, update)?.first
+                cancellations.reply(from.name, update)?.update
             }
 
         val isolated get() = now < peersCutUntil && !hasState
@@ -149,7 +149,7 @@
         fun knows(job: String) = if (old) job in read else cancellations.knows(job)
 
         /** Whether it answers a worker of which it knows no leader. */
-        fun renewsLease(w: Worker) = old || keeper.renewsLease(w.name, cancellations.complete(), isolated)
+        fun renewsLease(w: Worker) = old || keeper.renewsLease(w.name, cancellations.completeUpTo(), isolated)
 
         /** As the users' requests do it: store, read back, tell the others, answer. */
         fun cancel(job: String) {
@@ -161,7 +161,7 @@
             val life = lives
             after(600.milliseconds) {
                 if (life != lives || !up) return@after
-                if (old || cancellations.confirmable(job)) confirmed.putIfAbsent(job, now) else postponed++
+                if (old || cancellations.mayConfirm(job)) confirmed.putIfAbsent(job, now) else postponed++
             }
         }
 
@@ -252,7 +252,7 @@
         }
         for (n in members) {
             if (!n.up || n.old) continue
-            val complete = n.cancellations.complete() ?: continue
+            val complete = n.cancellations.completeUpTo() ?: continue
             // What the node claims: it knows all that was confirmed up to then, except what has to be gone long since.
             for ((job, told) in confirmed) {
                 if (now - told > settings.cancellationDeadline * 2) continue
