--- a/src/main/kotlin/glenspool/core/FencingTokenAdvancer.kt
+++ b/src/main/kotlin/glenspool/core/FencingTokenAdvancer.kt
@@ -8,6 +8,7 @@
     private var isAdvancing = false
     private var advancedAt = context.startedAt - LONG_AGO
 
+    /** Looks for starts without an answer. */
     fun tick() {
         if (commands.hasStaleStart()) advance()
     }
--- a/src/main/kotlin/glenspool/core/OrderGate.kt
+++ b/src/main/kotlin/glenspool/core/OrderGate.kt
@@ -11,5 +11,6 @@
  * or are preempted.
  */
 fun interface OrderGate {
+    /** Whether the order is given now. */
     fun admits(order: ProposedOrder): Boolean
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/PackingPlan.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/PackingPlan.kt
@@ -32,6 +32,7 @@
     /** Machines that are to be rented. */
     val wanted: List<PlannedMachine> get() = planned.filter { it.cause != null }
 
+    /** Adds a machine that is on its way, or is to be rented. */
     fun add(machine: PlannedMachine) {
         planned.add(machine)
         if (machine.cause != null) wantedInZone.merge(machine.offer.zone, 1, Int::plus)
--- a/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
@@ -23,6 +23,7 @@
     class ArrivalRate(val spec: JobSpec, val since: Duration) {
         private val recent = ArrayDeque<Arrival>()
 
+        /** Jobs with [tasks] tasks arrived. */
         fun add(at: Duration, tasks: Int) {
             recent.addLast(Arrival(at, tasks))
             while (recent.size > MAX_ARRIVALS) recent.removeFirst()
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
@@ -37,7 +37,8 @@
                 since.merge(machine, cancellation.at, ::minOf)
             }
         }
-        suspects = jobs.mapValues { (machine, cancelled) -> SuspectMachine(machine, cancelled, since.getValue(machine)) }
+        suspects =
+            jobs.mapValues { (machine, cancelled) -> SuspectMachine(machine, cancelled, since.getValue(machine)) }
         probedMachines.retainAll(suspects.keys)
         if (suspects.isEmpty()) clearedJobs.clear()
         return suspects.values.toList()
--- a/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
@@ -9,6 +9,7 @@
     /** The size of each image in GB. */
     val images: Map<String, Double> get() = sizes
 
+    /** Whether the image is there. */
     operator fun contains(image: String): Boolean = image in sizes
 
     /** A task has the image; what then exceeds the cache's [capacityGb] is evicted. */
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -208,6 +208,7 @@
     /** What is free of its capacity. */
     fun available(type: MachineType): Resources = type.capacity - workload.used()
 
+    /** Whether the image is in its cache. */
     fun hasImage(image: String): Boolean = image in imageCache
 
     /** Whether the image is here or being fetched by some task. */
@@ -233,6 +234,7 @@
     var slowness = 1.0
         private set
 
+    /** Whether it gets no work for now. */
     fun isQuarantined(now: Duration): Boolean = quarantinedUntil.let { it != null && now < it }
 
     /** A task failed here; several in a row set the machine aside for a while. */
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -225,6 +225,7 @@
     /** A new attempt number. */
     fun newAttempt(): Long = ++lastAttempt
 
+    /** The task's placement, if it has one. */
     fun placementOf(task: Int): Placement? = placed.get(task)
 
     /** Adds a new placement; [maySplit]: whether it may be stored apart from the record. */
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -128,12 +128,8 @@
     /** All tasks without the image have fetched it by now. */
     private fun startDeferred(placements: List<Placement>) {
         if (placements.none { it.isDeferred }) return
-        if (placements.all {
-                it.isDeferred || !it.taskState.isWithoutImage
-            }
-        ) {
-            placements.forEach { it.isDeferred = false }
-        }
+        val isFetched = placements.all { it.isDeferred || !it.taskState.isWithoutImage }
+        if (isFetched) placements.forEach { it.isDeferred = false }
     }
 
     private val TaskState?.isRunning get() = this == TaskState.RUNNING || this == TaskState.CHECKPOINTING
--- a/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
@@ -49,6 +49,7 @@
         markDirty(number)
     }
 
+    /** Removes a placement from its part. */
     fun remove(placement: Placement) {
         val part = partAt(placement.part)
         val left = (part.machines[placement.machine] ?: return) - 1
--- a/src/main/kotlin/glenspool/core/model/Resources.kt
+++ b/src/main/kotlin/glenspool/core/model/Resources.kt
@@ -5,10 +5,13 @@
 
 /** A vector of resources: a machine's capacity, what is free of it, or a task's request. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
+    /** The sum, resource by resource. */
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
+    /** The difference, resource by resource. */
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
+    /** What [count] times as much takes. */
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memoryGb * count)
 
     /**
--- a/src/main/kotlin/glenspool/core/placement/Preemptor.kt
+++ b/src/main/kotlin/glenspool/core/placement/Preemptor.kt
@@ -56,14 +56,10 @@
         return !isLeaving(job) && deadlines.fetchTime(job) >= patienceOf(job) * 2
     }
 
-    private fun patienceOf(job: Job): Duration =
-        if (job.effectivePriority ==
-            Priority.CRITICAL
-        ) {
-            PATIENCE
-        } else {
-            PATIENCE_WITH_CHECKPOINT
-        }
+    private fun patienceOf(job: Job): Duration {
+        val isCritical = job.effectivePriority == Priority.CRITICAL
+        return if (isCritical) PATIENCE else PATIENCE_WITH_CHECKPOINT
+    }
 
     private fun freeMachinesWithImage(job: Job, ready: List<Machine>) {
         val wanted = minOf(job.waitingCount(), cluster.quotas.remaining(job))
@@ -71,16 +67,21 @@
         val usable = ready.filter { it.hasImage(job.spec.image) && isUsable(job, it) }
         if (countAvailable(job, usable) >= minimumAtOnce(job)) return
         if (job.isGang && !mayHoldWhole(job, usable, wanted)) return
+        if (stopOn(usable, job, wanted)) job.resourcesExpectedBy = now + patienceOf(job)
+    }
+
+    /** Frees resources for [wanted] tasks, on machines with few of the job's tasks first. Whether any were freed. */
+    private fun stopOn(machines: List<Machine>, job: Job, wanted: Int): Boolean {
         val claims = Claims()
         var left = wanted
-        for (machine in usable.sortedBy { candidate -> candidate.placements.values.count { it.job === job } }) {
+        for (machine in machines.sortedBy { candidate -> candidate.placements.values.count { it.job === job } }) {
             if (left <= 0) break
             val freed = freeOn(machine, job, claims, if (job.isGang) left else 1)
             left -= freed
             // Or the next round would give the resources to the very work that was stopped.
             if (job.isGang && freed > 0) machine.reserve(job, now)
         }
-        if (!claims.isEmpty) job.resourcesExpectedBy = now + patienceOf(job)
+        return !claims.isEmpty
     }
 
     private fun mayHoldWhole(gang: Job, machines: List<Machine>, tasks: Int): Boolean {
--- a/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -51,17 +51,12 @@
     }
 
     /** Machines that have some of the resource, largest capacity, then most free, first. */
-    private fun machinesBy(resource: Resource): List<Machine> =
-        resources.machines
+    private fun machinesBy(resource: Resource): List<Machine> {
+        val byCapacity = compareByDescending<Machine> { view.types.getValue(it.type).capacity.of(resource) }
+        return resources.machines
             .filter { !resources.isReserved(it) && hasAny(it, resource) }
-            .sortedWith(
-                compareByDescending<Machine> {
-                    view.types
-                        .getValue(it.type)
-                        .capacity
-                        .of(resource)
-                }.thenByDescending { resources.freeOn(it).of(resource) },
-            )
+            .sortedWith(byCapacity.thenByDescending { resources.freeOn(it).of(resource) })
+    }
 
     private fun hasAny(machine: Machine, resource: Resource) =
         resources.freeOn(machine).of(resource) > Resources.EPSILON
