--- a/src/test/kotlin/glenspool/layout/DocumentationTest.kt
+++ b/src/test/kotlin/glenspool/layout/DocumentationTest.kt
@@ -53,7 +53,7 @@
             | guard | `LayersTest.imports point…`, `the core, the rollout…`, `nothing of that…` |
             | other | `NoSuchTest`, `LayersTest.imports point outward` |
 
-            See [the layers](src/LayersTest.kt#top), [a site](https://example.org/a) and docs/nowhere.md; `elsewhere…`.
+            See [the layers](src/LayersTest.kt#top), [a site](https://example.org/a), docs/nowhere.md; `elsewhere…`.
             """.trimIndent()
 
         val missing = testReferences(text).filterNot(::exists).map { it.toString() }
@@ -76,7 +76,7 @@
         return functions.any { if (isBeginning) it.startsWith(wanted.removeSuffix(ELLIPSIS)) else it == wanted }
     }
 
-    /** A beginning without a class, as in `` `FirstTest.one…`, `another…` ``, belongs to the class named before it. */
+    /** A beginning without a class, as in `FirstTest.one…`, `another…`, belongs to the class before it. */
     private fun testReferences(text: String): List<TestReference> =
         blocks(text).flatMap { block ->
             var testClass: String? = null
@@ -107,7 +107,7 @@
         return blocks
     }
 
-    private fun functionNames(source: String): List<String> = functionName.findAll(source).map { it.groupValues[1] }.toList()
+    private fun functionNames(source: String) = functionName.findAll(source).map { it.groupValues[1] }.toList()
 
     private fun linkTargets(text: String): List<String> =
         link
@@ -131,7 +131,7 @@
         val functionName = Regex("fun `([^`]+)`")
         val link = Regex("]\\(([^)#\\s]+)(?:#[^)]*)?\\)")
 
-        /** A page named from the root, as `docs/limits.md`; not part of a longer path or of a link's target. */
+        /** A page that is named from the root, as docs/limits.md; not part of a longer path or of a link. */
         val namedPage = Regex("(?<![\\w/.(])(docs/[\\w-]+(?:/[\\w-]+)*\\.md)")
     }
 }
