--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -30,7 +30,7 @@
 import glenspool.wire.MalformedMessage
 import glenspool.wire.RecordWire
 import glenspool.wire.Stage
-import glenspool.wire.validJobId
+import glenspool.wire.isValidJobId
 import org.http4k.core.HttpHandler
 import org.http4k.core.Method
 import org.http4k.core.Request
@@ -75,7 +75,7 @@
         // Neither the state service nor a peer can be asked: the user is sent elsewhere at once, by a new connection.
         if (isolated()) return tryLater().header("Connection", "close")
         // Out of the state service's reach, a peer answers sooner than another attempt would time out.
-        if (store.failing) relayed(request.method, path, body)?.let { return it }
+        if (store.isUnreachable) relayed(request.method, path, body)?.let { return it }
         return serve(request.method, path, body) ?: relayed(request.method, path, body) ?: tryLater()
     }
 
@@ -133,7 +133,7 @@
             return withdraw(rest.removeSuffix(WITHDRAW))
         }
         if (method != Method.GET) return error(Status.METHOD_NOT_ALLOWED, "use GET")
-        return if (validJobId(rest)) answer(look(rest), rest) else error(Status.NOT_FOUND, "no such job")
+        return if (isValidJobId(rest)) answer(look(rest), rest) else error(Status.NOT_FOUND, "no such job")
     }
 
     private sealed interface Found {
@@ -435,7 +435,7 @@
     }
 
     private fun withdraw(id: String): Response? {
-        if (!validJobId(id)) return error(Status.NOT_FOUND, "no such job")
+        if (!isValidJobId(id)) return error(Status.NOT_FOUND, "no such job")
         when (val f = look(id)) {
             is Found.Live -> Unit
             else -> return answer(f, id)
--- a/src/main/kotlin/glenspool/cloud/CloudClient.kt
+++ b/src/main/kotlin/glenspool/cloud/CloudClient.kt
@@ -7,78 +7,93 @@
 import glenspool.http.HttpCaller
 import glenspool.logging.loggerOf
 import glenspool.wire.CloudWire
+import glenspool.wire.Fields
 import glenspool.wire.MalformedMessage
 import kotlin.time.Duration.Companion.seconds
 
-/** How a rental request ended. */
+/** How a scale-out request ended. */
 sealed interface ScaleOutOutcome {
+    /** The cloud has rented these [machines], by id. */
     data class Rented(val machines: List<String>) : ScaleOutOutcome
 
+    /** The cloud rented nothing, and won't on this request. */
     data object Refused : ScaleOutOutcome
 
+    /** Perhaps rented, perhaps later; the same request may be sent again. */
     data object Unknown : ScaleOutOutcome
 }
 
-/** The cloud's requests, within its rate. */
+/** The requests of the cloud's API. Each waits until the cloud's request rate allows it; none is retried. */
 @Suppress("UnstableApiUsage")
 class CloudClient(private val addr: String, private val http: HttpCaller, rps: Double) {
-    /** Leaves some of the rate to a node that may lead at the same time. */
-    private val rate by lazy { RateLimiter.create(rps * 0.8) }
+    private val limiter by lazy { RateLimiter.create(rps * RATE_SHARE) }
 
-    fun typesRaw(): glenspool.wire.Fields? = read("/flavors") { it }
+    /** The machine types in the protocol's form, as it is stored for other nodes; null: no usable answer. */
+    fun readTypes(): Fields? = read("/flavors") { it }
 
-    fun machines(): List<ListedMachine>? {
-        val all = ArrayList<ListedMachine>()
-        var after = ""
+    /** All machines, page by page; null if any page got no usable answer. */
+    fun listMachines(): List<ListedMachine>? {
+        val machines = ArrayList<ListedMachine>()
         while (true) {
-            val (page, more) =
-                read("/hosts?page=500" + (if (after.isEmpty()) "" else "&after=$after")) {
-                    CloudWire.decodeMachines(it) to CloudWire.more(it)
-                } ?: return null
-            all.addAll(page)
-            if (!more || page.isEmpty()) return all
-            after = page.last().id
+            val page = readPage(machines.lastOrNull()?.id) ?: return null
+            machines.addAll(page.machines)
+            if (!page.hasNext || page.machines.isEmpty()) return machines
         }
     }
 
-    fun rent(r: ScaleOut): ScaleOutOutcome {
-        rate.acquire()
-        return when (
-            val a =
-                http
-                    .post(addr, "/hosts", CloudWire.rent(r.request, r.type, r.zone, r.spot, r.count), TIMEOUT)
-        ) {
-            is CallResult.Answer ->
-                when (a.status) {
-                    200 -> ScaleOutOutcome.Rented(CloudWire.names(a.body))
-                    400 -> ScaleOutOutcome.Refused
-                    503 -> if (a.body["error"] == "no capacity") ScaleOutOutcome.Refused else ScaleOutOutcome.Unknown
-                    else -> ScaleOutOutcome.Unknown
-                }
-            else -> ScaleOutOutcome.Unknown
+    private class Page(val machines: List<ListedMachine>, val hasNext: Boolean)
+
+    private fun readPage(after: String?): Page? {
+        val start = if (after.isNullOrEmpty()) "" else "&after=$after"
+        return read("/hosts?page=$PAGE_MACHINES$start") {
+            Page(CloudWire.decodeMachines(it), CloudWire.hasNextPage(it))
         }
     }
 
-    /** True only once the cloud has said that the machines are gone. */
+    /** Rents machines. The request's id makes this idempotent, so that it may be sent again while unanswered. */
+    fun rent(request: ScaleOut): ScaleOutOutcome {
+        limiter.acquire()
+        val body = CloudWire.rent(request.request, request.type, request.zone, request.spot, request.count)
+        val reply = http.post(addr, "/hosts", body, TIMEOUT)
+        return if (reply is CallResult.Answer) outcomeOf(reply) else ScaleOutOutcome.Unknown
+    }
+
+    private fun outcomeOf(answer: CallResult.Answer): ScaleOutOutcome =
+        when (answer.status) {
+            OK -> ScaleOutOutcome.Rented(CloudWire.decodeMachineIds(answer.body))
+            BAD_REQUEST -> ScaleOutOutcome.Refused
+            UNAVAILABLE ->
+                if (CloudWire.isOutOfCapacity(answer.body)) ScaleOutOutcome.Refused else ScaleOutOutcome.Unknown
+            else -> ScaleOutOutcome.Unknown
+        }
+
+    /** Deletes machines. True only once the cloud has confirmed that they are gone. */
     fun delete(ids: List<String>): Boolean {
-        rate.acquire()
-        val a = http.post(addr, "/hosts/delete", CloudWire.delete(ids), TIMEOUT)
-        return a is CallResult.Answer && a.status == 200
+        limiter.acquire()
+        val reply = http.post(addr, "/hosts/delete", CloudWire.delete(ids), TIMEOUT)
+        return reply is CallResult.Answer && reply.status == OK
     }
 
-    private fun <T> read(path: String, parse: (glenspool.wire.Fields) -> T): T? {
-        rate.acquire()
-        val a = http.get(addr, path, TIMEOUT)
-        if (a !is CallResult.Answer || a.status != 200) return null
+    private fun <T> read(path: String, decode: (Fields) -> T): T? {
+        limiter.acquire()
+        val reply = http.get(addr, path, TIMEOUT)
+        if (reply !is CallResult.Answer || reply.status != OK) return null
         return try {
-            parse(a.body)
+            decode(reply.body)
         } catch (e: MalformedMessage) {
-            loggerOf(CloudClient::class.java).warn("cloud answer not understood: {}", e.message)
+            loggerOf(CloudClient::class.java).warn("cloud response not decodable: {}", e.message)
             null
         }
     }
 
-    companion object {
-        private val TIMEOUT = 5.seconds
+    private companion object {
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val UNAVAILABLE = 503
+        const val PAGE_MACHINES = 500
+
+        /** Leaves some of the rate to another node that may still, or already, send requests as the leader. */
+        const val RATE_SHARE = 0.8
+        val TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -26,6 +26,7 @@
 import glenspool.state.StoreResult
 import glenspool.wire.FinalWire
 import glenspool.wire.ImagesWire
+import glenspool.worker.CommandReply
 import glenspool.worker.WorkerClient
 import kotlin.time.Duration
 
@@ -61,7 +62,7 @@
                         ) {
                             workers.command(a)
                         } else {
-                            CommandOutcome.NOT_TRIED to null
+                            CommandReply(CommandOutcome.NOT_TRIED, null)
                         }
                     if (log.isDebugEnabled) {
                         log
@@ -73,7 +74,7 @@
                 run(probePool, { post(Event.ProbeEnded(a.machine, null, false)) }) {
                     post(
                         Event
-                            .ProbeEnded(a.machine, workers.show(a.addr), true),
+                            .ProbeEnded(a.machine, workers.probe(a.addr), true),
                     )
                 }
             is ScaleOut ->
@@ -162,7 +163,7 @@
     fun endOverdue(o: OverdueMachine) = run(probePool, { log.debug("machine {} not looked after", o.machine) }) { end(o) }
 
     private fun end(o: OverdueMachine) {
-        val r = if (o.addr.isEmpty()) null else workers.show(o.addr)
+        val r = if (o.addr.isEmpty()) null else workers.probe(o.addr)
         if (r != null &&
             r.machine == o.machine &&
             r.tasks.none { it.key.job in o.jobs && it.state != TaskState.EXITED }
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -49,7 +49,7 @@
         if (due.isEmpty()) return
         // Without the cloud a machine's address is not known here, and it can't be deleted either: it is asked for
         // again.
-        val addresses = cloud.machines()?.associate { it.id to it.addr }
+        val addresses = cloud.listMachines()?.associate { it.id to it.addr }
         log.info("cancelled work without a leader machines={} cloud={}", due.map { it.machine }, addresses != null)
         if (addresses == null) return
         for (s in due) {
@@ -84,7 +84,7 @@
     }
 
     private fun see(s: SuspectMachine, addr: String) {
-        val heartbeat = if (addr.isEmpty()) null else workers.show(addr)?.takeIf { it.machine == s.machine }
+        val heartbeat = if (addr.isEmpty()) null else workers.probe(addr)?.takeIf { it.machine == s.machine }
         val stops = work.seen(s, heartbeat)
         if (heartbeat == null || stops.isEmpty()) return
         // With the worker's own token: it starts nothing, and a cancellation is for ever.
--- a/src/main/kotlin/glenspool/controller/CloudWatch.kt
+++ b/src/main/kotlin/glenspool/controller/CloudWatch.kt
@@ -55,13 +55,13 @@
                 continue
             }
             if (typesReadAt.let { it == null || it.elapsedNow() > TYPES_EVERY }) readTypes(term)
-            cloud.machines()?.let { post(Event.MachinesListed(it)) }
+            cloud.listMachines()?.let { post(Event.MachinesListed(it)) }
             Thread.sleep(listEvery.inWholeMilliseconds)
         }
     }
 
     private fun readTypes(term: Term) {
-        val raw = cloud.typesRaw() ?: return
+        val raw = cloud.readTypes() ?: return
         typesReadAt = TimeSource.Monotonic.markNow()
         val list = CloudWire.decodeTypes(raw)
         types = list
--- a/src/main/kotlin/glenspool/state/JobRecordReader.kt
+++ b/src/main/kotlin/glenspool/state/JobRecordReader.kt
@@ -2,36 +2,46 @@
 
 import glenspool.core.model.JobRecord
 import glenspool.wire.Fields
+import glenspool.wire.MalformedMessage
 import glenspool.wire.RecordWire
 import glenspool.wire.text
 import java.util.BitSet
 
-/**
- * A job's record as a whole: with its done bits, places and pieces of description that are stored under keys of their
- * own.
- */
+/** Reads whole job records: with the done bits, placements and description parts that have keys of their own. */
 class JobRecordReader(private val keys: LiveKeyReader) {
+    /**
+     * The record of the job [id], of which [value] is stored under its main key.
+     *
+     * @throws MalformedMessage if any part of it can't be decoded
+     */
     fun read(id: String, value: Fields): JobRecord {
-        val r =
-            RecordWire.decode(
-                value,
-                object : RecordWire.Apart {
-                    override fun descriptionPart(n: Int) = keys.get(Keys.descriptionPart(id, n))?.value
+        val record = RecordWire.decode(value, partsOf(id))
+        if (record.spec.tasks <= RecordWire.INLINE_TASKS) return record
+        return record.copy(done = withChunks(id, record.done))
+    }
+
+    private fun partsOf(id: String) =
+        object : RecordWire.PartReader {
+            override fun descriptionPart(number: Int) = keys.get(Keys.descriptionPart(id, number))?.value
+
+            override fun placementPart(number: Int) = keys.get(Keys.placementPart(id, number))?.value
+        }
 
-                    override fun placementPart(n: Int) = keys.get(Keys.placementPart(id, n))?.value
-                },
-            )
-        if (r.spec.tasks <= RecordWire.INLINE_TASKS) return r
-        val done = r.done.clone() as BitSet
-        for (c in keys.withPrefix(Keys.chunks(id))) {
-            val n = c.key.substringAfterLast('/').toInt()
-            RecordWire.decodeBits(c.value.text("done")).stream().forEach { done.set(n * RecordWire.CHUNK_TASKS + it) }
+    private fun withChunks(id: String, inline: BitSet): BitSet {
+        val done = inline.clone() as BitSet
+        for (chunk in keys.withPrefix(Keys.chunks(id))) {
+            val firstTask = chunk.key.substringAfterLast('/').toInt() * RecordWire.CHUNK_TASKS
+            val bits = RecordWire.decodeBits(chunk.value.text("done"))
+            bits.stream().forEach { done.set(firstTask + it) }
         }
-        return r.copy(done = done)
+        return done
     }
 
     companion object {
-        /** What to store of a record whose description is too long for one value. */
-        fun descriptionParts(r: JobRecord, valueBytes: Int): List<Put> = RecordWire.encodeDescriptionParts(r, valueBytes).mapIndexed { n, p -> Put(Keys.descriptionPart(r.spec.id, n), p) }
+        /** The keys that hold the description of a record for which one value of [valueBytes] is too small. */
+        fun descriptionParts(record: JobRecord, valueBytes: Int): List<Put> =
+            RecordWire.encodeDescriptionParts(record, valueBytes).mapIndexed { number, part ->
+                Put(Keys.descriptionPart(record.spec.id, number), part)
+            }
     }
 }
--- a/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
@@ -9,113 +9,150 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** An answer of the state service. [Refused] means: not executed. [Unknown]: perhaps executed, perhaps later. */
+/** How a request to the key-value store ended. */
 sealed interface StoreResult<out T> {
+    /** Carried out. */
     data class Ok<T>(val value: T) : StoreResult<T>
 
+    /** There is no such key or lease. */
     data object Missing : StoreResult<Nothing>
 
+    /** A transaction was not carried out, as the conditions on these [keys] do not hold. */
     data class Conflict(val keys: List<String>) : StoreResult<Nothing>
 
-    data class Refused(val status: Int) : StoreResult<Nothing>
+    /**
+     * Not carried out, neither now nor later. [status] is the HTTP status of the refusal, or [NOT_SENT] if no
+     * connection came about.
+     */
+    data class Refused(val status: Int) : StoreResult<Nothing> {
+        companion object {
+            const val NOT_SENT = 0
+        }
+    }
 
+    /** No answer that could be understood: perhaps carried out, perhaps later; only a read tells. */
     data class Unknown(val why: String) : StoreResult<Nothing>
 }
 
-/** A key to be set; with a [lease] it is removed when that ends. */
-data class Put(val key: String, val value: Fields, val lease: Long? = null)
+/** A key to be set by a transaction. */
+typealias Put = StoreWire.Put
 
-/** The state service's requests, one for one. */
+/**
+ * The requests of the consensus-backed key-value store, one for one and without retries. Writes are compare-and-swap
+ * transactions on the versions of keys.
+ */
 class KeyValueStoreClient(private val addr: String, private val http: HttpCaller) {
-    /** Whether the last request that told anything found the state service out of this node's reach. */
+    /**
+     * Whether the last conclusive request found the store unreachable or failing. Refusals that are the request's own
+     * fault are not conclusive.
+     */
     @Volatile
-    var failing = false
+    var isUnreachable = false
         private set
 
-    fun get(key: String): StoreResult<StoreWire.Item> =
-        map(http.get(addr, "${StoreWire.GET}/$key", TIMEOUT)) {
-            StoreWire
-                .item(it)
-        }
-
-    data class Page(val items: List<StoreWire.Item>, val more: Boolean, val revision: Long)
-
-    fun list(prefix: String, after: String?): StoreResult<Page> =
-        map(http.get(addr, StoreWire.list(prefix, after), LIST_TIMEOUT)) {
-            Page(StoreWire.items(it), StoreWire.more(it), StoreWire.revision(it))
-        }
+    /** One page of a list, with the store's [revision] when it was read. */
+    data class Page(val items: List<StoreWire.Item>, val hasNextPage: Boolean, val revision: Long)
 
+    /** The changes up to [revision]. */
     data class Changes(val changes: List<StoreWire.Change>, val revision: Long)
 
-    fun follow(prefix: String, after: Long, wait: Duration): StoreResult<Changes> =
-        map(http.get(addr, StoreWire.follow(prefix, after, wait), wait + FOLLOW_TIMEOUT)) {
-            Changes(StoreWire.changes(it), StoreWire.revision(it))
+    /** Reads one key. */
+    fun get(key: String): StoreResult<StoreWire.Item> {
+        val reply = http.get(addr, "${StoreWire.GET}/$key", TIMEOUT)
+        return resultOf(reply) { StoreWire.decodeItem(it) }
+    }
+
+    /** Lists the keys with this [prefix], in order, behind the key [after]. */
+    fun list(prefix: String, after: String?): StoreResult<Page> {
+        val reply = http.get(addr, StoreWire.list(prefix, after), LIST_TIMEOUT)
+        return resultOf(reply) {
+            Page(StoreWire.decodeItems(it), StoreWire.hasNextPage(it), StoreWire.decodeRevision(it))
         }
+    }
+
+    /**
+     * Watches the keys with this [prefix]: delivers the changes after the revision [after], and waits for one as long
+     * as [wait]. Refused with 410 if the store has forgotten that revision.
+     */
+    fun follow(prefix: String, after: Long, wait: Duration): StoreResult<Changes> {
+        val reply = http.get(addr, StoreWire.follow(prefix, after, wait), wait + FOLLOW_TIMEOUT)
+        return resultOf(reply) { Changes(StoreWire.decodeChanges(it), StoreWire.decodeRevision(it)) }
+    }
 
-    /** All or nothing, if every key has the version given. The value is the revision. */
+    /**
+     * Carries out all changes if every key in [conditions] has the version given (0: is absent), or none. The value is
+     * the revision.
+     */
     fun transact(
         conditions: Map<String, Long>,
         puts: List<Put>,
         removes: List<String> = emptyList(),
-    ): StoreResult<Long> =
-        map(
-            http
-                .post(
-                    addr, StoreWire.TRANSACTION,
-                    StoreWire
-                        .transaction(conditions, puts.map { Triple(it.key, it.value, it.lease) }, removes),
-                    TIMEOUT,
-                ),
-        ) {
-            StoreWire.revision(it)
-        }
+    ): StoreResult<Long> {
+        val body = StoreWire.transaction(conditions, puts, removes)
+        val reply = http.post(addr, StoreWire.TRANSACTION, body, TIMEOUT)
+        return resultOf(reply) { StoreWire.decodeRevision(it) }
+    }
 
-    fun newLease(ttl: Duration): StoreResult<Long> =
-        map(
-            http
-                .post(addr, StoreWire.LEASES, StoreWire.newLease(ttl), TIMEOUT),
-        ) { StoreWire.lease(it) }
+    /** Grants a lease that expires [ttl] after its last renewal; the value is its id. */
+    fun newLease(ttl: Duration): StoreResult<Long> {
+        val reply = http.post(addr, StoreWire.LEASES, StoreWire.newLease(ttl), TIMEOUT)
+        return resultOf(reply) { StoreWire.decodeLease(it) }
+    }
 
-    fun renew(lease: Long): StoreResult<Unit> =
-        map(http.post(addr, StoreWire.renew(lease), emptyMap(), RENEW_TIMEOUT)) {
-        }
+    /** Renews a lease; [StoreResult.Missing] once it has expired. */
+    fun renew(lease: Long): StoreResult<Unit> {
+        val reply = http.post(addr, StoreWire.renew(lease), emptyMap(), RENEW_TIMEOUT)
+        return resultOf(reply) {}
+    }
 
-    fun endLease(lease: Long): StoreResult<Unit> =
-        map(
-            http
-                .call("DELETE", addr, "${StoreWire.LEASES}/$lease", null, RENEW_TIMEOUT),
-        ) { }
-
-    private fun <T> map(r: CallResult, read: (Fields) -> T): StoreResult<T> =
-        convert(r, read).also {
-            when (it) {
-                is StoreResult.Unknown -> failing = true
-                is StoreResult.Refused -> if (it.status == 0 || it.status >= 500) failing = true
-                else -> failing = false
-            }
+    /** Ends a lease, which removes the keys that were set with it. */
+    fun endLease(lease: Long): StoreResult<Unit> {
+        val reply = http.call("DELETE", addr, "${StoreWire.LEASES}/$lease", null, RENEW_TIMEOUT)
+        return resultOf(reply) {}
+    }
+
+    private fun <T> resultOf(reply: CallResult, decode: (Fields) -> T): StoreResult<T> {
+        val result = convert(reply, decode)
+        when (result) {
+            is StoreResult.Unknown -> isUnreachable = true
+            is StoreResult.Refused -> if (isOutage(result.status)) isUnreachable = true
+            else -> isUnreachable = false
         }
+        return result
+    }
+
+    private fun isOutage(status: Int) = status == StoreResult.Refused.NOT_SENT || status >= FIRST_SERVER_ERROR
 
-    private fun <T> convert(r: CallResult, read: (Fields) -> T): StoreResult<T> =
-        when (r) {
-            is CallResult.NotSent -> StoreResult.Refused(0)
-            is CallResult.NoAnswer -> StoreResult.Unknown(r.why)
+    private fun <T> convert(reply: CallResult, decode: (Fields) -> T): StoreResult<T> =
+        when (reply) {
+            is CallResult.NotSent -> StoreResult.Refused(StoreResult.Refused.NOT_SENT)
+            is CallResult.NoAnswer -> StoreResult.Unknown(reply.why)
             is CallResult.Answer ->
                 try {
-                    when (r.status) {
-                        200 -> StoreResult.Ok(read(r.body))
-                        404 -> StoreResult.Missing
-                        409 -> StoreResult.Conflict(StoreWire.failed(r.body))
-                        else -> StoreResult.Refused(r.status)
-                    }
+                    convertAnswer(reply, decode)
                 } catch (e: MalformedMessage) {
                     StoreResult.Unknown(e.toString())
                 }
         }
 
-    companion object {
-        private val TIMEOUT = 1500.milliseconds
-        private val FOLLOW_TIMEOUT = 900.milliseconds
-        private val RENEW_TIMEOUT = 1.seconds
-        private val LIST_TIMEOUT = 5.seconds
+    private fun <T> convertAnswer(answer: CallResult.Answer, decode: (Fields) -> T): StoreResult<T> =
+        when (answer.status) {
+            OK -> StoreResult.Ok(decode(answer.body))
+            NOT_FOUND -> StoreResult.Missing
+            CONFLICT -> StoreResult.Conflict(StoreWire.decodeConflicts(answer.body))
+            else -> StoreResult.Refused(answer.status)
+        }
+
+    private companion object {
+        const val OK = 200
+        const val NOT_FOUND = 404
+        const val CONFLICT = 409
+        const val FIRST_SERVER_ERROR = 500
+        val TIMEOUT = 1500.milliseconds
+
+        /** How long the answer to a watch may take beyond its wait. */
+        val FOLLOW_TIMEOUT = 900.milliseconds
+        val RENEW_TIMEOUT = 1.seconds
+        val LIST_TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/glenspool/state/StoreCache.kt
+++ b/src/main/kotlin/glenspool/state/StoreCache.kt
@@ -14,55 +14,51 @@
 import kotlin.time.TimeMark
 import kotlin.time.TimeSource
 
-/** The live keys as somebody has them. */
-interface LiveKeyReader {
-    fun get(key: String): StoreWire.Item?
-
-    fun withPrefix(prefix: String): Collection<StoreWire.Item>
-
-    /** Several keys at one moment: changes made by one transaction are seen together or not at all. */
-    fun <T> atomically(read: () -> T): T
-}
-
 /**
- * This node's copy of the live keys. It is kept up to date by a waiting watch, and brought up to a moment after
- * a user's request by [sync]: a watch that doesn't wait answers with all changes up to the present revision,
- * which is evidence that no answer from memory could give.
+ * This node's cache of the live keys. A long-polling watch ([follow]) keeps it up to date, and [sync] brings it to a
+ * state later than a user's request: a watch that does not wait delivers all changes up to the store's present
+ * revision, which no cache can know by itself.
+ *
+ * [rps] is the request rate that the store allows; the cache takes a share of it. [onRead] is called after each read of
+ * the present state with the time since its request was sent. [onChange] is called with changes and their revision,
+ * under the cache's lock and in the order of revisions.
  */
 class StoreCache(
     private val client: KeyValueStoreClient,
     rps: Double,
-    /** The present state was read, by a request that was sent so long ago. */
-    private val read: (Duration) -> Unit = {},
-    private val changed: (List<StoreWire.Change>, Long) -> Unit,
+    private val onRead: (Duration) -> Unit = {},
+    private val onChange: (List<StoreWire.Change>, Long) -> Unit,
 ) : LiveKeyReader {
+    /** Written under the lock; read without it where a single key is enough. */
     private val entries = ConcurrentSkipListMap<String, StoreWire.Item>()
-    private var revision = -1L
-    private val waiters = LinkedBlockingQueue<CompletableFuture<Boolean>>()
+
+    /** The store's revision up to which changes are in [entries]; guarded by the lock. */
+    private var revision = NEVER_LOADED
+    private val syncWaiters = LinkedBlockingQueue<CompletableFuture<Boolean>>()
     private val watchGap = (1.0 / (rps * WATCH_SHARE)).seconds
     private val syncGap = (1.0 / (rps * SYNC_SHARE)).seconds
 
     @Volatile
-    private var lastAnswer: TimeMark? = null
+    private var lastReadAt: TimeMark? = null
 
-    /** How long ago the state service last answered with the present state; null: never. */
-    fun age(): Duration? = lastAnswer?.elapsedNow()
+    /** The time since the store last answered with the present state; null: it never has. */
+    fun age(): Duration? = lastReadAt?.elapsedNow()
 
     override fun get(key: String): StoreWire.Item? = entries[key]
 
     override fun <T> atomically(read: () -> T): T = synchronized(this) { read() }
 
-    override fun withPrefix(prefix: String): Collection<StoreWire.Item> =
-        entries
-            .subMap(prefix, prefix + Char.MAX_VALUE)
-            .values
+    override fun withPrefix(prefix: String): Collection<StoreWire.Item> {
+        val end = prefix + Char.MAX_VALUE
+        return entries.subMap(prefix, end).values
+    }
 
-    /** Brings the copy to a state later than this call. False: the state service did not answer in time. */
+    /** Brings the cache to a state later than this call. False: the store did not answer in time. */
     fun sync(timeout: Duration): Boolean {
-        val f = CompletableFuture<Boolean>()
-        waiters.add(f)
+        val waiter = CompletableFuture<Boolean>()
+        syncWaiters.add(waiter)
         return try {
-            f.get(timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
+            waiter.get(timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
         } catch (e: TimeoutException) {
             log.debug("sync timed out")
             false
@@ -72,109 +68,133 @@
         }
     }
 
-    /** The duty that serves [sync]: one request for all who wait. */
+    /** Serves [sync] until the thread is interrupted: one request for all who wait. */
     fun serveSyncs() {
         while (!Thread.currentThread().isInterrupted) {
-            val all = ArrayList<CompletableFuture<Boolean>>()
-            // Nobody asks: a look of its own shows soon whether the state service is out of reach.
-            waiters.poll(LOOK_EVERY.inWholeMilliseconds, TimeUnit.MILLISECONDS)?.let { all.add(it) }
-            waiters.drainTo(all)
-            val ok = refresh(Duration.ZERO)
-            all.forEach { it.complete(ok) }
+            val waiting = ArrayList<CompletableFuture<Boolean>>()
+            // Without waiters the state is read all the same, which soon shows whether the store is unreachable.
+            syncWaiters.poll(IDLE_SYNC_INTERVAL.inWholeMilliseconds, TimeUnit.MILLISECONDS)?.let { waiting.add(it) }
+            syncWaiters.drainTo(waiting)
+            val isCurrent = refresh(Duration.ZERO)
+            waiting.forEach { it.complete(isCurrent) }
             pause(syncGap)
         }
     }
 
-    /** The duty that follows changes as they happen. */
+    /** Applies changes as they happen, by a long-polling watch, until the thread is interrupted. */
     fun follow() {
         while (!Thread.currentThread().isInterrupted) {
             if (refresh(WATCH_WAIT)) pause(watchGap) else pause(RETRY_GAP)
         }
     }
 
-    private fun pause(d: Duration) = Thread.sleep(d.inWholeMilliseconds)
+    private fun pause(duration: Duration) = Thread.sleep(duration.inWholeMilliseconds)
 
+    /** Reads the changes since the last read, or everything where there was none. False: the store did not answer. */
     private fun refresh(wait: Duration): Boolean {
-        val from = synchronized(this) { revision }
-        if (from < 0) return load()
-        val sent = TimeSource.Monotonic.markNow()
-        return when (val r = client.follow(Keys.LIVE, from, wait)) {
-            is StoreResult.Ok -> {
-                apply(r.value)
-                lastAnswer = TimeSource.Monotonic.markNow()
-                // A watch that waited may have been answered just before something changed again.
-                read(sent.elapsedNow())
-                true
-            }
-            is StoreResult.Refused -> {
-                if (r.status == 410) load() else false
-            }
-            else -> false
-        }
+        val known = synchronized(this) { revision }
+        if (known == NEVER_LOADED) return load()
+        val sentAt = TimeSource.Monotonic.markNow()
+        val result = client.follow(Keys.LIVE, known, wait)
+        if (result is StoreResult.Refused && result.status == REVISION_COMPACTED) return load()
+        if (result !is StoreResult.Ok) return false
+        apply(result.value)
+        lastReadAt = TimeSource.Monotonic.markNow()
+        // The answer to a watch that waited may be older than the next change: it counts from when it was sent.
+        onRead(sentAt.elapsedNow())
+        return true
     }
 
-    private fun apply(c: KeyValueStoreClient.Changes) {
+    private fun apply(delivered: KeyValueStoreClient.Changes) {
         synchronized(this) {
-            if (c.revision <= revision) return
-            val fresh = c.changes.filter { it.version > revision }
-            for (e in fresh) put(e)
-            revision = c.revision
-            if (fresh.isNotEmpty()) changed(fresh, c.revision)
+            if (delivered.revision <= revision) return
+            val fresh = delivered.changes.filter { it.version > revision }
+            fresh.forEach(::applyChange)
+            revision = delivered.revision
+            if (fresh.isNotEmpty()) onChange(fresh, delivered.revision)
         }
     }
 
-    private fun put(e: StoreWire.Change) {
-        // Pages are newer than the revision that the load began at. An answer from between the two, to the other duty,
-        // must not take a key back: a record could then be held without the level that it was written under.
-        if (entries[e.key].let { it != null && it.version > e.version }) return
-        val value = e.value
-        if (value == null) entries.remove(e.key) else entries[e.key] = StoreWire.Item(e.key, value, e.version)
+    private fun applyChange(change: StoreWire.Change) {
+        // Pages of a load are newer than the revision that the load began at. A watch on the other thread that was
+        // answered in between must not take a key back: a record could then be held without the level that it was
+        // written under.
+        val held = entries[change.key]
+        if (held != null && held.version > change.version) return
+        val value = change.value
+        if (value == null) {
+            entries.remove(change.key)
+        } else {
+            entries[change.key] = StoreWire.Item(change.key, value, change.version)
+        }
     }
 
-    /** Reads everything anew. Changes made meanwhile are replayed by the next [refresh]. */
+    /** Reads all live keys. Changes made meanwhile are replayed by the next [refresh]. */
     private fun load(): Boolean {
-        val all = HashMap<String, StoreWire.Item>()
-        val sent = TimeSource.Monotonic.markNow()
+        val sentAt = TimeSource.Monotonic.markNow()
+        val snapshot = readSnapshot() ?: return false
+        if (!replaceBy(snapshot)) return true
+        lastReadAt = TimeSource.Monotonic.markNow()
+        onRead(sentAt.elapsedNow())
+        log.info("state loaded keys={} revision={}", snapshot.items.size, snapshot.revision)
+        return true
+    }
+
+    /** Items that are complete up to [revision], and newer in part. */
+    private class Snapshot(val items: Map<String, StoreWire.Item>, val revision: Long)
+
+    /** All pages, with the revision of the first; null if the store did not answer. */
+    private fun readSnapshot(): Snapshot? {
+        val items = HashMap<String, StoreWire.Item>()
+        var firstRevision: Long? = null
         var after: String? = null
-        var first = -1L
         while (true) {
-            val page =
-                when (val r = client.list(Keys.LIVE, after)) {
-                    is StoreResult.Ok -> r.value
-                    else -> return false
-                }
-            if (first < 0) first = page.revision
-            page.items.forEach { all[it.key] = it }
-            if (!page.more || page.items.isEmpty()) break
+            val result = client.list(Keys.LIVE, after)
+            val page = if (result is StoreResult.Ok) result.value else return null
+            val revision = firstRevision ?: page.revision
+            firstRevision = revision
+            page.items.forEach { items[it.key] = it }
+            if (!page.hasNextPage || page.items.isEmpty()) return Snapshot(items, revision)
             after = page.items.last().key
         }
+    }
+
+    /** False: the cache is as new already. */
+    private fun replaceBy(snapshot: Snapshot): Boolean {
         synchronized(this) {
-            if (first <= revision) return true
-            val changes = ArrayList<StoreWire.Change>()
-            for (k in entries.keys) if (k !in all) changes.add(StoreWire.Change(k, null, first))
-            for (i in all.values) {
-                if (entries[i.key]?.version !=
-                    i.version
-                ) {
-                    changes.add(StoreWire.Change(i.key, i.value, i.version))
-                }
-            }
-            changes.forEach(::put)
-            revision = first
-            changed(changes, first)
+            if (snapshot.revision <= revision) return false
+            val changes = changesTo(snapshot)
+            changes.forEach(::applyChange)
+            revision = snapshot.revision
+            onChange(changes, snapshot.revision)
         }
-        lastAnswer = TimeSource.Monotonic.markNow()
-        read(sent.elapsedNow())
-        log.info("state loaded keys={} revision={}", all.size, first)
         return true
     }
 
-    companion object {
-        private val log = loggerOf(StoreCache::class.java)
-        private const val WATCH_SHARE = 0.08
-        private const val SYNC_SHARE = 0.12
-        private val LOOK_EVERY = 1.seconds
-        private val WATCH_WAIT = 5.seconds
-        private val RETRY_GAP = 300.milliseconds
+    private fun changesTo(snapshot: Snapshot): List<StoreWire.Change> {
+        val changes = ArrayList<StoreWire.Change>()
+        for (key in entries.keys) {
+            if (key !in snapshot.items) changes.add(StoreWire.Change(key, null, snapshot.revision))
+        }
+        for (item in snapshot.items.values) {
+            val isHeld = entries[item.key]?.version == item.version
+            if (!isHeld) changes.add(StoreWire.Change(item.key, item.value, item.version))
+        }
+        return changes
+    }
+
+    private companion object {
+        val log = loggerOf(StoreCache::class.java)
+        const val NEVER_LOADED = -1L
+
+        /** The HTTP status by which the store says that it no longer has the changes since a revision. */
+        const val REVISION_COMPACTED = 410
+
+        /** The shares of the store's request rate that the two threads may use. */
+        const val WATCH_SHARE = 0.08
+        const val SYNC_SHARE = 0.12
+        val IDLE_SYNC_INTERVAL = 1.seconds
+        val WATCH_WAIT = 5.seconds
+        val RETRY_GAP = 300.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/wire/Cbor.kt
+++ b/src/main/kotlin/glenspool/wire/Cbor.kt
@@ -8,32 +8,42 @@
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 import java.io.OutputStream
-
-/** A message that can't be understood; the text says which part. */
-class MalformedMessage(message: String) : IOException(message)
+import java.math.BigInteger
 
 /**
  * CBOR by Jackson's streaming interface, to and from plain maps. Neither reflection nor a tree of nodes is
  * needed, which keeps start-up short on a machine with a fifth of a core.
+ *
+ * Whole numbers are decoded as Long (BigInteger beyond its range), other numbers as Double.
  */
 object Cbor {
     private const val MAX_DEPTH = 32
+    private const val BUFFER_BYTES = 256
     private val factory = CBORFactory()
     private val jsonFactory by lazy { JsonFactory() }
 
+    /**
+     * Encodes null, strings, numbers, booleans, maps with string keys and collections of these.
+     *
+     * @throws IllegalArgumentException for a value of any other type
+     */
     fun encode(value: Any?): ByteArray {
-        val out = ByteArrayOutputStream(256)
-        factory.createGenerator(out).use { write(it, value) }
-        return out.toByteArray()
+        val output = ByteArrayOutputStream(BUFFER_BYTES)
+        factory.createGenerator(output).use { write(it, value) }
+        return output.toByteArray()
     }
 
-    /** Reads one map and nothing after it. Binary values, foreign keys and deep nesting are malformed. */
+    /**
+     * Decodes one map and nothing after it.
+     *
+     * @throws MalformedMessage for anything else, and for binary values, keys that are not strings and deep nesting
+     */
     fun decodeMap(bytes: ByteArray): Fields {
         try {
-            factory.createParser(bytes).use { p ->
-                if (p.nextToken() != JsonToken.START_OBJECT) throw MalformedMessage("not a map")
-                val value = readMap(p, 0)
-                if (p.nextToken() != null) throw MalformedMessage("more than one value")
+            factory.createParser(bytes).use { parser ->
+                if (parser.nextToken() != JsonToken.START_OBJECT) throw MalformedMessage("not a map")
+                val value = readMap(parser, 0)
+                if (parser.nextToken() != null) throw MalformedMessage("more than one value")
                 return value
             }
         } catch (e: MalformedMessage) {
@@ -43,80 +53,85 @@
         }
     }
 
-    private fun read(p: JsonParser, depth: Int): Any? =
-        when (p.currentToken()) {
-            JsonToken.START_OBJECT -> readMap(p, depth + 1)
-            JsonToken.START_ARRAY -> {
-                if (depth > MAX_DEPTH) throw MalformedMessage("nested too deeply")
-                val list = ArrayList<Any?>()
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    if (p.currentToken() == null) throw MalformedMessage("truncated")
-                    list.add(read(p, depth + 1))
-                }
-                list
-            }
-            JsonToken.VALUE_STRING -> p.text
-            JsonToken.VALUE_NUMBER_INT -> p.numberValue.let { if (it is java.math.BigInteger) it else it.toLong() }
-            JsonToken.VALUE_NUMBER_FLOAT -> p.doubleValue
+    /** How many bytes the value takes as JSON, which is how the key-value store counts against its limit. */
+    fun jsonBytes(value: Any?): Int {
+        val counter = ByteCounter()
+        jsonFactory.createGenerator(counter).use { write(it, value) }
+        return counter.bytes
+    }
+
+    private fun readValue(parser: JsonParser, depth: Int): Any? =
+        when (parser.currentToken()) {
+            JsonToken.START_OBJECT -> readMap(parser, depth + 1)
+            JsonToken.START_ARRAY -> readList(parser, depth)
+            JsonToken.VALUE_STRING -> parser.text
+            JsonToken.VALUE_NUMBER_INT -> parser.numberValue.let { if (it is BigInteger) it else it.toLong() }
+            JsonToken.VALUE_NUMBER_FLOAT -> parser.doubleValue
             JsonToken.VALUE_TRUE -> true
             JsonToken.VALUE_FALSE -> false
             JsonToken.VALUE_NULL -> null
-            else -> throw MalformedMessage("unexpected ${p.currentToken()}")
+            else -> throw MalformedMessage("unexpected ${parser.currentToken()}")
         }
 
-    private fun readMap(p: JsonParser, depth: Int): Fields {
+    private fun readMap(parser: JsonParser, depth: Int): Fields {
         if (depth > MAX_DEPTH) throw MalformedMessage("nested too deeply")
         val map = LinkedHashMap<String, Any?>()
         while (true) {
-            val t = p.nextToken() ?: throw MalformedMessage("truncated")
-            if (t == JsonToken.END_OBJECT) return map
-            val name = p.currentName() ?: throw MalformedMessage("a key is not text")
-            if (p.nextToken() == null) throw MalformedMessage("truncated")
-            map[name] = read(p, depth)
+            val token = parser.nextToken() ?: throw MalformedMessage("truncated")
+            if (token == JsonToken.END_OBJECT) return map
+            val name = parser.currentName() ?: throw MalformedMessage("a key is not text")
+            if (parser.nextToken() == null) throw MalformedMessage("truncated")
+            map[name] = readValue(parser, depth)
         }
     }
 
-    /** How many bytes the value takes as JSON, which is how the state service counts. */
-    fun jsonBytes(value: Any?): Int {
-        val count =
-            object : OutputStream() {
-                var bytes = 0
-
-                override fun write(b: Int) {
-                    bytes++
-                }
-
-                override fun write(b: ByteArray, off: Int, len: Int) {
-                    bytes += len
-                }
-            }
-        jsonFactory.createGenerator(count).use { write(it, value) }
-        return count.bytes
+    private fun readList(parser: JsonParser, depth: Int): List<Any?> {
+        if (depth > MAX_DEPTH) throw MalformedMessage("nested too deeply")
+        val list = ArrayList<Any?>()
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            if (parser.currentToken() == null) throw MalformedMessage("truncated")
+            list.add(readValue(parser, depth + 1))
+        }
+        return list
     }
 
-    private fun write(g: JsonGenerator, v: Any?) {
-        when (v) {
-            null -> g.writeNull()
-            is String -> g.writeString(v)
-            is Int -> g.writeNumber(v)
-            is Long -> g.writeNumber(v)
-            is java.math.BigInteger -> g.writeNumber(v)
-            is Double -> g.writeNumber(v)
-            is Boolean -> g.writeBoolean(v)
+    private fun write(generator: JsonGenerator, value: Any?) {
+        when (value) {
+            null -> generator.writeNull()
+            is String -> generator.writeString(value)
+            is Int -> generator.writeNumber(value)
+            is Long -> generator.writeNumber(value)
+            is BigInteger -> generator.writeNumber(value)
+            is Double -> generator.writeNumber(value)
+            is Boolean -> generator.writeBoolean(value)
             is Map<*, *> -> {
-                g.writeStartObject(v, v.size)
-                for ((k, x) in v) {
-                    g.writeFieldName(k as String)
-                    write(g, x)
+                generator.writeStartObject(value, value.size)
+                for ((name, element) in value) {
+                    generator.writeFieldName(name as String)
+                    write(generator, element)
                 }
-                g.writeEndObject()
+                generator.writeEndObject()
             }
             is Collection<*> -> {
-                g.writeStartArray(v, v.size)
-                for (x in v) write(g, x)
-                g.writeEndArray()
+                generator.writeStartArray(value, value.size)
+                for (element in value) write(generator, element)
+                generator.writeEndArray()
             }
-            else -> throw IllegalArgumentException("no CBOR form for ${v.javaClass}")
+            else -> throw IllegalArgumentException("no CBOR form for ${value.javaClass}")
+        }
+    }
+
+    /** Counts what is written and keeps nothing of it. */
+    private class ByteCounter : OutputStream() {
+        var bytes = 0
+            private set
+
+        override fun write(byte: Int) {
+            bytes++
+        }
+
+        override fun write(buffer: ByteArray, offset: Int, length: Int) {
+            bytes += length
         }
     }
 }
--- a/src/main/kotlin/glenspool/wire/CloudWire.kt
+++ b/src/main/kotlin/glenspool/wire/CloudWire.kt
@@ -6,45 +6,73 @@
 import glenspool.core.model.Resources
 
 private val stages =
-    mapOf(
-        "booting" to MachineStage.BOOTING, "running" to MachineStage.RUNNING,
-        "failed" to MachineStage.FAILED,
-    )
+    mapOf("booting" to MachineStage.BOOTING, "running" to MachineStage.RUNNING, "failed" to MachineStage.FAILED)
 
-/** The cloud's messages. */
+/**
+ * The messages of the cloud's API.
+ *
+ * | protocol | here |
+ * | --- | --- |
+ * | `frame` | machine type |
+ * | `hall` | zone |
+ * | `spindle` | machine; its `uid` is the machine's id |
+ * | `loaners` | spot machines |
+ * | `hire` | the id of a scale-out request, which makes it idempotent |
+ * | `local_gb` | disk for images |
+ * | `held_s` | age of a machine |
+ */
 object CloudWire {
-    fun decodeTypes(m: Fields): List<MachineType> =
-        m.maps("frames").map { t ->
-            MachineType(
-                name = t.text("name"),
-                capacity = Resources(t.amount("cpus"), t.amount("accelerators"), t.amount("memory_gb")),
-                cacheGb = t.amountOrNull("local_gb") ?: 0.0,
-                fetchGbPerS = t.amountOrNull("fetch_gb_per_s") ?: 1.0,
-                price = t.amount("price"),
-                spotPrice = t.amountOrNull("spot_price") ?: t.amount("price"),
-                boot = t.duration("startup_s"),
-                zones = t.textsOrNull("halls") ?: emptyList(),
-            )
-        }
-
-    fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields = linkedMapOf("hire" to request, "frame" to type, "hall" to zone, "loaners" to spot, "number" to count)
-
-    fun names(m: Fields): List<String> = m.textsOrNull("spindles") ?: emptyList()
+    /** The machine types that the cloud offers; absent optional fields get the protocol's defaults. */
+    fun decodeTypes(fields: Fields): List<MachineType> = fields.maps("frames").map(::decodeType)
 
+    private fun decodeType(fields: Fields) =
+        MachineType(
+            name = fields.text("name"),
+            capacity = fields.resources(),
+            cacheGb = fields.amountOrNull("local_gb") ?: 0.0,
+            fetchGbPerS = fields.amountOrNull("fetch_gb_per_s") ?: 1.0,
+            price = fields.amount("price"),
+            spotPrice = fields.amountOrNull("spot_price") ?: fields.amount("price"),
+            boot = fields.duration("startup_s"),
+            zones = fields.textsOrNull("halls") ?: emptyList(),
+        )
+
+    /** A request to rent [count] machines. Sent again under the same [request] id, it rents no more of them. */
+    fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields =
+        linkedMapOf(
+            "hire" to request,
+            "frame" to type,
+            "hall" to zone,
+            "loaners" to spot,
+            "number" to count,
+        )
+
+    /** The ids of the machines that a rental request got. */
+    fun decodeMachineIds(fields: Fields): List<String> = fields.textsOrNull("spindles") ?: emptyList()
+
+    /** A request to delete the machines with these [ids]. */
     fun delete(ids: List<String>): Fields = mapOf("spindles" to ids)
 
-    fun decodeMachines(m: Fields): List<ListedMachine> =
-        m.maps("spindles").map { x ->
-            ListedMachine(
-                id = x.text("uid"),
-                addr = x.textOrNull("addr") ?: "",
-                type = x.text("frame"),
-                zone = x.text("hall"),
-                spot = x.flag("loaners"),
-                stage = stages.pick("stage", x.text("stage")),
-                age = x.duration("held_s"),
-            )
-        }
-
-    fun more(m: Fields): Boolean = m.flagOr("has_next", false)
+    /** One page of the cloud's list of machines. */
+    fun decodeMachines(fields: Fields): List<ListedMachine> = fields.maps("spindles").map(::decodeMachine)
+
+    private fun decodeMachine(fields: Fields) =
+        ListedMachine(
+            id = fields.text("uid"),
+            addr = fields.textOrNull("addr") ?: "",
+            type = fields.text("frame"),
+            zone = fields.text("hall"),
+            spot = fields.flag("loaners"),
+            stage = stages.pick("stage", fields.text("stage")),
+            age = fields.duration("held_s"),
+        )
+
+    /** Whether further pages follow this one. */
+    fun hasNextPage(fields: Fields): Boolean = fields.flagOr("has_next", false)
+
+    /** Whether the cloud refused a rental because it has no such machine to offer. */
+    fun isOutOfCapacity(fields: Fields): Boolean = fields["error"] == "no capacity"
 }
+
+/** The resources of a machine type, or those that a job asks for. */
+internal fun Fields.resources() = Resources(amount("cpus"), amount("accelerators"), amount("memory_gb"))
--- a/src/main/kotlin/glenspool/wire/Fields.kt
+++ b/src/main/kotlin/glenspool/wire/Fields.kt
@@ -1,58 +1,112 @@
 package glenspool.wire
 
+import java.io.IOException
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** A decoded map, by field name. It stays inside this package and the adapters that read it. */
+/**
+ * A decoded CBOR map by field name. The accessors below check the type of a field and its range; what does not fit is a
+ * [MalformedMessage] that names the field. Unknown fields are ignored, so that newer peers may add some.
+ */
 typealias Fields = Map<String, Any?>
 
-fun Fields.text(name: String): String = this[name] as? String ?: throw MalformedMessage("$name: a text is needed")
+/** A message or stored value that can't be decoded: [field] (null: the message as a whole) has this [problem]. */
+class MalformedMessage(val field: String?, val problem: String) : IOException(messageOf(field, problem)) {
+    constructor(problem: String) : this(null, problem)
+}
+
+private fun messageOf(field: String?, problem: String) = if (field == null) problem else "$field: $problem"
+
+/** A required string. */
+fun Fields.text(name: String): String = this[name] as? String ?: throw MalformedMessage(name, "a text is needed")
 
+/** A string; null if the field is absent or null. */
 fun Fields.textOrNull(name: String): String? =
-    when (val v = this[name]) {
+    when (val value = this[name]) {
         null -> null
-        is String -> v
-        else -> throw MalformedMessage("$name: a text or null is needed")
+        is String -> value
+        else -> throw MalformedMessage(name, "a text or null is needed")
     }
 
+/** A required number that is finite and not negative; resources, sizes, prices and seconds. */
 fun Fields.amount(name: String): Double {
-    val d = (this[name] as? Number)?.toDouble() ?: throw MalformedMessage("$name: a number is needed")
-    if (!d.isFinite() || d < 0.0 || d > MAX_AMOUNT) throw MalformedMessage("$name: out of range")
-    return d
+    val amount = (this[name] as? Number)?.toDouble() ?: throw MalformedMessage(name, "a number is needed")
+    if (!amount.isFinite() || amount < 0.0 || amount > MAX_AMOUNT) throw MalformedMessage(name, "out of range")
+    return amount
 }
 
+/** As [amount]; null if the field is absent or null. */
 fun Fields.amountOrNull(name: String): Double? = if (this[name] == null) null else amount(name)
 
-/** Counts, versions and tokens. Those above Long's range never occur in the service's own numbers. */
-fun Fields.count(name: String): Long {
-    val v = this[name]
-    if (v is Long && v >= 0) return v
-    throw MalformedMessage("$name: a whole number is needed")
-}
+/**
+ * A required whole number that is not negative: counts, versions and tokens. Those above the range of Long never occur
+ * in the service's own numbers.
+ */
+fun Fields.count(name: String): Long = wholeNumber(name, this[name])
 
-fun Fields.flag(name: String): Boolean = this[name] as? Boolean ?: throw MalformedMessage("$name: true or false is needed")
+/** A required boolean. */
+fun Fields.flag(name: String): Boolean {
+    val flag = this[name]
+    return flag as? Boolean ?: throw MalformedMessage(name, "true or false is needed")
+}
 
+/** A boolean; [default] if the field is absent or anything else. */
 fun Fields.flagOr(name: String, default: Boolean): Boolean = this[name] as? Boolean ?: default
 
+/** A required list of maps. */
 @Suppress("UNCHECKED_CAST")
 fun Fields.maps(name: String): List<Fields> {
-    val l = this[name] as? List<*> ?: throw MalformedMessage("$name: a list is needed")
-    if (l.any { it !is Map<*, *> }) throw MalformedMessage("$name: a list of maps is needed")
-    return l as List<Fields>
+    val list = this[name] as? List<*> ?: throw MalformedMessage(name, "a list is needed")
+    if (list.any { it !is Map<*, *> }) throw MalformedMessage(name, "a list of maps is needed")
+    return list as List<Fields>
 }
 
+/** A list of strings; null if the field is absent or null. */
 fun Fields.textsOrNull(name: String): List<String>? {
-    val l = this[name] ?: return null
-    if (l !is List<*>) throw MalformedMessage("$name: a list is needed")
-    return l.map { it as? String ?: throw MalformedMessage("$name: a list of texts is needed") }
+    val list = this[name] ?: return null
+    if (list !is List<*>) throw MalformedMessage(name, "a list is needed")
+    return list.map { it as? String ?: throw MalformedMessage(name, "a list of texts is needed") }
 }
 
-private const val MAX_AMOUNT = 1e12
+/** A required map. */
+@Suppress("UNCHECKED_CAST")
+internal fun Fields.nested(name: String): Fields {
+    val fields = this[name]
+    return fields as? Fields ?: throw MalformedMessage(name, "a map is needed")
+}
 
+/** A map; null if the field is absent or null. */
+@Suppress("UNCHECKED_CAST")
+internal fun Fields.nestedOrNull(name: String): Fields? =
+    when (val value = this[name]) {
+        null -> null
+        is Map<*, *> -> value as Fields
+        else -> throw MalformedMessage(name, "a map or null is needed")
+    }
+
+/** A required duration, given in seconds. */
 internal fun Fields.duration(name: String): Duration = amount(name).seconds
 
 internal fun Duration.toSeconds(): Double = toDouble(DurationUnit.SECONDS)
 
-/** The value that a word stands for. */
-internal fun <T> Map<String, T>.pick(name: String, value: String): T = this[value] ?: throw MalformedMessage("$name: unknown value")
+/** The value that the protocol's [word] in field [name] stands for. */
+internal fun <T> Map<String, T>.pick(name: String, word: String): T {
+    val value = this[word]
+    return value ?: throw MalformedMessage(name, "unknown value")
+}
+
+/** The [value] of field [name], or of an element in it, as a whole number that is not negative. */
+internal fun wholeNumber(name: String, value: Any?): Long {
+    if (value is Long && value >= 0) return value
+    throw MalformedMessage(name, "a whole number is needed")
+}
+
+/** As [wholeNumber], and less than [bound]. */
+internal fun boundedNumber(name: String, value: Any?, bound: Long): Int {
+    val number = wholeNumber(name, value)
+    if (number >= bound) throw MalformedMessage(name, "out of range")
+    return number.toInt()
+}
+
+private const val MAX_AMOUNT = 1e12
--- a/src/main/kotlin/glenspool/wire/FinalWire.kt
+++ b/src/main/kotlin/glenspool/wire/FinalWire.kt
@@ -2,33 +2,37 @@
 
 import glenspool.core.model.FinalState
 
-/** How a job ended, for ever. */
+/**
+ * The stored form of a job's final state, which is kept for ever.
+ *
+ * | stored | here |
+ * | --- | --- |
+ * | `end` | `done` or `cancelled` |
+ * | `tasks` | the job's number of tasks |
+ * | `with` | the dependency whose cancellation cancelled this job |
+ */
 object FinalWire {
+    /** [abortedBy]: the cancelled dependency, if that is why the job ended. */
     fun encode(end: FinalState, tasks: Int, abortedBy: String?): Fields {
-        val m =
+        val fields =
             linkedMapOf<String, Any?>(
-                "end" to
-                    if (end ==
-                        FinalState.DONE
-                    ) {
-                        "done"
-                    } else {
-                        "cancelled"
-                    },
+                "end" to if (end == FinalState.DONE) "done" else "cancelled",
                 "tasks" to tasks.toLong(),
             )
-        if (abortedBy != null) m["with"] = abortedBy
-        return m
+        if (abortedBy != null) fields["with"] = abortedBy
+        return fields
     }
 
-    fun end(m: Fields): FinalState = if (m["end"] == "done") FinalState.DONE else FinalState.CANCELLED
+    /** How the job ended. */
+    fun end(fields: Fields): FinalState = if (fields["end"] == "done") FinalState.DONE else FinalState.CANCELLED
 
-    /** The cancelled job that it needed, if that is why it ended. */
-    fun abortedBy(m: Fields): String? = m["with"] as? String
+    /** The cancelled dependency, if that is why the job ended. */
+    fun abortedBy(fields: Fields): String? = fields["with"] as? String
 
-    fun answer(id: String, m: Fields): Fields =
-        when (end(m)) {
-            FinalState.DONE -> JobWire.status(id, Stage.DONE, (m["tasks"] as? Long ?: 0L).toInt(), 0)
-            FinalState.CANCELLED -> JobWire.status(id, Stage.CANCELLED, abortedBy = abortedBy(m))
+    /** The status that users get of the job [id], which ended so. */
+    fun answer(id: String, fields: Fields): Fields =
+        when (end(fields)) {
+            FinalState.DONE -> JobWire.status(id, Stage.DONE, (fields["tasks"] as? Long ?: 0L).toInt(), 0)
+            FinalState.CANCELLED -> JobWire.status(id, Stage.CANCELLED, abortedBy = abortedBy(fields))
         }
 }
--- a/src/main/kotlin/glenspool/wire/JobWire.kt
+++ b/src/main/kotlin/glenspool/wire/JobWire.kt
@@ -3,7 +3,6 @@
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Priority
-import glenspool.core.model.Resources
 import kotlin.time.Duration.Companion.seconds
 
 private val jobIdForm = Regex("[!-~&&[^/]]{1,120}")
@@ -19,77 +18,101 @@
         "standard" to Priority.STANDARD,
         "idle" to Priority.IDLE,
     )
-private val kindNames = kinds.entries.associate { it.value to it.key }
-private val priorityNames = priorities.entries.associate { it.value to it.key }
+private val kindWords = kinds.entries.associate { it.value to it.key }
+private val priorityWords = priorities.entries.associate { it.value to it.key }
 
-/** Whether this is the id of a job at all. */
-fun validJobId(id: String): Boolean = jobIdForm.matches(id)
+/** Whether this may be the id of a job: 1 to 120 visible ASCII characters without a slash. */
+fun isValidJobId(id: String): Boolean = jobIdForm.matches(id)
 
-/** The users' view of jobs. */
+/**
+ * The messages of the user API: the description of a job and its status.
+ *
+ * | protocol | here |
+ * | --- | --- |
+ * | `uid` | job id |
+ * | `lot` | job class |
+ * | `crew` | team |
+ * | `weave` | kind: `batch` (job array), `gang`, `daemon` (service) |
+ * | `urgency` | priority |
+ * | `threads` | number of tasks |
+ * | `pattern`, `size_gb` | image and its size |
+ * | `frames` | machine types; null: any |
+ * | `hall` | zone; null: any |
+ * | `same_place` | all tasks in one zone |
+ * | `apart` | tasks spread over zones |
+ * | `loaners` | may run on spot machines |
+ * | `expected_s` | estimated duration |
+ * | `knot_s`, `knotting_s` | checkpoint interval and duration |
+ * | `due_s` | deadline, from submission |
+ * | `awaits` | dependencies |
+ * | `aborted_with` | the dependency whose cancellation cancelled the job |
+ */
 object JobWire {
-    fun decode(m: Fields): JobSpec {
-        val id = m.text("uid")
-        if (!validJobId(id)) throw MalformedMessage("uid: not a job id")
-        val tasks = m.count("threads")
-        if (tasks !in 1..MAX_TASKS) throw MalformedMessage("threads: 1 to $MAX_TASKS are allowed")
+    /** A job's description, from a user or from its record; dependencies are decoded by [decodeDependencies]. */
+    fun decode(fields: Fields): JobSpec {
+        val id = fields.text("uid")
+        if (!isValidJobId(id)) throw MalformedMessage("uid", "not a job id")
+        val tasks = fields.count("threads")
+        if (tasks !in 1..MAX_TASKS) throw MalformedMessage("threads", "1 to $MAX_TASKS are allowed")
         return JobSpec(
             id = id,
-            jobClass = m.text("lot"),
-            team = m.text("crew"),
-            kind = kinds.pick("weave", m.text("weave")),
-            priority = priorities.pick("urgency", m.text("urgency")),
+            jobClass = fields.text("lot"),
+            team = fields.text("crew"),
+            kind = kinds.pick("weave", fields.text("weave")),
+            priority = priorities.pick("urgency", fields.text("urgency")),
             tasks = tasks.toInt(),
-            resourceRequest = Resources(m.amount("cpus"), m.amount("accelerators"), m.amount("memory_gb")),
-            image = m.text("pattern"),
-            imageGb = m.amount("size_gb"),
-            types = m.textsOrNull("frames"),
-            zone = m.textOrNull("hall"),
-            sameZone = m.flag("same_place"),
-            spread = m.flag("apart"),
-            spot = m.flag("loaners"),
-            estimatedDuration = m.duration("expected_s"),
-            checkpointInterval = m.duration("knot_s"),
-            checkpointDuration = m.duration("knotting_s"),
-            deadline = m.amountOrNull("due_s")?.seconds,
+            resourceRequest = fields.resources(),
+            image = fields.text("pattern"),
+            imageGb = fields.amount("size_gb"),
+            types = fields.textsOrNull("frames"),
+            zone = fields.textOrNull("hall"),
+            sameZone = fields.flag("same_place"),
+            spread = fields.flag("apart"),
+            spot = fields.flag("loaners"),
+            estimatedDuration = fields.duration("expected_s"),
+            checkpointInterval = fields.duration("knot_s"),
+            checkpointDuration = fields.duration("knotting_s"),
+            deadline = fields.amountOrNull("due_s")?.seconds,
         )
     }
 
-    fun hasDependencies(m: Fields): Boolean = m["awaits"] != null
+    /** Whether a submission names dependencies at all, without checking them. */
+    fun hasDependencies(fields: Fields): Boolean = fields["awaits"] != null
 
-    /** The jobs that a submission waits for, each named once, in the order in which the user named them. */
-    fun decodeDependencies(m: Fields): List<String> {
-        val named = m.textsOrNull("awaits").orEmpty()
-        if (named.any { !validJobId(it) }) throw MalformedMessage("awaits: not a job id")
+    /** The jobs that a submission depends on, each named once, in the order in which the user named them. */
+    fun decodeDependencies(fields: Fields): List<String> {
+        val named = fields.textsOrNull("awaits").orEmpty()
+        if (!named.all(::isValidJobId)) throw MalformedMessage("awaits", "not a job id")
         return named.distinct()
     }
 
-    fun encode(j: JobSpec): Fields =
+    fun encode(job: JobSpec): Fields =
         linkedMapOf(
-            "uid" to j.id,
-            "lot" to j.jobClass,
-            "crew" to j.team,
-            "weave" to kindNames.getValue(j.kind),
-            "urgency" to priorityNames.getValue(j.priority),
-            "threads" to j.tasks,
-            "cpus" to j.resourceRequest.cpus,
-            "accelerators" to j.resourceRequest.gpus,
-            "memory_gb" to j.resourceRequest.memoryGb,
-            "pattern" to j.image,
-            "size_gb" to j.imageGb,
-            "frames" to j.types,
-            "hall" to j.zone,
-            "same_place" to j.sameZone,
-            "apart" to j.spread,
-            "loaners" to j.spot,
-            "expected_s" to j.estimatedDuration.toSeconds(),
-            "knot_s" to j.checkpointInterval.toSeconds(),
-            "knotting_s" to j.checkpointDuration.toSeconds(),
-            "due_s" to j.deadline?.toSeconds(),
+            "uid" to job.id,
+            "lot" to job.jobClass,
+            "crew" to job.team,
+            "weave" to kindWords.getValue(job.kind),
+            "urgency" to priorityWords.getValue(job.priority),
+            "threads" to job.tasks,
+            "cpus" to job.resourceRequest.cpus,
+            "accelerators" to job.resourceRequest.gpus,
+            "memory_gb" to job.resourceRequest.memoryGb,
+            "pattern" to job.image,
+            "size_gb" to job.imageGb,
+            "frames" to job.types,
+            "hall" to job.zone,
+            "same_place" to job.sameZone,
+            "apart" to job.spread,
+            "loaners" to job.spot,
+            "expected_s" to job.estimatedDuration.toSeconds(),
+            "knot_s" to job.checkpointInterval.toSeconds(),
+            "knotting_s" to job.checkpointDuration.toSeconds(),
+            "due_s" to job.deadline?.toSeconds(),
         )
 
     /**
-     * The answer to a user. [stage] is the service's word for it, see [Stage]. [awaits]: jobs that it waits for;
-     * [abortedBy]: the cancelled job that it needed.
+     * A job's status as users get it. [done] and [running] count tasks; [awaits]: the dependencies that are not done
+     * yet; [abortedBy]: the cancelled dependency, if that is why the job ended.
      */
     fun status(
         id: String,
@@ -99,14 +122,14 @@
         awaits: List<String> = emptyList(),
         abortedBy: String? = null,
     ): Fields {
-        val m = linkedMapOf<String, Any?>("uid" to id, "stage" to stage.word)
-        if (done != null) m["done"] = done
-        if (running != null) m["running"] = running
-        if (awaits.isNotEmpty()) m["awaits"] = awaits
-        if (abortedBy != null) m["aborted_with"] = abortedBy
-        return m
+        val fields = linkedMapOf<String, Any?>("uid" to id, "stage" to stage.word)
+        if (done != null) fields["done"] = done
+        if (running != null) fields["running"] = running
+        if (awaits.isNotEmpty()) fields["awaits"] = awaits
+        if (abortedBy != null) fields["aborted_with"] = abortedBy
+        return fields
     }
 }
 
-/** A job's stage as users read it. */
+/** A job's stage as users read it; [word] is the protocol's. */
 enum class Stage(val word: String) { QUEUED("pending"), RUNNING("running"), DONE("done"), CANCELLED("aborted") }
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -1,5 +1,7 @@
 package glenspool.wire
 
+import glenspool.core.CHUNK
+import glenspool.core.CHUNKED_ABOVE
 import glenspool.core.model.JobRecord
 import glenspool.core.model.StoredPlacement
 import java.util.Base64
@@ -7,150 +9,166 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Jobs as the state service keeps them: the user's own words plus what has happened since. See docs/upgrade.md.
+ * The stored form of a job's record: the user's description plus what has happened since. See docs/upgrade.md.
  *
- * A record that a version before pipelines must neither act on nor rewrite is *sealed*: its description stands under
- * `sealed` instead of `job`. That version takes it for unreadable, starts nothing of it, stores nothing over it and
- * answers users with an error, upon which they ask again.
+ * A record that a version without dependencies must neither act on nor rewrite is *sealed*: its description stands
+ * under `sealed` instead of `job`. That version takes it for unreadable, starts no task of it, stores nothing over it
+ * and answers users with an error, upon which they ask again.
+ *
+ * | stored | here |
+ * | --- | --- |
+ * | `job` | the description, see [JobWire] |
+ * | `at` | time of day of the submission, in milliseconds |
+ * | `last` | the last attempt number given out |
+ * | `done` | the done bits in Base64; larger jobs keep them in chunks under keys of their own |
+ * | `on` | placements: a map from machine to pairs of task and attempt, in one list |
+ * | `ready` | time of day at which the last dependency was done, in milliseconds |
+ * | `waits` | in `sealed`: not all dependencies are done |
+ * | `awaits` | the dependencies |
+ * | `pieces` | in `sealed`: number of parts that hold the description; each has its text under `piece` |
+ * | `shelves` | in `sealed`: the numbers of the parts that hold placements, each in the form of `on` |
  */
 object RecordWire {
     /** Jobs of up to this many tasks keep their done bits in the record itself, larger ones in chunks. */
-    const val INLINE_TASKS = glenspool.core.CHUNKED_ABOVE
-    const val CHUNK_TASKS = glenspool.core.CHUNK
-
-    fun encode(r: JobRecord): Fields {
-        val m = LinkedHashMap<String, Any?>()
-        if (needsSealing(r)) m["sealed"] = sealed(r) else m["job"] = JobWire.encode(r.spec)
-        m["at"] = r.submitted.inWholeMilliseconds
-        m["last"] = r.lastAttempt
-        if (r.dependenciesDoneAt != null) m["ready"] = r.dependenciesDoneAt.inWholeMilliseconds
-        if (r.spec.tasks <= INLINE_TASKS && !r.done.isEmpty) m["done"] = encodeBits(r.done)
-        if (r.placements.isNotEmpty()) m.putAll(encodePlaces(r.placements))
-        return m
-    }
+    const val INLINE_TASKS = CHUNKED_ABOVE
 
-    private fun sealed(r: JobRecord): Fields {
-        val m = LinkedHashMap<String, Any?>()
-        if (r.descriptionParts > 0) m["pieces"] = r.descriptionParts else m.putAll(description(r))
-        if (r.dependencies.isNotEmpty()) m["waits"] = true
-        if (r.placementParts.isNotEmpty()) m["shelves"] = r.placementParts.keys.toList()
-        return m
-    }
+    /** So many tasks have their done bits in one chunk. */
+    const val CHUNK_TASKS = CHUNK
 
-    private fun description(r: JobRecord): Fields {
-        val m = linkedMapOf<String, Any?>("job" to JobWire.encode(r.spec))
-        if (r.dependencies.isNotEmpty()) m["awaits"] = r.dependencies
-        return m
-    }
+    /** A record has fewer parts of each kind under keys of their own; a higher number is damage. */
+    private const val MAX_PARTS = 10_000L
 
-    /** The description cut into pieces of at most [bytes] as stored, for a record that would be too long with it. */
-    fun encodeDescriptionParts(r: JobRecord, bytes: Int): List<Fields> =
-        Base64.getEncoder().encodeToString(Cbor.encode(description(r))).chunked(bytes - DESCRIPTION_PART_OVERHEAD).map {
-            mapOf(
-                "piece" to it,
-            )
-        }
+    /** How many bytes a part of a description takes besides its text. */
+    private const val DESCRIPTION_PART_OVERHEAD = 64
 
-    fun encodePlaces(places: List<StoredPlacement>): Fields =
-        mapOf(
-            "on" to
-                places.groupBy { it.machine }.mapValues { (_, l) ->
-                    l.flatMap { listOf(it.task.toLong(), it.attempt) }
-                },
-        )
+    /** Parts of a record that are stored under keys of their own; null: there is no such part. */
+    interface PartReader {
+        fun descriptionPart(number: Int): Fields?
 
-    /** A place is stored as two numbers, the task and its attempt, under its machine's name. */
-    fun decodePlaces(m: Fields): List<StoredPlacement> {
-        val on = m["on"] ?: return emptyList()
-        if (on !is Map<*, *>) throw MalformedMessage("on: a map is needed")
-        return on.entries.flatMap { (machine, numbers) ->
-            if (numbers !is List<*> || numbers.size % 2 != 0) throw MalformedMessage("on: pairs of numbers are needed")
-            numbers.chunked(2).map { (task, attempt) ->
-                StoredPlacement(boundedNumber("on", task, MAX_TASKS), number("on", attempt), machine.toString())
-            }
-        }
+        fun placementPart(number: Int): Fields?
     }
 
-    private fun number(name: String, value: Any?): Long = (value as? Long)?.takeIf { it >= 0 } ?: throw MalformedMessage("$name: a whole number is needed")
-
-    private fun boundedNumber(name: String, value: Any?, bound: Long): Int = number(name, value).takeIf { it < bound }?.toInt() ?: throw MalformedMessage("$name: out of range")
+    fun encode(record: JobRecord): Fields {
+        val fields = LinkedHashMap<String, Any?>()
+        if (needsSealing(record)) fields["sealed"] = sealed(record) else fields["job"] = JobWire.encode(record.spec)
+        fields["at"] = record.submitted.inWholeMilliseconds
+        fields["last"] = record.lastAttempt
+        if (record.dependenciesDoneAt != null) fields["ready"] = record.dependenciesDoneAt.inWholeMilliseconds
+        if (record.spec.tasks <= INLINE_TASKS && !record.done.isEmpty) fields["done"] = encodeBits(record.done)
+        if (record.placements.isNotEmpty()) fields.putAll(encodePlaces(record.placements))
+        return fields
+    }
 
-    /** Whether a stored record is in a form that builds before sealed records can't read. */
-    fun isSealed(m: Fields): Boolean = m["sealed"] != null
+    private fun sealed(record: JobRecord): Fields {
+        val fields = LinkedHashMap<String, Any?>()
+        if (record.descriptionParts > 0) {
+            fields["pieces"] = record.descriptionParts
+        } else {
+            fields.putAll(description(record))
+        }
+        if (record.dependencies.isNotEmpty()) fields["waits"] = true
+        if (record.placementParts.isNotEmpty()) fields["shelves"] = record.placementParts.keys.toList()
+        return fields
+    }
 
-    /** Whether a record would be stored in such a form. */
-    fun needsSealing(r: JobRecord): Boolean = r.dependencies.isNotEmpty() || r.placementParts.isNotEmpty() || r.descriptionParts > 0
+    private fun description(record: JobRecord): Fields {
+        val fields = linkedMapOf<String, Any?>("job" to JobWire.encode(record.spec))
+        if (record.dependencies.isNotEmpty()) fields["awaits"] = record.dependencies
+        return fields
+    }
 
-    /** Whether a stored record waits for other jobs, without reading all of it. */
-    fun waits(m: Fields): Boolean = (m["sealed"] as? Map<*, *>)?.get("waits") == true
+    /** Whether a record is stored in a form that builds before sealed records can't read. */
+    fun needsSealing(record: JobRecord): Boolean {
+        val isInParts = record.placementParts.isNotEmpty() || record.descriptionParts > 0
+        return isInParts || record.dependencies.isNotEmpty()
+    }
 
-    /** What belongs to the record but is stored under keys of its own. */
-    interface Apart {
-        fun descriptionPart(n: Int): Fields?
+    /** Whether a stored record is in such a form. */
+    fun isSealed(fields: Fields): Boolean = fields["sealed"] != null
 
-        fun placementPart(n: Int): Fields?
-    }
+    /** Whether a stored record waits for dependencies; decodes no more of it than that. */
+    fun waits(fields: Fields): Boolean = (fields["sealed"] as? Map<*, *>)?.get("waits") == true
 
-    /** [apart]: where a sealed record's other parts are looked up. */
-    fun decode(m: Fields, apart: Apart): JobRecord {
+    /** The whole record; [parts] is asked for the parts of a sealed one. Done bits in chunks are left out. */
+    fun decode(fields: Fields, parts: PartReader): JobRecord {
         @Suppress("UNCHECKED_CAST")
-        val sealed = m["sealed"] as? Fields
-        val descriptionParts =
-            if (sealed != null &&
-                "pieces" in sealed
-            ) {
-                boundedNumber("pieces", sealed["pieces"], MAX_PARTS)
-            } else {
-                0
-            }
-        val described =
-            if (descriptionParts >
-                0
-            ) {
-                join((0 until descriptionParts).map { apart.descriptionPart(it) ?: throw MalformedMessage("piece $it: missing") })
-            } else {
-                sealed
-                    ?: m
-            }
+        val sealed = fields["sealed"] as? Fields
+        val descriptionParts = descriptionPartCount(sealed)
+        val description = if (descriptionParts > 0) joinDescription(descriptionParts, parts) else sealed ?: fields
 
         @Suppress("UNCHECKED_CAST")
-        val job = JobWire.decode(described["job"] as? Fields ?: throw MalformedMessage("job: missing"))
+        val job = description["job"] as? Fields ?: throw MalformedMessage("job", "missing")
         return JobRecord(
-            spec = job,
-            submitted = m.count("at").milliseconds,
-            lastAttempt = m.count("last"),
-            done = m.textOrNull("done")?.let { decodeBits(it) } ?: BitSet(),
-            placements = decodePlaces(m),
-            dependencies = if (waits(m)) described.textsOrNull("awaits").orEmpty() else emptyList(),
-            dependenciesDoneAt = if ("ready" in m) m.count("ready").milliseconds else null,
-            placementParts =
-                (sealed?.get("shelves") as? List<*>)
-                    .orEmpty()
-                    .map { boundedNumber("shelves", it, MAX_PARTS) }
-                    .associateWith { n -> apart.placementPart(n)?.let(::decodePlaces).orEmpty() },
+            spec = JobWire.decode(job),
+            submitted = fields.count("at").milliseconds,
+            lastAttempt = fields.count("last"),
+            done = fields.textOrNull("done")?.let(::decodeBits) ?: BitSet(),
+            placements = decodePlaces(fields),
+            dependencies = if (waits(fields)) description.textsOrNull("awaits").orEmpty() else emptyList(),
+            dependenciesDoneAt = if ("ready" in fields) fields.count("ready").milliseconds else null,
+            placementParts = decodePlacementParts(sealed, parts),
             descriptionParts = descriptionParts,
         )
     }
 
-    private fun join(descriptionParts: List<Fields>): Fields =
+    private fun descriptionPartCount(sealed: Fields?): Int {
+        if (sealed == null || "pieces" !in sealed) return 0
+        return boundedNumber("pieces", sealed["pieces"], MAX_PARTS)
+    }
+
+    private fun joinDescription(count: Int, parts: PartReader): Fields {
+        val pieces =
+            (0 until count).map { parts.descriptionPart(it) ?: throw MalformedMessage("piece $it", "missing") }
         try {
-            Cbor.decodeMap(Base64.getDecoder().decode(descriptionParts.joinToString("") { it.text("piece") }))
+            return Cbor.decodeMap(Base64.getDecoder().decode(pieces.joinToString("") { it.text("piece") }))
         } catch (e: IllegalArgumentException) {
-            throw MalformedMessage("pieces: ${e.message}")
+            throw MalformedMessage("pieces", "${e.message}")
         }
+    }
 
-    /** A record has fewer parts of each kind under keys of their own; a higher number is damage. */
-    private const val MAX_PARTS = 10_000L
+    /** The description cut into parts of at most [bytes] as stored, for a record that would be too long with it. */
+    fun encodeDescriptionParts(record: JobRecord, bytes: Int): List<Fields> =
+        Base64
+            .getEncoder()
+            .encodeToString(Cbor.encode(description(record)))
+            .chunked(bytes - DESCRIPTION_PART_OVERHEAD)
+            .map { mapOf("piece" to it) }
+
+    private fun decodePlacementParts(sealed: Fields?, parts: PartReader): Map<Int, List<StoredPlacement>> =
+        (sealed?.get("shelves") as? List<*>)
+            .orEmpty()
+            .map { boundedNumber("shelves", it, MAX_PARTS) }
+            .associateWith { parts.placementPart(it)?.let(::decodePlaces).orEmpty() }
+
+    /** Placements as they are stored in a record or in a part of it. */
+    fun encodePlaces(placements: List<StoredPlacement>): Fields {
+        val byMachine =
+            placements.groupBy { it.machine }.mapValues { (_, onMachine) ->
+                onMachine.flatMap { listOf(it.task.toLong(), it.attempt) }
+            }
+        return mapOf("on" to byMachine)
+    }
 
-    /** What a piece takes besides its text. */
-    private const val DESCRIPTION_PART_OVERHEAD = 64
+    private fun decodePlaces(fields: Fields): List<StoredPlacement> {
+        val byMachine = fields["on"] ?: return emptyList()
+        if (byMachine !is Map<*, *>) throw MalformedMessage("on", "a map is needed")
+        return byMachine.entries.flatMap { (machine, numbers) ->
+            if (numbers !is List<*> || numbers.size % 2 != 0) {
+                throw MalformedMessage("on", "pairs of numbers are needed")
+            }
+            numbers.chunked(2).map { (task, attempt) ->
+                StoredPlacement(boundedNumber("on", task, MAX_TASKS), wholeNumber("on", attempt), machine.toString())
+            }
+        }
+    }
 
-    fun encodeBits(b: BitSet): String = Base64.getEncoder().encodeToString(b.toByteArray())
+    /** Done bits, of a whole job or of one chunk, as Base64. */
+    fun encodeBits(bits: BitSet): String = Base64.getEncoder().encodeToString(bits.toByteArray())
 
-    fun decodeBits(s: String): BitSet =
+    fun decodeBits(text: String): BitSet =
         try {
-            BitSet.valueOf(Base64.getDecoder().decode(s))
+            BitSet.valueOf(Base64.getDecoder().decode(text))
         } catch (e: IllegalArgumentException) {
-            throw MalformedMessage("bits: ${e.message}")
+            throw MalformedMessage("bits", "${e.message}")
         }
 }
--- a/src/main/kotlin/glenspool/wire/StoreWire.kt
+++ b/src/main/kotlin/glenspool/wire/StoreWire.kt
@@ -2,72 +2,94 @@
 
 import kotlin.time.Duration
 
-/** The state service's messages. */
+/**
+ * The messages and paths of the key-value store.
+ *
+ * | protocol | here |
+ * | --- | --- |
+ * | `data` | a key's value |
+ * | `mark` | the version of a key: the revision of the transaction that last set it; 0: absent |
+ * | `ledger` | the store's revision |
+ * | `guards` | the conditions of a compare-and-swap transaction |
+ * | `apply` | its changes, each with `set` or `remove` |
+ * | `tenure` | lease |
+ * | `touch` | renewal of a lease |
+ * | `log` | the changes that a watch delivers |
+ */
 object StoreWire {
+    /** A stored key with its value and version. */
     data class Item(val key: String, val value: Fields, val version: Long)
 
     /** A change; [value] null means that the key was removed. */
     data class Change(val key: String, val value: Fields?, val version: Long)
 
-    @Suppress("UNCHECKED_CAST")
-    fun item(m: Fields): Item =
-        Item(
-            m.text("key"),
-            m["data"] as? Fields ?: throw MalformedMessage("data: a map is needed"), m.count("mark"),
-        )
+    /** A key to be set; with a [lease] the store removes it once that has expired or was ended. */
+    data class Put(val key: String, val value: Fields, val lease: Long? = null)
 
-    fun items(m: Fields): List<Item> = m.maps("rows").map(::item)
-
-    fun more(m: Fields): Boolean = m.flagOr("has_next", false)
+    const val GET = "/store"
+    const val TRANSACTION = "/multi"
+    const val FOLLOW = "/follow"
+    const val LEASES = "/leases"
+    private const val PAGE_ITEMS = 1000
 
-    fun revision(m: Fields): Long = m.count("ledger")
+    /** The path that lists keys with this [prefix] behind the key [after], one page of them. */
+    fun list(prefix: String, after: String?): String {
+        val start = if (after != null) "&after=$after" else ""
+        return "$GET?starts=$prefix$start&page=$PAGE_ITEMS"
+    }
 
-    fun failed(m: Fields): List<String> = m.textsOrNull("failed") ?: emptyList()
+    /** The path of a watch: changes after the revision [after], for which the store waits as long as [wait]. */
+    fun follow(prefix: String, after: Long, wait: Duration): String {
+        val waitMs = wait.inWholeMilliseconds
+        return "$FOLLOW?starts=$prefix&after=$after&wait_ms=$waitMs"
+    }
 
-    fun lease(m: Fields): Long = m.count("tenure")
+    /** The path that renews a lease. */
+    fun renew(lease: Long): String = "$LEASES/$lease/touch"
 
+    /** The body that asks for a lease. */
     fun newLease(ttl: Duration): Fields = mapOf("life_ms" to ttl.inWholeMilliseconds)
 
-    @Suppress("UNCHECKED_CAST")
-    fun changes(m: Fields): List<Change> =
-        m.maps("log").map { e ->
-            val removed = e.textOrNull("remove")
-            if (removed != null) {
-                Change(removed, null, e.count("mark"))
-            } else {
-                Change(
-                    e.text("set"), e["data"] as? Fields ?: throw MalformedMessage("data: a map is needed"),
-                    e
-                        .count("mark"),
-                )
-            }
-        }
-
-    fun transaction(
-        conditions: Map<String, Long>,
-        puts: List<Triple<String, Fields, Long?>>,
-        removes: List<String>,
-    ): Fields {
-        val ops = ArrayList<Fields>(puts.size + removes.size)
-        for ((key, value, lease) in puts) {
-            val op = linkedMapOf<String, Any?>("set" to key, "data" to value)
-            if (lease != null) op["tenure"] = lease
-            ops.add(op)
-        }
-        removes.forEach { ops.add(mapOf("remove" to it)) }
-        val m = linkedMapOf<String, Any?>("guards" to conditions.map { (k, v) -> mapOf("key" to k, "mark" to v) })
-        if (ops.isNotEmpty()) m["apply"] = ops
-        return m
+    /** The body of a compare-and-swap transaction: all changes if every key has the version given, or none. */
+    fun transaction(conditions: Map<String, Long>, puts: List<Put>, removes: List<String>): Fields {
+        val guards = conditions.map { (key, version) -> mapOf("key" to key, "mark" to version) }
+        val changes = ArrayList<Fields>(puts.size + removes.size)
+        puts.forEach { changes.add(encodePut(it)) }
+        removes.forEach { changes.add(mapOf("remove" to it)) }
+        val fields = linkedMapOf<String, Any?>("guards" to guards)
+        if (changes.isNotEmpty()) fields["apply"] = changes
+        return fields
     }
 
-    const val GET = "/store"
-    const val TRANSACTION = "/multi"
-    const val FOLLOW = "/follow"
-    const val LEASES = "/leases"
+    private fun encodePut(put: Put): Fields {
+        val fields = linkedMapOf<String, Any?>("set" to put.key, "data" to put.value)
+        if (put.lease != null) fields["tenure"] = put.lease
+        return fields
+    }
 
-    fun list(prefix: String, after: String?): String = "$GET?starts=$prefix" + (if (after != null) "&after=$after" else "") + "&page=1000"
+    fun decodeItem(fields: Fields): Item = Item(fields.text("key"), fields.nested("data"), fields.count("mark"))
 
-    fun follow(prefix: String, after: Long, wait: Duration): String = "$FOLLOW?starts=$prefix&after=$after&wait_ms=${wait.inWholeMilliseconds}"
+    /** One page of a list. */
+    fun decodeItems(fields: Fields): List<Item> = fields.maps("rows").map(::decodeItem)
 
-    fun renew(lease: Long): String = "$LEASES/$lease/touch"
+    /** Whether further pages follow this one. */
+    fun hasNextPage(fields: Fields): Boolean = fields.flagOr("has_next", false)
+
+    /** The store's revision at the time of the answer, or that of the transaction that it answers. */
+    fun decodeRevision(fields: Fields): Long = fields.count("ledger")
+
+    /** The keys whose conditions a transaction failed on. */
+    fun decodeConflicts(fields: Fields): List<String> = fields.textsOrNull("failed") ?: emptyList()
+
+    /** The id of a lease that was granted. */
+    fun decodeLease(fields: Fields): Long = fields.count("tenure")
+
+    /** What a watch delivered. */
+    fun decodeChanges(fields: Fields): List<Change> = fields.maps("log").map(::decodeChange)
+
+    private fun decodeChange(fields: Fields): Change {
+        val removed = fields.textOrNull("remove")
+        if (removed != null) return Change(removed, null, fields.count("mark"))
+        return Change(fields.text("set"), fields.nested("data"), fields.count("mark"))
+    }
 }
--- a/src/main/kotlin/glenspool/wire/WorkerWire.kt
+++ b/src/main/kotlin/glenspool/wire/WorkerWire.kt
@@ -19,7 +19,7 @@
         "flushing" to TaskState.CHECKPOINTING,
         "ended" to TaskState.EXITED,
     )
-private val exits =
+private val exitReasons =
     mapOf(
         "done" to ExitReason.DONE,
         "stopped" to ExitReason.STOPPED,
@@ -30,84 +30,124 @@
         "busy" to ExitReason.ALREADY_PRESENT,
         "unknown" to ExitReason.UNKNOWN,
     )
-private val stateNames = taskStates.entries.associate { it.value to it.key }
-private val exitNames = exits.entries.associate { it.value to it.key }
+private val taskStateWords = taskStates.entries.associate { it.value to it.key }
+private val exitReasonWords = exitReasons.entries.associate { it.value to it.key }
 
-/** Reports and orders of workers. */
+/**
+ * The messages between controllers and workers: heartbeats and commands.
+ *
+ * | protocol | here |
+ * | --- | --- |
+ * | `spindle` | machine |
+ * | `frame` | machine type |
+ * | `hall` | zone |
+ * | `loaners` | spot machine |
+ * | `shift` | incarnation of the worker |
+ * | `stitch` | sequence number of the heartbeat within the incarnation |
+ * | `baton` | fencing token |
+ * | `recall_s` | time left until a spot machine is taken back (preemption notice) |
+ * | `thread` | task, as job and number: `run-1/0` |
+ * | `try` | attempt |
+ * | `cause` | exit reason |
+ * | `stored` | whether the task was checkpointed |
+ * | `orders` | commands, each with a `verb` |
+ * | `wind_down_s` | grace period for stopping |
+ * | `foreman` | the leader's host name, in a redirect |
+ */
 object WorkerWire {
-    fun decodeHeartbeat(m: Fields): Heartbeat =
+    fun decodeHeartbeat(fields: Fields): Heartbeat =
         Heartbeat(
-            machine = m.text("spindle"),
-            addr = m.text("addr"),
-            type = m.text("frame"),
-            zone = m.text("hall"),
-            spot = m.flag("loaners"),
-            incarnation = m.count("shift"),
-            sequence = m.count("stitch"),
-            token = m.count("baton"),
-            preemptionNotice = m.amountOrNull("recall_s")?.seconds,
-            tasks =
-                m.maps("threads").map { t ->
-                    val state = taskStates.pick("stage", t.text("stage"))
-                    TaskStatus(
-                        key = taskKey(t.text("thread")),
-                        attempt = t.count("try"),
-                        state = state,
-                        exit =
-                            if (state ==
-                                TaskState.EXITED
-                            ) {
-                                exits[t.textOrNull("cause") ?: ""] ?: ExitReason.ERROR
-                            } else {
-                                null
-                            },
-                        checkpointed = t.flagOr("stored", false),
-                    )
-                },
+            machine = fields.text("spindle"),
+            addr = fields.text("addr"),
+            type = fields.text("frame"),
+            zone = fields.text("hall"),
+            spot = fields.flag("loaners"),
+            incarnation = fields.count("shift"),
+            sequence = fields.count("stitch"),
+            token = fields.count("baton"),
+            preemptionNotice = fields.amountOrNull("recall_s")?.seconds,
+            tasks = fields.maps("threads").map(::decodeTask),
         )
 
-    fun encode(r: Heartbeat): Fields =
+    private fun decodeTask(fields: Fields): TaskStatus {
+        val state = taskStates.pick("stage", fields.text("stage"))
+        return TaskStatus(
+            key = decodeTaskKey(fields.text("thread")),
+            attempt = fields.count("try"),
+            state = state,
+            exit = if (state == TaskState.EXITED) decodeExitReason(fields) else null,
+            checkpointed = fields.flagOr("stored", false),
+        )
+    }
+
+    /** A reason that this build does not know, or none at all, counts as an error of the task. */
+    private fun decodeExitReason(fields: Fields): ExitReason {
+        val word = fields.textOrNull("cause") ?: return ExitReason.ERROR
+        return exitReasons[word] ?: ExitReason.ERROR
+    }
+
+    private fun decodeTaskKey(text: String): TaskKey {
+        val slash = text.lastIndexOf('/')
+        val number = text.substring(slash + 1).toIntOrNull()
+        if (slash <= 0 || number == null || number < 0) throw MalformedMessage("thread", "not a task")
+        return TaskKey(text.substring(0, slash), number)
+    }
+
+    /** The heartbeat as a worker sends it; controllers need it for warm-up. */
+    fun encode(heartbeat: Heartbeat): Fields =
         linkedMapOf(
-            "spindle" to r.machine, "addr" to r.addr, "frame" to r.type, "hall" to r.zone, "loaners" to r.spot,
-            "shift" to r.incarnation, "stitch" to r.sequence,
-            "baton" to r.token, "recall_s" to r.preemptionNotice?.toSeconds(),
-            "threads" to
-                r.tasks.map { t ->
-                    linkedMapOf(
-                        "thread" to "${t.key.job}/${t.key.task}", "try" to t.attempt,
-                        "stage" to stateNames.getValue(t.state),
-                        "cause" to t.exit?.let { exitNames.getValue(it) },
-                        "stored" to t.checkpointed,
-                    )
-                },
+            "spindle" to heartbeat.machine,
+            "addr" to heartbeat.addr,
+            "frame" to heartbeat.type,
+            "hall" to heartbeat.zone,
+            "loaners" to heartbeat.spot,
+            "shift" to heartbeat.incarnation,
+            "stitch" to heartbeat.sequence,
+            "baton" to heartbeat.token,
+            "recall_s" to heartbeat.preemptionNotice?.toSeconds(),
+            "threads" to heartbeat.tasks.map(::encodeTask),
         )
 
-    private fun taskKey(s: String): TaskKey {
-        val i = s.lastIndexOf('/')
-        val n = s.substring(i + 1).toIntOrNull()
-        if (i <= 0 || n == null || n < 0) throw MalformedMessage("thread: not a task")
-        return TaskKey(s.substring(0, i), n)
+    private fun encodeTask(task: TaskStatus): Fields =
+        linkedMapOf(
+            "thread" to encodeTaskKey(task.key),
+            "try" to task.attempt,
+            "stage" to taskStateWords.getValue(task.state),
+            "cause" to task.exit?.let { exitReasonWords.getValue(it) },
+            "stored" to task.checkpointed,
+        )
+
+    private fun encodeTaskKey(key: TaskKey) = "${key.job}/${key.task}"
+
+    /** The answer to a heartbeat, with commands that are valid under this fencing [token]. */
+    fun answer(token: Long, commands: List<Command>): Fields {
+        val orders = commands.map(::encodeCommand)
+        return mapOf("baton" to token, "orders" to orders)
     }
 
-    private fun order(c: Command): Fields {
-        val m =
+    /** Commands sent to a worker without a heartbeat to answer, meant for this [incarnation] of it alone. */
+    fun direct(token: Long, incarnation: Long, commands: List<Command>): Fields {
+        val orders = commands.map(::encodeCommand)
+        return linkedMapOf("baton" to token, "shift" to incarnation, "orders" to orders)
+    }
+
+    private fun encodeCommand(command: Command): Fields {
+        val verb =
+            when (command) {
+                is StartTask -> "run"
+                is StopTask -> "stop"
+                is ForgetTask -> "clear"
+            }
+        val fields =
             linkedMapOf<String, Any?>(
-                "verb" to
-                    when (c) {
-                        is StartTask -> "run"
-                        is StopTask -> "stop"
-                        is ForgetTask -> "clear"
-                    },
-                "thread" to "${c.key.job}/${c.key.task}",
-                "try" to c.attempt,
+                "verb" to verb,
+                "thread" to encodeTaskKey(command.key),
+                "try" to command.attempt,
             )
-        if (c is StopTask) m["wind_down_s"] = c.grace.toSeconds()
-        return m
+        if (command is StopTask) fields["wind_down_s"] = command.grace.toSeconds()
+        return fields
     }
 
-    fun answer(token: Long, commands: List<Command>): Fields = mapOf("baton" to token, "orders" to commands.map(::order))
-
-    fun direct(token: Long, incarnation: Long, commands: List<Command>): Fields = linkedMapOf("baton" to token, "shift" to incarnation, "orders" to commands.map(::order))
-
-    fun redirect(node: String?): Fields = if (node == null) emptyMap() else mapOf("foreman" to node)
+    /** The refusal of a heartbeat by a controller that does not lead; [leader] null: no leader is known. */
+    fun redirect(leader: String?): Fields = if (leader == null) emptyMap() else mapOf("foreman" to leader)
 }
--- a/src/main/kotlin/glenspool/worker/WorkerClient.kt
+++ b/src/main/kotlin/glenspool/worker/WorkerClient.kt
@@ -11,38 +11,50 @@
 import glenspool.wire.WorkerWire
 import kotlin.time.Duration.Companion.seconds
 
-/** Requests to one worker's own address. */
+/** How commands ended, and the [heartbeat] that the worker answered with, if it did. */
+data class CommandReply(val outcome: CommandOutcome, val heartbeat: Heartbeat?)
+
+/** The requests that controllers send to workers, each to the worker's own address. None is retried. */
 class WorkerClient(private val http: HttpCaller) {
-    fun command(d: SendCommands): Pair<CommandOutcome, Heartbeat?> =
-        when (val r = http.post(d.addr, "/do", WorkerWire.direct(d.token, d.incarnation, d.commands), TIMEOUT)) {
-            is CallResult.NotSent -> CommandOutcome.NOT_SENT to null
-            is CallResult.NoAnswer -> CommandOutcome.UNKNOWN to null
-            is CallResult.Answer -> {
-                val heartbeat = heartbeat(r.body)
-                when {
-                    // Without its report nothing shows that the commands are in effect.
-                    r.status == 200 && heartbeat != null -> CommandOutcome.DONE to heartbeat
-                    r.status == 409 || r.status == 400 -> CommandOutcome.REFUSED to heartbeat
-                    else -> CommandOutcome.UNKNOWN to null
-                }
-            }
+    /** Sends commands and waits until they are carried out or refused. */
+    fun command(order: SendCommands): CommandReply {
+        val body = WorkerWire.direct(order.token, order.incarnation, order.commands)
+        return when (val reply = http.post(order.addr, "/do", body, TIMEOUT)) {
+            is CallResult.NotSent -> CommandReply(CommandOutcome.NOT_SENT, null)
+            is CallResult.NoAnswer -> CommandReply(CommandOutcome.UNKNOWN, null)
+            is CallResult.Answer -> replyOf(reply)
         }
+    }
+
+    private fun replyOf(answer: CallResult.Answer): CommandReply {
+        val heartbeat = decodeHeartbeat(answer.body)
+        return when {
+            // Without the heartbeat nothing shows that the commands are in effect.
+            answer.status == OK && heartbeat != null -> CommandReply(CommandOutcome.DONE, heartbeat)
+            answer.status == CONFLICT || answer.status == BAD_REQUEST -> CommandReply(CommandOutcome.REFUSED, heartbeat)
+            else -> CommandReply(CommandOutcome.UNKNOWN, null)
+        }
+    }
 
-    fun show(addr: String): Heartbeat? {
-        val r = http.get(addr, "/show", TIMEOUT)
-        return if (r is CallResult.Answer && r.status == 200) heartbeat(r.body) else null
+    /** Asks the worker for its status; null: no usable answer. */
+    fun probe(addr: String): Heartbeat? {
+        val reply = http.get(addr, "/show", TIMEOUT)
+        return if (reply is CallResult.Answer && reply.status == OK) decodeHeartbeat(reply.body) else null
     }
 
-    private fun heartbeat(m: Fields): Heartbeat? =
+    private fun decodeHeartbeat(fields: Fields): Heartbeat? =
         try {
-            WorkerWire.decodeHeartbeat(m)
+            WorkerWire.decodeHeartbeat(fields)
         } catch (e: MalformedMessage) {
-            log.warn("worker report not understood: {}", e.message)
+            log.warn("worker heartbeat not decodable: {}", e.message)
             null
         }
 
-    companion object {
-        private val log = loggerOf(WorkerClient::class.java)
-        private val TIMEOUT = 3.seconds
+    private companion object {
+        val log = loggerOf(WorkerClient::class.java)
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val CONFLICT = 409
+        val TIMEOUT = 3.seconds
     }
 }
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -89,7 +89,7 @@
         assertTrue(cloud.delete(listOf("i-1")))
         answer = says(503, mapOf("error" to "trouble"))
         assertFalse(cloud.delete(listOf("i-1")))
-        assertNull(cloud.machines())
+        assertNull(cloud.listMachines())
     }
 
     @Test
@@ -104,7 +104,7 @@
                 )
             cbor(Status.OK, mapOf("spindles" to listOf(one), "has_next" to first))
         }
-        assertEquals(listOf("i-1", "i-2"), cloud.machines()?.map { it.id })
+        assertEquals(listOf("i-1", "i-2"), cloud.listMachines()?.map { it.id })
         assertEquals(listOf("/hosts?page=500", "/hosts?page=500&after=i-1"), seen.map { it.first })
     }
 
@@ -113,18 +113,18 @@
         val worker = WorkerClient(http)
         val d = SendCommands("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
         answer = says(200, heartbeat)
-        assertEquals(CommandOutcome.DONE, worker.command(d).first)
+        assertEquals(CommandOutcome.DONE, worker.command(d).outcome)
         assertEquals(4L to 2L, seen.last().second.let { it["baton"] to it["shift"] })
         answer = says(200, mapOf("nonsense" to 1))
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).first)
+        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).outcome)
         answer = says(409, heartbeat)
-        assertEquals(CommandOutcome.REFUSED, worker.command(d).first)
+        assertEquals(CommandOutcome.REFUSED, worker.command(d).outcome)
         answer = says(500, emptyMap())
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).first)
+        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).outcome)
         val closed = ServerSocket(0).use { it.localPort }
-        assertEquals(CommandOutcome.NOT_SENT, worker.command(d.copy(addr = "127.0.0.1:$closed")).first)
+        assertEquals(CommandOutcome.NOT_SENT, worker.command(d.copy(addr = "127.0.0.1:$closed")).outcome)
         answer = says(200, heartbeat)
-        assertEquals(3.5.seconds, worker.show(addr)?.preemptionNotice)
+        assertEquals(3.5.seconds, worker.probe(addr)?.preemptionNotice)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -197,15 +197,7 @@
                 StoreFinalState("run-3", 6, null, 4), StoreFinalState("run-4", 7, 8, 4), StoreFinalState("run-5", 9, null, 4, "run-4"),
             )
         val transaction = transactionOf(11, StoreChanges(writes), mapOf(Keys.LEVEL to 12L))
-        val message =
-            StoreWire
-                .transaction(
-                    transaction.conditions,
-                    transaction.puts.map {
-                        Triple(it.key, it.value, it.lease)
-                    },
-                    transaction.removes,
-                )
+        val message = StoreWire.transaction(transaction.conditions, transaction.puts, transaction.removes)
         val requests =
             listOf(
                 StoreWire.list("g/", "g/j/x"), StoreWire.list("g/", null), StoreWire.follow("g/", 7, 3.seconds),
