--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -24,6 +24,7 @@
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.wire.Cbor
+import glenspool.wire.Fields
 import glenspool.wire.FinalWire
 import glenspool.wire.ImagesWire
 import glenspool.wire.JobWire
@@ -43,63 +44,51 @@
 
 /** Old and new versions on each other's data: see docs/upgrade.md. */
 class UpgradeTest {
-    private val state = InMemoryStore()
+    private val store = InMemoryStore()
 
-    private fun made(name: String): ByteArray =
-        javaClass.getResourceAsStream("/stored-by-production/$name.cbor").use {
-            checkNotNull(it)
-                .readAllBytes()
-        }
+    /** What the version in production has written. */
+    private fun written(name: String): ByteArray =
+        checkNotNull(javaClass.getResourceAsStream("/stored-by-production/$name.cbor")) { "no resource $name" }
+            .use { it.readAllBytes() }
 
-    private fun stored(key: String) = Cbor.decodeMap(made(key.replace('/', '~')))
+    private fun stored(key: String) = Cbor.decodeMap(written(key.replace('/', '~')))
 
-    private fun read(id: String) = JobRecordReader(state).read(id, stored(Keys.job(id)))
+    private fun read(id: String) = JobRecordReader(store).read(id, stored(Keys.job(id)))
 
-    private fun bits(vararg n: Int) = BitSet().apply { n.forEach(::set) }
+    private fun bits(vararg set: Int) = BitSet().apply { set.forEach(::set) }
 
     @Test
-    fun `jobs that the version in production stored are read`() {
-        val wide = job("run-000412", tasks = 160, priority = Priority.IDLE, spot = true, checkpointInterval = 15.seconds)
-        assertEquals(
-            JobRecord(
-                wide, 1000.seconds, 400, bits(0, 7, 159),
-                (1..120).map {
-                    StoredPlacement(
-                        it, 200L + it,
-                        "i-%06d"
-                            .format(it),
-                    )
-                },
-            ),
-            read("run-000412"),
-        )
-        for (n in 0..1) {
-            state
-                .transact(emptyMap(), listOf(Put(Keys.chunk("run-000413", n), stored(Keys.chunk("run-000413", n)))), emptyList())
-        }
-        assertEquals(JobRecord(job("run-000413", tasks = 20_000), 1001.seconds, 5, bits(3, 9_000), emptyList()), read("run-000413"))
+    fun `a job array that the version in production stored is read`() {
+        val wide =
+            job("run-000412", tasks = 160, priority = Priority.IDLE, spot = true, checkpointInterval = 15.seconds)
+        val placements = (1..120).map { StoredPlacement(it, 200L + it, "i-%06d".format(it)) }
+
+        assertEquals(JobRecord(wide, 1000.seconds, 400, bits(0, 7, 159), placements), read("run-000412"))
+    }
+
+    @Test
+    fun `a job with chunks that the version in production stored is read`() {
+        val chunks = (0..1).map { Keys.chunk("run-000413", it) }
+        for (key in chunks) store.transact(emptyMap(), listOf(Put(key, stored(key))), emptyList())
+        val large = job("run-000413", tasks = 20_000)
+
+        assertEquals(JobRecord(large, 1001.seconds, 5, bits(3, 9_000), emptyList()), read("run-000413"))
+    }
+
+    @Test
+    fun `a gang that the version in production stored is read`() {
         val gang = job("run-000414", JobKind.GANG, 3, sameZone = true, zone = "a", types = listOf("big"))
-        assertEquals(
-            JobRecord(
-                gang, 1002.seconds, 2, BitSet(),
-                (0..2).map {
-                    StoredPlacement(it, 2, "i-000001")
-                },
-            ),
-            read("run-000414"),
-        )
+        val placements = (0..2).map { StoredPlacement(it, 2, "i-000001") }
+
+        assertEquals(JobRecord(gang, 1002.seconds, 2, BitSet(), placements), read("run-000414"))
     }
 
     @Test
-    fun `its ends, cancellations, hints and leadership are read`() {
-        assertEquals(
-            listOf(FinalState.DONE, FinalState.CANCELLED),
-            listOf("run-000001", "run-000002").map {
-                FinalWire
-                    .end(stored(Keys.final(it)))
-            },
-        )
-        assertEquals(4, FinalWire.answer("run-000001", stored(Keys.final("run-000001")))["done"])
+    fun `its final states, cancellations, image locations and leadership are read`() {
+        val done = stored(Keys.final("run-000001"))
+        val cancelled = stored(Keys.final("run-000002"))
+        assertEquals(listOf(FinalState.DONE, FinalState.CANCELLED), listOf(done, cancelled).map(FinalWire::end))
+        assertEquals(4, FinalWire.answer("run-000001", done)["done"])
         assertEquals(1_003_000L, stored(Keys.cancel("run-000414")).count("at"))
         assertEquals(mapOf("i-000001" to mapOf("img-07" to 6.2)), ImagesWire.decode(stored(Keys.images(3))))
         assertEquals("bobbin-0" to 5L, stored(Keys.LEAD).let { it["node"] to it.count("token") })
@@ -108,10 +97,14 @@
 
     @Test
     fun `its messages are understood, and it is not taken for a new one`() {
-        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), PeerWire.status(made("peer-status")))
-        val r = PeerWire.relayRequest(made("relay-request"))
-        assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(r.body)).id)
-        assertEquals(201 to "1", PeerWire.relayAnswer(made("relay-answer")).let { it.status to it.retryAfter })
+        val status = PeerWire.status(written("peer-status"))
+        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), status)
+
+        val request = PeerWire.relayRequest(written("relay-request"))
+        assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(request.body)).id)
+
+        val answer = PeerWire.relayAnswer(written("relay-answer"))
+        assertEquals(201 to "1", answer.status to answer.retryAfter)
     }
 
     /** The form of a status that the version in production knows. */
@@ -121,79 +114,99 @@
     @OptIn(ExperimentalSerializationApi::class)
     @Test
     fun `it understands what a new controller says of itself`() {
-        val new = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED))
-        val old = kotlinx.serialization.cbor.Cbor { ignoreUnknownKeys = true }
-        assertEquals(OldStatus("bobbin-1", false, "bobbin-0", true), old.decodeFromByteArray<OldStatus>(new))
+        val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED))
+        val oldDecoder = kotlinx.serialization.cbor.Cbor { ignoreUnknownKeys = true }
+
+        val understood = oldDecoder.decodeFromByteArray<OldStatus>(encoded)
+
+        assertEquals(OldStatus("bobbin-1", false, "bobbin-0", true), understood)
     }
 
-    private fun saved(r: JobRecord, parts: Map<Int, Long> = emptyMap()) =
-        transactionOf(7, StoreChanges(listOf(UpdateJobRecord(r.spec.id, 3, r, emptyList(), 1, false, parts)))).puts.associate {
-            it.key to
-                Cbor.decodeMap(Cbor.encode(it.value))
-        }
+    /** What this version stores for the record, by key. */
+    private fun stores(record: JobRecord, parts: Map<Int, Long> = emptyMap()): Map<String, Fields> {
+        val update = UpdateJobRecord(record.spec.id, 3, record, emptyList(), 1, false, parts)
+        val transaction = transactionOf(7, StoreChanges(listOf(update)))
+        return transaction.puts.associate { it.key to Cbor.decodeMap(Cbor.encode(it.value)) }
+    }
 
     @Test
     fun `a job that may run is stored so that it reads all of it, and loses nothing that a rule needs`() {
-        val r =
-            JobRecord(
-                job("a", tasks = 9), 5.seconds, 3, bits(1), listOf(StoredPlacement(2, 3, "i-1")), emptyList(),
-                dependenciesDoneAt =
-                    7
-                        .seconds,
-            )
-        val seen = OldVersion.reads(saved(r).getValue(Keys.job("a")))
-        val back = JobRecordReader(state).read("a", OldVersion.rewrites(Put(Keys.job("a"), checkNotNull(seen))).value)
-        // Only when it became ready is lost, which orders work.
-        assertEquals(r.copy(dependenciesDoneAt = null), back)
-        assertEquals(r, JobRecordReader(state).read("a", saved(r).getValue(Keys.job("a"))))
+        val placements = listOf(StoredPlacement(2, 3, "i-1"))
+        val record =
+            JobRecord(job("a", tasks = 9), 5.seconds, 3, bits(1), placements, dependenciesDoneAt = 7.seconds)
+        val value = stores(record).getValue(Keys.job("a"))
+
+        val seenByOld = checkNotNull(OldVersion.reads(value))
+        val rewrittenByOld = OldVersion.rewrites(Put(Keys.job("a"), seenByOld)).value
+
+        // Only the time at which it became ready is lost, which decides no more than the order of work.
+        val expected = record.copy(dependenciesDoneAt = null)
+        assertEquals(expected, JobRecordReader(store).read("a", rewrittenByOld))
+        assertEquals(record, JobRecordReader(store).read("a", value))
     }
 
     @Test
-    fun `a job that waits, or has places or words stored apart, is unreadable to it, so it neither starts nor rewrites it`() {
+    fun `a job that waits is unreadable to it, so it neither starts nor rewrites it`() {
         val waiting = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), listOf("b"))
+
         assertNull(OldVersion.reads(RecordWire.encode(waiting)))
-        val placementParts =
+    }
+
+    @Test
+    fun `a job with its description in parts is unreadable to it`() {
+        val inParts = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), descriptionParts = 2)
+
+        assertNull(OldVersion.reads(RecordWire.encode(inParts)))
+    }
+
+    @Test
+    fun `a job with placements in parts is unreadable to it, and read here`() {
+        val record =
             JobRecord(
                 job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
-                placementParts =
-                    mapOf(
-                        0 to listOf(StoredPlacement(2, 3, "i-2")),
-                    ),
+                placementParts = mapOf(0 to listOf(StoredPlacement(2, 3, "i-2"))),
             )
-        val puts = saved(placementParts, mapOf(0 to 1L))
-        assertNull(OldVersion.reads(puts.getValue(Keys.job("a"))))
-        state.transact(emptyMap(), puts.map { Put(it.key, it.value) }, emptyList())
-        assertEquals(placementParts, JobRecordReader(state).read("a", puts.getValue(Keys.job("a"))))
-        assertNull(OldVersion.reads(RecordWire.encode(waiting.copy(dependencies = emptyList(), descriptionParts = 2))))
+        val values = stores(record, mapOf(0 to 1L))
+        store.transact(emptyMap(), values.map { Put(it.key, it.value) }, emptyList())
+
+        assertNull(OldVersion.reads(values.getValue(Keys.job("a"))))
+        assertEquals(record, JobRecordReader(store).read("a", values.getValue(Keys.job("a"))))
+    }
+
+    /** A controller of the version in production, which knows two paths; the paths of its requests are [taken]. */
+    private fun oldController(taken: MutableList<String>) =
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4, { request ->
+            val path = request.uri.path
+            if (path == "/peer/status" || path == "/peer/relay") {
+                taken.add(path)
+                Response(Status.OK).body(PeerWire.encode(RelayAnswer(201, ByteArray(0), null)).inputStream())
+            } else {
+                Response(Status.NOT_FOUND)
+            }
+        })
+
+    private fun newController(): HttpListener {
+        val status = PeerStatus("n", false, null, true)
+        val server = PeerServer({ status }, { null }) { RelayAnswer(200, ByteArray(0), null) }
+        return HttpListener(InetSocketAddress("127.0.0.1", 0), "new", 4, server)
     }
 
+    private fun member(listener: HttpListener) = Member("n", "here", InetSocketAddress("127.0.0.1", listener.port))
+
     @Test
     fun `a submission that waits is not passed to a controller that would start it at once`() {
         val taken = ArrayList<String>()
-        // The version in production knows two paths.
-        val old =
-            HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4, { r ->
-                if (r.uri.path == "/peer/status" || r.uri.path == "/peer/relay") {
-                    taken.add(r.uri.path)
-                    Response(Status.OK).body(PeerWire.encode(RelayAnswer(201, ByteArray(0), null)).inputStream())
-                } else {
-                    Response(Status.NOT_FOUND)
-                }
-            })
-        val new =
-            HttpListener(
-                InetSocketAddress("127.0.0.1", 0), "new", 4,
-                PeerServer({
-                    PeerStatus("n", false, null, true)
-                }, { null }) { RelayAnswer(200, ByteArray(0), null) },
-            )
-        val members = listOf(old, new).map { Member("n", "here", InetSocketAddress("127.0.0.1", it.port)) }
         val request = RelayRequest("POST", "/api/jobs", ByteArray(0))
-        assertEquals(200, PeerClient(members).relay(request, 5.seconds, PeerPaths.RELAY_CHAINED)?.status)
-        assertEquals(emptyList<String>(), taken)
-        assertNull(PeerClient(members.take(1)).relay(request, 5.seconds, PeerPaths.RELAY_CHAINED))
-        assertEquals(201, PeerClient(members).relay(request, 5.seconds)?.status)
-        old.close()
-        new.close()
+        oldController(taken).use { old ->
+            newController().use { new ->
+                val both = PeerClient(listOf(member(old), member(new)))
+                val oldAlone = PeerClient(listOf(member(old)))
+
+                assertEquals(200, both.relay(request, 5.seconds, PeerPaths.RELAY_CHAINED)?.status)
+                assertEquals(emptyList<String>(), taken)
+                assertNull(oldAlone.relay(request, 5.seconds, PeerPaths.RELAY_CHAINED))
+                assertEquals(201, both.relay(request, 5.seconds)?.status)
+            }
+        }
     }
 }
