--- /dev/null
+++ b/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
@@ -0,0 +1,86 @@
+package glenspool.state
+
+import glenspool.http.HttpCaller
+import glenspool.http.HttpListener
+import glenspool.http.cbor
+import glenspool.wire.Fields
+import glenspool.wire.StoreWire
+import org.http4k.core.Response
+import org.http4k.core.Status
+import org.junit.jupiter.api.AfterEach
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.net.InetSocketAddress
+import java.net.ServerSocket
+import kotlin.time.Duration.Companion.seconds
+
+/** What the store's answers, and their absence, mean to callers. */
+class KeyValueStoreClientTest {
+    @Volatile
+    private var answer: Response = Response(Status.OK)
+    private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "store", 2, { answer })
+    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+
+    @AfterEach
+    fun close() = listener.close()
+
+    private fun answers(status: Status, body: Fields = emptyMap()) {
+        answer = cbor(status, body)
+    }
+
+    @Test
+    fun `an item is read with its value and version`() {
+        answers(Status.OK, mapOf("key" to "g/a", "data" to mapOf("n" to 1L), "mark" to 7L))
+
+        assertEquals(StoreResult.Ok(StoreWire.Item("g/a", mapOf("n" to 1L), 7L)), client.get("g/a"))
+    }
+
+    @Test
+    fun `an absent key is missing, and a failed condition names its keys`() {
+        answers(Status.NOT_FOUND)
+        assertEquals(StoreResult.Missing, client.get("g/a"))
+
+        answers(Status.CONFLICT, mapOf("failed" to listOf("g/lead")))
+        assertEquals(StoreResult.Conflict(listOf("g/lead")), client.transact(mapOf("g/lead" to 1L), emptyList()))
+    }
+
+    @Test
+    fun `an answer that can't be decoded may have been carried out`() {
+        answers(Status.OK, mapOf("ledger" to "soon"))
+
+        val result = client.transact(emptyMap(), listOf(Put("g/a", emptyMap())))
+
+        val why = "glenspool.wire.MalformedMessage: ledger: a whole number is needed"
+        assertEquals(StoreResult.Unknown(why), result)
+    }
+
+    @Test
+    fun `a request that could not be sent is refused`() {
+        val closedPort = ServerSocket(0).use { it.localPort }
+        val unreachable = KeyValueStoreClient("127.0.0.1:$closedPort", HttpCaller(2.seconds))
+
+        assertEquals(StoreResult.Refused(StoreResult.Refused.NOT_SENT), unreachable.get("g/a"))
+        assertTrue(unreachable.isUnreachable)
+    }
+
+    @Test
+    fun `the store counts as unreachable from a failure on until an answer, and refusals say nothing of it`() {
+        val statuses =
+            listOf(
+                Status.TOO_MANY_REQUESTS to false,
+                Status.SERVICE_UNAVAILABLE to true,
+                Status.TOO_MANY_REQUESTS to true,
+                Status.NOT_FOUND to false,
+                Status.INTERNAL_SERVER_ERROR to true,
+                Status.CONFLICT to false,
+            )
+        assertFalse(client.isUnreachable)
+        for ((status, isUnreachable) in statuses) {
+            answers(status)
+            client.get("g/a")
+            assertEquals(isUnreachable, client.isUnreachable, status.toString())
+        }
+    }
+}
