--- a/src/main/kotlin/glenspool/cli/RecoveryCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RecoveryCommand.kt
@@ -26,7 +26,7 @@
         return when (
             val answer =
                 OperatorClient
-                    .ask(node, PeerPaths.RECOVERY, PeerWire.encode(request), UNKNOWN, PeerWire::recoveryReply)
+                    .ask(node, PeerPaths.RECOVERY, PeerWire.encode(request), UNKNOWN, PeerWire::decodeRecoveryReply)
         ) {
             is OperatorAnswer.Failed -> OperatorClient.fail(answer.reason)
             is OperatorAnswer.Replied -> show(answer.reply, line.hasOption("json"))
--- a/src/main/kotlin/glenspool/cli/RolloutCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutCommand.kt
@@ -47,7 +47,7 @@
 
     private fun member(verb: String, rest: List<String>): String = rest.singleOrNull() ?: throw UsageError("rollout $verb needs one MEMBER")
 
-    private fun ask(node: String, request: RolloutRequest): OperatorAnswer<RolloutReply> = OperatorClient.ask(node, PeerPaths.ROLLOUT, PeerWire.encode(request), NOT_MANAGED, PeerWire::rolloutReply)
+    private fun ask(node: String, request: RolloutRequest): OperatorAnswer<RolloutReply> = OperatorClient.ask(node, PeerPaths.ROLLOUT, PeerWire.encode(request), NOT_MANAGED, PeerWire::decodeRolloutReply)
 
     private fun show(answer: OperatorAnswer<RolloutReply>, verb: String, asJson: Boolean): Int {
         val reply =
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -14,20 +14,19 @@
 import glenspool.http.HttpListener
 import glenspool.http.hostPort
 import glenspool.logging.loggerOf
+import glenspool.peer.OperatorServer
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerPaths
 import glenspool.peer.PeerServer
 import glenspool.peer.PeerStatus
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
-import glenspool.peer.RecoveryServer
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
 import glenspool.peer.RelayAnswer
 import glenspool.peer.RelayRequest
 import glenspool.peer.RolloutReply
 import glenspool.peer.RolloutRequest
-import glenspool.peer.RolloutServer
 import glenspool.reconcile.RecoveryPolicy
 import glenspool.reconcile.RecoverySetting
 import glenspool.rollout.FeaturePermits
@@ -195,8 +194,8 @@
 
     private fun peerHandler(): HttpHandler {
         val peerServer = PeerServer({ status() }, exchange::answer, ::servePeer)
-        val rolloutServer = rollout?.let { RolloutServer(it::answer) }
-        val recoveryServer = RecoveryServer(::recoveryAnswer)
+        val rolloutServer = rollout?.let { OperatorServer.forRollout(it::answer) }
+        val recoveryServer = OperatorServer.forRecovery(::recoveryAnswer)
         return { request ->
             when {
                 request.uri.path == WarmUp.PATH -> WarmUp.answer(request)
--- /dev/null
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -0,0 +1,86 @@
+package glenspool.peer
+
+import kotlinx.serialization.SerialName
+import kotlinx.serialization.Serializable
+
+/** What a controller tells another about itself. */
+@Serializable
+data class PeerStatus(
+    @SerialName("node") val node: String,
+    @SerialName("leading") val leading: Boolean,
+    @SerialName("leader") val leader: String?,
+    @SerialName("fresh") val fresh: Boolean,
+    /** Which stored forms it reads, see [SEALED]; versions without job dependencies don't say. */
+    @SerialName("reads") val reads: Int = 0,
+    /** Its build and the levels that it knows; null where levels are not managed. */
+    @SerialName("levels") val levels: PeerLevels? = null,
+    /** The leaders' terms that its process has witnessed; null where recovery is not managed. */
+    @SerialName("witness") val witness: PeerWitness? = null,
+) {
+    companion object {
+        /** Records whose description or placements are stored under keys of their own. */
+        const val SEALED = 1
+    }
+}
+
+/** The fencing token of the first leader's term that a controller's process has witnessed; null if there is none. */
+@Serializable
+data class PeerWitness(
+    @SerialName("firstToken") val firstToken: Long? = null,
+)
+
+/**
+ * What a controller reports about its build and its health as evidence for a rollout. Counts are since the process's
+ * start; [boot] differs between any two processes.
+ */
+@Serializable
+data class PeerLevels(
+    @SerialName("boot") val boot: String,
+    @SerialName("build") val build: String,
+    @SerialName("lowest") val lowest: Int,
+    @SerialName("highest") val highest: Int,
+    @SerialName("ready") val ready: Boolean,
+    @SerialName("takeOvers") val takeOvers: Long,
+    @SerialName("leasesExpired") val leasesExpired: Long,
+    @SerialName("refusals") val refusals: Long,
+    @SerialName("rejectedWrites") val rejectedWrites: Long,
+)
+
+/** A user's request, relayed by a node that has lost the key-value store but not its peers. */
+@Serializable
+data class RelayRequest(
+    @SerialName("method") val method: String,
+    @SerialName("path") val path: String,
+    @SerialName("body") val body: ByteArray,
+)
+
+/** The response to a relayed request. [retryAfter]: the value of its `Retry-After` header, if it has one. */
+@Serializable
+data class RelayAnswer(
+    @SerialName("status") val status: Int,
+    @SerialName("body") val body: ByteArray,
+    @SerialName("retryAfter") val retryAfter: String?,
+)
+
+/** See `glenspool.core.cluster.CancellationUpdate`. Durations and times since the epoch are in milliseconds. */
+@Serializable
+data class CancellationMessage(
+    @SerialName("node") val node: String,
+    @SerialName("boot") val boot: String,
+    @SerialName("uptime") val uptime: Long,
+    @SerialName("entries") val entries: List<Entry>,
+    @SerialName("base") val base: Long,
+    @SerialName("upTo") val upTo: Long,
+    @SerialName("whole") val whole: Boolean,
+    @SerialName("completeAge") val completeAge: Long?,
+    @SerialName("contactAge") val contactAge: Long,
+    @SerialName("heardBoot") val heardBoot: String?,
+    @SerialName("heardUpTo") val heardUpTo: Long,
+) {
+    @Serializable
+    data class Entry(
+        @SerialName("job") val job: String,
+        @SerialName("at") val at: Long,
+        @SerialName("version") val version: Long,
+    )
+}
--- /dev/null
+++ b/src/main/kotlin/glenspool/peer/PeerPaths.kt
@@ -0,0 +1,19 @@
+package glenspool.peer
+
+/** Paths of the requests between controllers. A version that does not know a path answers 404. */
+object PeerPaths {
+    const val STATUS = "/peer/status"
+    const val RELAY = "/peer/relay"
+
+    /** Submissions with dependencies: a version that does not know them would start the jobs at once. */
+    const val RELAY_CHAINED = "/peer/relay-chained"
+
+    /** The exchange of known cancellations. A version that does not know the path takes no part in it. */
+    const val CANCELLATIONS = "/peer/cancellations"
+
+    /** Operators' queries and commands for the rollout; 404 where levels are not managed. */
+    const val ROLLOUT = "/peer/rollout"
+
+    /** Operators' queries and commands for a leader's orders and its recovery. */
+    const val RECOVERY = "/peer/recovery"
+}
--- a/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What an operator may ask a controller about its orders and its recovery. */
+/** What an operator may ask of a controller about its orders and its recovery. */
 @Serializable
 enum class RecoveryVerb {
     @SerialName("STATUS")
@@ -22,7 +22,7 @@
     RESUME,
 }
 
-/** An operator's question or order. [by] names the operator in the log. */
+/** An operator's query or command. [by] names the operator in the log. */
 @Serializable
 data class RecoveryRequest(
     @SerialName("verb") val verb: RecoveryVerb,
@@ -30,7 +30,8 @@
 )
 
 /**
- * The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again.
+ * The reply to a [RecoveryRequest]. [problem]: why a command was not accepted, and what would help.
+ * [retryAfterSeconds]: when to ask again.
  */
 @Serializable
 data class RecoveryReply(
@@ -41,14 +42,14 @@
     @SerialName("differences") val differences: DifferenceList? = null,
 )
 
-/** The orders of the present term and the recovery, as one controller sees them. Spans are in seconds. */
+/** The orders of the present term and the recovery, as one controller sees them. Durations are in seconds. */
 @Serializable
 data class RecoveryStatus(
     @SerialName("node") val node: String,
     @SerialName("leader") val leader: String?,
     /** Whether the controller was started with `--recovery`. */
     @SerialName("managed") val managed: Boolean,
-    /** Orders that this node's leader has given in its term, by kind and cause; null if it does not lead. */
+    /** How many orders this node has given in its term as leader, by kind and cause; null if it does not lead. */
     @SerialName("orders") val orders: Map<String, Long>?,
     /** Null if the node does not lead, or recovery is not managed. */
     @SerialName("recovery") val recovery: Recovery?,
@@ -59,13 +60,13 @@
         @SerialName("start") val start: String,
         @SerialName("phase") val phase: String,
         @SerialName("phaseSeconds") val phaseSeconds: Double,
-        /** Until the phase ends at the latest; null if it has no end of its own. */
+        /** Until the phase ends at the latest; null if it has no time limit. */
         @SerialName("leftSeconds") val leftSeconds: Double?,
         @SerialName("paused") val paused: Boolean,
         @SerialName("approved") val approved: Boolean,
         @SerialName("expectedMachines") val expectedMachines: Int,
         @SerialName("heardMachines") val heardMachines: Int,
-        /** Groups of machines of which too little was heard. */
+        /** Groups of machines of which too few have sent a heartbeat. */
         @SerialName("lacking") val lacking: List<String>,
         @SerialName("adoptedTasks") val adoptedTasks: Int,
         @SerialName("confirmedTasks") val confirmedTasks: Int,
@@ -77,7 +78,7 @@
     )
 }
 
-/** Differences by name. [total]: how many there are, of which [listed] holds the first. */
+/** Differences between stored and reported state, one by one. [listed] holds the first of [total]. */
 @Serializable
 data class DifferenceList(
     @SerialName("total") val total: Int,
--- a/src/main/kotlin/glenspool/peer/RolloutMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RolloutMessages.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What an operator may ask a controller about the rollout. */
+/** What an operator may ask of a controller about the rollout. */
 @Serializable
 enum class RolloutVerb {
     @SerialName("STATUS")
@@ -28,7 +28,7 @@
     INCLUDE,
 }
 
-/** An operator's question or order. [by] names the operator in what is recorded. */
+/** An operator's query or command. [by] names the operator in what is stored. */
 @Serializable
 data class RolloutRequest(
     @SerialName("verb") val verb: RolloutVerb,
@@ -38,7 +38,8 @@
 )
 
 /**
- * The answer to it. [problem]: why an order was not taken, and what would do. [retryAfterSeconds]: when to ask again.
+ * The reply to a [RolloutRequest]. [problem]: why a command was not accepted, and what would help.
+ * [retryAfterSeconds]: when to ask again.
  */
 @Serializable
 data class RolloutReply(
@@ -48,7 +49,7 @@
     @SerialName("status") val status: RolloutStatus? = null,
 )
 
-/** The rollout as one controller sees it. Times are in milliseconds since the epoch, spans in seconds. */
+/** The rollout as one controller sees it. Times are in milliseconds since the epoch, durations in seconds. */
 @Serializable
 data class RolloutStatus(
     @SerialName("node") val node: String,
@@ -56,7 +57,7 @@
     @SerialName("build") val build: String,
     @SerialName("lowest") val lowest: Int,
     @SerialName("highest") val highest: Int,
-    /** Null: it is absent or can't be read, see [levelProblem]. */
+    /** Null: no level is stored, or it can't be read, see [levelProblem]. */
     @SerialName("level") val level: Int?,
     @SerialName("levelName") val levelName: String?,
     @SerialName("stage") val stage: String?,
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper
 import glenspool.controller.RecoveryReplies
 import glenspool.http.HttpListener
+import glenspool.peer.OperatorServer
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
-import glenspool.peer.RecoveryServer
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
 import glenspool.reconcile.BreakerState
@@ -49,7 +49,7 @@
     private val asked = ArrayList<RecoveryRequest>()
     private var reply = RecoveryReply(true, status = status)
     private val server =
-        RecoveryServer { request ->
+        OperatorServer.forRecovery { request ->
             asked.add(request)
             reply
         }
--- a/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
@@ -5,9 +5,9 @@
 import com.googlecode.lanterna.input.KeyStroke
 import com.googlecode.lanterna.terminal.virtual.DefaultVirtualTerminal
 import glenspool.http.HttpListener
+import glenspool.peer.OperatorServer
 import glenspool.peer.RolloutReply
 import glenspool.peer.RolloutRequest
-import glenspool.peer.RolloutServer
 import glenspool.peer.RolloutStatus
 import glenspool.peer.RolloutVerb
 import glenspool.simulation.CapturedRun
@@ -24,7 +24,7 @@
     private val asked = ArrayList<RolloutRequest>()
     private var reply = RolloutReply(true, status = STATUS)
     private val server =
-        RolloutServer { request ->
+        OperatorServer.forRollout { request ->
             asked.add(request)
             reply
         }
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -108,10 +108,10 @@
 
     @Test
     fun `its messages are understood, and it is not taken for a new one`() {
-        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), PeerWire.status(made("peer-status")))
-        val r = PeerWire.relayRequest(made("relay-request"))
+        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), PeerWire.decodeStatus(made("peer-status")))
+        val r = PeerWire.decodeRelayRequest(made("relay-request"))
         assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(r.body)).id)
-        assertEquals(201 to "1", PeerWire.relayAnswer(made("relay-answer")).let { it.status to it.retryAfter })
+        assertEquals(201 to "1", PeerWire.decodeRelayAnswer(made("relay-answer")).let { it.status to it.retryAfter })
     }
 
     /** The form of a status that the version in production knows. */
