--- a/src/main/kotlin/glenspool/api/DependencyResolver.kt
+++ b/src/main/kotlin/glenspool/api/DependencyResolver.kt
@@ -8,91 +8,104 @@
 import glenspool.wire.RecordWire
 
 /**
- * How a job stands that waits for others, worked out from the records when somebody asks. Nobody has to have stored
- * that it is cut off, so the answer holds at every node as soon as the cancellation does, whoever leads or does not.
- * It can never be taken back: a cancelled job is never done, so what needs it is never released.
+ * The state of jobs that depend on others, derived from the records when it is asked for. That a job was aborted by a
+ * cancelled dependency need not be stored yet, so the answer holds at every node as soon as the cancellation does,
+ * leader or not. It is never revoked: a cancelled job is never done, so what depends on it is never released.
  */
-class DependencyResolver(private val live: LiveKeyReader, private val stored: JobRecordReader, private val finalStates: FinalStates) {
-    sealed interface Verdict
+class DependencyResolver(
+    private val live: LiveKeyReader,
+    private val records: JobRecordReader,
+    private val finalStates: FinalStates,
+) {
+    sealed interface Resolution
 
-    /** [open]: those of the jobs named that are not done. */
-    data class Waits(val open: List<String>) : Verdict
+    /** [unfinishedDependencies]: those of the jobs named that are not done. */
+    data class Waiting(val unfinishedDependencies: List<String>) : Resolution
 
-    /** [by]: the cancelled job. */
-    data class Aborted(val by: String) : Verdict
+    /** [cancelledJob]: the one that was cancelled, among the dependencies or theirs. */
+    data class Aborted(val cancelledJob: String) : Resolution
 
-    data object Undetermined : Verdict
+    /** The key-value store could not be read. */
+    data object Undetermined : Resolution
 
-    /**
-     * The caller has brought the copy up to date. All live jobs that are needed are looked at, however long the chain
-     * is.
-     */
-    fun judge(dependencies: List<String>): Verdict {
-        val ended = ArrayList<String>()
-        val open = ArrayList<String>()
-        val cut = live.atomically { follow(dependencies, ended, open) }
-        if (cut != null) return Aborted(cut)
-        for (id in ended) {
-            // It was accepted before the job that names it, and is not live: its final state is there.
-            val end = (finalStates.read(id) as? FinalStates.Ended ?: return Undetermined).end
-            if (end == FinalState.CANCELLED) return Aborted(id)
+    /** The caller has brought the cache up to date. Dependencies of dependencies are followed to any depth. */
+    fun resolve(dependencies: List<String>): Resolution {
+        val traversal = Traversal(dependencies)
+        val cancelledJob = live.atomically { traversal.findCancelled() }
+        if (cancelledJob != null) return Aborted(cancelledJob)
+        for (jobId in traversal.ended) {
+            // It was accepted before the job that names it and is not live, so its final state is stored.
+            val lookup = finalStates.read(jobId) as? FinalStates.Ended ?: return Undetermined
+            if (lookup.outcome.state == FinalState.CANCELLED) return Aborted(jobId)
         }
-        return Waits(open)
+        return Waiting(traversal.open)
     }
 
-    private fun follow(dependencies: List<String>, ended: MutableList<String>, open: MutableList<String>): String? {
-        val seen = HashSet(dependencies)
-        val next = ArrayDeque(dependencies)
-        val direct = dependencies.toHashSet()
-        while (next.isNotEmpty()) {
-            val id = next.removeFirst()
-            if (live.get(Keys.cancel(id)) != null) return id
-            val record = live.get(Keys.job(id))
-            if (record == null) {
-                ended.add(id)
-                continue
-            }
-            if (id in direct) open.add(id)
-            if (RecordWire.waits(record.value)) {
-                stored.read(id, record.value).dependencies.forEach {
-                    if (seen.add(it)) {
-                        next
-                            .addLast(it)
-                    }
+    /** A breadth-first walk over all live jobs that [dependencies] depend on, themselves included. */
+    private inner class Traversal(private val dependencies: List<String>) {
+        /** Jobs that are not live any more, on the way up to the first cancelled one. */
+        val ended = ArrayList<String>()
+
+        /** Live jobs among [dependencies]. */
+        val open = ArrayList<String>()
+
+        /** The first job found whose cancellation is stored; null if there is none. */
+        fun findCancelled(): String? {
+            val direct = dependencies.toHashSet()
+            val seen = HashSet(dependencies)
+            val queue = ArrayDeque(dependencies)
+            while (queue.isNotEmpty()) {
+                val jobId = queue.removeFirst()
+                if (live.get(Keys.cancel(jobId)) != null) return jobId
+                val record = live.get(Keys.job(jobId))
+                if (record == null) {
+                    ended.add(jobId)
+                    continue
+                }
+                if (jobId in direct) open.add(jobId)
+                if (RecordWire.waits(record.value)) {
+                    records.read(jobId, record.value).dependencies.filterTo(queue) { seen.add(it) }
                 }
             }
+            return null
         }
-        return null
     }
 
-    sealed interface Naming
+    sealed interface Validation
 
-    /** All named jobs were accepted. [abortedBy]: a cancelled one among them, or among those that they need. */
-    data class ValidDependencies(val abortedBy: String?) : Naming
+    /** All named jobs were accepted. [abortedBy]: a cancelled one among them, or among those that they depend on. */
+    data class Valid(val abortedBy: String?) : Validation
 
-    data class InvalidDependencies(val why: String) : Naming
+    data class Invalid(val reason: String) : Validation
 
-    data object Undecided : Naming
+    /** The key-value store could not be read. */
+    data object Undecided : Validation
 
-    /** Whether a new job may name these. The caller has brought the copy up to date after the request came. */
-    fun validate(id: String, dependencies: List<String>): Naming {
-        if (id in dependencies) return InvalidDependencies("awaits: a job can't wait for itself")
-        for (n in dependencies) {
-            val job = live.atomically { live.get(Keys.job(n))?.let { stored.read(n, it.value) } }
-            if (job != null) {
-                if (job.spec.kind == JobKind.SERVICE) return InvalidDependencies("awaits: $n is a service, which is never done")
-                continue
-            }
-            when (finalStates.read(n)) {
-                is FinalStates.Ended -> Unit
-                FinalStates.None -> return InvalidDependencies("awaits: $n was never accepted")
-                FinalStates.Unreachable -> return Undecided
-            }
+    /** Whether a new job may name these. The caller has brought the cache up to date after the request came. */
+    fun validate(jobId: String, dependencies: List<String>): Validation {
+        if (jobId in dependencies) return Invalid("awaits: a job can't wait for itself")
+        for (dependency in dependencies) {
+            val problem = validateDependency(dependency)
+            if (problem != null) return problem
         }
-        return when (val v = judge(dependencies)) {
-            is Waits -> ValidDependencies(null)
-            is Aborted -> ValidDependencies(v.by)
+        return when (val resolution = resolve(dependencies)) {
+            is Waiting -> Valid(abortedBy = null)
+            is Aborted -> Valid(resolution.cancelledJob)
             Undetermined -> Undecided
         }
     }
+
+    /** Null: the job may be named. */
+    private fun validateDependency(jobId: String): Validation? {
+        val record = live.atomically { live.get(Keys.job(jobId))?.let { records.read(jobId, it.value) } }
+        if (record != null) {
+            val isService = record.spec.kind == JobKind.SERVICE
+            return if (isService) Invalid("awaits: $jobId is a service, which is never done") else null
+        }
+        return when (finalStates.read(jobId)) {
+            is FinalStates.Ended -> null
+            FinalStates.Missing -> Invalid("awaits: $jobId was never accepted")
+            FinalStates.Unreachable -> Undecided
+        }
+    }
 }
--- a/src/main/kotlin/glenspool/api/FinalStates.kt
+++ b/src/main/kotlin/glenspool/api/FinalStates.kt
@@ -1,40 +1,40 @@
 package glenspool.api
 
 import com.google.common.cache.CacheBuilder
-import glenspool.core.model.FinalState
 import glenspool.state.Keys
 import glenspool.state.StoreResult
-import glenspool.wire.Fields
-import glenspool.wire.FinalWire
+import glenspool.wire.JobOutcome
 import glenspool.wire.StoreWire
+import glenspool.wire.UserWire
 
-/** The final states of jobs. They never change, so what was read once is remembered. */
-class FinalStates(private val get: (String) -> StoreResult<StoreWire.Item>) {
-    sealed interface Look
+/** How jobs ended, read by [get] from the key-value store. Outcomes never change, so those read are cached. */
+class FinalStates(private val get: (key: String) -> StoreResult<StoreWire.Item>) {
+    sealed interface Lookup
 
-    data class Ended(val value: Fields) : Look {
-        val end: FinalState get() = FinalWire.end(value)
-    }
+    data class Ended(val outcome: JobOutcome) : Lookup
 
-    data object None : Look
+    /** No final state is stored: the job is live, or was never accepted. */
+    data object Missing : Lookup
 
-    data object Unreachable : Look
+    /** The key-value store did not answer. */
+    data object Unreachable : Lookup
 
-    /** Made when the first user asks: loading the cache's classes would delay the start. */
-    private val remembered by lazy { CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build<String, Fields>() }
+    /** Created by the first user's request: loading the cache library's classes would delay the start. */
+    private val outcomes by lazy { CacheBuilder.newBuilder().maximumSize(MAX_CACHED).build<String, JobOutcome>() }
 
-    fun known(id: String): Fields? = remembered.getIfPresent(id)
+    /** The outcome if it was read before; null otherwise. */
+    fun cached(jobId: String): JobOutcome? = outcomes.getIfPresent(jobId)
 
-    fun read(id: String): Look {
-        known(id)?.let { return Ended(it) }
-        return when (val r = get(Keys.final(id))) {
-            is StoreResult.Ok -> Ended(r.value.value.also { remembered.put(id, it) })
-            is StoreResult.Missing -> None
+    fun read(jobId: String): Lookup {
+        cached(jobId)?.let { return Ended(it) }
+        return when (val result = get(Keys.final(jobId))) {
+            is StoreResult.Ok -> Ended(UserWire.decodeOutcome(result.value.value).also { outcomes.put(jobId, it) })
+            is StoreResult.Missing -> Missing
             else -> Unreachable
         }
     }
 
     private companion object {
-        const val MAX_REMEMBERED = 4000L
+        const val MAX_CACHED = 4000L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/api/UserResponses.kt
@@ -0,0 +1,41 @@
+package glenspool.api
+
+import glenspool.http.cbor
+import glenspool.http.tryLater
+import glenspool.peer.RelayAnswer
+import glenspool.wire.UserWire
+import org.http4k.core.Response
+import org.http4k.core.Status
+
+internal fun UserAnswer.toResponse(): Response =
+    when (this) {
+        is UserAnswer.Accepted -> cbor(Status.CREATED, UserWire.accepted(jobId, abortedBy))
+        is UserAnswer.Live -> cbor(Status.OK, UserWire.live(jobId, tasksDone, tasksRunning, unfinishedDependencies))
+        is UserAnswer.Ended -> cbor(Status.OK, UserWire.ended(jobId, outcome))
+        is UserAnswer.NotFound -> cbor(Status.NOT_FOUND, UserWire.error("no such job: $jobId"))
+        is UserAnswer.Refused -> cbor(status, UserWire.error(reason))
+        UserAnswer.RateLimited -> tryLater(Status.TOO_MANY_REQUESTS)
+        UserAnswer.TryLater, UserAnswer.Unreachable -> tryLater()
+    }
+
+/** The answer to the health probe of a node that takes requests. */
+internal fun readyResponse(): Response = cbor(Status.OK, emptyMap())
+
+/** Has the user open a new connection, which the load balancer gives to another node. */
+internal fun tryElsewhere(): Response = tryLater().header("Connection", "close")
+
+internal fun Response.toRelayAnswer(): RelayAnswer =
+    RelayAnswer(
+        status = status.code,
+        body = body.stream.readAllBytes(),
+        retryAfter = header("Retry-After"),
+    )
+
+/** The response of the node that a request was relayed to, as the user gets it from this node. */
+internal fun RelayAnswer.toResponse(): Response {
+    val response =
+        Response(Status(status, null))
+            .header("Content-Type", "application/cbor")
+            .body(body.inputStream())
+    return if (retryAfter == null) response else response.header("Retry-After", retryAfter)
+}
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -22,70 +22,78 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration
 
-/** Takes workers' reports: the leader answers with orders, another node names the leader or keeps the lease. */
-class WorkerApi(private val settings: Settings, private val node: Node, private val loop: CoreLoop) : AsyncHandler {
-    private val keeper = LeaseKeeper(settings.workers, settings.members.size, node::uptime)
-
+/**
+ * Takes workers' heartbeats. The leader answers with commands; another node redirects the worker to the leader, or
+ * renews its lease, or refuses.
+ */
+class WorkerApi(settings: Settings, private val node: Node, private val loop: CoreLoop) : AsyncHandler {
+    private val leaseRenewal = LeaseRenewalPolicy(settings.workers, settings.members.size, node::uptime)
+    private val redirectLimiter = RedirectLimiter(settings.workers.lease, node::uptime)
     private val heartbeats = AtomicLong()
 
-    /** Told of each report's machine and session, for as long as somebody counts them. */
+    /** Called with each heartbeat's machine and incarnation, while somebody counts them; null otherwise. */
     @Volatile
     var incarnationSeen: ((machine: String, incarnation: Long) -> Unit)? = null
 
-    /** Reports that came to this node so far. */
-    fun answered(): Long = heartbeats.get()
+    /** How many heartbeats this node has received since its start. */
+    fun heartbeatsReceived(): Long = heartbeats.get()
 
     override fun handle(request: Request, respond: (Response) -> Unit) {
         heartbeats.incrementAndGet()
         if (request.method != Method.POST) return respond(cbor(Status.METHOD_NOT_ALLOWED, emptyMap()))
-        val bytes =
-            request.body.bounded() ?: return respond(cbor(Status.BAD_REQUEST, mapOf("error" to "the body is too long")))
+        val bytes = request.body.bounded() ?: return respond(badRequest("the body is too long"))
         val heartbeat =
             try {
                 WorkerWire.decodeHeartbeat(Cbor.decodeMap(bytes))
             } catch (e: MalformedMessage) {
-                log.warn("report not understood: {}", e.message)
-                return respond(cbor(Status.BAD_REQUEST, mapOf("error" to (e.message ?: "malformed"))))
+                log.warn("heartbeat not understood: {}", e.message)
+                return respond(badRequest(e.message ?: "malformed"))
             }
         incarnationSeen?.invoke(heartbeat.machine, heartbeat.incarnation)
         loop.heartbeat(heartbeat) { orders ->
             respond(
-                if (orders !=
-                    null
-                ) {
-                    answer(heartbeat, orders.token, orders.commands)
+                if (orders == null) {
+                    answerWithoutLead(heartbeat)
                 } else {
-                    withoutOrders(heartbeat)
+                    answer(heartbeat, orders.token, orders.commands)
                 },
             )
         }
     }
 
     /** The answer of a node that does not lead, or whose core is behind. */
-    private fun withoutOrders(heartbeat: Heartbeat): Response {
+    private fun answerWithoutLead(heartbeat: Heartbeat): Response {
         val leader = node.leaderToName()
-        if (leader != null && keeper.mayRedirect(heartbeat.machine)) return cbor(MISDIRECTED, WorkerWire.redirect(leader))
+        if (leader != null && redirectLimiter.mayRedirect(heartbeat.machine)) {
+            return cbor(MISDIRECTED, WorkerWire.redirect(leader))
+        }
         // A build that may not understand what is stored can't say which work was cancelled.
-        if (node.fenced()) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
-        if (!keeper.renewsLease(heartbeat.machine, node.cancellations.complete(), node.isolated())) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
-        // Nobody is known to lead, or not to be sent to now. Answering with the worker's own token starts nothing and
-        // keeps its tasks alive.
+        if (node.fenced() || !renewsLease(heartbeat)) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
+        // There is no known leader, or the worker may not be redirected to it now. An answer with the worker's own
+        // token starts nothing and keeps its tasks alive.
         return answer(heartbeat, heartbeat.token, stopsOfCancelled(heartbeat))
     }
 
-    private fun answer(to: Heartbeat, token: Long, commands: List<Command>): Response {
-        keeper.served(to.machine)
+    private fun renewsLease(heartbeat: Heartbeat): Boolean {
+        val cancellationsCompleteUntil = node.cancellations.complete()
+        return leaseRenewal.renewsLease(heartbeat.machine, cancellationsCompleteUntil, node.isolated())
+    }
+
+    private fun answer(heartbeat: Heartbeat, token: Long, commands: List<Command>): Response {
+        leaseRenewal.recordAnswer(heartbeat.machine)
         return cbor(Status.OK, WorkerWire.answer(token, commands))
     }
 
-    /** A cancelled job stays cancelled, so any node may have its tasks stopped, with whatever token is in force. */
-    private fun stopsOfCancelled(r: Heartbeat): List<Command> =
-        r.tasks
+    /** A cancelled job stays cancelled, so any node may have its tasks stopped, whatever token is in force. */
+    private fun stopsOfCancelled(heartbeat: Heartbeat): List<Command> =
+        heartbeat.tasks
             .filter { it.state != TaskState.EXITED && node.cancellations.knows(it.key.job) }
             .map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
 
-    companion object {
-        private val log = loggerOf(WorkerApi::class.java)
-        private val MISDIRECTED = Status(421, "Misdirected Request")
+    private fun badRequest(reason: String): Response = cbor(Status.BAD_REQUEST, mapOf("error" to reason))
+
+    private companion object {
+        val log = loggerOf(WorkerApi::class.java)
+        val MISDIRECTED = Status(421, "Misdirected Request")
     }
 }
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -179,7 +179,7 @@
         threads.start("late-reports") { loop.expireHeartbeats() }
         threads.start("overdue") { overdue.run() }
         threads.startOnce("warm-up") {
-            WarmUp(loop.config, settings.internalAddr.hostPort(), served = workerApi::answered) {
+            WarmUp(loop.config, settings.internalAddr.hostPort(), served = workerApi::heartbeatsReceived) {
                 leadership.current() !=
                     null
             }.run()
--- /dev/null
+++ b/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
@@ -0,0 +1,138 @@
+package glenspool.api
+
+import glenspool.config.WorkerSettings
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/** For how long a node without a leader renews workers' leases, in simulated time. */
+class LeaseRenewalPolicyTest {
+    private var now = Duration.ZERO
+
+    private fun policy(lease: Duration = 24.seconds): LeaseRenewalPolicy {
+        val workers =
+            WorkerSettings(
+                heartbeatInterval = 4.seconds,
+                lease = lease,
+                gangWait = 30.seconds,
+                gangPeer = 8.seconds,
+                cancellationDeadline = CANCELLATION_DEADLINE,
+            )
+        return LeaseRenewalPolicy(workers, otherNodes = 2) { now }
+    }
+
+    private fun LeaseRenewalPolicy.renewsIsolated(machine: String): Boolean =
+        renewsLease(
+            machine,
+            cancellationsCompleteUntil = now,
+            isIsolated = true,
+        )
+
+    private fun LeaseRenewalPolicy.renewsConnected(machine: String, cancellationsCompleteUntil: Duration?): Boolean =
+        renewsLease(
+            machine,
+            cancellationsCompleteUntil,
+            isIsolated = false,
+        )
+
+    @Test
+    fun `an isolated node refuses each worker once in a lease, and renews the lease of one that comes back`() {
+        val policy = policy()
+        policy.recordAnswer("m1")
+        policy.recordAnswer("m2")
+        assertFalse(policy.renewsIsolated("m1"))
+        assertFalse(policy.renewsIsolated("m2"))
+        now += 11.seconds
+        // It found no other node: its tasks must not die.
+        assertTrue(policy.renewsIsolated("m1"))
+        policy.recordAnswer("m1")
+        now += 13.seconds
+        policy.recordAnswer("m1")
+        // There may be a leader elsewhere by now.
+        assertFalse(policy.renewsIsolated("m1"))
+    }
+
+    @Test
+    fun `a worker that was refused comes back within its lease in the worst case`() {
+        val policy = policy()
+        var answeredAt = Duration.ZERO
+        var longest = Duration.ZERO
+        while (now < 300.seconds) {
+            now += 5.seconds
+            if (policy.renewsIsolated("m1")) {
+                policy.recordAnswer("m1")
+                longest = maxOf(longest, now - answeredAt)
+                answeredAt = now
+            } else {
+                // The other two nodes never answer: 4 s each and 1 s between.
+                now += 11.seconds
+            }
+        }
+        assertTrue(longest in 11.seconds..24.seconds, "$longest without an answer")
+    }
+
+    @Test
+    fun `a worker that found nobody elsewhere has its lease renewed at once`() {
+        val policy = policy()
+        // Cut off with its zone it has tried two nodes in vain already; another vain round would outlast its lease.
+        assertTrue(policy.renewsIsolated("m1"))
+        policy.recordAnswer("m1")
+        now += 4.seconds
+        assertFalse(policy.renewsIsolated("m1"))
+        now += 11.seconds
+        assertTrue(policy.renewsIsolated("m1"))
+    }
+
+    @Test
+    fun `in an outage that other nodes see too every lease is renewed`() {
+        val policy = policy()
+        repeat(50) {
+            now += 4.seconds
+            assertTrue(policy.renewsConnected("m1", cancellationsCompleteUntil = now))
+        }
+    }
+
+    @Test
+    fun `no worker is refused where its lease would not outlast a round of the other nodes`() {
+        val policy = policy(lease = 12.seconds)
+        assertEquals(List(9) { true }, List(9) { policy.renewsIsolated("m1") })
+    }
+
+    @Test
+    fun `a node that knows nothing of cancellations renews only while their deadline leaves time for two leases`() {
+        // 49 s for a cancellation, two leases of 24 s: none is left.
+        val policy = policy()
+        assertFalse(policy.renewsConnected("m1", cancellationsCompleteUntil = null))
+        assertTrue(policy.renewsConnected("m1", cancellationsCompleteUntil = now))
+        val shortLease = policy(lease = 14.seconds)
+        now = 17.seconds
+        assertTrue(shortLease.renewsConnected("m1", cancellationsCompleteUntil = null))
+        now = 18.seconds
+        assertFalse(shortLease.renewsConnected("m1", cancellationsCompleteUntil = null))
+    }
+
+    @Test
+    fun `no renewed lease outlasts the deadline of a cancellation that this node may not know`() {
+        val policy = policy()
+        val complete = 100.seconds
+        now = 123.seconds
+        assertTrue(policy.renewsConnected("m1", complete))
+        while (now < 200.seconds) {
+            now += 100.milliseconds
+            if (policy.renewsConnected("m1", complete)) {
+                assertTrue(now + 24.seconds < complete + CANCELLATION_DEADLINE, "renewed at $now")
+            }
+        }
+        assertFalse(policy.renewsConnected("m1", complete))
+        // Up to when nothing can have been confirmed unknown to this node may lie ahead.
+        assertTrue(policy.renewsConnected("m1", now + 5.seconds))
+    }
+
+    private companion object {
+        val CANCELLATION_DEADLINE = 49.seconds
+    }
+}
--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -1,6 +1,6 @@
 package glenspool.simulation
 
-import glenspool.api.LeaseKeeper
+import glenspool.api.LeaseRenewalPolicy
 import glenspool.config.WorkerSettings
 import glenspool.core.cluster.Cancellation
 import glenspool.core.cluster.CancellationUpdate
@@ -13,8 +13,8 @@
 
 /**
  * Three controllers' knowledge of cancellations and their workers' leases in simulated time: real [Cancellations] and
- * [LeaseKeeper], with the state service, the messages between them, the workers and the users as stand-ins. Every rule
- * about cancelled work is checked at every step.
+ * [LeaseRenewalPolicy], with the state service, the messages between them, the workers and the users as stand-ins.
+ * Every rule about cancelled work is checked at every step.
  */
 class CancellationSimulation(seed: Long, val settings: WorkerSettings = SETTINGS, private val loss: Double = 0.0, workers: Int = 12) {
     private val random = Random(seed)
@@ -56,7 +56,7 @@
         fun clock() = (now - began) * drift
 
         lateinit var cancellations: Cancellations
-        lateinit var keeper: LeaseKeeper
+        lateinit var leaseRenewal: LeaseRenewalPolicy
 
         /** What it has read of the state service, which is all that one of the old version knows. */
         val read = HashSet<String>()
@@ -71,7 +71,7 @@
             readAt = null
             cancellations =
                 Cancellations("$name-$lives", members.map { it.name } - name, settings.cancellationDeadline * 4, ::clock) { now }
-            keeper = LeaseKeeper(settings, 2, ::clock)
+            leaseRenewal = LeaseRenewalPolicy(settings, 2, ::clock)
             val life = lives
             after(random.nextInt(500).milliseconds) { look(life) }
             for (m in members) if (m !== this) after(random.nextInt(300).milliseconds) { exchange(m, life) }
@@ -149,7 +149,7 @@
         fun knows(job: String) = if (old) job in read else cancellations.knows(job)
 
         /** Whether it answers a worker of which it knows no leader. */
-        fun renewsLease(w: Worker) = old || keeper.renewsLease(w.name, cancellations.complete(), isolated)
+        fun renewsLease(w: Worker) = old || leaseRenewal.renewsLease(w.name, cancellations.complete(), isolated)
 
         /** As the users' requests do it: store, read back, tell the others, answer. */
         fun cancel(job: String) {
@@ -192,7 +192,7 @@
                 home = (home + 1) % members.size
                 return
             }
-            n.keeper.served(name)
+            n.leaseRenewal.recordAnswer(name)
             answeredAt = sent
             jobs.removeIf { n.knows(it) }
         }
--- a/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
@@ -401,7 +401,7 @@
                 after(delay()) {
                     val answered = now >= stateDownUntil && !chance(faults.lost)
                     val found = HashMap<String, FinalState>()
-                    if (answered) for (id in a.jobs) (finalStates.read(id) as? FinalStates.Ended)?.let { found[id] = it.end }
+                    if (answered) for (id in a.jobs) (finalStates.read(id) as? FinalStates.Ended)?.let { found[id] = it.outcome.state }
                     ifLeading(s) { finalStatesRead(a.jobs, found) }
                 }
             is StoreImageLocations -> check(a.images.values.none { it.isEmpty() })
@@ -727,7 +727,7 @@
     private fun liveAnswer(id: String): String {
         val record = state.get(Keys.job(id)) ?: return "unknown"
         val dependencies = stored.read(id, record.value).dependencies
-        return if (dependencies.isNotEmpty() && dependencyResolver.judge(dependencies) is DependencyResolver.Aborted) "cancelled" else "live"
+        return if (dependencies.isNotEmpty() && dependencyResolver.resolve(dependencies) is DependencyResolver.Aborted) "cancelled" else "live"
     }
 
     /** What happens by itself on the machines, and the rules that hold at every moment. */
