--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -40,20 +40,28 @@
 /** Each adapter over real sockets on loopback, against what its counterpart may answer. */
 class AdaptersTest {
     private val http = HttpCaller(2.seconds)
-    private val seen = ArrayList<Pair<String, Fields>>()
+
+    /** What the counterpart received, in this order. */
+    private val requests = ArrayList<ReceivedRequest>()
     private var answer: (Request) -> Response = { cbor(Status.OK, emptyMap()) }
-    private val other =
-        HttpListener(InetSocketAddress("127.0.0.1", 0), "other", 64, { r ->
-            val body = r.body.stream.readAllBytes()
-            synchronized(seen) { seen += r.uri.toString() to if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body) }
-            answer(r)
-        })
-    private val addr = "127.0.0.1:${other.port}"
+    private val counterpart = HttpListener(InetSocketAddress("127.0.0.1", 0), "counterpart", 64, ::receive)
+    private val addr = "127.0.0.1:${counterpart.port}"
+
+    private class ReceivedRequest(val uri: String, val body: Fields)
+
+    private fun receive(request: Request): Response {
+        val bytes = request.body.stream.readAllBytes()
+        val body = if (bytes.isEmpty()) emptyMap() else Cbor.decodeMap(bytes)
+        synchronized(requests) { requests += ReceivedRequest(request.uri.toString(), body) }
+        return answer(request)
+    }
 
     @AfterEach
-    fun close() = other.close()
+    fun close() = counterpart.close()
+
+    private fun answerWith(status: Int, body: Fields): (Request) -> Response = { cbor(Status(status, null), body) }
 
-    private fun says(status: Int, body: Fields): (Request) -> Response = { cbor(Status(status, null), body) }
+    private fun unusedPort() = ServerSocket(0).use { it.localPort }
 
     private val heartbeat =
         mapOf(
@@ -62,24 +70,20 @@
         )
 
     @Test
-    fun `the cloud's answers to a rental are told apart`() {
+    fun `the cloud's answers to a scale-out are told apart`() {
         val cloud = CloudClient(addr, http, 1000.0)
         val rent = ScaleOut("r-1-1", "g8", "a", true, mapOf(ScaleOutCause.BACKLOG to 3))
-        answer = says(200, mapOf("spindles" to listOf("i-1", "i-2")))
+        answer = answerWith(200, mapOf("spindles" to listOf("i-1", "i-2")))
         assertEquals(ScaleOutOutcome.Rented(listOf("i-1", "i-2")), cloud.rent(rent))
-        assertEquals(
-            mapOf("hire" to "r-1-1", "frame" to "g8", "hall" to "a", "loaners" to true, "number" to 3L),
-            seen
-                .last()
-                .second,
-        )
-        answer = says(503, mapOf("error" to "no capacity"))
+        val expected = mapOf("hire" to "r-1-1", "frame" to "g8", "hall" to "a", "loaners" to true, "number" to 3L)
+        assertEquals(expected, requests.last().body)
+        answer = answerWith(503, mapOf("error" to "no capacity"))
         assertEquals(ScaleOutOutcome.Refused, cloud.rent(rent))
         for (status in listOf(429, 500)) {
-            answer = says(status, emptyMap())
+            answer = answerWith(status, emptyMap())
             assertEquals(ScaleOutOutcome.Unknown, cloud.rent(rent))
         }
-        answer = says(503, mapOf("error" to "trouble"))
+        answer = answerWith(503, mapOf("error" to "trouble"))
         assertEquals(ScaleOutOutcome.Unknown, cloud.rent(rent))
     }
 
@@ -87,7 +91,7 @@
     fun `only the cloud's 200 proves a deletion`() {
         val cloud = CloudClient(addr, http, 1000.0)
         assertTrue(cloud.delete(listOf("i-1")))
-        answer = says(503, mapOf("error" to "trouble"))
+        answer = answerWith(503, mapOf("error" to "trouble"))
         assertFalse(cloud.delete(listOf("i-1")))
         assertNull(cloud.machines())
     }
@@ -95,70 +99,65 @@
     @Test
     fun `the machine list is read page by page`() {
         val cloud = CloudClient(addr, http, 1000.0)
-        answer = { r ->
-            val first = r.query("after") == null
-            val one =
+        answer = { request ->
+            val isFirstPage = request.query("after") == null
+            val machine =
                 mapOf(
-                    "uid" to if (first) "i-1" else "i-2", "addr" to "10.0.0.9:1", "frame" to "g8", "hall" to "a",
+                    "uid" to if (isFirstPage) "i-1" else "i-2", "addr" to "10.0.0.9:1", "frame" to "g8", "hall" to "a",
                     "loaners" to true, "stage" to "running", "held_s" to 2.5,
                 )
-            cbor(Status.OK, mapOf("spindles" to listOf(one), "has_next" to first))
+            cbor(Status.OK, mapOf("spindles" to listOf(machine), "has_next" to isFirstPage))
         }
         assertEquals(listOf("i-1", "i-2"), cloud.machines()?.map { it.id })
-        assertEquals(listOf("/hosts?page=500", "/hosts?page=500&after=i-1"), seen.map { it.first })
+        assertEquals(listOf("/hosts?page=500", "/hosts?page=500&after=i-1"), requests.map { it.uri })
     }
 
     @Test
-    fun `a command's outcome is done only with the worker's report`() {
+    fun `a command is done only if the worker answers with its status`() {
         val worker = WorkerClient(http)
-        val d = SendCommands("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
-        answer = says(200, heartbeat)
-        assertEquals(CommandOutcome.DONE, worker.command(d).first)
-        assertEquals(4L to 2L, seen.last().second.let { it["baton"] to it["shift"] })
-        answer = says(200, mapOf("nonsense" to 1))
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).first)
-        answer = says(409, heartbeat)
-        assertEquals(CommandOutcome.REFUSED, worker.command(d).first)
-        answer = says(500, emptyMap())
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(d).first)
-        val closed = ServerSocket(0).use { it.localPort }
-        assertEquals(CommandOutcome.NOT_SENT, worker.command(d.copy(addr = "127.0.0.1:$closed")).first)
-        answer = says(200, heartbeat)
+        val commands = SendCommands("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
+        answer = answerWith(200, heartbeat)
+        assertEquals(CommandOutcome.DONE, worker.command(commands).first)
+        assertEquals(4L to 2L, requests.last().body.let { it["baton"] to it["shift"] })
+        answer = answerWith(200, mapOf("nonsense" to 1))
+        assertEquals(CommandOutcome.UNKNOWN, worker.command(commands).first)
+        answer = answerWith(409, heartbeat)
+        assertEquals(CommandOutcome.REFUSED, worker.command(commands).first)
+        answer = answerWith(500, emptyMap())
+        assertEquals(CommandOutcome.UNKNOWN, worker.command(commands).first)
+        assertEquals(CommandOutcome.NOT_SENT, worker.command(commands.copy(addr = "127.0.0.1:${unusedPort()}")).first)
+        answer = answerWith(200, heartbeat)
         assertEquals(3.5.seconds, worker.show(addr)?.preemptionNotice)
     }
 
     @Test
-    fun `a peer passes a request on and says who leads`() {
-        val answered = RelayAnswer(429, byteArrayOf(1, 2), "3")
-        var got: RelayRequest? = null
-        val status = PeerStatus("n1", true, "n1", true)
-        HttpListener(
-            InetSocketAddress("127.0.0.1", 0), "peer", 4,
+    fun `a peer answers a relayed request and says who leads, and one that is down is passed over`() {
+        val status = PeerStatus("n1", leading = true, leader = "n1", fresh = true)
+        var relayed: RelayRequest? = null
+        val server =
             PeerServer({ status }, { null }) {
-                got = it
-                answered
-            },
-        ).use { peer ->
-            val gone = ServerSocket(0).use { it.localPort }
-            val members = listOf(gone, peer.port).map { Member("n$it", "a", InetSocketAddress("127.0.0.1", it)) }
+                relayed = it
+                RelayAnswer(429, byteArrayOf(1, 2), "3")
+            }
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 4, server).use { peer ->
+            val members =
+                listOf(unusedPort(), peer.port).map { Member("n$it", "a", InetSocketAddress("127.0.0.1", it)) }
             val client = PeerClient(members)
             assertEquals(listOf(status), client.statuses())
-            val back = client.relay(RelayRequest("POST", "/api/jobs", byteArrayOf(9)), 5.seconds)
-            assertEquals(429 to "3", back?.let { it.status to it.retryAfter })
-            assertArrayEquals(byteArrayOf(1, 2), back?.body)
-            assertArrayEquals(byteArrayOf(9), got?.body)
+            val answer = client.relay(RelayRequest("POST", "/api/jobs", byteArrayOf(9)), 5.seconds)
+            assertEquals(429 to "3", answer?.let { it.status to it.retryAfter })
+            assertArrayEquals(byteArrayOf(1, 2), answer?.body)
+            assertArrayEquals(byteArrayOf(9), relayed?.body)
         }
     }
 
     @Test
-    fun `peers that stall in the middle of a request keep nobody else out`() {
-        val stalled =
-            List(20) {
-                Socket("127.0.0.1", other.port).also { s ->
-                    s.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
-                    s.getOutputStream().flush()
-                }
-            }
+    fun `clients that stall in the middle of a request do not keep others from being answered`() {
+        val stalled = List(20) { Socket("127.0.0.1", counterpart.port) }
+        for (socket in stalled) {
+            socket.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
+            socket.getOutputStream().flush()
+        }
         repeat(20) { assertEquals(200, (http.get(addr, "/ready", 10.seconds) as CallResult.Answer).status) }
         stalled.forEach { it.close() }
     }
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -1,57 +1,62 @@
 package glenspool.api
 
-import glenspool.config.SettingsTest
 import glenspool.core.model.JobKind
 import glenspool.core.model.JobRecord
+import glenspool.core.model.JobSpec
+import glenspool.http.CallResult
 import glenspool.simulation.OldVersion
 import glenspool.simulation.ServedUserApi
 import glenspool.state.JobRecordReader
 import glenspool.state.Keys
-import glenspool.state.Put
 import glenspool.wire.RecordWire
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Submissions that wait for others, at the smallest limits of the sites: 2 KiB a value, 4 changes a transaction. */
-class DependencyApiTest :
-    ServedUserApi(
-        SettingsTest.GOOD
-            .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]"),
-    ) {
+/** Submissions with dependencies, and descriptions too long for one value, at the smallest limits of the sites. */
+class DependencyApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
+    private fun storedRecord(id: String) = state.entries.getValue(Keys.job(id)).value
+
+    private fun record(id: String): JobRecord = JobRecordReader(state).read(id, storedRecord(id))
+
     private fun dependencies(id: String) = record(id).dependencies
 
-    private fun record(id: String): JobRecord = JobRecordReader(state).read(id, state.entries.getValue(Keys.job(id)).value)
+    private fun stage(id: String) = show(id).stage
+
+    /** Stores a copy of a job past the API, as another node would accept it. */
+    private fun acceptElsewhere(id: String, like: String, dependencies: List<String> = emptyList()) {
+        val record = record(like).copy(spec = spec(id), dependencies = dependencies)
+        state.put(Keys.job(id), RecordWire.encode(record))
+    }
+
+    private fun specWithTypes(id: String, types: Int): JobSpec {
+        val names = List(types) { "some-type-$it" } + "big"
+        return spec(id).copy(types = names)
+    }
 
-    private fun stage(id: String) = show(id).body["stage"]
+    private fun assertAborted(by: String, answer: CallResult.Answer) {
+        assertEquals("aborted" to by, answer.stage to answer.body["aborted_with"])
+    }
 
     @Test
-    fun `a job that waits is taken in a form that the version in production leaves alone`() {
+    fun `a job with dependencies is stored in a form that the version in production leaves alone`() {
         submit(spec("run-1"))
-        assertEquals(
-            201 to "pending",
-            submit(spec("run-2"), listOf("run-1", "run-1")).let {
-                it.status to
-                    it.body["stage"]
-            },
-        )
+        assertAnswer(201, "pending", submit(spec("run-2"), listOf("run-1", "run-1")))
         assertEquals(listOf("run-1"), dependencies("run-2"))
-        assertNull(OldVersion.reads(state.entries.getValue(Keys.job("run-2")).value))
-        assertEquals("pending" to listOf("run-1"), show("run-2").body.let { it["stage"] to it["awaits"] })
+        assertNull(OldVersion.reads(storedRecord("run-2")))
+        assertEquals("pending" to listOf("run-1"), show("run-2").let { it.stage to it.body["awaits"] })
         end("run-1", "done")
-        assertEquals("pending" to null, show("run-2").body.let { it["stage"] to it["awaits"] })
+        assertEquals("pending" to null, show("run-2").let { it.stage to it.body["awaits"] })
         for (nothing in listOf(null, emptyList<String>())) {
-            assertEquals(
-                emptyList<String>(),
-                submit(spec("run-9$nothing"), nothing)
-                    .let { dependencies("run-9$nothing") },
-            )
+            submit(spec("run-9$nothing"), nothing)
+            assertEquals(emptyList<String>(), dependencies("run-9$nothing"))
         }
     }
 
     @Test
-    fun `only accepted jobs can be named, in whatever state, and no services`() {
+    fun `only accepted jobs can be named as dependencies, in whatever state, and no services`() {
         submit(spec("run-1"))
         submit(spec("run-2"))
         end("run-2", "done")
@@ -59,93 +64,64 @@
         assertEquals(422, submit(spec("run-4"), listOf("run-1", "run-99")).status)
         assertEquals(422, submit(spec("run-4"), listOf("run-3")).status)
         assertEquals(422, submit(spec("run-4"), listOf("run-4")).status)
-        for (bad in listOf("run-1", listOf(1), listOf("a b"), listOf(""))) {
-            assertEquals(
-                400,
-                submit(spec("run-4"), bad)
-                    .status,
-                "$bad",
-            )
+        for (malformed in listOf("run-1", listOf(1), listOf("a b"), listOf(""))) {
+            assertEquals(400, submit(spec("run-4"), malformed).status, "$malformed")
         }
         assertEquals(404, show("run-4").status)
         assertEquals(201, submit(spec("run-4"), listOf("run-1", "run-2")).status)
-        // Named by another node a moment ago: a copy in memory would not know it.
-        state
-            .transact(
-                emptyMap(),
-                listOf(
-                    Put(
-                        Keys.job("run-5"),
-                        RecordWire
-                            .encode(record("run-1").copy(spec = spec("run-5"))),
-                    ),
-                ),
-                emptyList(),
-            )
+        // Accepted by another node a moment ago: a cache that was not brought up to date would not know it.
+        acceptElsewhere("run-5", like = "run-1")
         assertEquals(201, submit(spec("run-6"), listOf("run-5")).status)
     }
 
     @Test
-    fun `without the state service nothing is decided, and a repeat is answered before any check`() {
+    fun `without the key-value store nothing is decided, and a repeat is answered before any check`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
         state.down = true
         assertEquals(503, submit(spec("run-3"), listOf("run-1")).status)
         state.down = false
-        // Its names can no longer be found, and it is too long for a new job: it is known all the same.
+        // Its dependency was never accepted, and it is too long for a new job: it is known all the same.
         val long = spec("run-2").copy(types = List(900) { "some-type-$it" })
         assertEquals(200, submit(long, listOf("run-77")).status)
         assertEquals(200, submit(spec("run-2"), listOf("run-77")).status)
     }
 
     @Test
-    fun `a cancellation holds for all who need the job at once, whoever leads`() {
+    fun `a cancellation holds at once for all jobs that depend on the cancelled one`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
         submit(spec("run-3"), listOf("run-2"))
         assertEquals("pending", stage("run-3"))
-        assertEquals("aborted", withdraw("run-1").body["stage"])
-        for (id in listOf("run-2", "run-3")) {
-            assertEquals(
-                "aborted" to "run-1",
-                show(id).body.let {
-                    it["stage"] to
-                        it["aborted_with"]
-                },
-            )
-        }
-        // Accepted all the same, and told how it stands; its own withdrawal has nothing left to store.
-        assertEquals(201 to "aborted", submit(spec("run-4"), listOf("run-3")).let { it.status to it.body["stage"] })
-        assertEquals("aborted", withdraw("run-4").body["stage"])
-        // The cancelled job is closed, and those after it are not yet: the answer stays.
+        assertEquals("aborted", withdraw("run-1").stage)
+        for (id in listOf("run-2", "run-3")) assertAborted("run-1", show(id))
+        // Accepted all the same, and its user told that it will not run; cancelling it leaves nothing to store.
+        assertAnswer(201, "aborted", submit(spec("run-4"), listOf("run-3")))
+        assertEquals("aborted", withdraw("run-4").stage)
+        // The cancelled job has ended, and those that depend on it have not yet: the answer stays.
         end("run-1", "cancelled")
         for (id in listOf("run-2", "run-3", "run-4")) assertEquals("aborted", stage(id))
         end("run-2", "cancelled")
         for (id in listOf("run-2", "run-3", "run-4")) assertEquals("aborted", stage(id))
-        assertEquals(201 to "aborted", submit(spec("run-5"), listOf("run-1")).let { it.status to it.body["stage"] })
+        assertAnswer(201, "aborted", submit(spec("run-5"), listOf("run-1")))
     }
 
     @Test
-    fun `a cancellation that is answered with done lets those after it go on`() {
+    fun `a cancellation that is answered with done lets dependent jobs go on`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
         end("run-1", "done")
-        assertEquals("done", withdraw("run-1").body["stage"])
+        assertEquals("done", withdraw("run-1").stage)
         assertEquals("pending", stage("run-2"))
-        assertEquals("aborted", withdraw("run-2").body["stage"])
+        assertEquals("aborted", withdraw("run-2").stage)
     }
 
     @Test
-    fun `a chain hundreds deep and a list of hundreds fit small values`() {
-        state.valueLimit = 2048
-        state.opsLimit = 4
+    fun `a chain of hundreds of jobs and a list of hundreds of dependencies fit small values`() {
+        state.lowerLimits()
         submit(spec("run-0"))
         assertEquals("pending", stage("run-0"))
-        // As another node takes them.
-        for (i in 1..300) {
-            val r = record("run-0").copy(spec = spec("run-$i"), dependencies = listOf("run-${i - 1}"))
-            state.transact(emptyMap(), listOf(Put(Keys.job("run-$i"), RecordWire.encode(r))), emptyList())
-        }
+        for (i in 1..300) acceptElsewhere("run-$i", like = "run-0", dependencies = listOf("run-${i - 1}"))
         val all = (0..300).map { "run-$it" }
         assertEquals(201, submit(spec("run-900"), all + all).status)
         assertEquals(all, dependencies("run-900"))
@@ -158,16 +134,15 @@
     }
 
     @Test
-    fun `a description that was short enough before is kept in pieces when values become smaller`() {
-        val long = spec("run-1").copy(types = List(300) { "some-type-$it" } + "big")
+    fun `a description that was short enough before is stored in parts when values become smaller`() {
+        val long = specWithTypes("run-1", types = 300)
         assertTrue(long.recordBytes in 2049..8192)
-        // Old controllers may lead: it is stored in their form as long as the state service takes it.
+        // Old controllers may lead: it is stored in their form as long as the key-value store takes it.
         allMembersReadSplitRecords = false
         assertEquals(201, submit(long).status)
-        assertTrue(OldVersion.reads(state.entries.getValue(Keys.job("run-1")).value) != null)
+        assertNotNull(OldVersion.reads(storedRecord("run-1")))
         // The limit is lowered without notice.
-        state.valueLimit = 2048
-        state.opsLimit = 4
+        state.lowerLimits()
         assertEquals(201, submit(long.copy(id = "run-2")).status)
         allMembersReadSplitRecords = true
         assertEquals(201, submit(long.copy(id = "run-3")).status)
@@ -178,14 +153,13 @@
     }
 
     @Test
-    fun `pieces that somebody changed meanwhile do not become part of a job`() {
-        state.valueLimit = 2048
-        state.opsLimit = 4
-        val long = spec("run-1").copy(types = List(300) { "some-type-$it" } + "big")
-        // Another attempt, with other words, rewrites a piece between this one's pieces and its record.
+    fun `description parts that another request changed meanwhile do not become part of a job`() {
+        state.lowerLimits()
+        val long = specWithTypes("run-1", types = 300)
+        // Another attempt, with other words, rewrites a part between this one's parts and its record.
         state.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("run-1") }) {
-                state.transact(emptyMap(), listOf(Put(Keys.descriptionPart("run-1", 0), mapOf("piece" to "other"))), emptyList())
+                state.put(Keys.descriptionPart("run-1", 0), mapOf("piece" to "other"))
             }
         }
         assertEquals(503, submit(long).status)
--- a/src/test/kotlin/glenspool/api/GatedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/GatedApiTest.kt
@@ -1,6 +1,5 @@
 package glenspool.api
 
-import glenspool.config.SettingsTest
 import glenspool.http.CallResult
 import glenspool.http.HttpListener
 import glenspool.rollout.FeatureGate
@@ -9,7 +8,6 @@
 import glenspool.rollout.LevelStage
 import glenspool.simulation.ServedUserApi
 import glenspool.state.Keys
-import glenspool.state.Put
 import glenspool.state.RolloutRecords
 import glenspool.wire.RolloutWire
 import org.http4k.core.Response
@@ -23,42 +21,27 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Submissions at a controller whose levels are managed. */
-class GatedApiTest :
-    ServedUserApi(
-        SettingsTest.GOOD
-            .replace("[settings.cloud]", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]"),
-    ) {
+/** Submissions at a controller whose feature levels are managed. */
+class GatedApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
     private val gate = FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(state) { true }::level)
 
     @BeforeEach
-    fun manage() {
+    fun manageLevels() {
         features = gate
     }
 
-    private fun store(stage: LevelStage, level: Int = 1) =
-        state
-            .transact(
-                emptyMap(),
-                listOf(
-                    Put(
-                        Keys.LEVEL,
-                        RolloutWire
-                            .encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)),
-                    ),
-                ),
-                emptyList(),
-            )
+    private fun storeLevel(stage: LevelStage, level: Int = 1) {
+        state.put(Keys.LEVEL, RolloutWire.encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)))
+    }
 
     @Test
-    fun `a job that waits is refused at once, and with when to come back, until its level is active`() {
+    fun `a job with dependencies gets 503 until its level is active, unless it is known already`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertEquals(503, submit(spec("run-2"), listOf("run-1")).status)
         assertEquals(404, show("run-2").status)
-        store(LevelStage.ACTIVE)
+        storeLevel(LevelStage.ACTIVE)
         assertEquals(201, submit(spec("run-2"), listOf("run-1")).status)
-        store(LevelStage.LEAVING)
-        // One that is known already is answered as known.
+        storeLevel(LevelStage.LEAVING)
         assertEquals(200, submit(spec("run-2"), listOf("run-1")).status)
         assertEquals(503, submit(spec("run-3"), listOf("run-1")).status)
         assertEquals(201, submit(spec("run-4")).status)
@@ -67,11 +50,11 @@
     @Test
     fun `a level that is left just before the record is stored refuses it`() {
         submit(spec("run-1"))
-        store(LevelStage.ACTIVE)
+        storeLevel(LevelStage.ACTIVE)
         state.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("run-2") }) {
                 state.beforeTransaction = {}
-                store(LevelStage.LEAVING)
+                storeLevel(LevelStage.LEAVING)
             }
         }
         assertEquals(503, submit(spec("run-2"), listOf("run-1")).status)
@@ -79,28 +62,28 @@
     }
 
     @Test
-    fun `nothing is written in pieces before the level is active, whatever the state service refuses`() {
+    fun `no description is stored in parts before the level is active, whatever the key-value store refuses`() {
         state.valueLimit = 2048
         val long = spec("run-1").copy(types = List(150) { "some-type-$it" } + "big")
         assertEquals(503, submit(long).status)
         assertEquals(emptyList<String>(), state.entries.keys.filter { it.startsWith(Keys.DESCRIPTION_PART) })
-        store(LevelStage.ACTIVE)
+        storeLevel(LevelStage.ACTIVE)
         assertEquals(201, submit(long).status)
     }
 
     @Test
     fun `a fenced controller refuses everything at once and says which level it would need`() {
         var refusals = 0
-        val door = refusalFilter { refusals++ }.then(fenceFilter(gate::fence)).then { Response(Status.OK) }
-        val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 2, door)
-
-        fun ask(path: String) = http.get("127.0.0.1:${listener.port}", path, 2.seconds) as CallResult.Answer
-        assertEquals(200, ask("/ready").status)
-        store(LevelStage.ACTIVE, level = 2)
-        assertEquals(listOf(503, 503), listOf("/ready", "/api/jobs/run-1").map { ask(it).status })
-        assertEquals(2L, ask("/api/jobs/run-1").body["needs_level"])
-        assertTrue((ask("/ready").body["error"] as String).contains("level 2 (n) is active"))
-        assertEquals(2, refusals)
-        listener.close()
+        val handler = refusalFilter { refusals++ }.then(fenceFilter(gate::fence)).then { Response(Status.OK) }
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 2, handler).use { listener ->
+            fun request(path: String) = http.get("127.0.0.1:${listener.port}", path, 2.seconds) as CallResult.Answer
+            assertEquals(200, request("/ready").status)
+            storeLevel(LevelStage.ACTIVE, level = 2)
+            assertEquals(listOf(503, 503), listOf("/ready", "/api/jobs/run-1").map { request(it).status })
+            assertEquals(2L, request("/api/jobs/run-1").body["needs_level"])
+            assertTrue((request("/ready").body["error"] as String).contains("level 2 (n) is active"))
+            // The health probe's refusals are not counted.
+            assertEquals(2, refusals)
+        }
     }
 }
