--- a/src/main/kotlin/glenspool/api/FenceFilter.kt
+++ b/src/main/kotlin/glenspool/api/FenceFilter.kt
@@ -2,6 +2,7 @@
 
 import glenspool.http.cbor
 import glenspool.rollout.Fence
+import glenspool.wire.UserWire
 import org.http4k.core.Filter
 import org.http4k.core.Response
 import org.http4k.core.Status
@@ -16,7 +17,7 @@
     }
 
 private fun fencedResponse(fence: Fence): Response =
-    cbor(Status.SERVICE_UNAVAILABLE, mapOf("error" to fence.toString(), "needs_level" to fence.neededLevel.toLong()))
+    cbor(Status.SERVICE_UNAVAILABLE, UserWire.fenced(fence.toString(), fence.neededLevel))
         .header("Retry-After", FENCED_RETRY_SECONDS.toString())
         .header("Connection", "close")
 
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -14,6 +14,7 @@
 import glenspool.logging.loggerOf
 import glenspool.wire.Cbor
 import glenspool.wire.MalformedMessage
+import glenspool.wire.UserWire
 import glenspool.wire.WorkerWire
 import org.http4k.core.Method
 import org.http4k.core.Request
@@ -90,7 +91,7 @@
             .filter { it.state != TaskState.EXITED && node.cancellations.knows(it.key.job) }
             .map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
 
-    private fun badRequest(reason: String): Response = cbor(Status.BAD_REQUEST, mapOf("error" to reason))
+    private fun badRequest(reason: String): Response = cbor(Status.BAD_REQUEST, UserWire.error(reason))
 
     private companion object {
         val log = loggerOf(WorkerApi::class.java)
--- a/src/main/kotlin/glenspool/wire/UserWire.kt
+++ b/src/main/kotlin/glenspool/wire/UserWire.kt
@@ -61,5 +61,9 @@
             is JobOutcome.Cancelled -> JobWire.status(jobId, Stage.CANCELLED, abortedBy = outcome.abortedBy)
         }
 
+    /** The refusal of a controller whose build does not know the active feature level, [neededLevel]. */
+    fun fenced(reason: String, neededLevel: Int): Fields = error(reason) + ("needs_level" to neededLevel.toLong())
+
+    /** Why a request is refused. */
     fun error(reason: String): Fields = mapOf("error" to reason)
 }
