--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -97,13 +97,13 @@
 
     @Test
     fun `its messages are understood, and it is not taken for a new one`() {
-        val status = PeerWire.status(written("peer-status"))
+        val status = PeerWire.decodeStatus(written("peer-status"))
         assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), status)
 
-        val request = PeerWire.relayRequest(written("relay-request"))
+        val request = PeerWire.decodeRelayRequest(written("relay-request"))
         assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(request.body)).id)
 
-        val answer = PeerWire.relayAnswer(written("relay-answer"))
+        val answer = PeerWire.decodeRelayAnswer(written("relay-answer"))
         assertEquals(201 to "1", answer.status to answer.retryAfter)
     }
 
