--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -17,7 +17,7 @@
 import glenspool.core.StoreOutcome
 import glenspool.core.cluster.OverdueMachine
 import glenspool.core.model.FinalState
-import glenspool.core.model.TaskState
+import glenspool.core.model.Heartbeat
 import glenspool.http.CallPool
 import glenspool.logging.loggerOf
 import glenspool.state.KeyValueStoreClient
@@ -31,8 +31,8 @@
 
 /**
  * Hands the core's actions to the adapters, each on a thread of a pool, and posts how they ended. Nothing that a rule
- * depends on leaves here while the leadership is not certain. [standBack]: for how long a node that resigns does not
- * stand again.
+ * depends on is sent while the leadership is not certain. [resignBackoff]: for how long a node that resigns does not
+ * stand for election again.
  */
 class ActionExecutor(
     private val leadership: Leadership,
@@ -40,97 +40,107 @@
     private val cloud: CloudClient,
     private val workers: WorkerClient,
     private val writer: StoreWriter,
-    private val standBack: Duration,
+    private val resignBackoff: Duration,
     private val post: (Event) -> Unit,
 ) : AutoCloseable {
+    private val cancelledWork = CancelledWorkRemover(cloud, workers)
+
     /** A machine that does not answer holds a thread for seconds, and tens of them may be lost at once. */
-    private val pool = CallPool("call", MAX_CALLS, QUEUED_CALLS)
+    private val callPool = CallPool("call", MAX_CALLS, QUEUED_CALLS)
 
-    /** Questions to silent machines are slow by nature: they must not keep commands from machines that answer. */
+    /** Probes of silent machines are slow by nature: they must not delay commands to machines that answer. */
     private val probePool = CallPool("probe", PROBES, QUEUED_CALLS)
     private val cloudPool = CallPool("cloud-call", CLOUD_CALLS, QUEUED_CLOUD_CALLS)
 
     /** Has the action carried out by a thread of a pool; how it ended comes back as an event. */
-    fun perform(a: Action, term: Term) {
-        when (a) {
-            is SendCommands ->
-                call({ post(Event.CommandsEnded(a, CommandOutcome.NOT_TRIED, null, term)) }) {
-                    val (outcome, heartbeat) =
-                        if (leadership.current() ==
-                            term
-                        ) {
-                            workers.command(a)
-                        } else {
-                            CommandOutcome.NOT_TRIED to null
-                        }
-                    if (log.isDebugEnabled) {
-                        log
-                            .debug("direct machine={} commands={} outcome={}", a.machine, a.commands, outcome)
-                    }
-                    post(Event.CommandsEnded(a, outcome, heartbeat, term))
-                }
-            is Probe ->
-                run(probePool, { post(Event.ProbeEnded(a.machine, null, false)) }) {
-                    post(
-                        Event
-                            .ProbeEnded(a.machine, workers.show(a.addr), true),
-                    )
-                }
-            is ScaleOut ->
-                cloudCall({ post(Event.ScaleOutEnded(a, ScaleOutOutcome.Unknown)) }) {
-                    val o = if (leadership.current() == term) cloud.rent(a) else ScaleOutOutcome.Unknown
-                    log
-                        .info("rent request={} type={} zone={} spot={} count={} outcome={}", a.request, a.type, a.zone, a.spot, a.count, o)
-                    post(Event.ScaleOutEnded(a, o))
-                }
-            is DeleteMachines ->
-                cloudCall({ post(Event.DeletionEnded(a.machines, false)) }) {
-                    val ok = leadership.current() == term && cloud.delete(a.machines)
-                    log.info("delete machines={} ok={}", a.machines, ok)
-                    post(Event.DeletionEnded(a.machines, ok))
-                }
-            is AdvanceFencingToken ->
-                call({ post(Event.FencingTokenAdvanced(null)) }) {
-                    val t = leadership.raiseToken()
-                    log.info("token raised to={}", t)
-                    post(Event.FencingTokenAdvanced(t))
-                }
-            is StoreImageLocations ->
-                call({ log.debug("images not kept") }) {
-                    val r =
-                        store
-                            .transact(
-                                mapOf(Keys.LEAD to term.recordVersion),
-                                listOf(
-                                    Put(
-                                        Keys.images(a.part),
-                                        ImagesWire
-                                            .encode(a.images),
-                                    ),
-                                ),
-                            )
-                    if (r !is StoreResult.Ok) log.debug("images not kept: {}", r)
-                }
-            is ReadFinalStates ->
-                call({ post(Event.FinalStatesRead(a.jobs, emptyMap(), term)) }) {
-                    post(
-                        Event
-                            .FinalStatesRead(a.jobs, readEnds(a.jobs), term),
-                    )
-                }
-            is Resign -> call({ log.warn("could not resign") }) { leadership.resign(a.why, standBack) }
-            is LogMessage -> if (a.important) log.info(a.text) else log.debug(a.text)
-            is StoreChanges -> if (!writer.offer(term, a)) post(Event.StoreEnded(StoreOutcome.Unknown, term))
+    fun perform(action: Action, term: Term) {
+        when (action) {
+            is SendCommands -> sendCommands(action, term)
+            is Probe -> probe(action)
+            is ScaleOut -> scaleOut(action, term)
+            is DeleteMachines -> deleteMachines(action, term)
+            is AdvanceFencingToken -> advanceToken()
+            is StoreImageLocations -> storeImageLocations(action, term)
+            is ReadFinalStates -> readFinalStates(action, term)
+            is Resign -> resign(action)
+            is LogMessage -> if (action.important) log.info(action.text) else log.debug(action.text)
+            is StoreChanges -> if (!writer.offer(term, action)) post(Event.StoreEnded(StoreOutcome.Unknown, term))
+        }
+    }
+
+    /** Removes cancelled work whose deadline has passed although this node can't lead at the moment. */
+    fun endOverdueWork(overdue: OverdueMachine) =
+        run(probePool, onNotDone = { log.debug("overdue machine {} not checked", overdue.machine) }) {
+            if (cancelledWork.deleteUnlessGone(overdue)) post(Event.DeletionEnded(listOf(overdue.machine), true))
         }
+
+    private fun leads(term: Term) = leadership.current() == term
+
+    private fun sendCommands(action: SendCommands, term: Term) =
+        run(callPool, onNotDone = { post(Event.CommandsEnded(action, CommandOutcome.NOT_TRIED, null, term)) }) {
+            if (leads(term)) {
+                val (outcome, heartbeat) = workers.command(action)
+                commandsEnded(action, outcome, heartbeat, term)
+            } else {
+                commandsEnded(action, CommandOutcome.NOT_TRIED, null, term)
+            }
+        }
+
+    private fun commandsEnded(sent: SendCommands, outcome: CommandOutcome, heartbeat: Heartbeat?, term: Term) {
+        if (log.isDebugEnabled) {
+            log.debug("direct machine={} commands={} outcome={}", sent.machine, sent.commands, outcome)
+        }
+        post(Event.CommandsEnded(sent, outcome, heartbeat, term))
     }
 
-    /** How the jobs ended, as far as the state service tells; a final state never changes. */
-    private fun readEnds(jobs: List<String>): Map<String, FinalState> {
+    private fun probe(action: Probe) =
+        run(probePool, onNotDone = { post(Event.ProbeEnded(action.machine, null, wasSent = false)) }) {
+            post(Event.ProbeEnded(action.machine, workers.show(action.addr), wasSent = true))
+        }
+
+    private fun scaleOut(action: ScaleOut, term: Term) =
+        run(cloudPool, onNotDone = { post(Event.ScaleOutEnded(action, ScaleOutOutcome.Unknown)) }) {
+            val outcome = if (leads(term)) cloud.rent(action) else ScaleOutOutcome.Unknown
+            log.info(
+                "scale-out request={} type={} zone={} spot={} count={} outcome={}",
+                action.request, action.type, action.zone, action.spot, action.count, outcome,
+            )
+            post(Event.ScaleOutEnded(action, outcome))
+        }
+
+    private fun deleteMachines(action: DeleteMachines, term: Term) =
+        run(cloudPool, onNotDone = { post(Event.DeletionEnded(action.machines, false)) }) {
+            val isDeleted = leads(term) && cloud.delete(action.machines)
+            log.info("delete machines={} ok={}", action.machines, isDeleted)
+            post(Event.DeletionEnded(action.machines, isDeleted))
+        }
+
+    private fun advanceToken() =
+        run(callPool, onNotDone = { post(Event.FencingTokenAdvanced(null)) }) {
+            val token = leadership.advanceToken()
+            log.info("fencing token advanced to={}", token)
+            post(Event.FencingTokenAdvanced(token))
+        }
+
+    private fun storeImageLocations(action: StoreImageLocations, term: Term) =
+        run(callPool, onNotDone = { log.debug("image locations not stored") }) {
+            val put = Put(Keys.images(action.part), ImagesWire.encode(action.images))
+            val result = store.transact(mapOf(Keys.LEAD to term.recordVersion), listOf(put))
+            if (result !is StoreResult.Ok) log.debug("image locations not stored: {}", result)
+        }
+
+    private fun readFinalStates(action: ReadFinalStates, term: Term) =
+        run(callPool, onNotDone = { post(Event.FinalStatesRead(action.jobs, emptyMap(), term)) }) {
+            post(Event.FinalStatesRead(action.jobs, finalStates(action.jobs), term))
+        }
+
+    /** The final states that the key-value store returns; a final state never changes. */
+    private fun finalStates(jobs: List<String>): Map<String, FinalState> {
         val found = HashMap<String, FinalState>()
         for (id in jobs) {
-            when (val r = store.get(Keys.final(id))) {
-                is StoreResult.Ok -> found[id] = FinalWire.end(r.value.value)
-                is StoreResult.Missing -> log.info("no end is stored of {}", id)
+            when (val result = store.get(Keys.final(id))) {
+                is StoreResult.Ok -> found[id] = FinalWire.end(result.value.value)
+                is StoreResult.Missing -> log.info("no final state stored for job {}", id)
                 // The next would fare no better.
                 else -> return found
             }
@@ -138,51 +148,36 @@
         return found
     }
 
-    private fun call(refused: () -> Unit, body: () -> Unit) = run(pool, refused, body)
-
-    private fun cloudCall(refused: () -> Unit, body: () -> Unit) = run(cloudPool, refused, body)
+    private fun resign(action: Resign) =
+        run(callPool, onNotDone = { log.warn("could not resign") }) {
+            leadership.resign(action.why, resignBackoff)
+        }
 
-    private fun run(on: CallPool, refused: () -> Unit, body: () -> Unit) {
-        val taken =
-            on.run {
+    /** Runs [call] on [pool]; [onNotDone] is called if the pool is full or the call failed. */
+    private fun run(pool: CallPool, onNotDone: () -> Unit, call: () -> Unit) {
+        val isAccepted =
+            pool.run {
                 try {
-                    body()
+                    call()
                 } catch (e: Exception) {
                     log.error("call failed", e)
-                    refused()
+                    onNotDone()
                 }
             }
-        if (!taken) {
-            log.warn("too many calls at once")
-            refused()
-        }
-    }
-
-    /** Looks after cancelled work whose time is over although this node can't lead at the moment. */
-    fun endOverdue(o: OverdueMachine) = run(probePool, { log.debug("machine {} not looked after", o.machine) }) { end(o) }
-
-    private fun end(o: OverdueMachine) {
-        val r = if (o.addr.isEmpty()) null else workers.show(o.addr)
-        if (r != null &&
-            r.machine == o.machine &&
-            r.tasks.none { it.key.job in o.jobs && it.state != TaskState.EXITED }
-        ) {
-            return
-        }
-        val ok = cloud.delete(listOf(o.machine))
-        log.info("delete machine={} reason=cancelled-work leading=false ok={}", o.machine, ok)
-        if (ok) post(Event.DeletionEnded(listOf(o.machine), true))
+        if (isAccepted) return
+        log.warn("call pool full")
+        onNotDone()
     }
 
     override fun close() {
-        listOf(pool, probePool, cloudPool).forEach { it.close() }
+        listOf(callPool, probePool, cloudPool).forEach { it.close() }
     }
 
     private companion object {
         val log = loggerOf(ActionExecutor::class.java)
         const val MAX_CALLS = 120
 
-        /** A question to a lost machine holds a thread until its time is out, and hundreds may be lost at once. */
+        /** A probe of a lost machine holds a thread until it times out, and hundreds may be lost at once. */
         const val PROBES = 64
 
         /** A command to each machine of a large fleet may wait its turn. */
--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -1,9 +1,7 @@
 package glenspool.controller
 
 import glenspool.config.Member
-import glenspool.core.cluster.Acknowledgement
 import glenspool.core.cluster.Cancellation
-import glenspool.core.cluster.CancellationUpdate
 import glenspool.core.cluster.Cancellations
 import glenspool.logging.loggerOf
 import glenspool.peer.CancellationMessage
@@ -18,84 +16,93 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** Tells the other controllers of cancellations, and asks them for theirs: at once when there is one, and by and by. */
+/**
+ * Exchanges known cancellations with the other controllers: at once when there is a new one, and periodically. Safe for
+ * several threads.
+ */
 class CancellationExchange(
     private val node: String,
     private val cancellations: Cancellations,
     private val peers: PeerClient,
     private val uptime: () -> Duration,
-    /** Whether the state service can't tell this node. */
-    private val stale: () -> Boolean,
-    private val learnt: (List<Cancellation>) -> Unit,
+    /** Whether the key-value store does not keep this node up to date. */
+    private val isStale: () -> Boolean,
+    /** Gets the cancellations that another controller reported and this one did not know. */
+    private val learned: (List<Cancellation>) -> Unit,
 ) {
     private val lock = ReentrantLock()
 
-    /** There is something to tell. */
-    private val untold = lock.newCondition()
+    /** There is something to send. */
+    private val hasNews = lock.newCondition()
 
-    /** Somebody was told. Not the same: each answer would make the duties ask again, for ever. */
-    private val told = lock.newCondition()
+    /** A member answered. Not the same condition: each answer would make the threads send again, for ever. */
+    private val wasAnswered = lock.newCondition()
 
-    /** The state service told of these. */
-    fun stored(changes: List<StoreWire.Change>) {
-        var any = false
-        for (c in changes) {
-            try {
-                any = c.cancellation()?.let(cancellations::add) ?: false || any
-            } catch (e: MalformedMessage) {
-                log.error("stored record {} is not readable", c.key, e)
-            }
-        }
-        if (any) lock.withLock { untold.signalAll() }
+    /** The key-value store reported these changes. */
+    fun storeChanged(changes: List<StoreWire.Change>) {
+        val newCount = changes.count(::addStored)
+        if (newCount > 0) lock.withLock { hasNews.signalAll() }
     }
 
-    /** The duty that keeps up with one other controller. */
+    private fun addStored(change: StoreWire.Change): Boolean =
+        try {
+            change.cancellation()?.let(cancellations::add) ?: false
+        } catch (e: MalformedMessage) {
+            log.error("stored record {} is not readable", change.key, e)
+            false
+        }
+
+    /** The service thread that keeps one other controller up to date. */
     fun run(member: Member) {
         while (true) {
-            if (!once(member)) {
-                // It is tried again after a pause, whatever there is to tell.
+            if (!exchangeWith(member)) {
+                // Tried again after a pause, even if there is something to send.
                 Thread.sleep(RETRY.inWholeMilliseconds)
                 continue
             }
             lock.withLock {
                 if (!cancellations.lacks(member.name)) {
-                    untold
-                        .await((if (stale()) RETRY else EVERY).inWholeMilliseconds, TimeUnit.MILLISECONDS)
+                    val pause = if (isStale()) RETRY else PERIOD
+                    hasNews.await(pause.inWholeMilliseconds, TimeUnit.MILLISECONDS)
                 }
             }
         }
     }
 
-    private fun once(member: Member): Boolean {
-        val asked = uptime()
-        return when (val r = peers.exchange(member, message(cancellations.updateFor(member.name)))) {
+    /** False: the member did not answer, or is of a version that does not know the exchange. */
+    private fun exchangeWith(member: Member): Boolean {
+        val sent = uptime()
+        val update = cancellations.updateFor(member.name)
+        return when (val result = peers.exchange(member, CancellationMessages.encode(node, update))) {
             is PeerClient.Exchange.Answered -> {
-                take(cancellations.answered(member.name, update(r.message), asked))
-                lock.withLock { told.signalAll() }
+                val answer = CancellationMessages.decode(result.message)
+                takeIn(cancellations.answered(member.name, answer, sent))
+                lock.withLock { wasAnswered.signalAll() }
                 true
             }
             PeerClient.Exchange.Unsupported -> {
                 cancellations.isOld(member.name)
-                lock.withLock { told.signalAll() }
+                lock.withLock { wasAnswered.signalAll() }
                 false
             }
             PeerClient.Exchange.None -> false
         }
     }
 
-    /** What another controller says by itself, and the answer to it; null if it is none of ours. */
-    fun answer(m: CancellationMessage): CancellationMessage? {
-        val (answer, fresh) = cancellations.answer(m.node, update(m)) ?: return null
-        take(fresh)
-        return message(answer)
+    /** Takes in what another controller sent, and answers it; null if it is no member. */
+    fun answer(message: CancellationMessage): CancellationMessage? {
+        val (answer, fresh) =
+            cancellations.answer(message.node, CancellationMessages.decode(message)) ?: return null
+        takeIn(fresh)
+        return CancellationMessages.encode(node, answer)
     }
 
-    private fun take(fresh: List<Cancellation>) {
+    private fun takeIn(fresh: List<Cancellation>) {
         if (fresh.isEmpty()) return
-        log.info("cancellations heard of jobs={}", fresh.map { it.job })
-        learnt(fresh)
-        // The others may not have heard of them: who told this node may end before it has told all.
-        lock.withLock { untold.signalAll() }
+        log.info("cancellations learned from another controller jobs={}", fresh.map { it.job })
+        learned(fresh)
+        // The others may not know them: the sender may end before it has reached all.
+        lock.withLock { hasNews.signalAll() }
     }
 
     /** Waits a moment until a user may be told that the job is cancelled; false: not yet. */
@@ -106,40 +113,19 @@
                 if (cancellations.confirmable(job)) return true
                 val left = PATIENCE - begun.elapsedNow()
                 if (left <= Duration.ZERO) return false
-                told.await(left.inWholeMilliseconds + 1, TimeUnit.MILLISECONDS)
+                wasAnswered.await(left.inWholeMilliseconds + 1, TimeUnit.MILLISECONDS)
             }
         }
     }
 
-    private fun message(n: CancellationUpdate) =
-        CancellationMessage(
-            node, n.boot, n.uptime.inWholeMilliseconds,
-            n.entries.map {
-                CancellationMessage
-                    .Entry(it.job, it.at.inWholeMilliseconds, it.version)
-            },
-            n.base, n.upTo, n.whole,
-            // Rounded to the safe side.
-            n.completeAge?.let { it.inWholeMilliseconds + 1 }, n.contactAge.inWholeMilliseconds + 1, n.acknowledgement?.boot,
-            n.acknowledgement?.upTo ?: 0,
-        )
-
-    private fun update(m: CancellationMessage) =
-        CancellationUpdate(
-            m.boot, m.uptime.milliseconds,
-            m.entries.map {
-                Cancellation(it.job, it.at.milliseconds, it.version)
-            },
-            m.base, m.upTo, m.whole,
-            m.completeAge?.milliseconds, m.contactAge.milliseconds, m.heardBoot?.let { Acknowledgement(it, m.heardUpTo) },
-        )
-
     private companion object {
         val log = loggerOf(CancellationExchange::class.java)
 
-        /** While the state service tells everybody, the exchange only has to show that the other one is there. */
-        val EVERY = 2.seconds
+        /** While the key-value store reports to everybody, the exchange only has to show that the other one is up. */
+        val PERIOD = 2.seconds
         val RETRY = 500.milliseconds
+
+        /** How long a user's request waits for the other controllers. */
         val PATIENCE = 600.milliseconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/CancellationMessages.kt
@@ -0,0 +1,47 @@
+package glenspool.controller
+
+import glenspool.core.cluster.Acknowledgement
+import glenspool.core.cluster.Cancellation
+import glenspool.core.cluster.CancellationUpdate
+import glenspool.peer.CancellationMessage
+import kotlin.time.Duration.Companion.milliseconds
+
+/** Translates between the messages that controllers exchange about cancellations and the core's terms. */
+internal object CancellationMessages {
+    /** [node]: the sender. */
+    fun encode(node: String, update: CancellationUpdate) =
+        CancellationMessage(
+            node = node,
+            boot = update.boot,
+            uptime = update.uptime.inWholeMilliseconds,
+            entries = update.entries.map(::entry),
+            base = update.base,
+            upTo = update.upTo,
+            whole = update.whole,
+            // Rounded to the safe side.
+            completeAge = update.completeAge?.let { it.inWholeMilliseconds + 1 },
+            contactAge = update.contactAge.inWholeMilliseconds + 1,
+            heardBoot = update.acknowledgement?.boot,
+            heardUpTo = update.acknowledgement?.upTo ?: 0,
+        )
+
+    private fun entry(cancellation: Cancellation) =
+        CancellationMessage.Entry(
+            job = cancellation.job,
+            at = cancellation.at.inWholeMilliseconds,
+            version = cancellation.version,
+        )
+
+    fun decode(message: CancellationMessage) =
+        CancellationUpdate(
+            boot = message.boot,
+            uptime = message.uptime.milliseconds,
+            entries = message.entries.map { Cancellation(it.job, it.at.milliseconds, it.version) },
+            base = message.base,
+            upTo = message.upTo,
+            whole = message.whole,
+            completeAge = message.completeAge?.milliseconds,
+            contactAge = message.contactAge.milliseconds,
+            acknowledgement = message.heardBoot?.let { Acknowledgement(it, message.heardUpTo) },
+        )
+}
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -19,9 +19,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * While nobody is known to lead, every controller sees to it that cancelled work is gone in time, wherever its copy of
- * the state says that it was placed: it asks the machines, has the work stopped, and in the end deletes the machine.
- * None of this starts anything, so it needs no leadership; whoever leads next sees machines that are free or gone.
+ * While no leader is known, every controller enforces the cancellation deadline on the machines where, by its store
+ * cache, cancelled work was placed: it asks the machines, has the work stopped, and in the end deletes the machine.
+ * None of this starts anything, so it needs no leadership; the next leader sees machines that are free or gone.
  */
 class CancelledWorkEnforcement(
     cancellationDeadline: Duration,
@@ -32,50 +32,72 @@
     private val isLed: () -> Boolean,
     private val wall: () -> Duration,
 ) : AutoCloseable {
-    private val work = CancelledWorkTracker(cancellationDeadline)
-    private val stored = JobRecordReader(cache)
-    private val pool = CallPool("overdue", THREADS, QUEUED)
-    private val asked = ConcurrentHashMap.newKeySet<String>()
+    private val tracker = CancelledWorkTracker(cancellationDeadline)
+    private val remover = CancelledWorkRemover(cloud, workers)
+    private val records = JobRecordReader(cache)
+    private val pool = CallPool("overdue", THREADS, QUEUED_CALLS)
 
+    /** Machines that are being asked at the moment. */
+    private val inProgress = ConcurrentHashMap.newKeySet<String>()
+
+    /** The service thread. */
     fun run() {
         while (true) {
-            Thread.sleep(EVERY.inWholeMilliseconds)
-            if (!isLed()) look()
+            Thread.sleep(PERIOD.inWholeMilliseconds)
+            if (!isLed()) enforce()
         }
     }
 
-    private fun look() {
-        val due = work.due(wall(), cancellations.all(), ::machinesOf)
+    private fun enforce() {
+        val due = tracker.due(wall(), cancellations.all(), ::machinesOf)
         if (due.isEmpty()) return
-        // Without the cloud a machine's address is not known here, and it can't be deleted either: it is asked for
+        // Without the cloud a machine's address is not known here, nor can the machine be deleted: the next round asks
         // again.
         val addresses = cloud.machines()?.associate { it.id to it.addr }
         log.info("cancelled work without a leader machines={} cloud={}", due.map { it.machine }, addresses != null)
         if (addresses == null) return
-        for (s in due) {
-            if (!asked.add(s.machine)) continue
-            val taken =
-                pool.run {
-                    try {
-                        see(s, addresses[s.machine].orEmpty())
-                    } finally {
-                        asked.remove(s.machine)
-                    }
+        due.forEach { checkInBackground(it, addresses[it.machine].orEmpty()) }
+        deleteLate()
+    }
+
+    private fun checkInBackground(suspect: SuspectMachine, addr: String) {
+        if (!inProgress.add(suspect.machine)) return
+        val isAccepted =
+            pool.run {
+                try {
+                    checkMachine(suspect, addr)
+                } finally {
+                    inProgress.remove(suspect.machine)
                 }
-            if (!taken) asked.remove(s.machine)
-        }
-        val late = work.late(wall())
-        for (machines in late.chunked(DeleteMachines.MAX_MACHINES)) {
-            val ok = cloud.delete(machines)
-            log.info("delete machines={} reason=cancelled-work leading=false ok={}", machines, ok)
-            if (ok) machines.forEach(work::gone)
+            }
+        if (!isAccepted) inProgress.remove(suspect.machine)
+    }
+
+    /** Asks the machine, and has the cancelled work that it still runs stopped. */
+    private fun checkMachine(suspect: SuspectMachine, addr: String) {
+        val heartbeat = remover.heartbeatOf(suspect.machine, addr)
+        val stops = tracker.seen(suspect, heartbeat)
+        if (heartbeat == null || stops.isEmpty()) return
+        // With the worker's own token: it starts nothing, and a cancellation is for ever.
+        val commands = SendCommands(suspect.machine, addr, heartbeat.token, heartbeat.incarnation, stops)
+        val (outcome, heartbeatAfter) = workers.command(commands)
+        log.info(
+            "stop machine={} commands={} reason=cancelled-work leading=false outcome={}",
+            suspect.machine, stops, outcome,
+        )
+        if (outcome == CommandOutcome.DONE) tracker.seen(suspect, heartbeatAfter)
+    }
+
+    private fun deleteLate() {
+        for (machines in tracker.late(wall()).chunked(DeleteMachines.MAX_MACHINES)) {
+            if (remover.delete(machines)) machines.forEach(tracker::gone)
         }
     }
 
     private fun machinesOf(job: String): List<String> {
         val item = cache.get(Keys.job(job)) ?: return emptyList()
         return try {
-            val record = cache.atomically { stored.read(job, item.value) }
+            val record = cache.atomically { records.read(job, item.value) }
             (record.placements + record.placementParts.values.flatten()).map { it.machine }
         } catch (e: MalformedMessage) {
             log.error("stored record of {} is not readable", job, e)
@@ -83,25 +105,12 @@
         }
     }
 
-    private fun see(s: SuspectMachine, addr: String) {
-        val heartbeat = if (addr.isEmpty()) null else workers.show(addr)?.takeIf { it.machine == s.machine }
-        val stops = work.seen(s, heartbeat)
-        if (heartbeat == null || stops.isEmpty()) return
-        // With the worker's own token: it starts nothing, and a cancellation is for ever.
-        val (outcome, after) = workers.command(SendCommands(s.machine, addr, heartbeat.token, heartbeat.incarnation, stops))
-        log
-            .info("stop machine={} commands={} reason=cancelled-work leading=false outcome={}", s.machine, stops, outcome)
-        if (outcome == CommandOutcome.DONE) work.seen(s, after)
-    }
-
     override fun close() = pool.close()
 
     private companion object {
         val log = loggerOf(CancelledWorkEnforcement::class.java)
-        val EVERY = 1.seconds
+        val PERIOD = 1.seconds
         const val THREADS = 16
-        const val QUEUED = 10_000
-
-        /** So many names a request to the cloud may hold. */
+        const val QUEUED_CALLS = 10_000
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
@@ -0,0 +1,43 @@
+package glenspool.controller
+
+import glenspool.cloud.CloudClient
+import glenspool.core.cluster.OverdueMachine
+import glenspool.core.model.Heartbeat
+import glenspool.core.model.TaskState
+import glenspool.logging.loggerOf
+import glenspool.worker.WorkerClient
+
+/**
+ * What a controller may do about cancelled work while it does not lead: ask the machine about it and, in the end,
+ * delete the machine. Neither starts anything, so no leadership is needed. The calls block.
+ */
+internal class CancelledWorkRemover(private val cloud: CloudClient, private val workers: WorkerClient) {
+    /** What [machine] answers at [addr]; null: no address is known, no answer, or another machine answered. */
+    fun heartbeatOf(machine: String, addr: String): Heartbeat? {
+        if (addr.isEmpty()) return null
+        return workers.show(addr)?.takeIf { it.machine == machine }
+    }
+
+    /** Deletes the machine unless it shows that the cancelled work is gone. True: the cloud confirmed the deletion. */
+    fun deleteUnlessGone(overdue: OverdueMachine): Boolean {
+        val heartbeat = heartbeatOf(overdue.machine, overdue.addr)
+        if (heartbeat != null && heartbeat.showsNoWorkOf(overdue.jobs)) return false
+        return delete(listOf(overdue.machine))
+    }
+
+    /** True: the cloud confirmed that the machines are gone. */
+    fun delete(machines: List<String>): Boolean {
+        val isDeleted = cloud.delete(machines)
+        log.info("delete machines={} reason=cancelled-work leading=false ok={}", machines, isDeleted)
+        return isDeleted
+    }
+
+    private fun Heartbeat.showsNoWorkOf(jobs: Set<String>) =
+        tasks.none {
+            it.key.job in jobs && it.state != TaskState.EXITED
+        }
+
+    private companion object {
+        val log = loggerOf(CancelledWorkRemover::class.java)
+    }
+}
--- a/src/main/kotlin/glenspool/controller/CloudWatch.kt
+++ b/src/main/kotlin/glenspool/controller/CloudWatch.kt
@@ -9,7 +9,6 @@
 import glenspool.state.StoreCache
 import glenspool.state.StoreResult
 import glenspool.wire.CloudWire
-import glenspool.wire.Fields
 import glenspool.wire.MalformedMessage
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -18,7 +17,7 @@
 import kotlin.time.TimeSource
 
 /**
- * Reads the cloud's list of machines and its machine types while this node leads, and keeps the types for nodes that
+ * Reads the cloud's list of machines and its machine types while this node leads, and stores the types for nodes that
  * have just started.
  */
 class CloudWatch(
@@ -29,64 +28,62 @@
     private val leadership: Leadership,
     private val post: (Event) -> Unit,
 ) {
-    private val listEvery = maxOf(1.seconds, listLag / 3)
+    private val listPeriod = maxOf(1.seconds, listLag / 3)
     private var typesReadAt: TimeMark? = null
 
     @Volatile
     private var types: List<MachineType>? = null
 
-    /** The machine types last read from the cloud or, before that, the stored ones. */
-    fun knownTypes(): List<MachineType>? =
-        types ?: cache.get(Keys.TYPES)?.let {
-            try {
-                CloudWire.decodeTypes(it.value).also { list -> types = list }
-            } catch (e: MalformedMessage) {
-                log.error("stored machine types are not readable", e)
-                null
-            }
+    /** The machine types last read from the cloud or, before that, the stored ones; null: none are known yet. */
+    fun knownTypes(): List<MachineType>? = types ?: storedTypes()?.also { types = it }
+
+    private fun storedTypes(): List<MachineType>? {
+        val item = cache.get(Keys.TYPES) ?: return null
+        return try {
+            CloudWire.decodeTypes(item.value)
+        } catch (e: MalformedMessage) {
+            log.error("stored machine types are not readable", e)
+            null
         }
+    }
 
-    /** The duty. */
+    /** The service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             val term = leadership.current()
             if (term == null) {
-                Thread.sleep(FOLLOWING_PAUSE.inWholeMilliseconds)
+                Thread.sleep(FOLLOWER_PAUSE.inWholeMilliseconds)
                 continue
             }
-            if (typesReadAt.let { it == null || it.elapsedNow() > TYPES_EVERY }) readTypes(term)
+            if (typesReadAt.let { it == null || it.elapsedNow() > TYPES_PERIOD }) readTypes(term)
             cloud.machines()?.let { post(Event.MachinesListed(it)) }
-            Thread.sleep(listEvery.inWholeMilliseconds)
+            Thread.sleep(listPeriod.inWholeMilliseconds)
         }
     }
 
     private fun readTypes(term: Term) {
         val raw = cloud.typesRaw() ?: return
         typesReadAt = TimeSource.Monotonic.markNow()
-        val list = CloudWire.decodeTypes(raw)
-        types = list
-        post(Event.MachineTypesRead(list))
-        store(term, raw)
+        val read = CloudWire.decodeTypes(raw)
+        types = read
+        post(Event.MachineTypesRead(read))
+        // The last known types are stored, so that a node can judge submissions while the cloud does not answer.
+        val stored = cache.get(Keys.TYPES)
+        if (stored != null && isSameOffer(CloudWire.decodeTypes(stored.value), read)) return
+        val conditions = mapOf(Keys.LEAD to term.recordVersion, Keys.TYPES to (stored?.version ?: 0L))
+        val result = store.transact(conditions, listOf(Put(Keys.TYPES, raw)))
+        if (result !is StoreResult.Ok) log.info("machine types not stored: {}", result)
     }
 
-    /** The last known types are kept, so that a node can judge submissions while the cloud is silent. */
-    private fun store(term: Term, raw: Fields) {
-        val known = cache.get(Keys.TYPES)
-        if (known != null &&
-            CloudWire.decodeTypes(known.value).map { it.name to it.capacity } ==
-            CloudWire.decodeTypes(raw).map { it.name to it.capacity }
-        ) {
-            return
-        }
-        val r =
-            store
-                .transact(mapOf(Keys.LEAD to term.recordVersion, Keys.TYPES to (known?.version ?: 0L)), listOf(Put(Keys.TYPES, raw)))
-        if (r !is StoreResult.Ok) log.info("machine types not stored: {}", r)
+    /** Prices and the like may differ. */
+    private fun isSameOffer(stored: List<MachineType>, read: List<MachineType>): Boolean {
+        if (stored.size != read.size) return false
+        return stored.zip(read).all { (before, now) -> before.name == now.name && before.capacity == now.capacity }
     }
 
     private companion object {
         val log = loggerOf(CloudWatch::class.java)
-        val TYPES_EVERY: Duration = 30.seconds
-        val FOLLOWING_PAUSE: Duration = 200.milliseconds
+        val TYPES_PERIOD: Duration = 30.seconds
+        val FOLLOWER_PAUSE: Duration = 200.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/Events.kt
+++ b/src/main/kotlin/glenspool/controller/Events.kt
@@ -16,50 +16,67 @@
 import glenspool.wire.StoreWire
 import kotlin.time.ComparableTimeMark
 
-/** What worker answers look like: the token they carry and the orders. */
+/** The leader's answer to a heartbeat: the fencing token in force and the commands that carry it. */
 data class WorkerCommands(val token: Long, val commands: List<Command>)
 
-/** Everything that reaches the core. */
+/** Everything that reaches the core thread, in the order in which it is queued. */
 sealed interface Event {
+    /** This node was elected, and [term] begins. */
     data class LeaderElected(val term: Term) : Event
 
+    /** This node no longer leads. */
     data object LeadershipLost : Event
 
+    /** Changes of live keys, as the key-value store reported them. */
     data class StoreChanged(val changes: List<StoreWire.Change>) : Event
 
-    /** Another node told of these, which the state service may not have told this one. */
-    data class CancellationsLearned(val list: List<Cancellation>) : Event
+    /** Cancellations learned from another controller; the key-value store may not have reported them to this one. */
+    data class CancellationsLearned(val cancellations: List<Cancellation>) : Event
 
+    /** A worker's heartbeat was accepted and waits for the core's answer. */
     data class HeartbeatReceived(val pending: PendingHeartbeat) : Event
 
-    data class CommandsEnded(val sent: SendCommands, val outcome: CommandOutcome, val heartbeat: Heartbeat?, val term: Term) : Event
+    /** A command call ended; [heartbeat] is what the worker answered with. */
+    data class CommandsEnded(
+        val sent: SendCommands,
+        val outcome: CommandOutcome,
+        val heartbeat: Heartbeat?,
+        val term: Term,
+    ) : Event
 
-    /** [asked]: whether the question was sent at all. */
-    data class ProbeEnded(val machine: String, val heartbeat: Heartbeat?, val asked: Boolean) : Event
+    /** A probe of a silent machine ended. [wasSent]: false if it was not even attempted. */
+    data class ProbeEnded(val machine: String, val heartbeat: Heartbeat?, val wasSent: Boolean) : Event
 
-    data class MachinesListed(val list: List<ListedMachine>) : Event
+    /** The cloud listed its machines. */
+    data class MachinesListed(val machines: List<ListedMachine>) : Event
 
-    data class MachineTypesRead(val list: List<MachineType>) : Event
+    /** The cloud listed its machine types. */
+    data class MachineTypesRead(val types: List<MachineType>) : Event
 
+    /** A scale-out request ended. */
     data class ScaleOutEnded(val request: ScaleOut, val outcome: ScaleOutOutcome) : Event
 
-    data class DeletionEnded(val machines: List<String>, val ok: Boolean) : Event
+    /** A deletion request ended. [isDeleted]: the cloud confirmed that the machines are gone. */
+    data class DeletionEnded(val machines: List<String>, val isDeleted: Boolean) : Event
 
+    /** A transaction of the term ended. */
     data class StoreEnded(val outcome: StoreOutcome, val term: Term) : Event
 
+    /** The fencing token was advanced to [token]; null: it was not, or perhaps not. */
     data class FencingTokenAdvanced(val token: Long?) : Event
 
     /**
-     * The state was read by a request that was sent at [sent]; all that it told came before. Only while a recovery is
-     * under way.
+     * The store was read by a request sent at [sent]; all changes up to then were queued before. Posted only while a
+     * recovery is under way.
      */
     data class StoreRead(val sent: ComparableTimeMark) : Event
 
-    /** What the other controllers said shows how the term began. */
+    /** The other controllers' answers show how the term began. */
     data class StartJudged(val term: Term, val kind: StartKind) : Event
 
-    /** An operator's order to the recovery, stored already. */
+    /** An operator's order to the recovery; it is stored already. */
     data class RecoveryOrdered(val term: Term, val verb: RecoveryVerb) : Event
 
-    data class FinalStatesRead(val asked: List<String>, val found: Map<String, FinalState>, val term: Term) : Event
+    /** Final states of [jobs] were read; [states] holds those that are known. */
+    data class FinalStatesRead(val jobs: List<String>, val states: Map<String, FinalState>, val term: Term) : Event
 }
--- a/src/main/kotlin/glenspool/controller/HealthCounters.kt
+++ b/src/main/kotlin/glenspool/controller/HealthCounters.kt
@@ -4,31 +4,35 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.LongAdder
 
-/** Counts what went wrong in this process since its start. Any thread may count. */
+/** Counts the symptoms of trouble in this process since its start. Any thread may count. */
 class HealthCounters {
-    private val takeOvers = LongAdder()
-    private val leasesExpired = LongAdder()
+    private val failovers = LongAdder()
+    private val expiredLeases = LongAdder()
     private val refusals = LongAdder()
     private val rejectedWrites = LongAdder()
+
+    /** The last incarnation seen of each machine. */
     private val incarnations = ConcurrentHashMap<String, Long>()
 
-    fun tookOver() = takeOvers.increment()
+    /** This node was elected. */
+    fun countFailover() = failovers.increment()
 
-    fun refused() = refusals.increment()
+    /** A user's request was refused. */
+    fun countRefusal() = refusals.increment()
 
-    fun writeRejected() = rejectedWrites.increment()
+    /** A leader's transaction was refused by the store. */
+    fun countRejectedWrite() = rejectedWrites.increment()
 
     /**
-     * A worker begins a new session when its lease has run out. A machine that is heard for the first time tells
-     * nothing.
+     * A worker begins a new incarnation when its lease has expired. The first heartbeat of a machine shows nothing.
      */
     fun incarnationSeen(machine: String, incarnation: Long) {
         if (incarnations.size >= MAX_MACHINES) incarnations.clear()
         val before = incarnations.put(machine, incarnation)
-        if (before != null && incarnation > before) leasesExpired.increment()
+        if (before != null && incarnation > before) expiredLeases.increment()
     }
 
-    fun counts() = HealthCounts(takeOvers.sum(), leasesExpired.sum(), refusals.sum(), rejectedWrites.sum())
+    fun counts() = HealthCounts(failovers.sum(), expiredLeases.sum(), refusals.sum(), rejectedWrites.sum())
 
     private companion object {
         const val MAX_MACHINES = 20_000
--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -6,9 +6,9 @@
 import glenspool.state.Put
 import glenspool.state.StoreCache
 import glenspool.state.StoreResult
+import glenspool.wire.LeadershipWire
 import glenspool.wire.MalformedMessage
 import glenspool.wire.StoreWire
-import glenspool.wire.count
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -16,14 +16,9 @@
 import kotlin.time.TimeSource
 
 /**
- * One term of this node's leadership. [recordVersion] is the version of the leadership record that guards every write.
- */
-data class Term(val token: Long, val recordVersion: Long, val lease: Long)
-
-/**
- * Who leads. The leadership record lives on a lease; the token counter beside it only grows and outlives every
- * lease. A node counts its own time as leader from when the renewal was sent, less clock drift, so it always
- * stops before anyone else could begin.
+ * Leader election. The leadership record lives on a lease; the counter of fencing tokens beside it only grows and
+ * outlives every lease. A node counts its own time as leader from when the renewal was sent, less clock drift, so it
+ * always stops before anyone else could begin.
  */
 class Leadership(
     private val node: String,
@@ -38,131 +33,146 @@
     /** Whether this process may lead at all. */
     private val mayLead: () -> Boolean = { true },
 ) {
+    private val clock = TimeSource.Monotonic
+
     @Volatile
     private var term: Term? = null
 
     @Volatile
-    private var validUntil: ComparableTimeMark = TimeSource.Monotonic.markNow()
+    private var validUntil: ComparableTimeMark = clock.markNow()
 
-    private val clock = TimeSource.Monotonic
+    /** Until then this node does not stand for election; null: it has never resigned. */
+    @Volatile
+    private var backoffUntil: ComparableTimeMark? = null
 
     /** The term, if this node may act as leader at this moment. */
     fun current(): Term? = term?.takeIf { validUntil.hasNotPassedNow() }
 
     /** The leader as the stored record names it. */
-    fun recordedLeader(): String? = cache.get(Keys.LEAD)?.value?.get("node") as? String
+    fun recordedLeader(): String? = cache.get(Keys.LEAD)?.let { LeadershipWire.node(it.value) }
 
     /** The token with which the recorded leader was elected. */
-    fun recordedToken(): Long? = cache.get(Keys.LEAD)?.value?.get("token") as? Long
+    fun recordedToken(): Long? = cache.get(Keys.LEAD)?.let { LeadershipWire.token(it.value) }
 
-    private fun recordedBoot(): String? = cache.get(Keys.LEAD)?.value?.get("boot") as? String
+    private fun recordedBoot(): String? = cache.get(Keys.LEAD)?.let { LeadershipWire.boot(it.value) }
 
+    /** The service thread: renews the lease while this node leads, and stands for election while nobody does. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
-            Thread.sleep(if (term != null) keepOrDrop() else tryElect())
+            val pause = if (term != null) renewOrStepDown() else tryElect()
+            Thread.sleep(pause.inWholeMilliseconds)
         }
     }
 
-    /** Something showed that another node leads, or may: this node stops at once and looks again. */
-    fun stepDown(why: String) {
+    /** Stops acting as leader at once, because another node leads or may lead. */
+    fun stepDown(reason: String) {
         if (term == null) return
-        log.info("leadership ended reason={}", why)
+        log.info("leadership ended reason={}", reason)
         term = null
         deposed()
     }
 
-    /** Stops acting, then ends the lease so that another node can begin at once; this one stands back for a while. */
-    fun resign(why: String, standBack: Duration) {
-        val t = term ?: return
-        standBackUntil = clock.markNow() + standBack
-        stepDown(why)
-        client.endLease(t.lease)
+    /** Steps down, then ends the lease so that another node can begin at once; this one stands back for [backoff]. */
+    fun resign(reason: String, backoff: Duration) {
+        val resigned = term ?: return
+        backoffUntil = clock.markNow() + backoff
+        stepDown(reason)
+        client.endLease(resigned.lease)
     }
 
-    @Volatile
-    private var standBackUntil: ComparableTimeMark? = null
-
-    private fun keepOrDrop(): Long {
-        val t = term ?: return 0
-        val recorded = cache.get(Keys.LEAD)
-        if (cache.age().let { it != null && it < FRESH } && recorded != null && recorded.version > t.recordVersion) {
+    /** Returns the pause until the next renewal or election; so does [tryElect]. */
+    private fun renewOrStepDown(): Duration {
+        val renewed = term ?: return Duration.ZERO
+        if (isReplaced(renewed)) {
             stepDown("another holder is recorded")
-            return 0
+            return Duration.ZERO
         }
         val sent = clock.markNow()
-        return when (val r = client.renew(t.lease)) {
+        return when (val result = client.renew(renewed.lease)) {
             is StoreResult.Ok -> {
                 validUntil = sent + VALID
-                RENEW_EVERY.inWholeMilliseconds
+                RENEW_EVERY
             }
             is StoreResult.Missing -> {
                 stepDown("lease lost")
-                0
+                Duration.ZERO
             }
             else -> {
-                log.debug("renewal failed: {}", r)
-                RETRY.inWholeMilliseconds
+                log.debug("lease renewal failed: {}", result)
+                RETRY
             }
         }
     }
 
+    private fun isReplaced(term: Term): Boolean {
+        val recorded = cache.get(Keys.LEAD) ?: return false
+        return isCacheRecent() && recorded.version > term.recordVersion
+    }
+
+    private fun isCacheRecent() = cache.age().let { it != null && it < FRESH }
+
     /** The records that an election replaces, and the last token. */
-    private class Candidacy(val recorded: StoreWire.Item?, val counter: StoreWire.Item?, val lastToken: Long)
+    private class Candidacy(val recorded: StoreWire.Item?, val counter: StoreWire.Item?, val lastToken: Long) {
+        val conditions
+            get() = mapOf(Keys.LEAD to (recorded?.version ?: 0L), Keys.TERM to (counter?.version ?: 0L))
+    }
 
     /** Null: somebody leads, or this node may not stand now. */
     private fun candidacy(): Candidacy? {
         val age = cache.age()
         if (age == null || age > FRESH) return null
-        if (standBackUntil?.hasNotPassedNow() == true || !mayLead()) return null
+        if (backoffUntil?.hasNotPassedNow() == true || !mayLead()) return null
         val recorded = cache.get(Keys.LEAD)
-        // Our own record from an earlier process: that process has ended, so its place is free. It is never
-        // taken for ours, since it is replaced under its exact version.
-        val ownRemains = recorded != null && recordedLeader() == node && recordedBoot() != boot
-        if (recorded != null && !ownRemains) return null
+        // Our own record from an earlier process: that process has ended, so the leadership is vacant. The record is
+        // never taken for ours, since it is replaced under its exact version.
+        val isLeftByEarlierProcess = recorded != null && recordedLeader() == node && recordedBoot() != boot
+        if (recorded != null && !isLeftByEarlierProcess) return null
         val counter = cache.get(Keys.TERM)
         return try {
-            Candidacy(recorded, counter, counter?.value?.count("token") ?: 0L)
+            Candidacy(recorded, counter, counter?.let { LeadershipWire.decodeCounter(it.value) } ?: 0L)
         } catch (e: MalformedMessage) {
             log.error("token counter is not readable", e)
             null
         }
     }
 
-    private fun tryElect(): Long {
-        val candidacy = candidacy() ?: return IDLE.inWholeMilliseconds
+    private fun tryElect(): Duration {
+        val candidacy = candidacy() ?: return IDLE
         val sent = clock.markNow()
-        val lease = (client.newLease(TTL) as? StoreResult.Ok)?.value ?: return IDLE.inWholeMilliseconds
+        val lease = (client.newLease(TTL) as? StoreResult.Ok)?.value ?: return IDLE
         val token = candidacy.lastToken + 1
-        val r =
-            client.transact(
-                mapOf(Keys.LEAD to (candidacy.recorded?.version ?: 0L), Keys.TERM to (candidacy.counter?.version ?: 0L)),
-                listOf(
-                    Put(Keys.LEAD, mapOf("node" to node, "boot" to boot, "token" to token), lease),
-                    Put(Keys.TERM, mapOf("token" to token)),
-                ) + storedWithElection(token),
-            )
-        if (r !is StoreResult.Ok) {
-            log.info("election not won: {}", r)
-            cache.sync(1.seconds)
-            return RETRY.inWholeMilliseconds
+        val puts =
+            listOf(
+                Put(Keys.LEAD, LeadershipWire.encode(node, boot, token), lease),
+                Put(Keys.TERM, LeadershipWire.encodeCounter(token)),
+            ) + storedWithElection(token)
+        return when (val result = client.transact(candidacy.conditions, puts)) {
+            is StoreResult.Ok -> beginTerm(Term(token, result.value, lease), sent)
+            else -> {
+                log.info("election lost: {}", result)
+                cache.sync(SYNC_TIMEOUT)
+                RETRY
+            }
         }
-        if (!readBack(r.value, sent) || recordedBoot() != boot) return 0
+    }
+
+    private fun beginTerm(won: Term, sent: ComparableTimeMark): Duration {
+        if (!readBack(won.recordVersion, sent) || recordedBoot() != boot) return Duration.ZERO
         if (!mayLead()) {
             // A level was activated while this process was being elected.
-            client.endLease(lease)
-            return IDLE.inWholeMilliseconds
+            client.endLease(won.lease)
+            return IDLE
         }
-        val t = Term(token, r.value, lease)
         validUntil = sent + VALID
-        term = t
-        log.info("elected token={} revision={}", token, r.value)
-        elected(t)
-        return RENEW_EVERY.inWholeMilliseconds
+        term = won
+        log.info("elected token={} revision={}", won.token, won.recordVersion)
+        elected(won)
+        return RENEW_EVERY
     }
 
-    /** Nothing may be judged from a copy older than the election. False: it could not be read in time. */
+    /** Nothing may be decided from a cache older than the election. False: the store could not be read in time. */
     private fun readBack(revision: Long, sent: ComparableTimeMark): Boolean {
-        while (!cache.sync(1.seconds) || cache.get(Keys.LEAD)?.version.let { it == null || it < revision }) {
+        while (!cache.sync(SYNC_TIMEOUT) || cache.get(Keys.LEAD)?.version.let { it == null || it < revision }) {
             if (sent.elapsedNow() > VALID) {
                 log.warn("elected, but the state could not be read in time")
                 return false
@@ -171,37 +181,33 @@
         return true
     }
 
-    /** Raises the token within the term. The new token, or null. */
-    fun raiseToken(): Long? {
-        val t = current() ?: return null
+    /** Advances the fencing token within the term. Returns the new one; null: it was not, or perhaps not, advanced. */
+    fun advanceToken(): Long? {
+        val leading = current() ?: return null
         val counter = cache.get(Keys.TERM) ?: return null
-        val next = counter.value.count("token") + 1
-        val r =
+        val next = LeadershipWire.decodeCounter(counter.value) + 1
+        val result =
             client.transact(
-                mapOf(Keys.LEAD to t.recordVersion, Keys.TERM to counter.version),
-                listOf(
-                    Put(
-                        Keys.TERM,
-                        mapOf(
-                            "token" to next,
-                        ),
-                    ),
-                ),
+                mapOf(Keys.LEAD to leading.recordVersion, Keys.TERM to counter.version),
+                listOf(Put(Keys.TERM, LeadershipWire.encodeCounter(next))),
             )
-        if (r is StoreResult.Ok) return next
-        cache.sync(1.seconds)
+        if (result is StoreResult.Ok) return next
+        cache.sync(SYNC_TIMEOUT)
         return null
     }
 
-    companion object {
-        private val log = loggerOf(Leadership::class.java)
-        private val TTL = 3.seconds
+    private companion object {
+        val log = loggerOf(Leadership::class.java)
+        val TTL = 3.seconds
 
         /** The lease less what clocks may drift in it and a margin for a stalled process. */
-        private val VALID = TTL * 0.999 - 400.milliseconds
-        private val RENEW_EVERY = 700.milliseconds
-        private val RETRY = 300.milliseconds
-        private val IDLE = 200.milliseconds
-        private val FRESH = 7.seconds
+        val VALID = TTL * 0.999 - 400.milliseconds
+        val RENEW_EVERY = 700.milliseconds
+        val RETRY = 300.milliseconds
+        val IDLE = 200.milliseconds
+        val SYNC_TIMEOUT = 1.seconds
+
+        /** With an older cache this node neither stands for election nor concludes that it was replaced. */
+        val FRESH = 7.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -0,0 +1,144 @@
+package glenspool.controller
+
+import glenspool.core.OrderCounts
+import glenspool.core.Scheduler
+import glenspool.core.model.Command
+import glenspool.core.model.MachineType
+import glenspool.logging.loggerOf
+import glenspool.peer.RecoveryVerb
+import glenspool.reconcile.RecoveryEngine
+import glenspool.reconcile.StartKind
+import glenspool.rollout.FeaturePermits
+import glenspool.rollout.FeatureRegistry
+import kotlin.time.ComparableTimeMark
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+
+/** What every term of this node's leadership works with. */
+internal class TermContext(
+    /** The core's steady clock. */
+    val now: () -> Duration,
+    val leadership: Leadership,
+    val features: FeaturePermits,
+    val changes: StoreChangeApplier,
+    val actions: ActionExecutor,
+    val summary: OrderSummary,
+    /** How far the core is behind with heartbeats. */
+    val backlog: () -> Duration,
+    /** The machine types as last read or stored; null: none are known yet. */
+    val knownTypes: () -> List<MachineType>?,
+    /** Null: recovery is not managed. */
+    val recoveries: RecoveryManager?,
+)
+
+/**
+ * One term of this node's leadership: its [Scheduler], its recovery and the pause while the lease is uncertain.
+ * Confined to the core thread, apart from [orderCounts].
+ */
+internal class LeadershipTerm(
+    val term: Term,
+    private val scheduler: Scheduler,
+    private val recovery: RecoveryEngine?,
+    private val context: TermContext,
+) {
+    private var pausedSince: Duration? = null
+
+    /** What the leader has ordered in this term; any thread may read it. */
+    val orderCounts: OrderCounts get() = scheduler.orderCounts
+
+    /** Loads everything that is stored; until it has returned, no heartbeat must reach this term. */
+    fun start() {
+        step {
+            membersChecked(context.features.inUse(FeatureRegistry.SEALED_RECORDS))
+            context.knownTypes()?.let { machineTypesKnown(it) }
+            context.changes.loadAll(this)
+            // Only now are the jobs known whose records an earlier leader has split.
+            updateSplitting()
+        }
+        log.info("term started token={} jobs={}", term.token, scheduler.jobs.size)
+    }
+
+    /**
+     * Steps the scheduler with [event] and has its actions carried out. Without a valid lease no clock event is given;
+     * outcomes of calls still have to arrive, or the scheduler would wait for them for ever.
+     */
+    fun step(event: Scheduler.() -> Unit) {
+        scheduler.step(context.now(), wallClock(), event).forEach { context.actions.perform(it, term) }
+    }
+
+    /**
+     * Ticks the scheduler and the recovery, or pauses both while the lease is uncertain: cut off from the key-value
+     * store, another node may lead by now, and conclusions from an outdated state, or from machines that obey another
+     * leader, are worth nothing.
+     */
+    fun tick() {
+        if (!hasLease()) return pause()
+        pausedSince?.let { since ->
+            pausedSince = null
+            step { resumed(context.now() - since) }
+        }
+        val backlog = context.backlog()
+        step {
+            backlogMeasured(backlog)
+            updateSplitting()
+            tick()
+        }
+        tickRecovery(backlog)
+        context.summary.logIfDue(scheduler)
+    }
+
+    private fun hasLease() = context.leadership.current() == term
+
+    private fun pause() {
+        if (pausedSince == null) pausedSince = context.now()
+        scheduler.overdueMachines(context.now()).forEach(context.actions::endOverdueWork)
+    }
+
+    private fun tickRecovery(backlog: Duration) {
+        val engine = recovery ?: return
+        val notices = engine.tick(context.now(), isBehind = backlog >= BEHIND)
+        if (notices.isNotEmpty()) context.recoveries?.noticed(notices)
+    }
+
+    private fun Scheduler.updateSplitting() {
+        membersChecked(context.features.inUse(FeatureRegistry.SEALED_RECORDS))
+        splittingForbidden(context.features.permit(FeatureRegistry.SEALED_RECORDS) == null)
+    }
+
+    /** The commands for the worker that sent the heartbeat; null: this node may not answer as leader. */
+    fun answer(pending: PendingHeartbeat): WorkerCommands? {
+        // A worker that has seen a higher token: either ours is being advanced, or another node leads.
+        if (!hasLease() || pending.heartbeat.token > scheduler.token) return null
+        var commands: List<Command> = emptyList()
+        step { commands = heartbeatReceived(pending.heartbeat) }
+        return WorkerCommands(scheduler.token, commands)
+    }
+
+    /** The store was read by a request sent at [sent]. */
+    fun storeRead(sent: ComparableTimeMark) {
+        recovery?.stateRead(context.now() - sent.elapsedNow())
+    }
+
+    /** The other controllers' answers show how the term began. */
+    fun startJudged(kind: StartKind) {
+        recovery?.startJudged(kind)
+    }
+
+    /** Carries out an operator's stored order. */
+    fun recoveryOrdered(verb: RecoveryVerb) {
+        val engine = recovery ?: return
+        when (verb) {
+            RecoveryVerb.APPROVE -> engine.approve()
+            RecoveryVerb.PAUSE -> engine.pause()
+            RecoveryVerb.RESUME -> engine.resume()
+            RecoveryVerb.STATUS, RecoveryVerb.DIFFERENCES -> Unit
+        }
+    }
+
+    private companion object {
+        val log = loggerOf(LeadershipTerm::class.java)
+
+        /** With a larger backlog the core counts as behind. */
+        val BEHIND: Duration = 50.milliseconds
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/OrderSummary.kt
@@ -0,0 +1,24 @@
+package glenspool.controller
+
+import glenspool.core.OrderCounts
+import glenspool.core.Scheduler
+import glenspool.logging.loggerOf
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/** Logs once a minute, across terms, what the leader has ordered in its term. Confined to the core thread. */
+internal class OrderSummary {
+    private var loggedAt = Duration.ZERO
+
+    fun logIfDue(scheduler: Scheduler) {
+        if (scheduler.now - loggedAt < INTERVAL) return
+        loggedAt = scheduler.now
+        val counts = scheduler.orderCounts.snapshot()
+        if (counts.isNotEmpty()) log.info("orders token={} {}", scheduler.token, OrderCounts.describe(counts))
+    }
+
+    private companion object {
+        val log = loggerOf(OrderSummary::class.java)
+        val INTERVAL: Duration = 60.seconds
+    }
+}
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -19,8 +19,12 @@
     /** So many differences are listed by name at most, so that the answer stays small. */
     const val MOST_LISTED = 500
 
-    fun recovery(snapshot: RecoverySnapshot, policy: RecoveryPolicy) =
-        RecoveryStatus.Recovery(
+    private val listingOrder =
+        compareBy<Difference>({ it.kind }, { it.machine }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 })
+
+    fun recovery(snapshot: RecoverySnapshot, policy: RecoveryPolicy): RecoveryStatus.Recovery {
+        val lacking = snapshot.gathering.lacking(policy.gatherShare)
+        return RecoveryStatus.Recovery(
             token = snapshot.token,
             start =
                 snapshot.startKind.name
@@ -35,10 +39,7 @@
             approved = snapshot.isApproved,
             expectedMachines = snapshot.gathering.expected,
             heardMachines = snapshot.gathering.heard,
-            lacking =
-                snapshot.gathering.lacking(policy.gatherShare).map {
-                    "${it.zone}/${it.type}: ${it.heard} of ${it.expected}"
-                },
+            lacking = lacking.map { "${it.zone}/${it.type}: ${it.heard} of ${it.expected}" },
             adoptedTasks = snapshot.totals.adopted,
             confirmedTasks = snapshot.totals.confirmed,
             settledShare = snapshot.settledShare,
@@ -46,20 +47,19 @@
             breaker = breaker(snapshot.breaker, policy),
             ordersPerSecond = snapshot.ordersPerSecond,
         )
+    }
 
-    fun breaker(state: BreakerState, policy: RecoveryPolicy): String? = if (state.isOpen) "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, more than ${policy.breakerShare}" else null
+    /** Why destructive orders are held; null if they are not. */
+    fun breaker(state: BreakerState, policy: RecoveryPolicy): String? {
+        if (!state.isOpen) return null
+        return "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, " +
+            "more than ${policy.breakerShare}"
+    }
 
     fun differences(snapshot: RecoverySnapshot): DifferenceList {
         val all = snapshot.findings.values.flatMap { it.differences }
-        val first =
-            all
-                .sortedWith(
-                    compareBy({ it.kind }, { it.machine }, { it.task?.job.orEmpty() }, {
-                        it.task?.task
-                            ?: 0
-                    }),
-                ).take(MOST_LISTED)
-        return DifferenceList(all.size, first.map { entry(it, snapshot.now) })
+        val listed = all.sortedWith(listingOrder).take(MOST_LISTED)
+        return DifferenceList(all.size, listed.map { entry(it, snapshot.now) })
     }
 
     private fun entry(difference: Difference, now: Duration) =
@@ -77,11 +77,17 @@
     private fun detail(difference: Difference): String =
         when (difference) {
             is MissingTask -> "attempt ${difference.attempt}"
-            is OrphanTask -> "attempt ${difference.attempt}, ${if (difference.recorded) "its place is elsewhere" else "the state service knows no such job"}"
+            is OrphanTask -> "attempt ${difference.attempt}, ${orphanCause(difference)}"
             is DuplicateTask -> "on ${difference.machines.joinToString(", ")}"
             is UnheardMachine -> "${difference.places} stored places"
             else -> ""
         }
 
+    private fun orphanCause(orphan: OrphanTask) =
+        when {
+            orphan.recorded -> "its place is elsewhere"
+            else -> "the state service knows no such job"
+        }
+
     private fun seconds(span: Duration): Double = span.toDouble(DurationUnit.SECONDS)
 }
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -13,23 +13,16 @@
 import glenspool.rollout.FencedReaction
 import glenspool.rollout.HealthCounts
 import glenspool.rollout.MemberReport
-import glenspool.rollout.OperatorOrders
-import glenspool.rollout.OrderOutcome
-import glenspool.rollout.OrderRule
 import glenspool.rollout.RolloutAction
 import glenspool.rollout.RolloutEngine
 import glenspool.rollout.RolloutInput
 import glenspool.rollout.RolloutOverview
 import glenspool.rollout.RolloutPolicy
-import glenspool.rollout.replaceableVersion
-import glenspool.rollout.valueOrNull
 import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
 import glenspool.state.StoreCache
-import glenspool.state.StoreResult
-import glenspool.wire.Fields
 import glenspool.wire.RolloutWire
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -39,33 +32,41 @@
 data class ProcessIdentity(val node: String, val boot: String, val levels: BuildLevels)
 
 /**
- * Connects the [RolloutEngine] with the state service and the other controllers. While this node leads, it asks the
+ * Connects the [RolloutEngine] with the key-value store and the other controllers. While this node leads, it asks the
  * others for their evidence and stores what the engine decides, conditioned on its leadership and on the record that
- * was judged.
+ * the decision was made from.
  */
 class RolloutManager(
     private val identity: ProcessIdentity,
     members: List<String>,
     private val registry: FeatureRegistry,
     private val policy: RolloutPolicy,
-    private val store: KeyValueStoreClient,
-    private val cache: StoreCache,
+    store: KeyValueStoreClient,
+    cache: StoreCache,
     private val leadership: Leadership,
     private val peers: PeerClient,
     private val health: HealthCounters,
-    private val ready: () -> Boolean,
+    private val isReady: () -> Boolean,
     private val uptime: () -> Duration,
     /** Ends the process. */
     private val exit: () -> Unit,
 ) {
+    private class TermEngine(val term: Term, val engine: RolloutEngine)
+
+    /** What the engine decided in one round, and whether the rollout is settled. */
+    private class Decision(val actions: List<RolloutAction>, val isSettled: Boolean)
+
     private val allMembers = (members + identity.node).toSet()
     private val records = RolloutRecords(cache) { cache.age() != null }
-    private val orderRule = OrderRule(registry, allMembers)
+    private val recordStore = RecordStore(store, cache)
 
     /** Which forms may be written by this process, and whether it may serve. */
     val gate = FeatureGate(identity.levels, records::level)
 
-    private class TermEngine(val term: Term, val engine: RolloutEngine)
+    private val operations =
+        RolloutOperations(
+            identity, registry, policy.mode, allMembers, records, recordStore, gate, leadership, ::overview,
+        )
 
     /** Guarded by this object's lock, since operators ask from other threads. */
     private var current: TermEngine? = null
@@ -76,12 +77,15 @@
         val counts = health.counts()
         return PeerLevels(
             identity.boot, identity.levels.build, identity.levels.lowest, identity.levels.highest,
-            ready() && gate.fence() == null,
+            isReady() && gate.fence() == null,
             counts.takeOvers, counts.leasesExpired, counts.refusals, counts.rejectedWrites,
         )
     }
 
-    /** The duty. */
+    /** The answer to an operator's question or order. */
+    fun answer(request: RolloutRequest): RolloutReply = operations.answer(request)
+
+    /** The service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             reactToFence()
@@ -99,30 +103,27 @@
     private fun lead(term: Term): Duration {
         val askedAt = uptime()
         val statuses = peers.statuses()
-        val (actions, settled) =
-            synchronized(this) {
-                val engine = engineOf(term)
-                engine.heard(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
-                statuses.forEach { engine.heard(report(it), askedAt) }
-                val input = input(term)
-                engine.step(input) to (engine.overview(input).hold == null)
-            }
-        actions.forEach { perform(it, term) }
-        return if (settled &&
-            actions.isEmpty()
-        ) {
+        val decision = synchronized(this) { decide(term, statuses, askedAt) }
+        decision.actions.forEach { perform(it, term) }
+        return if (decision.isSettled && decision.actions.isEmpty()) {
             minOf(SETTLED_PAUSE, policy.evidenceAge / 2)
         } else {
-            minOf(
-                ACTIVE_PAUSE,
-                policy.evidenceAge / 4,
-            )
+            minOf(ACTIVE_PAUSE, policy.evidenceAge / 4)
         }
     }
 
+    private fun decide(term: Term, statuses: List<PeerStatus>, askedAt: Duration): Decision {
+        val engine = engineOf(term)
+        engine.heard(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
+        statuses.forEach { engine.heard(report(it), askedAt) }
+        val input = input(term)
+        val actions = engine.step(input)
+        return Decision(actions, isSettled = engine.overview(input).hold == null)
+    }
+
     private fun engineOf(term: Term): RolloutEngine {
         current?.takeIf { it.term == term }?.let { return it.engine }
-        // Evidence belongs to a term: what an earlier leader saw is history by now.
+        // Evidence belongs to a term: what an earlier leader saw is out of date.
         return RolloutEngine(registry, policy, allMembers, uptime()).also { current = TermEngine(term, it) }
     }
 
@@ -132,10 +133,12 @@
         ) { level -> if (level == FeatureRegistry.SEALED_RECORDS) records.sealedRecords() else 0 }
 
     private fun report(status: PeerStatus): MemberReport {
-        val levels =
-            status.levels
-                // A build that knows nothing of levels says which stored forms it reads, or nothing at all.
-                ?: return MemberReport(status.node, null, BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.reads), status.fresh)
+        val levels = status.levels
+        if (levels == null) {
+            // A build that knows nothing of levels says which stored forms it reads, or nothing at all.
+            val assumed = BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.reads)
+            return MemberReport(status.node, null, assumed, status.fresh)
+        }
         return MemberReport(
             status.node,
             levels.boot,
@@ -148,40 +151,20 @@
     private fun perform(action: RolloutAction, term: Term) {
         when (action) {
             is RolloutAction.StoreLevel -> {
-                log
-                    .info("storing level={} name={} stage={}", action.record.level, action.record.name, action.record.stage)
-                store(term, Keys.LEVEL, action.version, RolloutWire.encode(action.record))
+                val record = action.record
+                log.info("storing level={} name={} stage={}", record.level, record.name, record.stage)
+                store(term, Put(Keys.LEVEL, RolloutWire.encode(record)), action.version)
             }
             is RolloutAction.StoreState ->
-                store(
-                    term, Keys.ROLLOUT_STATE, action.version,
-                    RolloutWire
-                        .encode(action.state),
-                )
+                store(term, Put(Keys.ROLLOUT_STATE, RolloutWire.encode(action.state)), action.version)
             is RolloutAction.Notice ->
-                if (action.warning) {
-                    log.warn("rollout: {}", action.text)
-                } else {
-                    log
-                        .info("rollout: {}", action.text)
-                }
+                if (action.warning) log.warn("rollout: {}", action.text) else log.info("rollout: {}", action.text)
         }
     }
 
-    /**
-     * However the transaction ends, the replica is brought up to date: the next round judges from what is stored by
-     * then.
-     */
-    private fun store(term: Term, key: String, version: Long, value: Fields) {
+    private fun store(term: Term, put: Put, version: Long) {
         if (leadership.current() != term) return
-        val result = store.transact(mapOf(Keys.LEAD to term.recordVersion, key to version), listOf(Put(key, value)))
-        if (result !is StoreResult.Ok) log.info("rollout record {} not stored: {}", key, result)
-        if (result is StoreResult.Conflict &&
-            Keys.LEAD in result.keys
-        ) {
-            leadership.stepDown("a rollout record was refused")
-        }
-        cache.sync(SYNC_TIMEOUT)
+        recordStore.replaceInTerm(term, put, version) { leadership.stepDown("a rollout record was refused") }
     }
 
     private fun reactToFence() {
@@ -193,65 +176,11 @@
             return
         }
         log.error("this process must not serve: {}", fence)
-        leadership.resign("fenced", FENCED_STAND_BACK)
+        leadership.resign("fenced", FENCED_BACKOFF)
         if (policy.fenced == FencedReaction.EXIT) exit()
     }
 
-    /** An operator's question or order. */
-    fun answer(request: RolloutRequest): RolloutReply {
-        val order =
-            try {
-                RolloutReplies.orderOf(request) ?: return RolloutReply(true, status = status())
-            } catch (e: RolloutReplies.IncompleteRequest) {
-                return RolloutReply(false, e.message, status = status())
-            }
-        gate.fence()?.let { return RolloutReply(false, "this controller takes no orders: $it", status = status()) }
-        repeat(ORDER_TRIES) {
-            if (!cache.sync(SYNC_TIMEOUT)) return outOfReach()
-            val stored = records.orders()
-            val version =
-                stored.replaceableVersion()
-                    ?: return RolloutReply(false, "the stored orders can't be read by this build", status = status())
-            val before = stored.valueOrNull() ?: OperatorOrders()
-            val orders =
-                when (val outcome = orderRule.apply(order, before, records.level(), wallClock())) {
-                    is OrderOutcome.Refused -> return RolloutReply(false, outcome.reason, status = status())
-                    is OrderOutcome.Accepted -> outcome.orders
-                }
-            if (orders == before) return RolloutReply(true, status = status())
-            if (storeOrders(orders, version)) {
-                log.info("rollout order taken: {} by={}", order, request.by)
-                return RolloutReply(true, status = status())
-            }
-        }
-        return outOfReach()
-    }
-
-    private fun storeOrders(orders: OperatorOrders, version: Long): Boolean {
-        val result =
-            store
-                .transact(
-                    mapOf(Keys.ROLLOUT_ORDERS to version),
-                    listOf(
-                        Put(
-                            Keys.ROLLOUT_ORDERS,
-                            RolloutWire
-                                .encode(orders),
-                        ),
-                    ),
-                )
-        cache.sync(SYNC_TIMEOUT)
-        // An answer that was lost: what is stored tells whether it was carried out.
-        return result is StoreResult.Ok || records.orders().valueOrNull() == orders
-    }
-
-    private fun outOfReach() = RolloutReply(false, "the state service is out of reach", ORDER_RETRY_SECONDS, status())
-
-    private fun status() =
-        RolloutReplies
-            .status(identity, leadership.recordedLeader(), registry, policy.mode, gate.fence(), records, overview())
-
-    /** The leader's own view; another node has only what is stored. */
+    /** The leader's own view; null on another node, which has only what is stored. */
     private fun overview(): RolloutOverview? {
         val term = leadership.current() ?: return null
         return synchronized(this) { current?.takeIf { it.term == term }?.engine?.overview(input(term)) }
@@ -260,16 +189,13 @@
     private companion object {
         val log = loggerOf(RolloutManager::class.java)
         const val UNMANAGED_BUILD = "without levels"
-        const val ORDER_TRIES = 3
-        const val ORDER_RETRY_SECONDS = 2
-        val SYNC_TIMEOUT = 1500.milliseconds
 
-        /** How often members are asked while something is to come. */
+        /** How often members are asked while the rollout still has steps to take. */
         val ACTIVE_PAUSE = 2.seconds
 
-        /** And while nothing is. */
+        /** And while it has none. */
         val SETTLED_PAUSE = 10.seconds
         val FOLLOWER_PAUSE = 500.milliseconds
-        val FENCED_STAND_BACK = 60.seconds
+        val FENCED_BACKOFF = 60.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/RolloutReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutReplies.kt
@@ -8,6 +8,7 @@
 import glenspool.rollout.Fence
 import glenspool.rollout.Hold
 import glenspool.rollout.LevelRecord
+import glenspool.rollout.MemberSeen
 import glenspool.rollout.MemberView
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.OperatorRequest
@@ -19,9 +20,10 @@
 
 /** Translates between the messages that operators' commands use and the terms of the rollout. */
 internal object RolloutReplies {
+    /** The request lacks what its verb needs. */
     class IncompleteRequest(message: String) : Exception(message)
 
-    /** Null: it is a question. */
+    /** Null: it is a question. Throws [IncompleteRequest]. */
     fun orderOf(request: RolloutRequest): OperatorRequest? =
         when (request.verb) {
             RolloutVerb.STATUS -> null
@@ -37,6 +39,7 @@
 
     private fun memberOf(request: RolloutRequest) = request.member ?: throw IncompleteRequest("a member is needed")
 
+    /** [overview]: the leader's own view; null on another node, which shows what is stored. */
     fun status(
         identity: ProcessIdentity,
         leader: String?,
@@ -72,12 +75,7 @@
             holdMember = hold?.member,
             holdDetail = hold?.detail,
             heldSince = state?.heldSince?.inWholeMilliseconds,
-            members =
-                overview?.members?.map(::member)
-                    ?: state?.members.orEmpty().map {
-                        RolloutStatus
-                            .Member(it.member, it.build, it.highest, false, 0, 0, 0)
-                    },
+            members = overview?.members?.map(::member) ?: state?.members.orEmpty().map(::storedMember),
             health = overview?.health.orEmpty().map { it.toString() },
             plan = overview?.plan.orEmpty().map(::text),
             recordsInLevel = records.sealedRecords(),
@@ -102,6 +100,18 @@
             view.restarts,
         )
 
+    /** A member as the leader stored it; a node that does not lead knows no more of it. */
+    private fun storedMember(seen: MemberSeen) =
+        RolloutStatus.Member(
+            seen.member,
+            seen.build,
+            seen.highest,
+            reachable = false,
+            readySeconds = 0,
+            unchangedSeconds = 0,
+            restarts = 0,
+        )
+
     private fun text(step: PlanStep): String =
         when (step) {
             is PlanStep.Replace -> "replace ${step.member}${if (step.leading) " (it leads, so it comes last)" else ""}"
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/SchedulerSettings.kt
@@ -0,0 +1,21 @@
+package glenspool.controller
+
+import glenspool.config.Settings
+import glenspool.core.SchedulerConfig
+import glenspool.core.Tuning
+
+/**
+ * The deployment that [settings] describe, as schedulers are told of it. [logsDetails]: whether each placement and stop
+ * is logged.
+ */
+internal fun schedulerConfig(settings: Settings, tuning: Tuning, logsDetails: Boolean = false): SchedulerConfig {
+    val workers = settings.workers
+    val storeLimits = settings.storeLimits.safe
+    val peerZones = settings.members.map { it.zone }.toSet() - settings.zone
+    return SchedulerConfig(
+        settings.teams, settings.objectives, settings.zones,
+        workers.heartbeatInterval, workers.lease, workers.gangWait, workers.gangPeer, workers.cancellationDeadline,
+        settings.cloudLimits.listLag, storeLimits.txnOps, storeLimits.writeRps, storeLimits.valueBytes,
+        tuning, peerZones, logsDetails,
+    )
+}
--- a/src/main/kotlin/glenspool/controller/ServiceThreads.kt
+++ b/src/main/kotlin/glenspool/controller/ServiceThreads.kt
@@ -4,24 +4,24 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A node's long-lived duties, a thread each. [fatal] ends the process at once. */
+/** A node's long-lived service threads. [fatal] ends the process at once; [pause]: before a failed one is restarted. */
 class ServiceThreads(private val fatal: () -> Unit, private val pause: Duration = 500.milliseconds) : AutoCloseable {
     private val threads = ArrayList<Thread>()
 
-    /** A duty that goes on until it is interrupted: whenever [body] returns or fails it is begun again. */
+    /** A service thread that runs until it is interrupted: whenever [body] returns or fails it is run again. */
     fun start(name: String, body: () -> Unit) =
         launch(name) {
             while (!Thread.currentThread().isInterrupted) attempt(name, body)
         }
 
-    /** A duty that is over when [body] has returned or failed once. */
+    /** A service thread that is over when [body] has returned or failed once. */
     fun startOnce(name: String, body: () -> Unit) = launch(name) { attempt(name, body) }
 
     private fun launch(name: String, run: () -> Unit) {
-        val t = Thread(null, { serve(name, run) }, name, STACK)
-        t.isDaemon = true
-        t.start()
-        threads.add(t)
+        val thread = Thread(null, { serve(name, run) }, name, STACK)
+        thread.isDaemon = true
+        thread.start()
+        threads.add(thread)
     }
 
     private fun attempt(name: String, body: () -> Unit) {
@@ -29,8 +29,8 @@
             body()
         } catch (e: Exception) {
             if (e is InterruptedException) throw e
-            // A duty that dies would leave the node half alive: it is logged and begun again.
-            log.error("duty {} failed", name, e)
+            // A thread that died would leave the node half alive: the failure is logged and the thread goes on.
+            log.error("service thread {} failed", name, e)
             Thread.sleep(pause.inWholeMilliseconds)
         }
     }
@@ -39,24 +39,28 @@
         try {
             run()
         } catch (e: InterruptedException) {
-            log.debug("duty {} ends", name)
+            log.debug("service thread {} stopped", name)
         } catch (e: Throwable) {
             // Out of memory, or a class that can't be loaded: a leader whose core has died would renew its lease for
-            // ever and answer nobody. Another process takes its place.
+            // ever and answer nobody. Another process takes over.
             try {
-                log.error("duty {} can't go on", name, e)
+                log.error("service thread {} ended by an error", name, e)
             } finally {
                 fatal()
             }
         }
     }
 
+    /** Waits until all threads have ended. */
     fun join() = threads.forEach { it.join() }
 
+    /** Interrupts all threads. */
     override fun close() = threads.forEach { it.interrupt() }
 
     private companion object {
         val log = loggerOf(ServiceThreads::class.java)
+
+        /** In bytes. */
         const val STACK = 256L * 1024
     }
 }
--- a/src/main/kotlin/glenspool/controller/StoreWriter.kt
+++ b/src/main/kotlin/glenspool/controller/StoreWriter.kt
@@ -17,7 +17,7 @@
 import java.util.concurrent.ArrayBlockingQueue
 import kotlin.time.Duration.Companion.seconds
 
-/** Stores what the core wants stored, one transaction at a time, and tells [ended] how each of them ended. */
+/** Stores the core's changes, one transaction at a time, and calls [ended] with each outcome. */
 class StoreWriter(
     private val limits: StoreLimits,
     private val store: KeyValueStoreClient,
@@ -28,47 +28,33 @@
 ) {
     private class Write(val term: Term, val changes: StoreChanges)
 
-    private val writes = ArrayBlockingQueue<Write>(QUEUE)
+    private val writes = ArrayBlockingQueue<Write>(QUEUE_CAPACITY)
 
     /** False: too many wait, and it will not be stored. */
     fun offer(term: Term, changes: StoreChanges): Boolean = writes.offer(Write(term, changes))
 
-    /** The duty. */
+    /** The service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             val write = writes.take()
-            val outcome =
-                if (leadership.current() ==
-                    write.term
-                ) {
-                    transact(write.term, write.changes)
-                } else {
-                    StoreOutcome.Refused(emptySet())
-                }
-            ended(outcome, write.term)
+            val isLeading = leadership.current() == write.term
+            ended(if (isLeading) store(write.term, write.changes) else NOTHING_STORED, write.term)
         }
     }
 
-    private fun transact(term: Term, changes: StoreChanges): StoreOutcome {
-        val guards = guards(changes) ?: return StoreOutcome.Refused(emptySet())
-        val (conditions, puts, removes) = transactionOf(term.recordVersion, changes, guards)
-        val r = store.transact(conditions, puts, removes)
-        if (log.isDebugEnabled) log.debug("store {} -> {}", changes.writes.map { it.id }, r)
-        return when (r) {
-            is StoreResult.Ok -> StoreOutcome.Stored(r.value)
-            is StoreResult.Conflict -> conflict(r)
-            is StoreResult.Refused ->
-                if (r.status ==
-                    BAD_REQUEST
-                ) {
-                    tooLarge(term, changes)
-                } else {
-                    StoreOutcome.Refused(emptySet())
-                }
-            else -> {
+    private fun store(term: Term, changes: StoreChanges): StoreOutcome {
+        val guards = guards(changes) ?: return NOTHING_STORED
+        val transaction = transactionOf(term.recordVersion, changes, guards)
+        val result = store.transact(transaction.conditions, transaction.puts, transaction.removes)
+        if (log.isDebugEnabled) log.debug("store {} -> {}", changes.writes.map { it.id }, result)
+        return when (result) {
+            is StoreResult.Ok -> StoreOutcome.Stored(result.value)
+            is StoreResult.Conflict -> conflict(result)
+            is StoreResult.Refused -> if (result.status == BAD_REQUEST) tooLarge(term, changes) else NOTHING_STORED
+            is StoreResult.Missing, is StoreResult.Unknown -> {
                 // It may have been applied, or may be later: the versions read now decide, and each write's
                 // condition on the job's version keeps a late one from undoing a newer.
-                cache.sync(2.seconds)
+                cache.sync(UNKNOWN_SYNC_TIMEOUT)
                 StoreOutcome.Unknown
             }
         }
@@ -82,45 +68,46 @@
         val sealed = changes.writes.filterIsInstance<UpdateJobRecord>().filter { RecordWire.needsSealing(it.record) }
         if (sealed.isEmpty()) return emptyMap()
         features.permit(FeatureRegistry.SEALED_RECORDS)?.let { return it.conditions() }
-        val allSealedBefore =
-            sealed.all { save ->
-                cache.get(Keys.job(save.id))?.let { RecordWire.isSealed(it.value) } ==
-                    true
-            }
-        return if (allSealedBefore) emptyMap() else null
+        return if (sealed.all { isStoredSealed(it.id) }) emptyMap() else null
+    }
+
+    private fun isStoredSealed(job: String): Boolean {
+        val item = cache.get(Keys.job(job)) ?: return false
+        return RecordWire.isSealed(item.value)
     }
 
-    private fun conflict(r: StoreResult.Conflict): StoreOutcome {
-        if (Keys.LEAD in r.keys) {
+    private fun conflict(conflict: StoreResult.Conflict): StoreOutcome {
+        if (Keys.LEAD in conflict.keys) {
             leadership.stepDown("a write was refused")
         } else {
-            log.info("store conflict keys={}", r.keys)
-            cache.sync(1.seconds)
+            log.info("store conflict keys={}", conflict.keys)
+            cache.sync(CONFLICT_SYNC_TIMEOUT)
         }
-        return StoreOutcome.Refused(r.keys.toSet())
+        return StoreOutcome.Refused(conflict.keys.toSet())
     }
 
     /**
-     * Larger than the state service takes by now. If it is one job's record, its description is stored in pieces: what
-     * they hold never changes, so they may be written at any time and by anybody.
+     * The changes are larger than the key-value store takes by now. If they are one job's record, its description is
+     * stored in parts: their content never changes, so they may be written at any time and by anybody.
      */
     private fun tooLarge(term: Term, changes: StoreChanges): StoreOutcome {
-        val save = changes.writes.singleOrNull() as? UpdateJobRecord
+        val update = changes.writes.singleOrNull() as? UpdateJobRecord
         val permit = features.permit(FeatureRegistry.SEALED_RECORDS)
-        if (save == null || save.record.descriptionParts > 0 || permit == null) return StoreOutcome.TooLarge()
-        val descriptionParts = JobRecordReader.descriptionParts(save.record, limits.valueBytes)
-        for (puts in descriptionParts.chunked(limits.txnOps)) {
-            if (store.transact(permit.conditions() + (Keys.LEAD to term.recordVersion), puts) !is StoreResult.Ok) {
-                return StoreOutcome
-                    .TooLarge()
-            }
-        }
-        return StoreOutcome.TooLarge(mapOf(save.id to descriptionParts.size))
+        if (update == null || update.record.descriptionParts > 0 || permit == null) return StoreOutcome.TooLarge()
+        val parts = JobRecordReader.descriptionParts(update.record, limits.valueBytes)
+        val conditions = permit.conditions() + (Keys.LEAD to term.recordVersion)
+        val isStored = parts.chunked(limits.txnOps).all { puts -> store.transact(conditions, puts) is StoreResult.Ok }
+        return if (isStored) StoreOutcome.TooLarge(mapOf(update.id to parts.size)) else StoreOutcome.TooLarge()
     }
 
     private companion object {
         val log = loggerOf(StoreWriter::class.java)
-        const val QUEUE = 4
+
+        /** No condition of a job's own failed. */
+        val NOTHING_STORED = StoreOutcome.Refused(emptySet())
+        const val QUEUE_CAPACITY = 4
         const val BAD_REQUEST = 400
+        val UNKNOWN_SYNC_TIMEOUT = 2.seconds
+        val CONFLICT_SYNC_TIMEOUT = 1.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/Transaction.kt
+++ b/src/main/kotlin/glenspool/controller/Transaction.kt
@@ -5,10 +5,11 @@
 import glenspool.core.UpdateJobRecord
 import glenspool.state.Keys
 import glenspool.state.Put
+import glenspool.wire.DoneBitsWire
 import glenspool.wire.FinalWire
 import glenspool.wire.RecordWire
 
-/** A transaction in the state service's terms. */
+/** A compare-and-swap of the key-value store: [conditions] are the versions that keys must have, 0 if absent. */
 data class Transaction(val conditions: Map<String, Long>, val puts: List<Put>, val removes: List<String>)
 
 /**
@@ -16,49 +17,46 @@
  * and under [guards].
  */
 fun transactionOf(recordVersion: Long, store: StoreChanges, guards: Map<String, Long> = emptyMap()): Transaction {
-    val conditions = LinkedHashMap<String, Long>()
+    val builder = TransactionBuilder()
     // A deposed leader's writes fail on this however late they arrive.
-    conditions[Keys.LEAD] = recordVersion
-    conditions.putAll(guards)
+    builder.conditions[Keys.LEAD] = recordVersion
+    builder.conditions.putAll(guards)
+    for (write in store.writes) {
+        // Nor may an older write of this same leader, arriving late, undo a newer one.
+        builder.conditions[Keys.job(write.id)] = write.version
+        when (write) {
+            is UpdateJobRecord -> builder.add(write)
+            is StoreFinalState -> builder.add(write)
+        }
+    }
+    return Transaction(builder.conditions, builder.puts, builder.removes)
+}
+
+private class TransactionBuilder {
+    val conditions = LinkedHashMap<String, Long>()
     val puts = ArrayList<Put>()
     val removes = ArrayList<String>()
-    for (w in store.writes) {
-        // Nor may an older write of this same leader, arriving late, undo a newer one.
-        conditions[Keys.job(w.id)] = w.version
-        when (w) {
-            is UpdateJobRecord -> {
-                if (w.requiresUncancelled) conditions[Keys.cancel(w.id)] = 0
-                puts.add(Put(Keys.job(w.id), RecordWire.encode(w.record)))
-                for (n in w.parts.keys) {
-                    val places = w.record.placementParts[n]
-                    if (places ==
-                        null
-                    ) {
-                        removes.add(Keys.placementPart(w.id, n))
-                    } else {
-                        puts.add(Put(Keys.placementPart(w.id, n), RecordWire.encodePlaces(places)))
-                    }
-                }
-                for (c in w.chunks) {
-                    val from = c * RecordWire.CHUNK_TASKS
-                    puts.add(
-                        Put(
-                            Keys.chunk(w.id, c),
-                            mapOf(
-                                "done" to RecordWire.encodeBits(w.record.done.get(from, from + RecordWire.CHUNK_TASKS)),
-                            ),
-                        ),
-                    )
-                }
-            }
-            is StoreFinalState -> {
-                // Done and cancelled exclude each other: a cancellation is stored only while no final state is.
-                conditions[Keys.cancel(w.id)] = w.cancelVersion ?: 0
-                puts.add(Put(Keys.final(w.id), FinalWire.encode(w.end, w.tasks, w.abortedBy)))
-                removes.add(Keys.job(w.id))
-                if (w.cancelVersion != null) removes.add(Keys.cancel(w.id))
-            }
+
+    fun add(update: UpdateJobRecord) {
+        if (update.requiresUncancelled) conditions[Keys.cancel(update.id)] = 0
+        puts.add(Put(Keys.job(update.id), RecordWire.encode(update.record)))
+        for (part in update.parts.keys) addPlacementPart(update, part)
+        for (chunk in update.chunks) {
+            puts.add(Put(Keys.chunk(update.id, chunk), DoneBitsWire.encode(update.record.done, chunk)))
         }
     }
-    return Transaction(conditions, puts, removes)
+
+    private fun addPlacementPart(update: UpdateJobRecord, part: Int) {
+        val key = Keys.placementPart(update.id, part)
+        val placements = update.record.placementParts[part]
+        if (placements == null) removes.add(key) else puts.add(Put(key, RecordWire.encodePlaces(placements)))
+    }
+
+    fun add(final: StoreFinalState) {
+        // Done and cancelled exclude each other: a cancellation is stored only while no final state is.
+        conditions[Keys.cancel(final.id)] = final.cancelVersion ?: 0
+        puts.add(Put(Keys.final(final.id), FinalWire.encode(final.end, final.tasks, final.abortedBy)))
+        removes.add(Keys.job(final.id))
+        if (final.cancelVersion != null) removes.add(Keys.cancel(final.id))
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/UserRouter.kt
@@ -0,0 +1,40 @@
+package glenspool.controller
+
+import glenspool.api.UserApi
+import glenspool.api.fenceFilter
+import glenspool.api.refusalFilter
+import glenspool.peer.RelayAnswer
+import glenspool.peer.RelayRequest
+import glenspool.rollout.FeatureGate
+import org.http4k.core.HttpHandler
+import org.http4k.core.Request
+import org.http4k.core.Response
+import org.http4k.core.Status
+import org.http4k.core.then
+
+/**
+ * Users' requests, received directly or relayed: behind the fence, and with refusals counted, where levels are managed.
+ */
+internal class UserRouter(
+    private val userApi: UserApi,
+    /** Null: levels are not managed. */
+    private val gate: FeatureGate?,
+    health: HealthCounters,
+) : HttpHandler {
+    private val handler: HttpHandler =
+        if (gate == null) {
+            userApi
+        } else {
+            refusalFilter(health::countRefusal).then(fenceFilter(gate::fence)).then(userApi)
+        }
+
+    override fun invoke(request: Request): Response = handler(request)
+
+    /** A request that another node relayed; a fenced process is as good as one without the key-value store. */
+    fun relayed(request: RelayRequest): RelayAnswer =
+        if (gate?.fence() != null) {
+            RelayAnswer(Status.SERVICE_UNAVAILABLE.code, ByteArray(0), null)
+        } else {
+            userApi.local(request)
+        }
+}
--- a/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
@@ -4,6 +4,7 @@
 import glenspool.core.cluster.Cancellation
 import glenspool.core.cluster.Cancellations
 import glenspool.http.HttpListener
+import glenspool.peer.CancellationMessage
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerServer
 import glenspool.peer.PeerStatus
@@ -25,88 +26,81 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Controllers that tell each other of cancellations over loopback. */
+/** Controllers that exchange cancellations over loopback. */
 class CancellationExchangeTest {
     private var now = Duration.ZERO
-    private val heard = LinkedBlockingQueue<Cancellation>()
+    private val learnedByOther = LinkedBlockingQueue<Cancellation>()
     private val open = ArrayList<AutoCloseable>()
 
-    private inner class Side(
+    private inner class Controller(
         name: String,
         other: String,
         client: PeerClient,
-        learnt: (List<Cancellation>) -> Unit = {
-        },
+        learned: (List<Cancellation>) -> Unit = {},
     ) {
         val known = Cancellations("$name-1", listOf(other), 100.seconds, { now }) { now }
-        val exchange = CancellationExchange(name, known, client, { now }, { false }, learnt)
+        val exchange = CancellationExchange(name, known, client, { now }, { false }, learned)
     }
 
     private fun member(port: Int) = Member("b", "here", InetSocketAddress("127.0.0.1", port))
 
+    /** The internal port of controller [name], which answers exchanges with [answer]. */
+    private fun serve(name: String, answer: (CancellationMessage) -> CancellationMessage?): HttpListener {
+        val status = PeerStatus(name, false, null, true)
+        val server = PeerServer({ status }, answer) { RelayAnswer(500, ByteArray(0), null) }
+        return HttpListener(InetSocketAddress("127.0.0.1", 0), name, 4, server).also { open.add(it) }
+    }
+
     private fun stored(job: String) = listOf(StoreWire.Change(Keys.cancel(job), mapOf("at" to 0L), 7))
 
-    private fun serving(x: CancellationExchange, m: Member) {
-        val t =
+    private fun runExchange(exchange: CancellationExchange, member: Member) {
+        val thread =
             thread(isDaemon = true) {
                 try {
-                    x.run(m)
+                    exchange.run(member)
                 } catch (e: InterruptedException) {
                     Thread.currentThread().interrupt()
                 }
             }
-        open.add(AutoCloseable { t.interrupt() })
+        open.add(AutoCloseable { thread.interrupt() })
     }
 
     @AfterEach
     fun close() = open.forEach { it.close() }
 
     @Test
-    fun `another controller is told before a user is`() {
-        val b = Side("b", "a", PeerClient(emptyList())) { heard.addAll(it) }
+    fun `another controller learns of a cancellation before the user is answered`() {
+        val b = Controller("b", "a", PeerClient(emptyList())) { learnedByOther.addAll(it) }
         val gate = CountDownLatch(1)
         val server =
-            HttpListener(
-                InetSocketAddress("127.0.0.1", 0), "b", 4,
-                PeerServer({
-                    PeerStatus("b", false, null, true)
-                }, { m -> gate.await().let { b.exchange.answer(m) } }) { RelayAnswer(500, ByteArray(0), null) },
-            )
-        open.add(server)
-        val m = member(server.port)
-        val a = Side("a", "b", PeerClient(listOf(m)))
-        a.exchange.stored(stored("run-1"))
+            serve("b") { message ->
+                gate.await()
+                b.exchange.answer(message)
+            }
+        val member = member(server.port)
+        val a = Controller("a", "b", PeerClient(listOf(member)))
+        a.exchange.storeChanged(stored("run-1"))
         assertFalse(a.exchange.confirm("run-1"))
         gate.countDown()
-        serving(a.exchange, m)
-        assertEquals(Cancellation("run-1", Duration.ZERO, 7), heard.poll(10, TimeUnit.SECONDS))
+        runExchange(a.exchange, member)
+        assertEquals(Cancellation("run-1", Duration.ZERO, 7), learnedByOther.poll(10, TimeUnit.SECONDS))
         assertTrue(b.known.knows("run-1"))
         assertTrue(a.exchange.confirm("run-1"))
     }
 
     @Test
-    fun `duties that were answered do not wake each other`() {
+    fun `exchange threads that were answered do not wake each other`() {
         val asked = LinkedBlockingQueue<String>()
-        val answers = listOf("b", "c").associateWith { Side(it, "a", PeerClient(emptyList())) }
+        val controllers = listOf("b", "c").associateWith { Controller(it, "a", PeerClient(emptyList())) }
         val members =
-            answers.map { (name, side) ->
-                val server =
-                    HttpListener(
-                        InetSocketAddress("127.0.0.1", 0), name, 4,
-                        PeerServer({ PeerStatus(name, false, null, true) }, { m ->
-                            side.exchange.answer(m).also {
-                                asked
-                                    .add(name)
-                            }
-                        }) { RelayAnswer(500, ByteArray(0), null) },
-                    )
-                open.add(server)
+            controllers.map { (name, controller) ->
+                val server = serve(name) { message -> controller.exchange.answer(message).also { asked.add(name) } }
                 Member(name, "here", InetSocketAddress("127.0.0.1", server.port))
             }
         val known = Cancellations("a-1", members.map { it.name }, 100.seconds, { now }) { now }
         val a = CancellationExchange("a", known, PeerClient(members), { now }, { false }) {}
-        members.forEach { serving(a, it) }
-        a.stored(stored("run-1"))
+        members.forEach { runExchange(a, it) }
+        a.storeChanged(stored("run-1"))
         assertTrue(a.confirm("run-1"))
         // One round that found nothing new to tell, and one that told, at most; the next is due after two seconds.
         val settled = generateSequence { asked.poll(400, TimeUnit.MILLISECONDS) }.take(20).count()
@@ -114,9 +108,9 @@
     }
 
     @Test
-    fun `a user is not told while another controller may not have heard, but not for ever`() {
-        val a = Side("a", "b", PeerClient(emptyList()))
-        a.exchange.stored(stored("run-1"))
+    fun `a user is not answered while another controller may not know, but not for ever`() {
+        val a = Controller("a", "b", PeerClient(emptyList()))
+        a.exchange.storeChanged(stored("run-1"))
         assertFalse(a.exchange.confirm("run-1"))
         now = 14.seconds
         assertFalse(a.exchange.confirm("run-1"))
@@ -128,10 +122,10 @@
     fun `the version in production is not waited for`() {
         val server = HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4) { Response(Status.NOT_FOUND) }
         open.add(server)
-        val m = member(server.port)
-        val a = Side("a", "b", PeerClient(listOf(m)))
-        a.exchange.stored(stored("run-1"))
-        serving(a.exchange, m)
+        val member = member(server.port)
+        val a = Controller("a", "b", PeerClient(listOf(member)))
+        a.exchange.storeChanged(stored("run-1"))
+        runExchange(a.exchange, member)
         assertTrue(a.exchange.confirm("run-1"))
         a.known.stateRead(now)
         now = 20.seconds
--- a/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
+++ b/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
@@ -13,55 +13,58 @@
 import kotlin.time.Duration
 
 class GarbageCollectorTest {
-    private val state = InMemoryStore()
-    private val sweep =
-        GarbageCollector(state, 3) { conditions, puts, removes ->
-            state.transact(conditions, puts, removes)?.let { StoreResult.Conflict(it) }
-                ?: StoreResult.Ok(state.revision)
+    private val store = InMemoryStore()
+    private val collector =
+        GarbageCollector(store, 3) { conditions, puts, removes ->
+            store.transact(conditions, puts, removes)?.let { StoreResult.Conflict(it) }
+                ?: StoreResult.Ok(store.revision)
         }
 
     private fun put(key: String, value: Map<String, Any?> = emptyMap()) {
-        state.transact(emptyMap(), listOf(Put(key, value)), emptyList())
+        store.transact(emptyMap(), listOf(Put(key, value)), emptyList())
     }
 
-    private fun accept(id: String) =
-        put(
-            Keys.job(id),
-            RecordWire
-                .encode(JobRecord(job(id), Duration.ZERO, 0, BitSet(), emptyList())),
-        )
+    /** Stores a leadership record and returns its version. */
+    private fun lead(): Long {
+        put(Keys.LEAD)
+        return store.revision
+    }
+
+    private fun accept(id: String) {
+        val record = JobRecord(job(id), Duration.ZERO, 0, BitSet(), emptyList())
+        put(Keys.job(id), RecordWire.encode(record))
+    }
 
     @Test
-    fun `only what has had no record for two looks goes, a little at a time`() {
-        put(Keys.LEAD)
-        val recordVersion = state.revision
+    fun `only what has had no record in two passes is removed, a little at a time`() {
+        val recordVersion = lead()
         for (n in 0..4) put(Keys.chunk("over", n))
         put(Keys.placementPart("live", 0))
         accept("live")
-        sweep.look(recordVersion)
-        assertEquals(5, state.withPrefix(Keys.CHUNK).size)
+        collector.collect(recordVersion)
+        assertEquals(5, store.withPrefix(Keys.CHUNK).size)
         put(Keys.descriptionPart("coming", 0))
-        sweep.look(recordVersion)
-        assertEquals(2, state.withPrefix(Keys.CHUNK).size)
+        collector.collect(recordVersion)
+        assertEquals(2, store.withPrefix(Keys.CHUNK).size)
         accept("coming")
-        repeat(3) { sweep.look(recordVersion) }
-        assertEquals(
+        repeat(3) { collector.collect(recordVersion) }
+        val expected =
             setOf(
-                Keys.LEAD, Keys.job("live"), Keys.job("coming"), Keys.placementPart("live", 0),
-                Keys
-                    .descriptionPart("coming", 0),
-            ),
-            state.entries.keys,
-        )
+                Keys.LEAD,
+                Keys.job("live"),
+                Keys.job("coming"),
+                Keys.placementPart("live", 0),
+                Keys.descriptionPart("coming", 0),
+            )
+        assertEquals(expected, store.entries.keys)
     }
 
     @Test
     fun `a deposed leader removes nothing`() {
-        put(Keys.LEAD)
-        val recordVersion = state.revision
+        val recordVersion = lead()
         put(Keys.descriptionPart("over", 0))
         put(Keys.LEAD)
-        repeat(3) { sweep.look(recordVersion) }
-        assertEquals(1, state.withPrefix(Keys.DESCRIPTION_PART).size)
+        repeat(3) { collector.collect(recordVersion) }
+        assertEquals(1, store.withPrefix(Keys.DESCRIPTION_PART).size)
     }
 }
--- a/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
@@ -48,61 +48,38 @@
     private val outcomes = LinkedBlockingQueue<StoreOutcome>()
     private val leadership = Leadership("a", "boot", client, cache, { elected.add(it) }, {}) { gate.fence() == null }
     private val writer = StoreWriter(LIMITS, client, cache, leadership, gate) { outcome, _ -> outcomes.add(outcome) }
-    private val duties =
-        ServiceThreads({}).also { duties ->
-            duties.start("syncs") { cache.serveSyncs() }
-            duties.start("leadership") { leadership.run() }
-            duties.start("writer") { writer.run() }
+    private val threads =
+        ServiceThreads({}).also { threads ->
+            threads.start("syncs") { cache.serveSyncs() }
+            threads.start("leadership") { leadership.run() }
+            threads.start("writer") { writer.run() }
         }
 
     @AfterEach
     fun close() {
-        duties.close()
+        threads.close()
         listener.close()
     }
 
-    private fun store(level: Int, stage: LevelStage) {
-        state
-            .transact(
-                emptyMap(),
-                listOf(
-                    Put(
-                        Keys.LEVEL,
-                        RolloutWire
-                            .encode(LevelRecord(level, "n", stage, 1, 5.milliseconds)),
-                    ),
-                ),
-                emptyList(),
-            )
+    private fun storeLevel(level: Int, stage: LevelStage) {
+        val record = RolloutWire.encode(LevelRecord(level, "n", stage, 1, 5.milliseconds))
+        state.transact(emptyMap(), listOf(Put(Keys.LEVEL, record)), emptyList())
         assertTrue(cache.sync(2.seconds))
     }
 
     private val split =
         JobRecord(
             job("a", tasks = 9), Duration.ZERO, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
-            placementParts =
-                mapOf(
-                    0 to listOf(StoredPlacement(2, 3, "i-2")),
-                ),
+            placementParts = mapOf(0 to listOf(StoredPlacement(2, 3, "i-2"))),
         )
 
+    /** Stores [record] over the job's present one; null: no outcome within five seconds. */
     private fun save(term: Term, record: JobRecord): StoreOutcome? {
         val version = state.get(Keys.job("a"))?.version ?: 0L
         assertTrue(cache.sync(2.seconds))
-        writer
-            .offer(
-                term,
-                StoreChanges(
-                    listOf(
-                        UpdateJobRecord(
-                            "a", version, record, emptyList(), 1, false,
-                            record.placementParts.mapValues {
-                                1L
-                            },
-                        ),
-                    ),
-                ),
-            )
+        val parts = record.placementParts.mapValues { 1L }
+        val update = UpdateJobRecord("a", version, record, emptyList(), 1, false, parts)
+        writer.offer(term, StoreChanges(listOf(update)))
         return outcomes.poll(5, TimeUnit.SECONDS)
     }
 
@@ -114,9 +91,9 @@
         assertEquals(StoreOutcome.Refused(emptySet()), save(term, split))
         assertNull(state.get(Keys.job("a")))
         assertTrue(save(term, split.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
-        store(1, LevelStage.ACTIVE)
+        storeLevel(1, LevelStage.ACTIVE)
         assertTrue(save(term, split) is StoreOutcome.Stored)
-        store(1, LevelStage.LEAVING)
+        storeLevel(1, LevelStage.LEAVING)
         assertTrue(save(term, split.copy(lastAttempt = 4)) is StoreOutcome.Stored)
         assertTrue(RecordWire.isSealed(state.entries.getValue(Keys.job("a")).value))
         assertTrue(save(term, split.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
@@ -126,7 +103,7 @@
     @Test
     fun `a level that is left just before the write refuses it`() {
         val term = term()
-        store(1, LevelStage.ACTIVE)
+        storeLevel(1, LevelStage.ACTIVE)
         state.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("a") }) {
                 state.beforeTransaction = {}
@@ -142,12 +119,12 @@
     fun `a process that can't read the active level is not elected, even if it is alone`() {
         term()
         val lease = checkNotNull(state.entries[Keys.LEAD]?.lease)
-        store(2, LevelStage.ACTIVE)
+        storeLevel(2, LevelStage.ACTIVE)
         leadership.resign("fenced", Duration.ZERO)
         state.endLease(lease)
         assertNull(elected.poll(1200, TimeUnit.MILLISECONDS))
         assertNull(state.get(Keys.LEAD))
-        store(1, LevelStage.ACTIVE)
+        storeLevel(1, LevelStage.ACTIVE)
         term()
     }
 
--- a/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
@@ -8,55 +8,56 @@
 
 /** Workers wait 4 s for an answer, and a leader that is starting or behind must not let that time go by. */
 class HeartbeatIntakeTest {
+    /** What [machine]'s worker was answered; null: without the core's commands. */
+    private data class Answer(val machine: String, val commands: WorkerCommands?)
+
     private var now = Duration.ZERO
     private var term: Term? = null
     private val pending = PendingHeartbeats { now }
     private val posted = ArrayList<PendingHeartbeat>()
-    private val answers = ArrayList<Pair<String, WorkerCommands?>>()
+    private val answers = ArrayList<Answer>()
     private val intake = HeartbeatIntake(pending, { term }, posted::add)
-    private val orders = WorkerCommands(3, emptyList())
+    private val commands = WorkerCommands(3, emptyList())
 
-    private fun take(machine: String) =
-        intake.take(Heartbeat(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
-            answers.add(
-                machine to it,
-            )
-        }
+    private fun receive(machine: String) {
+        val heartbeat = Heartbeat(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())
+        intake.accept(heartbeat) { answers.add(Answer(machine, it)) }
+    }
 
     @Test
-    fun `a report waits for the core only once the core has begun this node's term`() {
-        take("follower")
+    fun `a heartbeat waits for the core only once the core has begun this node's term`() {
+        receive("follower")
         term = Term(3, 10, 1)
-        take("elected")
+        receive("elected")
         intake.readyTerm = Term(2, 5, 1)
-        take("other term")
-        assertEquals(listOf("follower", "elected", "other term").map { it to null as WorkerCommands? }, answers)
+        receive("other term")
+        assertEquals(listOf("follower", "elected", "other term").map { Answer(it, null) }, answers)
         assertEquals(0, posted.size)
         intake.readyTerm = term
-        take("leader")
+        receive("leader")
         assertEquals(3, answers.size)
-        posted.single().complete(orders)
-        assertEquals("leader" to orders, answers.last())
+        posted.single().complete(commands)
+        assertEquals(Answer("leader", commands), answers.last())
     }
 
     @Test
-    fun `while the core is behind workers are answered at once, and it still gets their reports`() {
+    fun `while the core is behind workers are answered at once, and it still gets their heartbeats`() {
         term = Term(3, 10, 1)
         intake.readyTerm = term
-        take("first")
+        receive("first")
         now += HeartbeatIntake.KEEPS_UP - 1.milliseconds
-        take("in time")
+        receive("in time")
         assertEquals(0, answers.size)
         now += 1.milliseconds
-        take("late")
-        assertEquals(listOf<Pair<String, WorkerCommands?>>("late" to null), answers)
+        receive("late")
+        assertEquals(listOf(Answer("late", null)), answers)
         assertEquals(listOf("first", "in time", "late"), posted.map { it.heartbeat.machine })
         posted.forEach {
             pending.take(it)
-            it.complete(orders)
+            it.complete(commands)
         }
-        assertEquals(listOf("late" to null, "first" to orders, "in time" to orders), answers)
-        take("after")
+        assertEquals(listOf(Answer("late", null), Answer("first", commands), Answer("in time", commands)), answers)
+        receive("after")
         assertEquals(3, answers.size)
     }
 }
--- a/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A controller's intake while a whole fleet of 4,000 machines reports at once. */
+/** A controller's intake while a whole fleet of 4,000 machines sends heartbeats at once. */
 class LargeIntakeTest {
     private var now = Duration.ZERO
     private val pending = PendingHeartbeats { now }
@@ -16,45 +16,52 @@
     private val posted = ArrayDeque<PendingHeartbeat>()
     private val intake = HeartbeatIntake(pending, { term }) { posted.add(it) }.also { it.readyTerm = term }
 
-    private fun heartbeat(machine: Int) = Heartbeat("i-%06d".format(machine), "addr", "big", "a", false, 1, 1, 1, null, emptyList())
+    /** How many heartbeats were answered, and how many of them with the core's commands. */
+    private data class Outcome(val answered: Int, val withCommands: Int)
 
-    /** The core takes in so many reports a second; the answers, and how many of them had the core's orders. */
-    private fun play(coreTakes: Int): Pair<Int, Int> {
-        var answers = 0
-        var ordered = 0
+    private fun heartbeat(machine: Int): Heartbeat {
+        val name = "i-%06d".format(machine)
+        return Heartbeat(name, "addr", "big", "a", false, 1, 1, 1, null, emptyList())
+    }
+
+    /** Every machine sends one heartbeat within a second, of which the core takes in [corePerSecond] a second. */
+    private fun receiveFleet(corePerSecond: Int): Outcome {
+        var answered = 0
+        var withCommands = 0
+        val receivedPerTaken = (FLEET / corePerSecond).coerceAtLeast(1)
         for (machine in 1..FLEET) {
             now += 1.seconds / FLEET
-            intake.take(heartbeat(machine)) { orders ->
-                answers++
-                if (orders != null) ordered++
+            intake.accept(heartbeat(machine)) { commands ->
+                answered++
+                if (commands != null) withCommands++
             }
-            if (machine % (FLEET / coreTakes).coerceAtLeast(1) == 0) posted.removeFirstOrNull()?.let(::takeIn)
+            if (machine % receivedPerTaken == 0) posted.removeFirstOrNull()?.let(::takeIn)
         }
         while (posted.isNotEmpty()) {
-            now += 1.seconds / coreTakes
+            now += 1.seconds / corePerSecond
             takeIn(posted.removeFirst())
             pending.expire()
         }
-        return answers to ordered
+        return Outcome(answered, withCommands)
     }
 
-    private fun takeIn(heartbeat: PendingHeartbeat) {
-        pending.take(heartbeat)
-        heartbeat.complete(WorkerCommands(1, emptyList()))
+    private fun takeIn(taken: PendingHeartbeat) {
+        pending.take(taken)
+        taken.complete(WorkerCommands(1, emptyList()))
     }
 
     @Test
-    fun `every machine is answered, with orders if the core keeps up`() {
-        assertEquals(FLEET to FLEET, play(coreTakes = FLEET))
+    fun `every machine is answered, with commands if the core keeps up`() {
+        assertEquals(Outcome(FLEET, FLEET), receiveFleet(corePerSecond = FLEET))
     }
 
     @Test
     fun `every machine is answered in time if the core takes a tenth, and the core learns that it is behind`() {
-        val (answers, ordered) = play(coreTakes = FLEET / 10)
-        assertEquals(FLEET, answers)
-        assertTrue(ordered in 400..(400 + 2 * PendingHeartbeats.MAX_WAITING), "$ordered")
+        val (answered, withCommands) = receiveFleet(corePerSecond = FLEET / 10)
+        assertEquals(FLEET, answered)
+        assertTrue(withCommands in 400..(400 + 2 * PendingHeartbeats.MAX_WAITING), "$withCommands")
         assertTrue(pending.backlog() >= PendingHeartbeats.PATIENCE)
-        // Nothing is left to wait for once the crowd is over.
+        // Nothing is left to wait for once the burst is over.
         assertEquals(Duration.ZERO, pending.oldestWait())
         assertTrue(now < 1.seconds + 2500.milliseconds)
     }
--- a/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
+++ b/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
@@ -13,21 +13,22 @@
  * A core that is behind must cost no worker its lease: what waits is bounded by count and by time, and answered once.
  */
 class PendingHeartbeatsTest {
+    /** What [machine]'s worker was answered; null: without the core's commands. */
+    private data class Answer(val machine: String, val commands: WorkerCommands?)
+
     private var now = Duration.ZERO
     private val heartbeats = PendingHeartbeats { now }
-    private val answers = ArrayList<Pair<String, WorkerCommands?>>()
-    private val orders = WorkerCommands(3, emptyList())
+    private val answers = ArrayList<Answer>()
+    private val commands = WorkerCommands(3, emptyList())
 
-    private fun add(machine: String) =
-        heartbeats.add(Heartbeat(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())) {
-            answers.add(
-                machine to it,
-            )
-        }
+    private fun add(machine: String): PendingHeartbeat? {
+        val heartbeat = Heartbeat(machine, "$machine:1", "any", "here", false, 1, 1, 3, null, emptyList())
+        return heartbeats.add(heartbeat) { answers.add(Answer(machine, it)) }
+    }
 
     private fun take(pending: PendingHeartbeat) {
         heartbeats.take(pending)
-        pending.complete(orders)
+        pending.complete(commands)
     }
 
     @Test
@@ -46,26 +47,26 @@
         now += PendingHeartbeats.PATIENCE - 1.milliseconds
         val newer = add("newer")
         heartbeats.expire()
-        assertEquals(emptyList<Pair<String, WorkerCommands?>>(), answers)
+        assertEquals(emptyList<Answer>(), answers)
         now += 1.milliseconds
         heartbeats.expire()
-        assertEquals(listOf<Pair<String, WorkerCommands?>>("late" to null), answers)
-        assertEquals(false, late?.complete(orders))
-        assertEquals(true, newer?.complete(orders))
-        assertEquals(listOf("late" to null, "newer" to orders), answers)
+        assertEquals(listOf(Answer("late", null)), answers)
+        assertEquals(false, late?.complete(commands))
+        assertEquals(true, newer?.complete(commands))
+        assertEquals(listOf(Answer("late", null), Answer("newer", commands)), answers)
     }
 
     @Test
-    fun `a report that was answered without the core still waits for it`() {
+    fun `a heartbeat that was answered without the core still waits for it`() {
         val first = add("first")
         now += PendingHeartbeats.PATIENCE
         heartbeats.expire()
         heartbeats.expire()
-        assertEquals(listOf<Pair<String, WorkerCommands?>>("first" to null), answers)
+        assertEquals(listOf(Answer("first", null)), answers)
         assertEquals(PendingHeartbeats.PATIENCE, heartbeats.backlog())
         first?.let { take(it) }
         assertEquals(Duration.ZERO, heartbeats.backlog())
-        assertEquals(listOf<Pair<String, WorkerCommands?>>("first" to null), answers)
+        assertEquals(listOf(Answer("first", null)), answers)
     }
 
     @Test
@@ -85,7 +86,7 @@
         List(PendingHeartbeats.MAX_WAITING) { add("m$it") }
         heartbeats.drop()
         assertEquals(PendingHeartbeats.MAX_WAITING, answers.size)
-        assertTrue(answers.all { it.second == null })
+        assertTrue(answers.all { it.commands == null })
         assertEquals(Duration.ZERO, heartbeats.backlog())
         assertNotNull(add("next"))
     }
--- a/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
+++ b/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
@@ -6,46 +6,43 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration
 
-/** A node must not live on with one of its duties dead: least of all a leader without its core. */
+/** A node must not live on with one of its service threads dead: least of all a leader without its core. */
 class ServiceThreadsTest {
+    private val fatalCalls = AtomicInteger()
+    private val threads = ServiceThreads({ fatalCalls.incrementAndGet() }, Duration.ZERO)
+
     @Test
-    fun `a duty that can't go on ends the process`() {
-        val ended = AtomicInteger()
-        val duties = ServiceThreads({ ended.incrementAndGet() }, Duration.ZERO)
-        duties.start("broken") { throw NoClassDefFoundError("as when a class can't be loaded") }
-        // Joined, not waited for: a duty that only died would be seen, too.
-        duties.join()
-        assertEquals(1, ended.get())
+    fun `a service thread that can't go on ends the process`() {
+        threads.start("broken") { throw NoClassDefFoundError("as when a class can't be loaded") }
+        // Joined, not waited for: a thread that only died would be seen, too.
+        threads.join()
+        assertEquals(1, fatalCalls.get())
     }
 
     @Test
-    fun `a duty that fails is begun again, and one that is interrupted ends`() {
-        val ended = AtomicInteger()
+    fun `a service thread that fails is run again, and one that is interrupted ends`() {
         val begun = CountDownLatch(3)
-        val duties = ServiceThreads({ ended.incrementAndGet() }, Duration.ZERO)
-        duties.start("failing") {
+        threads.start("failing") {
             begun.countDown()
             check(begun.count == 0L) { "fails until it was begun three times" }
             CountDownLatch(1).await()
         }
         begun.await()
-        duties.close()
-        duties.join()
-        assertEquals(0, ended.get())
+        threads.close()
+        threads.join()
+        assertEquals(0, fatalCalls.get())
     }
 
     @Test
-    fun `a duty that is to run once is over when it returns or fails`() {
+    fun `a service thread that is to run once is over when it returns or fails`() {
         val runs = AtomicInteger()
-        val ended = AtomicInteger()
-        val duties = ServiceThreads({ ended.incrementAndGet() }, Duration.ZERO)
-        duties.startOnce("returning") { runs.incrementAndGet() }
-        duties.startOnce("failing") {
+        threads.startOnce("returning") { runs.incrementAndGet() }
+        threads.startOnce("failing") {
             runs.incrementAndGet()
-            throw IllegalStateException("as a broken duty would")
+            throw IllegalStateException("as a broken thread would")
         }
-        duties.join()
+        threads.join()
         assertEquals(2, runs.get())
-        assertEquals(0, ended.get())
+        assertEquals(0, fatalCalls.get())
     }
 }
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -20,7 +20,7 @@
 /** What a node runs while it follows, so that it does not lead cold. */
 class WarmUpTest {
     @Test
-    fun `the made-up fleet lives a leader's life, and nothing piles up in it`() {
+    fun `the simulated fleet exercises a leader's code, and nothing piles up in it`() {
         val fleet = WarmUpFleet(config())
         repeat(240) { fleet.turn() }
         assertTrue(fleet.started > 300, "${fleet.started} started")
@@ -36,50 +36,41 @@
     }
 
     @Test
-    fun `the node asks itself, and stops for good as soon as it leads`() {
-        val asked = AtomicInteger()
-        HttpListener(InetSocketAddress("127.0.0.1", 0), "itself", 4) { r ->
-            asked.incrementAndGet()
-            WarmUp.answer(r)
+    fun `the node sends itself heartbeats, and stops for good as soon as it leads`() {
+        val heartbeats = AtomicInteger()
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "itself", 4) { request ->
+            heartbeats.incrementAndGet()
+            WarmUp.answer(request)
         }.use { itself ->
-            var turns = 0
-            // Asked before each turn and in each pause.
-            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, { 0 }) { turns++ >= 6 }.run()
-            assertEquals(6, asked.get())
+            var leadershipChecks = 0
+            // Checked before each turn and in each pause.
+            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, { 0 }) { leadershipChecks++ >= 6 }.run()
+            assertEquals(6, heartbeats.get())
         }
     }
 
     @Test
-    fun `it does nothing while workers come in numbers`() {
-        val asked = AtomicInteger()
-        HttpListener(InetSocketAddress("127.0.0.1", 0), "itself", 4) { r ->
-            asked.incrementAndGet()
-            WarmUp.answer(r)
+    fun `it does nothing while many workers send heartbeats`() {
+        val heartbeats = AtomicInteger()
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "itself", 4) { request ->
+            heartbeats.incrementAndGet()
+            WarmUp.answer(request)
         }.use { itself ->
-            var served = 0L
-            var looks = 0
-            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, { (served + 1000).also { served = it } }) {
-                looks++ >=
-                    2
-            }.run()
-            assertEquals(2, asked.get())
+            var answered = 0L
+            var leadershipChecks = 0
+            val busy = { (answered + 1000).also { answered = it } }
+            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, busy) { leadershipChecks++ >= 2 }.run()
+            assertEquals(2, heartbeats.get())
         }
     }
 
     @Test
-    fun `the answer to a made-up report orders nothing and vouches for nothing but its own token`() {
+    fun `the answer to a simulated heartbeat carries no commands and no token but its own`() {
         val fleet = WarmUpFleet(config())
         fleet.turn()
-        val r =
-            WarmUp
-                .answer(
-                    Request(Method.POST, WarmUp.PATH)
-                        .body(Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastHeartbeat))))),
-                )
-        assertEquals(
-            WorkerWire.answer(fleet.lastHeartbeat.token, emptyList()),
-            Cbor
-                .decodeMap(r.body.stream.readAllBytes()),
-        )
+        val body = Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastHeartbeat))))
+        val response = WarmUp.answer(Request(Method.POST, WarmUp.PATH).body(body))
+        val expected = WorkerWire.answer(fleet.lastHeartbeat.token, emptyList())
+        assertEquals(expected, Cbor.decodeMap(response.body.stream.readAllBytes()))
     }
 }
