--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -105,7 +105,7 @@
         lock.withLock { hasNews.signalAll() }
     }
 
-    /** Waits a moment until a user may be told that the job is cancelled; false: not yet. */
+    /** Waits a moment until a user may get the answer that the job is cancelled; false: not yet. */
     fun confirm(job: String): Boolean {
         val begun = TimeSource.Monotonic.markNow()
         while (true) {
--- /dev/null
+++ b/src/main/kotlin/glenspool/controller/Clients.kt
@@ -0,0 +1,26 @@
+package glenspool.controller
+
+import glenspool.cloud.CloudClient
+import glenspool.config.Settings
+import glenspool.http.HttpCaller
+import glenspool.http.hostPort
+import glenspool.peer.PeerClient
+import glenspool.state.KeyValueStoreClient
+import glenspool.worker.WorkerClient
+import kotlin.time.Duration.Companion.milliseconds
+
+/** A node's clients of everything that it calls. */
+internal class Clients(settings: Settings) {
+    private val http = HttpCaller(CONNECT_TIMEOUT)
+
+    val store = KeyValueStoreClient(settings.state.hostPort(), http)
+    val cloud = CloudClient(settings.cloud.hostPort(), http, settings.cloudLimits.rps)
+
+    /** A machine gets a command rarely: connections kept open would take half of the sockets of a large fleet. */
+    val workers = WorkerClient(HttpCaller(CONNECT_TIMEOUT, keepOpen = false))
+    val peers = PeerClient(settings.members)
+
+    private companion object {
+        val CONNECT_TIMEOUT = 800.milliseconds
+    }
+}
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -18,7 +18,7 @@
 
 /** The core thread's event loop: takes events from one queue and dispatches them to the present [LeadershipTerm]. */
 class CoreLoop(
-    /** The deployment as schedulers are told of it. */
+    /** The deployment as schedulers see it. */
     val config: SchedulerConfig,
     cache: StoreCache,
     private val leadership: Leadership,
--- a/src/main/kotlin/glenspool/controller/SchedulerSettings.kt
+++ b/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
@@ -3,9 +3,10 @@
 import glenspool.config.Settings
 import glenspool.core.SchedulerConfig
 import glenspool.core.Tuning
+import glenspool.reconcile.RecoverySetting
 
 /**
- * The deployment that [settings] describe, as schedulers are told of it. [logsDetails]: whether each placement and stop
+ * The deployment that [settings] describe, as schedulers see it. [logsDetails]: whether each placement and stop
  * is logged.
  */
 internal fun schedulerConfig(settings: Settings, tuning: Tuning, logsDetails: Boolean = false): SchedulerConfig {
@@ -19,3 +20,9 @@
         tuning, peerZones, logsDetails,
     )
 }
+
+/** What a recovery needs to know of the deployment. */
+internal fun recoverySetting(settings: Settings): RecoverySetting {
+    val workers = settings.workers
+    return RecoverySetting(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
+}
--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -22,7 +22,7 @@
  */
 class Leadership(
     private val node: String,
-    /** Tells this process from an earlier one on the same host, whose record may still be there. */
+    /** Distinguishes this process from an earlier one on the same host, whose record may still be there. */
     private val boot: String,
     private val client: KeyValueStoreClient,
     private val cache: StoreCache,
@@ -72,7 +72,7 @@
         deposed()
     }
 
-    /** Steps down, then ends the lease so that another node can begin at once; this one stands back for [backoff]. */
+    /** Steps down and ends the lease, so that another node can begin at once; this one does not stand for [backoff]. */
     fun resign(reason: String, backoff: Duration) {
         val resigned = term ?: return
         backoffUntil = clock.markNow() + backoff
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -97,7 +97,7 @@
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
         val notices = engine.tick(context.now(), isBehind = backlog >= BEHIND)
-        if (notices.isNotEmpty()) context.recoveries?.noticed(notices)
+        if (notices.isNotEmpty()) context.recoveries?.handleNotices(notices)
     }
 
     private fun Scheduler.updateSplitting() {
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -2,15 +2,12 @@
 
 import glenspool.api.UserApi
 import glenspool.api.WorkerApi
-import glenspool.cloud.CloudClient
 import glenspool.config.Settings
 import glenspool.core.StoreOutcome
 import glenspool.core.Tuning
 import glenspool.core.cluster.Cancellations
-import glenspool.http.HttpCaller
 import glenspool.http.hostPort
 import glenspool.logging.loggerOf
-import glenspool.peer.PeerClient
 import glenspool.peer.PeerServer
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
@@ -19,16 +16,12 @@
 import glenspool.peer.RolloutRequest
 import glenspool.peer.RolloutServer
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
 import glenspool.rollout.FeaturePermits
 import glenspool.rollout.FeatureRegistry
 import glenspool.rollout.RolloutPolicy
 import glenspool.rollout.UnmanagedFeatures
-import glenspool.state.KeyValueStoreClient
 import glenspool.state.StoreCache
-import glenspool.worker.WorkerClient
 import kotlin.time.Duration
-import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.TimeSource
 
 /** One controller: wires its parts together and starts its service threads. */
@@ -51,13 +44,11 @@
     private val config = schedulerConfig(settings, tuning, logsDetails = log.isDebugEnabled)
     private val health = HealthCounters()
 
-    private val http = HttpCaller(CONNECT_TIMEOUT)
-    private val store = KeyValueStoreClient(settings.state.hostPort(), http)
-    private val cloud = CloudClient(settings.cloud.hostPort(), http, settings.cloudLimits.rps)
-
-    /** A machine gets a command rarely: connections kept open would take half of the sockets of a large fleet. */
-    private val workers = WorkerClient(HttpCaller(CONNECT_TIMEOUT, keepOpen = false))
-    private val peers = PeerClient(settings.members)
+    private val clients = Clients(settings)
+    private val store = clients.store
+    private val cloud = clients.cloud
+    private val workers = clients.workers
+    private val peers = clients.peers
 
     /** The cancellations that this node knows; kept for a multiple of the time in which they have to take effect. */
     val cancellations =
@@ -93,12 +84,10 @@
         }
     private val recovery: RecoveryManager? =
         recoveryPolicy?.let { policy ->
-            val workerTimes = settings.workers
-            val setting =
-                RecoverySetting(workerTimes.lease, workerTimes.heartbeatInterval, settings.cloudLimits.listLag)
-            RecoveryManager(
-                settings.node, members.size, policy, setting, store, cache, leadership, peers, ::uptime,
-            ) { loop.post(it) }
+            val setting = recoverySetting(settings)
+            RecoveryManager(settings.node, members.size, policy, setting, store, cache, leadership, peers, ::uptime) {
+                loop.post(it)
+            }
         }
     private val features: FeaturePermits = rollout?.gate ?: UnmanagedFeatures { monitor.mayUseSealedRecords }
 
@@ -220,6 +209,5 @@
 
     private companion object {
         val log = loggerOf(Node::class.java)
-        val CONNECT_TIMEOUT = 800.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/NodePorts.kt
+++ b/src/main/kotlin/glenspool/controller/NodePorts.kt
@@ -20,7 +20,7 @@
     private var apiListener: HttpListener? = null
     private var internalListener: HttpListener? = null
 
-    /** Requests are taken as soon as a port is open; until the state is read they are told to come back. */
+    /** Requests are taken as soon as a port is open; until the state is read they are refused with a time to retry. */
     fun open() {
         val apiThreads = minOf(MAX_API_THREADS, settings.maxSockets / 3)
         val direct = ApiRouter(workers, users)::direct
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -120,7 +120,7 @@
     }
 
     /** The engine's notices of a tick; called by the core thread. */
-    fun noticed(notices: List<RecoveryNotice>) {
+    fun handleNotices(notices: List<RecoveryNotice>) {
         for (notice in notices) {
             if (notice is RecoveryNotice.PhaseEntered) enteredPhase = notice.state.phase
             RecoveryNoticeLog.log(notice, policy)
