--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -19,7 +19,7 @@
 /** The core thread's event loop: takes events from one queue and dispatches them to the present [LeadershipTerm]. */
 class CoreLoop(
     /** The deployment as schedulers see it. */
-    val config: SchedulerConfig,
+    private val config: SchedulerConfig,
     cache: StoreCache,
     private val leadership: Leadership,
     actions: ActionExecutor,
@@ -37,7 +37,7 @@
     private val intake = HeartbeatIntake(pendingHeartbeats, leadership::current) { post(Event.HeartbeatReceived(it)) }
     private val context =
         TermContext(
-            now = clock::elapsedNow,
+            clock = clock,
             leadership = leadership,
             features = features,
             changes = StoreChangeApplier(cache),
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -3,34 +3,15 @@
 import glenspool.core.OrderCounts
 import glenspool.core.Scheduler
 import glenspool.core.model.Command
-import glenspool.core.model.MachineType
 import glenspool.logging.loggerOf
 import glenspool.peer.RecoveryVerb
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.StartKind
-import glenspool.rollout.FeaturePermits
 import glenspool.rollout.FeatureRegistry
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What every term of this node's leadership works with. */
-internal class TermContext(
-    /** The core's steady clock. */
-    val now: () -> Duration,
-    val leadership: Leadership,
-    val features: FeaturePermits,
-    val changes: StoreChangeApplier,
-    val actions: ActionExecutor,
-    val summary: OrderSummary,
-    /** How far the core is behind with heartbeats. */
-    val backlog: () -> Duration,
-    /** The machine types as last read or stored; null: none are known yet. */
-    val knownTypes: () -> List<MachineType>?,
-    /** Null: recovery is not managed. */
-    val recoveries: RecoveryManager?,
-)
-
 /**
  * One term of this node's leadership: its [Scheduler], its recovery and the pause while the lease is uncertain.
  * Confined to the core thread, apart from [orderCounts].
@@ -63,7 +44,7 @@
      * outcomes of calls still have to arrive, or the scheduler would wait for them for ever.
      */
     fun step(event: Scheduler.() -> Unit) {
-        scheduler.step(context.now(), wallClock(), event).forEach { context.actions.perform(it, term) }
+        scheduler.step(context.clock.elapsedNow(), wallClock(), event).forEach { context.actions.perform(it, term) }
     }
 
     /**
@@ -75,7 +56,7 @@
         if (!hasLease()) return pause()
         pausedSince?.let { since ->
             pausedSince = null
-            step { resumed(context.now() - since) }
+            step { resumed(context.clock.elapsedNow() - since) }
         }
         val backlog = context.backlog()
         step {
@@ -90,13 +71,13 @@
     private fun hasLease() = context.leadership.current() == term
 
     private fun pause() {
-        if (pausedSince == null) pausedSince = context.now()
-        scheduler.overdueMachines(context.now()).forEach(context.actions::endOverdueWork)
+        if (pausedSince == null) pausedSince = context.clock.elapsedNow()
+        scheduler.overdueMachines(context.clock.elapsedNow()).forEach(context.actions::endOverdueWork)
     }
 
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
-        val notices = engine.tick(context.now(), isBehind = backlog >= BEHIND)
+        val notices = engine.tick(context.clock.elapsedNow(), isBehind = backlog >= BEHIND)
         if (notices.isNotEmpty()) context.recoveries?.handleNotices(notices)
     }
 
@@ -116,7 +97,7 @@
 
     /** The store was read by a request sent at [sent]. */
     fun storeRead(sent: ComparableTimeMark) {
-        recovery?.stateRead(context.now() - sent.elapsedNow())
+        recovery?.stateRead(context.clock.elapsedNow() - sent.elapsedNow())
     }
 
     /** The other controllers' answers show how the term began. */
