--- a/src/main/kotlin/glenspool/api/DependencyResolver.kt
+++ b/src/main/kotlin/glenspool/api/DependencyResolver.kt
@@ -17,6 +17,7 @@
     private val records: JobRecordReader,
     private val finalStates: FinalStates,
 ) {
+    /** How a job stands that depends on others. */
     sealed interface Resolution
 
     /** [unfinishedDependencies]: those of the jobs named that are not done. */
@@ -71,11 +72,13 @@
         }
     }
 
+    /** Whether a new job may depend on the jobs that it names. */
     sealed interface Validation
 
     /** All named jobs were accepted. [abortedBy]: a cancelled one among them, or among those that they depend on. */
     data class Valid(val abortedBy: String?) : Validation
 
+    /** It may not, for [reason]. */
     data class Invalid(val reason: String) : Validation
 
     /** The key-value store could not be read. */
--- a/src/main/kotlin/glenspool/api/FinalStates.kt
+++ b/src/main/kotlin/glenspool/api/FinalStates.kt
@@ -9,8 +9,10 @@
 
 /** How jobs ended, read by [get] from the key-value store. Outcomes never change, so those read are cached. */
 class FinalStates(private val get: (key: String) -> StoreResult<StoreWire.Item>) {
+    /** What was found under a job's final key. */
     sealed interface Lookup
 
+    /** The job has its final state. */
     data class Ended(val outcome: JobOutcome) : Lookup
 
     /** No final state is stored: the job is live, or was never accepted. */
@@ -25,6 +27,7 @@
     /** The outcome if it was read before; null otherwise. */
     fun cached(jobId: String): JobOutcome? = outcomes.getIfPresent(jobId)
 
+    /** The final state of the job, from memory or from the key-value store. */
     fun read(jobId: String): Lookup {
         cached(jobId)?.let { return Ended(it) }
         return when (val result = get(Keys.final(jobId))) {
--- a/src/main/kotlin/glenspool/controller/HealthCounters.kt
+++ b/src/main/kotlin/glenspool/controller/HealthCounters.kt
@@ -32,6 +32,7 @@
         if (before != null && incarnation > before) expiredLeases.increment()
     }
 
+    /** All counts so far. */
     fun counts() = HealthCounts(failovers.sum(), expiredLeases.sum(), refusals.sum(), rejectedWrites.sum())
 
     private companion object {
--- a/src/main/kotlin/glenspool/peer/OperatorServer.kt
+++ b/src/main/kotlin/glenspool/peer/OperatorServer.kt
@@ -18,6 +18,7 @@
     }
 
     companion object {
+        /** The server for operators' requests about the rollout. */
         fun forRollout(answer: (RolloutRequest) -> RolloutReply): OperatorServer<RolloutRequest, RolloutReply> =
             OperatorServer(
                 decode = PeerWire::decodeRolloutRequest,
@@ -25,6 +26,7 @@
                 answer = answer,
             )
 
+        /** The server for operators' requests about a leader's orders and its recovery. */
         fun forRecovery(answer: (RecoveryRequest) -> RecoveryReply): OperatorServer<RecoveryRequest, RecoveryReply> =
             OperatorServer(
                 decode = PeerWire::decodeRecoveryRequest,
--- a/src/main/kotlin/glenspool/peer/PeerClient.kt
+++ b/src/main/kotlin/glenspool/peer/PeerClient.kt
@@ -21,6 +21,7 @@
 
     /** How an exchange of known cancellations ended. */
     sealed interface Exchange {
+        /** It answered with [message]. */
         data class Answered(val message: CancellationMessage) : Exchange
 
         /** The peer runs a version that takes no part in the exchange. */
@@ -30,6 +31,7 @@
         data object None : Exchange
     }
 
+    /** Sends what this controller knows of cancellations and reads what the other one does. */
     fun exchange(with: Member, message: CancellationMessage): Exchange {
         val body = PeerWire.encode(message)
         val reply = request(with, PeerPaths.CANCELLATIONS, body, EXCHANGE_TIMEOUT, PeerWire::decodeCancellations)
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -77,6 +77,7 @@
     @SerialName("heardBoot") val heardBoot: String?,
     @SerialName("heardUpTo") val heardUpTo: Long,
 ) {
+    /** A stored cancellation; [at] is a time of day. */
     @Serializable
     data class Entry(
         @SerialName("job") val job: String,
--- a/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
@@ -54,6 +54,7 @@
     /** Null if the node does not lead, or recovery is not managed. */
     @SerialName("recovery") val recovery: Recovery?,
 ) {
+    /** The recovery of the present term. */
     @Serializable
     data class Recovery(
         @SerialName("token") val token: Long,
@@ -84,6 +85,7 @@
     @SerialName("total") val total: Int,
     @SerialName("listed") val listed: List<Entry>,
 ) {
+    /** One difference; its age is in seconds. */
     @Serializable
     data class Entry(
         @SerialName("kind") val kind: String,
--- a/src/main/kotlin/glenspool/peer/RolloutMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RolloutMessages.kt
@@ -79,6 +79,7 @@
     /** Records still stored in a form of the active level. */
     @SerialName("recordsInLevel") val recordsInLevel: Int,
 ) {
+    /** Another controller as this one sees it. */
     @Serializable
     data class Member(
         @SerialName("member") val member: String,
