--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -93,22 +93,8 @@
     var isFinished = false
         private set
 
-    // Storing, see RecordWriteScheduler.
-
-    /** Counts changes that must be stored before the work can go on; [storedChanges] is the last stored one. */
-    var changes = 0L
-        private set
-    var storedChanges = 0L
-        private set
-
-    /** Since when there has been something that should be stored within a while. */
-    var storeLaterSince: Duration? = null
-        private set
-    var isWriteInFlight = false
-        private set
-
-    /** Its change was too large for the key-value store: it is not tried again before this. */
-    var storeAfter: Duration = Duration.ZERO
+    /** What of it is stored, and what is still to be stored. */
+    val storeState = JobStoreState()
 
     // Placing.
 
@@ -157,34 +143,18 @@
     /** Something that must be stored before the work can go on; the number of this change. */
     fun storeSoon(): Long {
         markDirty()
-        return ++changes
+        return storeState.addUrgentChange()
     }
 
     /** Something that should be stored within a while. */
     fun storeLater(now: Duration) {
-        if (storeLaterSince == null) storeLaterSince = now
+        storeState.addLaterChange(now)
         markDirty()
     }
 
     /** It may have something to store. */
     fun markDirty() = onDirty(this)
 
-    /** A write of it is on its way; [includesResults]: it holds all that was to be stored later. */
-    fun writeBegun(includesResults: Boolean) {
-        isWriteInFlight = true
-        if (includesResults) storeLaterSince = null
-    }
-
-    /** The write has ended, whatever its outcome. */
-    fun writeEnded() {
-        isWriteInFlight = false
-    }
-
-    /** Everything up to the change is stored. */
-    fun changeStored(change: Long) {
-        storedChanges = change
-    }
-
     /** All dependencies are done: from now on it is like any other job. */
     fun dependenciesDone(wallTime: Duration, now: Duration) {
         waitsForDependencies = false
--- a/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
@@ -110,7 +110,7 @@
         dependencies.cancelled(job.spec.id)
         for (placement in job.placements.values.toList()) {
             // No start of a placement that is neither stored nor being stored can be on its way.
-            if (placement.stage == PlacementStage.PLANNED && !job.isWriteInFlight) {
+            if (placement.stage == PlacementStage.PLANNED && !job.storeState.isWriteInFlight) {
                 cluster.unplace(placement)
             } else {
                 commands.stop(placement, StopCause.CANCELLED, Duration.ZERO)
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -27,7 +27,7 @@
     }
 
     private fun supervise(job: Job) {
-        if (job.isCancelled && !job.isWriteInFlight) {
+        if (job.isCancelled && !job.storeState.isWriteInFlight) {
             job.placements.values
                 .filter { it.stage == PlacementStage.PLANNED }
                 .forEach(cluster::unplace)
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
@@ -45,7 +45,7 @@
 
     private class DueWrite(val urgency: Urgency, val job: Job) {
         val waitingSince: Duration?
-            get() = if (urgency == Urgency.RESULT) job.storeLaterSince else job.waitingSince
+            get() = if (urgency == Urgency.RESULT) job.storeState.storeLaterSince else job.waitingSince
     }
 
     /** The job may have something to store. */
@@ -54,15 +54,15 @@
     }
 
     private fun urgencyOf(job: Job): Urgency? {
-        if (job.isFinished || job.isWriteInFlight || job.storeAfter > now) return null
-        val hasPlacements = job.changes > job.storedChanges
+        if (job.isFinished || job.storeState.isWriteInFlight || job.storeState.notBefore > now) return null
+        val hasPlacements = job.storeState.hasUrgentChanges
         val isCritical = job.effectivePriority == Priority.CRITICAL && !job.isCancelled
         return when {
             hasPlacements && isCritical -> Urgency.CRITICAL_PLACEMENT
             mayBeClosed(job) -> Urgency.FINAL_STATE
             job.waitsForDependencies -> null
             hasPlacements -> Urgency.PLACEMENT
-            job.storeLaterSince != null && !job.isCancelled -> Urgency.RESULT
+            job.storeState.storeLaterSince != null && !job.isCancelled -> Urgency.RESULT
             else -> null
         }
     }
@@ -87,7 +87,7 @@
             context.workCounters.storeScans++
             val urgency = urgencyOf(job)
             if (urgency == null) {
-                if (!job.isWriteInFlight && job.storeAfter <= now) remaining.remove()
+                if (!job.storeState.isWriteInFlight && job.storeState.notBefore <= now) remaining.remove()
             } else if (urgency != Urgency.RESULT || isResultDue(job)) {
                 due.add(DueWrite(urgency, job))
             }
@@ -96,7 +96,7 @@
         return due
     }
 
-    private fun isResultDue(job: Job) = job.storeLaterSince.let { it != null && now - it > RESULT_DELAY }
+    private fun isResultDue(job: Job) = job.storeState.storeLaterSince.let { it != null && now - it > RESULT_DELAY }
 
     private fun chooseWrites(due: List<DueWrite>): List<JobWrite> {
         val writes = ArrayList<JobWrite>()
@@ -108,7 +108,7 @@
             if (!budget.allows(changes, cost, isResult = next.urgency == Urgency.RESULT)) break
             changes += cost
             writes.add(write)
-            next.job.writeBegun(includesResults = write is UpdateJobRecord)
+            next.job.storeState.writeBegun(includesResults = write is UpdateJobRecord)
         }
         budget.spend(changes)
         return writes
@@ -127,7 +127,7 @@
     private fun ended(write: JobWrite, outcome: StoreOutcome) {
         if (write is StoreFinalState && outcome is StoreOutcome.Stored) dependencies.ended(write.id, write.finalState)
         val job = dependencies.findJob(write.id) ?: return
-        job.writeEnded()
+        job.storeState.writeEnded()
         if (outcome !is StoreOutcome.Stored) {
             // What it would have stored is still to be stored, its results too.
             job.storeLater(now)
@@ -148,13 +148,13 @@
         for ((id, parts) in descriptionParts) dependencies.findJob(id)?.descriptionParts = parts
         val write = writes.singleOrNull() ?: return
         if (write.id in descriptionParts) return
-        dependencies.findJob(write.id)?.storeAfter = now + TOO_LARGE_PAUSE
+        dependencies.findJob(write.id)?.storeState?.notBefore = now + TOO_LARGE_PAUSE
         context.log(isImportant = true) { "too-large job=${write.id}: its change exceeds the store's limits" }
     }
 
     private fun recordStored(job: Job, write: UpdateJobRecord) {
         context.hooks.observer.jobStored(write.record)
-        if (write.isWhole) job.changeStored(write.change) else job.storeLater(now)
+        if (write.isWhole) job.storeState.changeStored(write.change) else job.storeLater(now)
         job.parts.stored(write.parts)
         job.markDoneStored(write)
         if (job.hasChunksLeftAfter(write)) job.storeLater(now)
@@ -202,7 +202,7 @@
             version = job.version,
             record = job.record(),
             chunks = chunks,
-            change = job.changes,
+            change = job.storeState.changes,
             requiresUncancelled = job.placements.values.any { it.stage == PlacementStage.PLANNED },
             parts = parts,
             isWhole = parts.size == job.parts.dirtyCount,
--- a/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
@@ -1102,7 +1102,7 @@
                     "heard=${m?.reachability?.lastHeardAt} deleting=${m?.isDeleting} " +
                     "starts=${m?.requests?.unconfirmedStarts} inFlight=${m?.requests?.isInFlight}"
             }
-        return "now=$now writing=${j.isWriteInFlight} changes=${j.changes}/${j.storedChanges} version=${j.version} orphans=${j.orphans} " +
+        return "now=$now ${j.storeState} version=${j.version} orphans=${j.orphans} " +
             "waiting=${j.waitingTasks(9)} retryAfter=${j.retryAfter} failedOn=${j.failedOn} $where"
     }
 
