--- a/src/main/kotlin/glenspool/cli/Main.kt
+++ b/src/main/kotlin/glenspool/cli/Main.kt
@@ -1,19 +1,8 @@
 package glenspool.cli
 
-import glenspool.config.OperatorScript
-import glenspool.config.RecoverySettingsReader
-import glenspool.config.RolloutSettingsReader
-import glenspool.config.Settings
 import glenspool.config.SettingsError
-import glenspool.config.SettingsReader
-import glenspool.controller.Node
 import glenspool.core.Tuning
-import glenspool.http.HttpListener
-import org.apache.commons.cli.DefaultParser
-import org.apache.commons.cli.Option
-import org.apache.commons.cli.Options
 import org.apache.commons.cli.ParseException
-import java.io.File
 import kotlin.system.exitProcess
 
 private const val USAGE = """usage: glenspool COMMAND [OPTIONS]
@@ -39,145 +28,51 @@
 
 The log goes to standard error; LOG_LEVEL is error, info or debug."""
 
-/** The command line was wrong. */
-class UsageError(message: String) : Exception(message)
-
 fun main(args: Array<String>) {
     exitProcess(execute(args.asList()))
 }
 
-/** Runs a command and returns the exit code: 0 done, 1 failed, 2 wrong usage. */
+/** Runs a command and returns the process's exit code, see [ExitCode]. */
 fun execute(args: List<String>): Int =
     try {
-        command(args)
+        runCommand(args)
     } catch (e: UsageError) {
-        usage(e)
+        reportUsage(e)
     } catch (e: ParseException) {
-        usage(e)
+        reportUsage(e)
     } catch (e: SettingsError) {
         e.problems.forEach { System.err.println("glenspool: $it") }
-        1
+        ExitCode.FAILED
     }
 
-private fun usage(e: Exception): Int {
+private fun reportUsage(e: Exception): Int {
     System.err.println("glenspool: ${e.message}")
     System.err.println("Try 'glenspool --help'.")
-    return 2
+    return ExitCode.USAGE
 }
 
-private fun command(args: List<String>): Int {
-    when (args.firstOrNull()) {
-        null -> throw UsageError("a command is needed")
-        "--help", "-h" -> println(USAGE)
-        "--version" -> println("glenspool ${version()}")
-        "serve" -> return serve(args.drop(1))
-        "rollout" -> return RolloutCommand.run(args.drop(1))
-        "recovery" -> return RecoveryCommand.run(args.drop(1))
-        "job" -> return JobCommand.run(args.drop(1))
-        "check-config" -> return checkConfig(args.drop(1))
-        "explain" -> return Explain.run(args.drop(1))
-        "rehearse" -> return ClassLoadingRun.run()
-        else -> throw UsageError("unknown command '${args.first()}'")
+private fun runCommand(args: List<String>): Int {
+    val command = args.firstOrNull() ?: throw UsageError("a command is needed")
+    val rest = args.drop(1)
+    return when (command) {
+        "--help", "-h" -> show(USAGE)
+        "--version" -> show("glenspool ${version()}")
+        "serve" -> ServeCommand.run(rest)
+        "check-config" -> CheckConfigCommand.run(rest)
+        "job" -> JobCommand.run(rest)
+        "rollout" -> RolloutCommand.run(rest)
+        "recovery" -> RecoveryCommand.run(rest)
+        "explain" -> ExplainCommand.run(rest)
+        // Run by the build alone, see pom.xml.
+        "rehearse" -> ClassLoadingRun.run()
+        else -> throw UsageError("unknown command '$command'")
     }
-    return 0
 }
 
-private fun version(): String = Tuning::class.java.`package`.implementationVersion ?: "development"
-
-private fun serve(args: List<String>): Int {
-    val node = begin(args)
-    Runtime.getRuntime().addShutdownHook(closing(node))
-    node.join()
-    return 0
-}
-
-internal fun closing(node: Node) = Thread(node::close, "close")
-
-/** Starts a controller as `serve` was told; the rehearsal goes the same way. */
-internal fun begin(args: List<String>): Node {
-    val options =
-        Options()
-            .addOption(
-                Option
-                    .builder()
-                    .longOpt("config")
-                    .hasArg()
-                    .required()
-                    .build(),
-            ).addOption(
-                Option
-                    .builder()
-                    .longOpt("script")
-                    .hasArg()
-                    .build(),
-            ).addOption(
-                Option
-                    .builder()
-                    .longOpt("rollout")
-                    .hasArg()
-                    .build(),
-            ).addOption(
-                Option
-                    .builder()
-                    .longOpt("recovery")
-                    .hasArg()
-                    .build(),
-            )
-    val line = DefaultParser().parse(options, args.toTypedArray())
-    if (line.argList.isNotEmpty()) throw UsageError("unexpected argument '${line.argList.first()}'")
-    val settings = SettingsReader().read(File(line.getOptionValue("config")))
-    HttpListener.configure(settings.maxSockets)
-    val policy = line.getOptionValue("rollout")?.let { RolloutSettingsReader().read(File(it)) }
-    val recovery = line.getOptionValue("recovery")?.let { RecoverySettingsReader().read(File(it)) }
-    val node =
-        Node(settings, tuning(settings, line.getOptionValue("script")), policy, build = version(), recoveryPolicy = recovery) {
-            Runtime
-                .getRuntime()
-                .halt(UNFIT)
-        }
-    node.start()
-    return node
+private fun show(text: String): Int {
+    println(text)
+    return ExitCode.OK
 }
 
-/** The exit code of a controller that can't go on, such as one without memory; the platform starts it anew. */
-private const val UNFIT = 70
-
-private fun checkConfig(args: List<String>): Int {
-    val options =
-        Options()
-            .addOption(
-                Option
-                    .builder()
-                    .longOpt("script")
-                    .hasArg()
-                    .build(),
-            ).addOption(
-                Option
-                    .builder()
-                    .longOpt("rollout")
-                    .hasArg()
-                    .build(),
-            ).addOption(
-                Option
-                    .builder()
-                    .longOpt("recovery")
-                    .hasArg()
-                    .build(),
-            )
-    val line = DefaultParser().parse(options, args.toTypedArray())
-    val file = line.argList.singleOrNull() ?: throw UsageError("check-config needs one FILE")
-    line.getOptionValue("rollout")?.let { RolloutSettingsReader().read(File(it)) }
-    line.getOptionValue("recovery")?.let { RecoverySettingsReader().read(File(it)) }
-    tuning(SettingsReader().read(File(file)), line.getOptionValue("script"))
-    println("$file: good")
-    return 0
-}
-
-private fun tuning(settings: Settings, script: String?): Tuning =
-    if (script ==
-        null
-    ) {
-        Tuning()
-    } else {
-        OperatorScript(settings).load(File(script))
-    }
+/** The build's version from the jar's manifest. */
+internal fun version(): String = Tuning::class.java.`package`.implementationVersion ?: "development"
--- a/src/main/kotlin/glenspool/cli/OperatorClient.kt
+++ b/src/main/kotlin/glenspool/cli/OperatorClient.kt
@@ -1,5 +1,6 @@
 package glenspool.cli
 
+import com.fasterxml.jackson.databind.ObjectMapper
 import glenspool.http.HttpCaller
 import glenspool.http.RawResult
 import kotlinx.serialization.SerializationException
@@ -7,72 +8,89 @@
 import org.apache.commons.cli.Options
 import kotlin.time.Duration.Companion.seconds
 
-/** How a question to a controller ended. */
+/** How an operator's request to a controller ended. */
 sealed interface OperatorAnswer<out T> {
     data class Replied<T>(val reply: T) : OperatorAnswer<T>
 
     data class Failed(val reason: String) : OperatorAnswer<Nothing>
 }
 
-/** Asks a running controller at its internal address, for operators' commands. */
-internal object OperatorClient {
-    private val http = HttpCaller(2.seconds)
-    private val nodeAddress = Regex("[^:/ ]+:[0-9]{1,5}")
-    private val REPLY_TIMEOUT = 8.seconds
-    private const val OK = 200
-    private const val NOT_FOUND = 404
+/**
+ * The options and arguments of an operators' command.
+ *
+ * @property node the controller's internal address, not yet checked, see [requireAddress]
+ * @property operator who gives the order; by default the user of the process
+ * @property isJson whether the reply is printed as JSON
+ * @property arguments what is left besides the options
+ */
+internal class OperatorOptions private constructor(
+    val node: String,
+    val operator: String?,
+    val isJson: Boolean,
+    val arguments: List<String>,
+) {
+    fun requireAddress() {
+        if (!isNodeAddress(node)) throw UsageError("--node needs an internal address such as 10.0.0.1:8081")
+    }
+
+    fun requireNoArguments(command: String) {
+        if (arguments.isNotEmpty()) throw UsageError("$command: unexpected argument '${arguments.first()}'")
+    }
 
-    /** The options that all of these commands take. */
-    fun options(): Options =
-        Options()
-            .addOption(
-                Option
-                    .builder()
-                    .longOpt("node")
-                    .hasArg()
-                    .required()
-                    .build(),
-            ).addOption(
-                Option
-                    .builder()
-                    .longOpt("by")
-                    .hasArg()
-                    .build(),
-            ).addOption(Option.builder().longOpt("json").build())
+    companion object {
+        private const val NODE = "node"
+        private const val BY = "by"
+        private const val JSON = "json"
 
-    fun checkAddress(node: String) {
-        if (!nodeAddress.matches(node)) throw UsageError("--node needs an internal address such as 10.0.0.1:8081")
+        fun parse(args: List<String>): OperatorOptions {
+            val options =
+                Options()
+                    .addOption(valueOption(NODE, isRequired = true))
+                    .addOption(valueOption(BY))
+                    .addOption(Option.builder().longOpt(JSON).build())
+            val line = parseOptions(options, args)
+            val operator = line.getOptionValue(BY) ?: System.getProperty("user.name")
+            return OperatorOptions(line.getOptionValue(NODE), operator, line.hasOption(JSON), line.argList)
+        }
     }
+}
+
+/** Sends operators' requests to a running controller, at its internal address. */
+internal object OperatorClient {
+    private const val OK = 200
+    private const val NOT_FOUND = 404
+    private val REPLY_TIMEOUT = 8.seconds
+    private val http = HttpCaller(2.seconds)
 
-    /** [unknownPath]: what it means that the controller does not know [path]. */
+    /**
+     * Posts [body] to [path] and decodes the reply with [decode].
+     *
+     * @param unknownPath the reason of failure if the controller does not know [path]
+     */
     fun <T> ask(
         node: String,
         path: String,
         body: ByteArray,
         unknownPath: String,
-        read: (ByteArray) -> T,
+        decode: (ByteArray) -> T,
     ): OperatorAnswer<T> =
         when (val result = http.callRaw("POST", node, path, body, REPLY_TIMEOUT)) {
             is RawResult.NotSent -> OperatorAnswer.Failed(result.why)
             is RawResult.NoAnswer -> OperatorAnswer.Failed("no answer; it may have been carried out: ${result.why}")
             is RawResult.Answer ->
                 when (result.status) {
-                    OK -> decode(result.body, read)
+                    OK -> decoded(result.body, decode)
                     NOT_FOUND -> OperatorAnswer.Failed(unknownPath)
                     else -> OperatorAnswer.Failed("status ${result.status}")
                 }
         }
 
-    private fun <T> decode(body: ByteArray, read: (ByteArray) -> T): OperatorAnswer<T> =
+    private fun <T> decoded(body: ByteArray, decode: (ByteArray) -> T): OperatorAnswer<T> =
         try {
-            OperatorAnswer.Replied(read(body))
+            OperatorAnswer.Replied(decode(body))
         } catch (e: SerializationException) {
             OperatorAnswer.Failed("the answer is not understood: ${e.message}")
         }
 
-    /** What an order's refusal comes to on the command line. */
-    fun fail(reason: String, retryAfterSeconds: Int? = null): Int {
-        System.err.println("glenspool: $reason${retryAfterSeconds?.let { "; try again in $it s" } ?: ""}")
-        return 1
-    }
+    fun printJson(reply: Any) = println(ObjectMapper().writeValueAsString(reply))
 }
--- a/src/main/kotlin/glenspool/cli/RolloutView.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutView.kt
@@ -12,16 +12,18 @@
 import glenspool.peer.RolloutReply
 import glenspool.peer.RolloutStatus
 import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** The live view of a rollout in a terminal. The terminal library is loaded by this command alone. */
+/** Shows a rollout live in a terminal. No other command loads the terminal library. */
 internal object RolloutView {
-    private val REFRESH = 1000.milliseconds
+    private val REFRESH = 1.seconds
     private val KEY_POLL = 50.milliseconds
 
-    /** Shows what [ask] answers until `q` or escape is pressed. */
+    /** Shows the answer of [ask], which is called once a second, until `q` or escape is pressed. */
     fun run(ask: () -> OperatorAnswer<RolloutReply>): Int = run(UnixTerminal(), ask)
 
+    /** As above, in [terminal]. */
     fun run(terminal: Terminal, ask: () -> OperatorAnswer<RolloutReply>): Int {
         val screen = TerminalScreen(terminal)
         screen.startScreen()
@@ -29,17 +31,17 @@
             screen.cursorPosition = null
             while (true) {
                 draw(screen, ask())
-                if (quitPressed(screen)) return 0
+                if (isQuitPressed(screen)) return ExitCode.OK
             }
         } finally {
             screen.stopScreen()
         }
     }
 
-    /** Waits for a key until the next refresh is due. */
-    private fun quitPressed(screen: Screen): Boolean {
-        val begun = TimeSource.Monotonic.markNow()
-        while (begun.elapsedNow() < REFRESH) {
+    /** Waits for keys until the next refresh is due. */
+    private fun isQuitPressed(screen: Screen): Boolean {
+        val lastRefresh = TimeSource.Monotonic.markNow()
+        while (lastRefresh.elapsedNow() < REFRESH) {
             val key = screen.pollInput()
             if (key != null && isQuit(key)) return true
             if (key == null) Thread.sleep(KEY_POLL.inWholeMilliseconds)
@@ -54,33 +56,37 @@
         screen.doResizeIfNecessary()
         screen.clear()
         val graphics = screen.newTextGraphics()
-        linesOf(answer).take(screen.terminalSize.rows).forEachIndexed { row, line -> write(graphics, row, line) }
+        lines(answer).take(screen.terminalSize.rows).forEachIndexed { row, line -> draw(graphics, row, line) }
         screen.refresh()
     }
 
     private class Line(val text: String, val color: TextColor)
 
-    private fun write(graphics: TextGraphics, row: Int, line: Line) {
+    private fun draw(graphics: TextGraphics, row: Int, line: Line) {
         graphics.foregroundColor = line.color
         graphics.putString(TerminalPosition(0, row), line.text.take(graphics.size.columns))
     }
 
-    private fun linesOf(answer: OperatorAnswer<RolloutReply>): List<Line> {
-        val status =
-            when (answer) {
-                is OperatorAnswer.Failed -> return listOf(Line(answer.reason, TextColor.ANSI.RED))
-                is OperatorAnswer.Replied -> answer.reply.status ?: return listOf(Line("no status", TextColor.ANSI.RED))
-            }
-        val text = RolloutText.status(status).map { Line(it, colorOf(it, status)) }
+    private fun lines(answer: OperatorAnswer<RolloutReply>): List<Line> =
+        when (answer) {
+            is OperatorAnswer.Failed -> listOf(Line(answer.reason, TextColor.ANSI.RED))
+            is OperatorAnswer.Replied ->
+                answer.reply.status?.let(::lines) ?: listOf(Line("no status", TextColor.ANSI.RED))
+        }
+
+    private fun lines(status: RolloutStatus): List<Line> {
+        val text = RolloutText.status(status).map { Line(it, color(it, status)) }
         val plan = RolloutText.plan(status).map { Line("  $it", TextColor.ANSI.DEFAULT) }
         return text + Line("next:", TextColor.ANSI.CYAN) + plan + Line("q: quit", TextColor.ANSI.BLUE)
     }
 
-    private fun colorOf(line: String, status: RolloutStatus): TextColor =
-        when {
+    private fun color(line: String, status: RolloutStatus): TextColor {
+        val isDone = status.hold == null && status.level == status.target
+        return when {
             line.startsWith("FENCED") || line.startsWith("health:") -> TextColor.ANSI.RED
             line.startsWith("held:") || "not reachable" in line -> TextColor.ANSI.YELLOW
-            line.startsWith("active level") && status.hold == null && status.level == status.target -> TextColor.ANSI.GREEN
+            line.startsWith("active level") && isDone -> TextColor.ANSI.GREEN
             else -> TextColor.ANSI.DEFAULT
         }
+    }
 }
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -1,6 +1,5 @@
 package glenspool.cli
 
-import com.fasterxml.jackson.databind.ObjectMapper
 import glenspool.controller.RecoveryReplies
 import glenspool.http.HttpListener
 import glenspool.peer.RecoveryReply
@@ -21,7 +20,6 @@
 import kotlinx.collections.immutable.persistentHashMapOf
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
-import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import java.net.InetSocketAddress
 import kotlin.time.Duration.Companion.seconds
@@ -29,28 +27,27 @@
 class RecoveryCommandTest {
     private val snapshot =
         RecoverySnapshot(
-            7, StartKind.COLD, PhaseState(RecoveryPhase.ADOPTING, 8.seconds), 12.seconds, 10.seconds, isPaused = true, isApproved = false,
+            7,
+            StartKind.COLD,
+            PhaseState(RecoveryPhase.ADOPTING, 8.seconds),
+            12.seconds,
+            10.seconds,
+            isPaused = true,
+            isApproved = false,
             GatheringProgress(listOf(GatheringProgress.Group("a", "big", 4, 1))),
-            DifferenceTotals(
-                mapOf(
-                    DifferenceKind.ORPHAN_TASK to 2,
-                ),
-                3, 4,
-            ),
+            DifferenceTotals(mapOf(DifferenceKind.ORPHAN_TASK to 2), 3, 4),
             0.75,
-            BreakerState(true, 3, 4, 8.seconds, null), mapOf("stop" to 1L), persistentHashMapOf(),
+            BreakerState(true, 3, 4, 8.seconds, null),
+            mapOf("stop" to 1L),
+            persistentHashMapOf(),
         )
-    private val status =
-        RecoveryStatus(
-            "bobbin-0", "bobbin-0", true, mapOf("start.restored" to 3L),
-            RecoveryReplies
-                .recovery(snapshot, RecoveryPolicy()),
-        )
-    private val asked = ArrayList<RecoveryRequest>()
+    private val recovery = RecoveryReplies.recovery(snapshot, RecoveryPolicy())
+    private val status = RecoveryStatus("bobbin-0", "bobbin-0", true, mapOf("start.restored" to 3L), recovery)
+    private val requests = ArrayList<RecoveryRequest>()
     private var reply = RecoveryReply(true, status = status)
     private val server =
         RecoveryServer { request ->
-            asked.add(request)
+            requests.add(request)
             reply
         }
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 2, { server(it) })
@@ -62,18 +59,27 @@
     private fun run(vararg args: String) = CapturedRun.of { execute(listOf("recovery") + args) }
 
     @Test
-    fun `status says what was ordered, the phase, what lacks and what is held, in words and in JSON`() {
-        val text = run("status", "--node", node).out
-        val parts =
+    fun `status shows the orders, the phase, what is lacking and what is held`() {
+        val expected =
             listOf(
-                "start.restored 3", "term 7 began as cold; phase adopting for 2.0 s, 2.0 s left at most", "PAUSED", "too few of a/big: 1 of 4", "3 of 4 stored places; settled 75%",
-                "orphan-task: 2", "3 of 4 machines would get them", "at most each second: stop 1",
+                "start.restored 3",
+                "term 7 began as cold; phase adopting for 2.0 s, 2.0 s left at most",
+                "PAUSED",
+                "too few of a/big: 1 of 4",
+                "3 of 4 stored places; settled 75%",
+                "orphan-task: 2",
+                "3 of 4 machines would get them",
+                "at most each second: stop 1",
             )
-        parts.forEach { assertTrue(it in text, "$it in $text") }
+        assertContainsAll(run("status", "--node", node).out, expected)
+    }
+
+    @Test
+    fun `status is printed as JSON on request`() {
+        val json = run("status", "--json", "--node", node).json()
         assertEquals(
             "adopting",
-            ObjectMapper()
-                .readTree(run("status", "--json", "--node", node).out)
+            json
                 .path("status")
                 .path("recovery")
                 .path("phase")
@@ -82,23 +88,31 @@
     }
 
     @Test
-    fun `orders are passed on with who gave them, and refusals are told`() {
+    fun `orders are sent with the operator's name`() {
         assertEquals(0, run("approve", "--node", node, "--by", "somebody").code)
-        assertEquals(listOf(RecoveryRequest(RecoveryVerb.APPROVE, "somebody")), asked)
+        assertEquals(listOf(RecoveryRequest(RecoveryVerb.APPROVE, "somebody")), requests)
+    }
+
+    @Test
+    fun `a refused order is reported with its reason and when to try again`() {
         reply = RecoveryReply(false, "bobbin-1 does not lead; ask bobbin-0", 2)
         val refused = run("pause", "--node", node)
         assertEquals(1, refused.code)
-        assertEquals(
-            "" to "glenspool: bobbin-1 does not lead; ask bobbin-0; try again in 2 s\n",
-            refused.out to refused.err,
-        )
+        assertEquals("", refused.out)
+        assertEquals("glenspool: bobbin-1 does not lead; ask bobbin-0; try again in 2 s\n", refused.err)
     }
 
     @Test
-    fun `wrong usage is refused before anybody is asked`() {
+    fun `wrong usage is refused without a request`() {
         val wrong =
-            listOf(listOf(), listOf("mend", "--node", node), listOf("status"), listOf("status", "--node", "nowhere"), listOf("pause", "--node", node, "x"))
+            listOf(
+                listOf(),
+                listOf("mend", "--node", node),
+                listOf("status"),
+                listOf("status", "--node", "nowhere"),
+                listOf("pause", "--node", node, "x"),
+            )
         for (args in wrong) assertEquals(2, run(*args.toTypedArray()).code, "$args")
-        assertEquals(emptyList<RecoveryRequest>(), asked)
+        assertEquals(emptyList<RecoveryRequest>(), requests)
     }
 }
--- a/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
@@ -1,6 +1,5 @@
 package glenspool.cli
 
-import com.fasterxml.jackson.databind.ObjectMapper
 import com.googlecode.lanterna.TerminalSize
 import com.googlecode.lanterna.input.KeyStroke
 import com.googlecode.lanterna.terminal.virtual.DefaultVirtualTerminal
@@ -21,23 +20,17 @@
 import java.net.InetSocketAddress
 
 class RolloutCommandTest {
-    private val asked = ArrayList<RolloutRequest>()
+    private val requests = ArrayList<RolloutRequest>()
     private var reply = RolloutReply(true, status = STATUS)
     private val server =
         RolloutServer { request ->
-            asked.add(request)
+            requests.add(request)
             reply
         }
     private val listener =
-        HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 2, {
-            if (it.uri.path ==
-                "/peer/rollout"
-            ) {
-                server(it)
-            } else {
-                Response(Status.NOT_FOUND)
-            }
-        })
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 2) { request ->
+            if (request.uri.path == "/peer/rollout") server(request) else Response(Status.NOT_FOUND)
+        }
     private val node = "127.0.0.1:${listener.port}"
 
     @AfterEach
@@ -46,82 +39,105 @@
     private fun run(vararg args: String) = CapturedRun.of { execute(listOf("rollout") + args) }
 
     @Test
-    fun `status and plan are told in words and in JSON`() {
+    fun `status shows levels, the hold and the members`() {
         val status = run("status", "--node", node)
-        val text = status.out
         assertEquals(0, status.code)
-        val parts =
+        val expected =
             listOf(
-                "active level 1 (sealed-records, active)", "target 2", "held: member_old_build by bobbin-2 (build-1)", "bobbin-2: build-1, highest level 1, ready for 7 s",
+                "active level 1 (sealed-records, active)",
+                "target 2",
+                "held: member_old_build by bobbin-2 (build-1)",
+                "bobbin-2: build-1, highest level 1, ready for 7 s",
             )
-        parts.forEach { assertTrue(it in text, "$it in $text") }
-        assertEquals(
-            "1. replace bobbin-2\n2. replace bobbin-0 (it leads, so it comes last)\n",
-            run("plan", "--node", node)
-                .out,
-        )
-        val json = ObjectMapper().readTree(run("status", "--json", "--node", node).out)
-        assertEquals("bobbin-2", json.path("status").path("holdMember").asText())
-        assertEquals(1, json.path("status").path("level").asInt())
-        assertEquals(setOf(RolloutVerb.STATUS), asked.map { it.verb }.toSet())
+        assertContainsAll(status.out, expected)
+        assertEquals(setOf(RolloutVerb.STATUS), requests.map { it.verb }.toSet())
+    }
+
+    @Test
+    fun `plan shows the steps to come`() {
+        val expected = "1. replace bobbin-2\n2. replace bobbin-0 (it leads, so it comes last)\n"
+        assertEquals(expected, run("plan", "--node", node).out)
+        assertEquals(setOf(RolloutVerb.STATUS), requests.map { it.verb }.toSet())
     }
 
     @Test
-    fun `orders are passed on with who gave them, and refusals are told`() {
+    fun `status is printed as JSON on request`() {
+        val status = run("status", "--json", "--node", node).json().path("status")
+        assertEquals("bobbin-2", status.path("holdMember").asText())
+        assertEquals(1, status.path("level").asInt())
+        assertEquals(setOf(RolloutVerb.STATUS), requests.map { it.verb }.toSet())
+    }
+
+    @Test
+    fun `orders are sent with their argument and the operator's name`() {
         assertEquals(0, run("activate", "--node", node, "--by", "somebody", "2").code)
         assertEquals(0, run("exclude", "--node", node, "--by", "somebody", "bobbin-2").code)
-        assertEquals(listOf(RolloutRequest(RolloutVerb.ACTIVATE, 2, null, "somebody"), RolloutRequest(RolloutVerb.EXCLUDE, null, "bobbin-2", "somebody")), asked)
+        val expected =
+            listOf(
+                RolloutRequest(RolloutVerb.ACTIVATE, 2, null, "somebody"),
+                RolloutRequest(RolloutVerb.EXCLUDE, null, "bobbin-2", "somebody"),
+            )
+        assertEquals(expected, requests)
+    }
+
+    @Test
+    fun `a refused order is reported with its reason and when to try again`() {
         reply = RolloutReply(false, "level 9 is not known", 2)
         val refused = run("deactivate", "--node", node, "9")
         assertEquals(1, refused.code)
-        assertEquals("" to "glenspool: level 9 is not known; try again in 2 s\n", refused.out to refused.err)
+        assertEquals("", refused.out)
+        assertEquals("glenspool: level 9 is not known; try again in 2 s\n", refused.err)
     }
 
     @Test
-    fun `wrong usage is refused before anybody is asked`() {
+    fun `wrong usage is refused without a request`() {
         val wrong =
             listOf(
-                listOf(), listOf("dance", "--node", node), listOf("status"), listOf("status", "--node", "nowhere"), listOf("status", "--node", node, "x"),
-                listOf("activate", "--node", node), listOf("activate", "--node", node, "one"), listOf("activate", "--node", node, "0"), listOf("exclude", "--node", node),
+                listOf(),
+                listOf("dance", "--node", node),
+                listOf("status"),
+                listOf("status", "--node", "nowhere"),
+                listOf("status", "--node", node, "x"),
+                listOf("activate", "--node", node),
+                listOf("activate", "--node", node, "one"),
+                listOf("activate", "--node", node, "0"),
+                listOf("exclude", "--node", node),
             )
         for (args in wrong) assertEquals(2, run(*args.toTypedArray()).code, "$args")
-        assertEquals(emptyList<RolloutRequest>(), asked)
+        assertEquals(emptyList<RolloutRequest>(), requests)
     }
 
     @Test
-    fun `a controller that does not manage levels, or is not there, is told apart`() {
-        val other = HttpListener(InetSocketAddress("127.0.0.1", 0), "other", 2, { Response(Status.NOT_FOUND) })
-        assertTrue("does not manage rollouts" in run("status", "--node", "127.0.0.1:${other.port}").err)
-        other.close()
+    fun `a controller that does not manage rollouts is told from one that can't be reached`() {
+        HttpListener(InetSocketAddress("127.0.0.1", 0), "other", 2) { Response(Status.NOT_FOUND) }.use { other ->
+            assertTrue("does not manage rollouts" in run("status", "--node", "127.0.0.1:${other.port}").err)
+        }
         assertEquals(1, run("status", "--node", "127.0.0.1:1").code)
     }
 
     @Test
-    fun `the live view shows what the controller says and ends with a key`() {
-        val terminal = DefaultVirtualTerminal(TerminalSize(100, 20))
+    fun `the live view ends when q is pressed, and other keys are ignored`() {
+        val terminal = DefaultVirtualTerminal(TerminalSize(COLUMNS, ROWS))
         terminal.addInput(KeyStroke.fromString("x"))
         terminal.addInput(KeyStroke.fromString("q"))
-        var shown = ""
-        var answers = 0
-        assertEquals(
-            0,
+        var isFirst = true
+        val code =
             RolloutView.run(terminal) {
-                if (answers++ == 0) terminal.addInput(KeyStroke.fromString("q"))
+                if (isFirst) terminal.addInput(KeyStroke.fromString("q"))
+                isFirst = false
                 OperatorAnswer.Replied(RolloutReply(true, status = STATUS))
-            },
-        )
-        val watched = DefaultVirtualTerminal(TerminalSize(100, 20))
-        // The screen is left when the view ends, so it is read while it is shown.
-        RolloutView.run(watched) {
-            shown =
-                (0 until 20).joinToString("\n") { row ->
-                    (0 until 100).joinToString("") { column ->
-                        watched
-                            .getCharacter(column, row)
-                            .characterString
-                    }
-                }
-            if (shown.isNotBlank()) watched.addInput(KeyStroke.fromString("q"))
+            }
+        assertEquals(0, code)
+    }
+
+    @Test
+    fun `the live view shows the status and the plan`() {
+        val terminal = DefaultVirtualTerminal(TerminalSize(COLUMNS, ROWS))
+        var shown = ""
+        // The screen is cleared when the view ends, so it is read at the next refresh.
+        RolloutView.run(terminal) {
+            shown = textOf(terminal)
+            if (shown.isNotBlank()) terminal.addInput(KeyStroke.fromString("q"))
             OperatorAnswer.Replied(RolloutReply(true, status = STATUS))
         }
         assertTrue("active level 1 (sealed-records, active)" in shown, shown)
@@ -129,14 +145,41 @@
         assertFalse("FENCED" in shown)
     }
 
+    private fun textOf(terminal: DefaultVirtualTerminal): String =
+        (0 until ROWS).joinToString("\n") { row ->
+            (0 until COLUMNS).joinToString("") { column -> terminal.getCharacter(column, row).characterString }
+        }
+
     private companion object {
+        const val COLUMNS = 100
+        const val ROWS = 20
+        val MEMBER = RolloutStatus.Member("bobbin-2", "build-1", 1, true, 7, 9, 0)
         val STATUS =
             RolloutStatus(
-                node = "bobbin-0", leader = "bobbin-0", build = "build-2", lowest = 0, highest = 2, level = 1, levelName = "sealed-records", stage = "active",
-                levelChangedAt = 5, levelProblem = null, fence = null, target = 2, mode = "automatic", approvedLevel = null, lowerTo = null, excluded = emptyList(),
-                hold = "member_old_build", holdMember = "bobbin-2", holdDetail = "build-1", heldSince = 5,
-                members = listOf(RolloutStatus.Member("bobbin-2", "build-1", 1, true, 7, 9, 0)), health = emptyList(),
-                plan = listOf("replace bobbin-2", "replace bobbin-0 (it leads, so it comes last)"), recordsInLevel = 3,
+                node = "bobbin-0",
+                leader = "bobbin-0",
+                build = "build-2",
+                lowest = 0,
+                highest = 2,
+                level = 1,
+                levelName = "sealed-records",
+                stage = "active",
+                levelChangedAt = 5,
+                levelProblem = null,
+                fence = null,
+                target = 2,
+                mode = "automatic",
+                approvedLevel = null,
+                lowerTo = null,
+                excluded = emptyList(),
+                hold = "member_old_build",
+                holdMember = "bobbin-2",
+                holdDetail = "build-1",
+                heldSince = 5,
+                members = listOf(MEMBER),
+                health = emptyList(),
+                plan = listOf("replace bobbin-2", "replace bobbin-0 (it leads, so it comes last)"),
+                recordsInLevel = 3,
             )
     }
 }
