--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -160,6 +160,15 @@
 
 /** The cloud, the key-value store and a worker, as far as a controller needs their answers to go on. */
 private object SimulatedCounterparts {
+    /** The worker's replies to commands have higher numbers than the heartbeats that it sends. */
+    private const val HEARTBEAT_OFFSET = 100L
+
+    /** The jobs are reported at each revision that this divides. */
+    private const val CHANGES_EVERY = 3L
+
+    /** The heartbeat that reports the end of the task. */
+    private const val ENDED_AT_HEARTBEAT = 3
+
     /** Rises with each write, as the store's revision does. */
     private val revision = AtomicLong(1)
     private val machineType =
@@ -194,9 +203,9 @@
         return cbor(Status.OK, body)
     }
 
-    /** Of a worker whose task runs at first and has ended from the third heartbeat on. */
+    /** Of a worker whose task runs at first and ends later. */
     fun heartbeat(number: Long, workerAddress: String): Map<String, Any?> {
-        val stage = if (number < 3) "running" else "ended"
+        val stage = if (number < ENDED_AT_HEARTBEAT) "running" else "ended"
         val task = mapOf("thread" to "run-000001/0", "try" to 1, "stage" to stage, "cause" to "done")
         return mapOf(
             "spindle" to "i-1", "addr" to workerAddress, "frame" to "any", "hall" to "here", "loaners" to false,
@@ -204,22 +213,18 @@
         )
     }
 
-    /** Now and then two jobs that are stored already, so that the scheduler has something to place. */
+    /** At some revisions two jobs that are stored already, so that the scheduler has something to place. */
     private fun changes(): List<Map<String, Any?>> {
-        val revision = revision.get()
-        if (revision % CHANGES_EVERY != 0L) return emptyList()
+        val current = revision.get()
+        if (current % CHANGES_EVERY != 0L) return emptyList()
         val dependent =
             mapOf("job" to job + ("uid" to "run-000002"), "awaits" to listOf("run-000001"), "waits" to true)
         return listOf(
-            change("run-000001", "job" to job, revision),
-            change("run-000002", "sealed" to dependent, revision),
+            change("run-000001", "job" to job, current),
+            change("run-000002", "sealed" to dependent, current),
         )
     }
 
     private fun change(id: String, record: Pair<String, Any?>, revision: Long): Map<String, Any?> =
         mapOf("set" to "g/j/$id", "data" to mapOf(record, "at" to 0, "last" to 0), "mark" to revision)
-
-    /** The worker's own answers have higher numbers than the heartbeats that it sends. */
-    private const val HEARTBEAT_OFFSET = 100L
-    private const val CHANGES_EVERY = 3L
 }
--- a/src/main/kotlin/glenspool/config/OperatorScript.kt
+++ b/src/main/kotlin/glenspool/config/OperatorScript.kt
@@ -75,12 +75,7 @@
     }
 
     private fun unknownNames(table: LuaTable): List<String> =
-        table.keys().map { it.tojstring() }.filter { name ->
-            TuningParameter.ALL.none {
-                it.name ==
-                    name
-            }
-        }
+        table.keys().map { it.tojstring() }.filter { name -> TuningParameter.ALL.none { it.name == name } }
 
     /** NaN if [value] is no number. Lua counts a text of digits as a number, which is not accepted here. */
     private fun numberOf(value: LuaValue): Double {
--- a/src/main/kotlin/glenspool/config/RequiredTable.kt
+++ b/src/main/kotlin/glenspool/config/RequiredTable.kt
@@ -25,12 +25,7 @@
 
     /** The elements of an array of tables; empty if it is missing. */
     fun tables(name: String): List<RequiredTable> =
-        node.path(name).mapIndexed {
-            index,
-            element,
-            ->
-            RequiredTable(element, "$path$name[$index].", problems)
-        }
+        node.path(name).mapIndexed { index, element -> RequiredTable(element, "$path$name[$index].", problems) }
 
     fun isTable(name: String): Boolean = node.path(name).isObject
 
--- a/src/main/kotlin/glenspool/config/SettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/SettingsReader.kt
@@ -38,11 +38,7 @@
     }
 
     private fun member(table: RequiredTable) =
-        Member(
-            table.text("host_name"), table.text("location"),
-            table
-                .address("addr"),
-        )
+        Member(table.text("host_name"), table.text("location"), table.address("addr"))
 
     private fun zones(parameters: RequiredTable): List<String> {
         val zones = parameters.optionalTexts("zones")
@@ -91,13 +87,7 @@
     /** A limit that [table] leaves out is that of [fallback]; without a fallback each one is required. */
     private fun storeLimits(table: RequiredTable, fallback: StoreLimits?): StoreLimits {
         fun limit(name: String, min: Double, fallbackValue: Double?): Double =
-            if (fallbackValue != null &&
-                table.isMissing(name)
-            ) {
-                fallbackValue
-            } else {
-                table.number(name, min)
-            }
+            if (fallbackValue != null && table.isMissing(name)) fallbackValue else table.number(name, min)
 
         val fallbackKib = fallback?.let { it.valueBytes / BYTES_PER_KIB }
         return StoreLimits(
--- a/src/main/kotlin/glenspool/http/HttpListener.kt
+++ b/src/main/kotlin/glenspool/http/HttpListener.kt
@@ -61,7 +61,7 @@
     private val writer = ResponseWriter()
     private val input = ByteBuffer.allocate(READ_BUFFER_BYTES)
     private val clock = TimeSource.Monotonic.markNow()
-    private val maxOpen = maxConnections
+    private val maxOpenConnections = maxConnections
     private val loopTimer = EventLoopTimer(clock::elapsedNow)
 
     /** Connections accepted and not yet known to be closed; used by the event loop alone. */
@@ -80,7 +80,7 @@
 
     private val thread = Thread(null, ::run, "$name-io", STACK_BYTES).also { it.isDaemon = true }
 
-    /** The port it listens on, also if any was asked for. */
+    /** The port it listens on, which the system has chosen if the address had port 0. */
     val port: Int = (server.localAddress as InetSocketAddress).port
 
     init {
@@ -148,7 +148,7 @@
                     log.warn("connection not accepted: {}", e.toString())
                     return
                 }
-            if (openConnections >= maxOpen) channel.close() else register(channel)
+            if (openConnections >= maxOpenConnections) channel.close() else register(channel)
         }
     }
 
@@ -164,7 +164,7 @@
     /** Closes connections whose timeouts have passed, and counts those that are open: once a second, or when full. */
     private fun closeOverdueConnections() {
         val now = clock.elapsedNow()
-        if (now - lastSweepAt < SWEEP_INTERVAL && openConnections < maxOpen) return
+        if (now - lastSweepAt < SWEEP_INTERVAL && openConnections < maxOpenConnections) return
         lastSweepAt = now
         var stillOpen = 0
         for (key in selector.keys()) {
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -77,14 +77,7 @@
     @Test
     fun `status is printed as JSON on request`() {
         val json = run("status", "--json", "--node", node).json()
-        assertEquals(
-            "adopting",
-            json
-                .path("status")
-                .path("recovery")
-                .path("phase")
-                .asText(),
-        )
+        assertEquals("adopting", json.at("/status/recovery/phase").asText())
     }
 
     @Test
--- a/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
+++ b/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
@@ -24,8 +24,7 @@
     private fun run(source: String): Tuning = script.run(source, "tune.lua")
 
     private fun problemsOf(source: String): List<String> =
-        assertThrows(SettingsError::class.java) { run(source) }
-            .problems
+        assertThrows(SettingsError::class.java) { run(source) }.problems
 
     @Test
     fun `the values that the script sets are taken and the rest keep their defaults`() {
--- a/src/test/kotlin/glenspool/http/RequestParserTest.kt
+++ b/src/test/kotlin/glenspool/http/RequestParserTest.kt
@@ -63,7 +63,7 @@
     }
 
     @Test
-    fun `a connection of version 1,0 stays open only if the client asks for that`() {
+    fun `a connection of the older protocol version stays open only if the client asks for that`() {
         assertEquals(false, parser("GET / HTTP/1.0\r\n\r\n").next()?.isKeepAlive)
         assertEquals(true, parser("GET / HTTP/1.0\r\nconnection: Keep-Alive\r\n\r\n").next()?.isKeepAlive)
     }
