--- a/src/main/kotlin/glenspool/cli/CommandOptions.kt
+++ b/src/main/kotlin/glenspool/cli/CommandOptions.kt
@@ -19,12 +19,7 @@
 
 /** The option `--name VALUE`. */
 internal fun valueOption(name: String, isRequired: Boolean = false): Option =
-    Option
-        .builder()
-        .longOpt(name)
-        .hasArg()
-        .required(isRequired)
-        .build()
+    Option.builder().longOpt(name).hasArg().required(isRequired).build()
 
 private val nodeAddress = Regex("[^:/ ]+:[0-9]{1,5}")
 
--- a/src/main/kotlin/glenspool/cli/RolloutCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutCommand.kt
@@ -47,10 +47,7 @@
     private fun requireNoArguments(verb: String, options: OperatorOptions) = options.requireNoArguments("rollout $verb")
 
     private fun level(verb: String, options: OperatorOptions): Int =
-        options.arguments
-            .singleOrNull()
-            ?.toIntOrNull()
-            ?.takeIf { it > 0 }
+        options.arguments.singleOrNull()?.toIntOrNull()?.takeIf { it > 0 }
             ?: throw UsageError("rollout $verb needs one LEVEL, a whole number above 0")
 
     private fun member(verb: String, options: OperatorOptions): String =
--- a/src/main/kotlin/glenspool/http/HeaderFields.kt
+++ b/src/main/kotlin/glenspool/http/HeaderFields.kt
@@ -28,11 +28,8 @@
      */
     val contentLength: Int?
         get() {
-            val lengths =
-                all
-                    .filter { it.first.equals("Content-Length", ignoreCase = true) }
-                    .map { it.second }
-                    .distinct()
+            val fields = all.filter { it.first.equals("Content-Length", ignoreCase = true) }
+            val lengths = fields.map { it.second }.distinct()
             if (lengths.isEmpty()) return null
             val length = lengths.singleOrNull()?.toLongOrNull()
             if (length == null || length < 0) {
