--- a/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
@@ -126,7 +126,7 @@
     private fun <T> convert(reply: CallResult, decode: (Fields) -> T): StoreResult<T> =
         when (reply) {
             is CallResult.NotSent -> StoreResult.Refused(StoreResult.Refused.NOT_SENT)
-            is CallResult.NoAnswer -> StoreResult.Unknown(reply.why)
+            is CallResult.NoAnswer -> StoreResult.Unknown(reply.reason)
             is CallResult.Answer ->
                 try {
                     convertAnswer(reply, decode)
