--- a/src/main/kotlin/glenspool/cli/ClassLoadingSettings.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingSettings.kt
@@ -6,6 +6,7 @@
      * @param outsidePort where the cloud, the key-value store and one other controller are simulated
      * @param closedPort where nobody listens, as if another controller were down
      */
+    @Suppress("LongMethod") // It is a single text.
     fun toml(apiPort: Int, internalPort: Int, outsidePort: Int, closedPort: Int): String =
         """
         host_name = "class-loading"
--- a/src/main/kotlin/glenspool/cli/Main.kt
+++ b/src/main/kotlin/glenspool/cli/Main.kt
@@ -28,6 +28,7 @@
 
 The log goes to standard error; LOG_LEVEL is error, info or debug."""
 
+/** Runs the command that the arguments name and exits with its code. */
 fun main(args: Array<String>) {
     exitProcess(execute(args.asList()))
 }
--- a/src/main/kotlin/glenspool/cli/OperatorClient.kt
+++ b/src/main/kotlin/glenspool/cli/OperatorClient.kt
@@ -10,8 +10,10 @@
 
 /** How an operator's request to a controller ended. */
 sealed interface OperatorAnswer<out T> {
+    /** The controller replied. */
     data class Replied<T>(val reply: T) : OperatorAnswer<T>
 
+    /** There is no reply, for [reason]. */
     data class Failed(val reason: String) : OperatorAnswer<Nothing>
 }
 
--- a/src/main/kotlin/glenspool/http/HttpCaller.kt
+++ b/src/main/kotlin/glenspool/http/HttpCaller.kt
@@ -21,8 +21,10 @@
 class HttpCaller(private val connectTimeout: Duration, private val keepOpen: Boolean = true) {
     private val connections = ConnectionPool()
 
+    /** Sends a GET request and decodes the answer. */
     fun get(address: String, path: String, timeout: Duration): CallResult = call("GET", address, path, null, timeout)
 
+    /** Sends a POST request with an encoded body and decodes the answer. */
     fun post(address: String, path: String, body: Fields, timeout: Duration): CallResult =
         call("POST", address, path, Cbor.encode(body), timeout)
 
--- a/src/main/kotlin/glenspool/http/HttpListener.kt
+++ b/src/main/kotlin/glenspool/http/HttpListener.kt
@@ -23,6 +23,7 @@
  * connections, so it must not block.
  */
 fun interface AsyncHandler {
+    /** Handles the request; [respond] is called once, by any thread. */
     fun handle(request: Request, respond: (Response) -> Unit)
 }
 
--- a/src/main/kotlin/glenspool/http/MessageReader.kt
+++ b/src/main/kotlin/glenspool/http/MessageReader.kt
@@ -22,6 +22,7 @@
 
     val hasInput: Boolean get() = size > 0
 
+    /** Appends what was read from the connection. */
     fun add(bytes: ByteBuffer) {
         val count = bytes.remaining()
         if (size + count > buffer.size) buffer = buffer.copyOf(maxOf(buffer.size * 2, size + count))
--- a/src/main/kotlin/glenspool/http/RequestParser.kt
+++ b/src/main/kotlin/glenspool/http/RequestParser.kt
@@ -30,6 +30,7 @@
     val isAwaitingContinue: Boolean
         get() = !isContinueSent && head?.fields?.get("Expect").equals("100-continue", ignoreCase = true)
 
+    /** Appends what was read from the connection. */
     fun add(bytes: ByteBuffer) = reader.add(bytes)
 
     /** The next request; null until all of it has arrived. */
--- a/src/main/kotlin/glenspool/http/ResponseParser.kt
+++ b/src/main/kotlin/glenspool/http/ResponseParser.kt
@@ -15,6 +15,7 @@
     /** Whether part of the response has arrived. */
     val hasInput: Boolean get() = reader.hasInput
 
+    /** Appends what was read from the connection. */
     fun add(bytes: ByteBuffer) = reader.add(bytes)
 
     /** The response; null until all of it has arrived. [isEndOfInput]: the server has closed the connection. */
