--- /dev/null
+++ b/src/test/kotlin/glenspool/core/DeletionBatchingTest.kt
@@ -0,0 +1,41 @@
+package glenspool.core
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/** The cloud allows few calls: deletions are sent in batches with a pause between them. */
+class DeletionBatchingTest : SchedulerTestBase() {
+    @Test
+    fun `machines lost one after the other share a deletion call`() {
+        val running = busy(6, others = 6)
+        val first = list(running.keys, failed = setOf("m1"))
+        assertEquals(listOf(listOf("m1")), first.deletions().map { it.machines })
+        // Within the pause nothing is sent, and what came meanwhile goes together.
+        assertTrue(list(running.keys, failed = setOf("m1", "m2")).none { it is DeleteMachines })
+        now += 200.milliseconds
+        assertTrue(list(running.keys, failed = setOf("m1", "m2", "z1")).none { it is DeleteMachines })
+        now += 200.milliseconds
+        assertEquals(listOf(listOf("m2", "z1")), step { tick() }.deletions().map { it.machines })
+    }
+
+    @Test
+    fun `there is a pause between two deletion calls, and no machine is left out for it`() {
+        val running = busy(8)
+        assertEquals(setOf("m1"), list(running.keys, failed = setOf("m1")).deletedMachines())
+        val withinPause = list(running.keys, failed = setOf("m1", "m2"))
+        assertEquals(emptySet<String>(), withinPause.deletedMachines(), "the cloud's calls are few")
+        assertEquals(setOf("m2"), wait(1.seconds).deletedMachines())
+    }
+
+    @Test
+    fun `many lost machines are deleted with few calls`() {
+        val running = busy(40)
+        val lost = running.keys.take(15).toSet()
+        val deletions = live(16.seconds, running - lost, lost).deletions()
+        assertEquals(lost, deletions.flatMap { it.machines }.toSet())
+        assertTrue(deletions.size <= 4, "${deletions.size} calls")
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/FailoverTest.kt
@@ -0,0 +1,66 @@
+package glenspool.core
+
+import glenspool.core.model.StoredPlacement
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration.Companion.seconds
+
+/** What a new leader takes over, and which machines it takes for lost. */
+class FailoverTest : SchedulerTestBase() {
+    @Test
+    fun `a new leader knows the image locations that the last one stored`() {
+        busy(2)
+        val stored =
+            wait(9.seconds)
+                .filterIsInstance<StoreImageLocations>()
+                .map { it.images }
+                .reduce { images, part -> images + part }
+        assertEquals(mapOf("m1" to mapOf("img" to 2.0), "m2" to mapOf("img" to 2.0)), stored)
+        val next = Scheduler(config(), TOKEN + 1, now)
+        next.step(now, now) {
+            machineTypesKnown(listOf(bigType))
+            imageLocationsRead(stored)
+            heartbeatReceived(heartbeat("m1", token = TOKEN + 1))
+        }
+        assertTrue(next.machines.getValue("m1").hasImage("img"))
+        val later = next.step(now + 10.seconds, now) { tick() }
+        assertTrue(later.none { it is StoreImageLocations && it.images.isEmpty() })
+    }
+
+    @Test
+    fun `a new leader does not take workers that have not found it yet for lost machines`() {
+        step { machineTypesKnown(listOf(bigType)) }
+        val machines = (1..6).map { "m$it" }
+        val placements = machines.mapIndexed { index, machine -> StoredPlacement(index, index + 1L, machine) }
+        submit(job("a", tasks = 6), placements, last = 6)
+        list(machines)
+        val actions = ArrayList<Action>()
+        val found = placements.take(4).associate { it.machine to runningTask("a", it.task, it.attempt) }
+        // Four have found it and prove nothing about the others, which nodes that have just started may still answer.
+        repeat(6) { actions += live(2.seconds, found, emptySet()) }
+        assertTrue(actions.none { it is DeleteMachines })
+        // But a probe without an answer, twice, shows that a machine is lost.
+        step { probeEnded("m6", null) }
+        repeat(2) { actions += live(2.seconds, found, setOf("m6")) }
+        assertEquals(setOf("m6"), actions.deletedMachines())
+    }
+
+    @Test
+    fun `a new leader does not wait a whole lease for a machine that no list of the cloud names`() {
+        step { machineTypesKnown(listOf(bigType)) }
+        val placements = (0..3).map { StoredPlacement(it, it + 1L, "m${it + 1}") }
+        submit(job("a", tasks = 4, resourceRequest = wholeMachine), placements, last = 4)
+        val alive = (1..3).associate { "m$it" to runningTask("a", it - 1, it.toLong()) }
+        val actions = ArrayList<Action>()
+        repeat(6) {
+            actions += list(alive.keys)
+            actions += live(2.seconds, alive, emptySet())
+        }
+        // The lists lag by up to 6 s here, and the lease is 16 s.
+        assertEquals(setOf("m4"), actions.deletedMachines())
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
@@ -0,0 +1,61 @@
+package glenspool.core
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration.Companion.seconds
+
+/** Which silent or unreachable machines are taken for failed, and when. */
+class FailureDetectionTest : SchedulerTestBase() {
+    @Test
+    fun `silence of the whole fleet is taken for our own failure, and no machine is deleted soon`() {
+        busy(4)
+        assertTrue(wait(25.seconds).none { it is DeleteMachines })
+        // But not for ever: if the machines are really lost, nobody else would replace them.
+        assertTrue(wait(30.seconds).any { it is DeleteMachines })
+    }
+
+    @Test
+    fun `one silent machine among many is deleted, and its tasks wait for the proof of that`() {
+        val running = busy(4)
+        val lostTask = running.getValue("m1").key
+        val actions = ArrayList<Action>()
+        repeat(10) {
+            actions += wait(2.seconds)
+            for (machine in listOf("m2", "m3", "m4")) heartbeatReply(machine, running.getValue(machine))
+        }
+        assertEquals(setOf("m1"), actions.deletedMachines())
+        val job = scheduledJob("a")
+        assertEquals("m1", job.placements.getValue(lostTask.task).machine)
+        step { deletionEnded(listOf("m1"), true) }
+        assertFalse(job.placements.containsKey(lostTask.task))
+        heartbeatReply("m5")
+        wait(1.seconds)
+        assertEquals("m5", job.placements.getValue(lostTask.task).machine)
+    }
+
+    @Test
+    fun `a machine with heartbeats but unreachable gets no work, and is deleted while others are reachable`() {
+        val running = busy(4)
+        val unreachable = running.keys.first()
+        step { probeEnded(unreachable, null) }
+        assertFalse(knownMachine(unreachable).isReady(now, 60.seconds))
+        val actions = live(16.seconds, running, setOf(unreachable))
+        assertEquals(setOf(unreachable), actions.deletedMachines())
+    }
+
+    @Test
+    fun `a machine that is reachable again gets work again`() {
+        val running = busy(2)
+        val unreachable = running.keys.first()
+        step { probeEnded(unreachable, null) }
+        assertFalse(knownMachine(unreachable).isReady(now, 60.seconds))
+        // A probe that was never sent, for want of threads, says nothing of the machine.
+        val other = (running.keys - unreachable).single()
+        step { probeEnded(other, null, wasSent = false) }
+        assertTrue(knownMachine(other).isReady(now, 60.seconds))
+        live(6.seconds, running, emptySet())
+        assertTrue(knownMachine(unreachable).isReady(now, 60.seconds))
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/OrphanedTasksTest.kt
@@ -0,0 +1,41 @@
+package glenspool.core
+
+import glenspool.core.model.Command
+import glenspool.core.model.Resources
+import glenspool.core.model.StopTask
+import glenspool.core.model.TaskKey
+import glenspool.simulation.bigType
+import glenspool.simulation.job
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/** Tasks that run without a stored placement, such as those of earlier leaders. */
+class OrphanedTasksTest : SchedulerTestBase() {
+    @Test
+    fun `an orphan of an unknown job blocks its task when the job is submitted again`() {
+        started(2)
+        heartbeatReply("m1", runningTask("a", 0, 7))
+        submit(job("a", tasks = 2))
+        wait(2.seconds)
+        assertEquals(setOf(1), scheduledJob("a").placements.keys, "task 0 runs on m1")
+        assertEquals(setOf(TaskKey("a", 0)), scheduledJob("a").orphans.keys)
+        // Both count for capacity: the task that was placed beside it, and the orphan until the machine shows that it
+        // is gone.
+        assertEquals(Resources(12.0, 2.0, 48.0), knownMachine("m1").available(bigType))
+        heartbeatReply("m1")
+        wait(2.seconds)
+        confirm()
+        assertEquals(setOf(0, 1), scheduledJob("a").placements.keys)
+    }
+
+    @Test
+    fun `an orphan of a known job is stopped, and blocks its task until it is gone`() {
+        started(2)
+        heartbeatReply("m1", runningTask("a", 0, 7))
+        submit(job("a"), last = 9)
+        val commands = heartbeatReply("m1", runningTask("a", 0, 7))
+        assertEquals(listOf<Command>(StopTask(TaskKey("a", 0), 7, Duration.ZERO, StopCause.ORPHANED)), commands)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/ScaleOutTest.kt
@@ -0,0 +1,48 @@
+package glenspool.core
+
+import glenspool.core.model.JobKind
+import glenspool.core.model.Priority
+import glenspool.core.model.Resources
+import glenspool.core.model.StoredPlacement
+import glenspool.simulation.bigType
+import glenspool.simulation.job
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration.Companion.seconds
+
+/** Work that no machine of the fleet will ever take gets one. */
+class ScaleOutTest : SchedulerTestBase() {
+    @Test
+    fun `an array that no machine could take gets one, however little its work is`() {
+        step { machineTypesKnown(listOf(bigType)) }
+        submit(job("a"))
+        assertEquals(listOf(1), wait(4.seconds).scaleOuts().map { it.count })
+    }
+
+    @Test
+    fun `an array does not wait for ever behind work that never ends`() {
+        started()
+        val all = Resources(16.0, 4.0, 64.0)
+        val running = placeAndRun(job("s", JobKind.SERVICE, resourceRequest = all, priority = Priority.CRITICAL))
+        submit(job("a"))
+        assertEquals(emptyList<ScaleOut>(), live(90.seconds, running, emptySet()).scaleOuts())
+        assertEquals(listOf(1), live(20.seconds, running, emptySet()).scaleOuts().map { it.count })
+    }
+
+    @Test
+    fun `a spread service whose zone is full gets a machine in another zone`() {
+        started(1, others = 1)
+        // Zone a has its share of the service, and the machine in zone b is full.
+        val full =
+            job(
+                "full", resourceRequest = Resources(15.0, 4.0, 60.0), zone = "b", priority = Priority.CRITICAL,
+                estimatedDuration = 1000.seconds,
+            )
+        assertEquals(setOf("z1"), placeAndRun(full).keys)
+        val service = job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL, spread = true)
+        val submitted = submit(service, listOf(StoredPlacement(0, 1, "m1")), last = 1)
+        val scaleOuts = (submitted + wait(4.seconds)).scaleOuts()
+        assertTrue(scaleOuts.isNotEmpty() && scaleOuts.all { it.zone == "b" }, "$scaleOuts")
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/SchedulerTestBase.kt
@@ -0,0 +1,82 @@
+package glenspool.core
+
+import glenspool.core.cluster.Machine
+import glenspool.core.lifecycle.Job
+import glenspool.core.model.Command
+import glenspool.core.model.ExitReason
+import glenspool.core.model.JobSpec
+import glenspool.core.model.Resources
+import glenspool.core.model.StopTask
+import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
+import glenspool.simulation.SchedulerDriver
+import glenspool.simulation.config
+import kotlin.time.Duration.Companion.seconds
+
+/** The scheduler driven event by event, with the events and queries that most tests of this package need. */
+abstract class SchedulerTestBase(
+    settings: SchedulerConfig = config(peerZones = setOf("b")),
+    hooks: SchedulerHooks = SchedulerHooks(),
+) : SchedulerDriver(settings, hooks) {
+    /** So much that no second task fits on a machine of the big type. */
+    protected val wholeMachine = Resources(14.0, 4.0, 50.0)
+
+    protected fun scheduledJob(id: String): Job = core.jobs.getValue(id)
+
+    protected fun knownMachine(id: String): Machine = core.machines.getValue(id)
+
+    protected fun runningTask(job: String, index: Int, attempt: Long): TaskStatus =
+        task(job, index, attempt, TaskState.RUNNING)
+
+    protected fun exitedTask(job: String, index: Int, attempt: Long, reason: ExitReason): TaskStatus =
+        task(job, index, attempt, TaskState.EXITED, reason)
+
+    protected fun TaskStatus.exited(reason: ExitReason): TaskStatus = copy(state = TaskState.EXITED, exit = reason)
+
+    /** A heartbeat of the machine arrives; the commands in its reply. */
+    protected fun heartbeatReply(machine: String, vararg tasks: TaskStatus): List<Command> =
+        say(heartbeat(machine, tasks.toList())).first
+
+    /** A heartbeat of the machine arrives; what the scheduler wants done beyond the reply to it. */
+    protected fun heartbeatActions(machine: String, vararg tasks: TaskStatus): List<Action> =
+        say(heartbeat(machine, tasks.toList())).second
+
+    /** The machine has executed the request and answers with a heartbeat that shows these tasks. */
+    protected fun executed(request: SendCommands, vararg tasks: TaskStatus): List<Action> =
+        step {
+            val reply = heartbeat(request.machine, tasks.toList())
+            commandsEnded(request.machine, request, CommandOutcome.DONE, reply)
+        }
+
+    /** The request ended without an answer of the machine. */
+    protected fun unanswered(request: SendCommands, outcome: CommandOutcome = CommandOutcome.UNKNOWN): List<Action> =
+        step { commandsEnded(request.machine, request, outcome, null) }
+
+    protected fun cancel(job: String): List<Action> = step { jobCancelled(job, ++revision, now) }
+
+    /** Places the jobs submitted so far; the requests that start their tasks once the placements are stored. */
+    protected fun placeAndStore(): List<SendCommands> {
+        wait(1.seconds)
+        return confirm().commandRequests()
+    }
+
+    /** As [placeAndStore], and the tasks run: the running task of each machine that was sent one. */
+    protected fun placeAndRun(spec: JobSpec): Map<String, TaskStatus> {
+        submit(spec)
+        wait(1.seconds)
+        return carriedOut()
+    }
+
+    protected fun List<Action>.commandRequests(): List<SendCommands> = filterIsInstance<SendCommands>()
+
+    protected fun List<Action>.stops(): List<StopTask> =
+        commandRequests().flatMap { it.commands }.filterIsInstance<StopTask>()
+
+    protected fun List<Action>.writes(): List<JobWrite> = filterIsInstance<StoreChanges>().flatMap { it.writes }
+
+    protected fun List<Action>.deletions(): List<DeleteMachines> = filterIsInstance<DeleteMachines>()
+
+    protected fun List<Action>.deletedMachines(): Set<String> = deletions().flatMap { it.machines }.toSet()
+
+    protected fun List<Action>.scaleOuts(): List<ScaleOut> = filterIsInstance<ScaleOut>()
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
@@ -0,0 +1,83 @@
+package glenspool.core
+
+import glenspool.core.model.JobKind
+import glenspool.core.model.JobRecord
+import glenspool.core.model.Priority
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.util.BitSet
+import kotlin.time.Duration.Companion.seconds
+
+/** Delayed, duplicated and restarted sequences of heartbeats are no evidence. */
+class StaleHeartbeatTest : SchedulerTestBase() {
+    @Test
+    fun `a heartbeat older than the newest one changes nothing`() {
+        started()
+        submit(job("a"))
+        wait(1.seconds)
+        val stale = heartbeat("m1")
+        val request = confirm().commandRequests().single()
+        executed(request, runningTask("a", 0, 1))
+        say(stale)
+        assertEquals(1, scheduledJob("a").placements.size)
+    }
+
+    @Test
+    fun `a duplicate heartbeat is no sign of life, not even with the newest sequence number`() {
+        started()
+        val last = heartbeat("m1")
+        say(last)
+        val lastHeardAt = knownMachine("m1").reachability.lastHeardAt
+        now += 3.seconds
+        say(last)
+        say(last.copy(sequence = last.sequence - 1))
+        assertEquals(lastHeardAt, knownMachine("m1").reachability.lastHeardAt)
+    }
+
+    @Test
+    fun `a duplicate heartbeat does not bring a deleted machine back, nor does a new leader use the machine`() {
+        started()
+        val last = heartbeat("m1")
+        say(last)
+        step { deletionEnded(listOf("m1"), true) }
+        say(last.copy(sequence = last.sequence + 5))
+        assertTrue("m1" !in core.machines)
+        // The next leader does not remember the deletion; but the duplicate can't show its fencing token.
+        val next = Scheduler(config(), TOKEN + 1, now)
+        val service = job("a", JobKind.SERVICE, priority = Priority.CRITICAL)
+        val first =
+            next.step(now, now) {
+                machineTypesKnown(listOf(bigType))
+                heartbeatReceived(last)
+                jobStored(JobRecord(service, now, 0, BitSet(), emptyList()), 1)
+            }
+        val actions = first + tickAfter(2, next)
+        assertTrue(next.jobs.getValue("a").placements.isEmpty())
+        // Nor is it counted as a machine that will soon be there.
+        val later = (3..8).flatMap { tickAfter(it, next) }
+        assertTrue((actions + later).any { it is ScaleOut })
+    }
+
+    private fun tickAfter(seconds: Int, scheduler: Scheduler): List<Action> {
+        val time = now + seconds.seconds
+        return scheduler.step(time, time) { tick() }
+    }
+
+    @Test
+    fun `a machine whose sequence goes back within an incarnation is not believed, and is deleted`() {
+        val running = busy(4)
+        val restarted = running.keys.first()
+        val others = running - restarted
+        val actions = ArrayList<Action>()
+        repeat(10) { round ->
+            actions += live(2.seconds, others, emptySet())
+            say(heartbeat(restarted).copy(incarnation = 1, sequence = round.toLong() % 3))
+        }
+        assertEquals(1, scheduledJob("a").placements.values.count { it.machine == restarted })
+        assertEquals(setOf(restarted), actions.deletedMachines())
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/StartFencingTest.kt
@@ -0,0 +1,104 @@
+package glenspool.core
+
+import glenspool.core.model.ExitReason
+import glenspool.core.model.ForgetTask
+import glenspool.core.model.StoredPlacement
+import glenspool.core.model.TaskKey
+import glenspool.simulation.bigType
+import glenspool.simulation.job
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.time.Duration.Companion.seconds
+
+/** A task is never started twice: starts follow their stored placement, and fencing tokens void what is in flight. */
+class StartFencingTest : SchedulerTestBase() {
+    @Test
+    fun `no start is sent before the placement is stored`() {
+        started()
+        val beforeStored = submit(job("a")) + wait(2.seconds)
+        assertEquals(1, beforeStored.filterIsInstance<StoreChanges>().size)
+        assertTrue(beforeStored.starts().isEmpty())
+        assertEquals(listOf(TaskKey("a", 0)), confirm().starts().map { it.key })
+    }
+
+    @Test
+    fun `a placement is stored only if the job is not cancelled, and a refused one is never started`() {
+        started()
+        val write = store(submit(job("a")) + wait(1.seconds)).writes.single() as UpdateJobRecord
+        assertTrue(write.requiresUncancelled)
+        cancel("a")
+        val afterRefusal = step { storeEnded(StoreOutcome.Refused(setOf("g/c/a"))) } + wait(3.seconds)
+        assertTrue(afterRefusal.starts().isEmpty())
+        assertEquals(revision, (store(afterRefusal).writes.single() as StoreFinalState).cancelVersion)
+    }
+
+    @Test
+    fun `absence in a heartbeat without this leader's fencing token proves nothing`() {
+        // An earlier leader's start may still be in flight while the worker would accept it.
+        step { machineTypesKnown(listOf(bigType)) }
+        submit(job("a"), listOf(StoredPlacement(0, 1, "m1")), last = 1)
+        say(heartbeat("m1", token = TOKEN - 1))
+        say(heartbeat("m2"))
+        assertTrue(wait(2.seconds).filterIsInstance<StoreChanges>().isEmpty())
+        assertEquals("m1", scheduledJob("a").placements.getValue(0).machine)
+        val afterOwnToken = heartbeatActions("m1") + wait(2.seconds)
+        assertTrue(afterOwnToken.any { it is StoreChanges })
+    }
+
+    @Test
+    fun `an unanswered start is void only under a higher fencing token`() {
+        val request = commanded()
+        now += 3.seconds
+        unanswered(request)
+        heartbeatReply("m1")
+        assertEquals(1, scheduledJob("a").placements.size)
+        assertTrue(wait(2.seconds).any { it is AdvanceFencingToken })
+        step { fencingTokenAdvanced(TOKEN + 1) }
+        say(heartbeat("m1", token = TOKEN))
+        assertEquals(1, scheduledJob("a").placements.getValue(0).attempt)
+        say(heartbeat("m1", token = TOKEN + 1))
+        wait(2.seconds)
+        assertEquals(2, scheduledJob("a").placements.getValue(0).attempt)
+    }
+
+    @Test
+    fun `an exited task is not forgotten while a start of it may be in flight`() {
+        val request = commanded()
+        now += 3.seconds
+        unanswered(request)
+        val exited = exitedTask("a", 0, 1, ExitReason.ERROR)
+        assertFalse(heartbeatReply("m1", exited).any { it is ForgetTask })
+        val (commands, _) = say(heartbeat("m1", listOf(exited), token = TOKEN + 1))
+        assertTrue(commands.contains(ForgetTask(TaskKey("a", 0), 1, ForgetCause.NO_RESULT)))
+    }
+
+    @Test
+    fun `a task is not placed where a start of it may still arrive`() {
+        val request = commanded()
+        unanswered(request)
+        heartbeatReply("m1", exitedTask("a", 0, 1, ExitReason.ERROR))
+        wait(4.seconds)
+        assertTrue(scheduledJob("a").placements.isEmpty())
+    }
+
+    @Test
+    fun `a start that was never sent does not keep a cancelled job`() {
+        val request = commanded()
+        unanswered(request, CommandOutcome.NOT_SENT)
+        cancel("a")
+        assertTrue(wait(3.seconds).writes().any { it is StoreFinalState })
+    }
+
+    @Test
+    fun `a worker that lost its fencing token proves nothing gone, whatever its sequence number`() {
+        // It restarted: commands of an earlier leader that are still in flight would be executed again.
+        executed(commanded(), runningTask("a", 0, 1))
+        say(heartbeat("m1", token = 0))
+        assertEquals(1L, scheduledJob("a").placements.getValue(0).attempt)
+        heartbeatReply("m1")
+        wait(1.seconds)
+        assertTrue(scheduledJob("a").placements.values.none { it.attempt == 1L })
+    }
+}
