--- /dev/null
+++ b/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
@@ -0,0 +1,87 @@
+package glenspool.core
+
+import glenspool.controller.transactionOf
+import glenspool.core.model.JobRecord
+import glenspool.core.model.JobSpec
+import glenspool.core.model.Resources
+import glenspool.core.model.StoredPlacement
+import glenspool.simulation.InMemoryStore
+import glenspool.simulation.bigType
+import glenspool.simulation.config
+import glenspool.simulation.job
+import glenspool.state.JobRecordReader
+import glenspool.state.Keys
+import glenspool.wire.Fields
+import org.junit.jupiter.api.Assertions.assertTrue
+import kotlin.time.Duration.Companion.seconds
+
+/** A scheduler and a key-value store in memory, with values so small that the record of the job [wide] is split. */
+abstract class SplitRecordTestBase(settings: SchedulerConfig, protected val wide: JobSpec) :
+    SchedulerTestBase(settings) {
+    protected val state = InMemoryStore()
+
+    protected fun machineId(number: Int): String = "i-%06d".format(number)
+
+    protected fun startFleet(size: Int) {
+        step { machineTypesKnown(listOf(bigType)) }
+        for (number in 1..size) heartbeatReply(machineId(number))
+    }
+
+    /** The first [size] machines send a heartbeat, but for those that have a task already. */
+    protected fun heartbeatsOfIdleMachines(size: Int, busy: Collection<String>) {
+        for (machine in (1..size).map(::machineId)) if (machine !in busy) heartbeatReply(machine)
+    }
+
+    protected fun storedValue(): Fields = state.entries.getValue(Keys.job(wide.id)).value
+
+    protected fun storedRecord(): JobRecord = JobRecordReader(state).read(wide.id, storedValue())
+
+    /** The placements in the record and in all its parts. */
+    protected fun JobRecord.allPlacements(): List<StoredPlacement> = placements + placementParts.values.flatten()
+
+    protected fun JobRecord.machinesByTask(): Map<Int, String> = allPlacements().associate { it.task to it.machine }
+}
+
+/** Values of at most 2 KiB and 4 changes a transaction: the smallest limits of the sites. */
+abstract class SmallValuesTestBase :
+    SplitRecordTestBase(
+        config(txnOps = MAX_CHANGES, peerZones = setOf("b")).copy(valueBytes = VALUE_BYTES),
+        job("wide", tasks = 160, resourceRequest = Resources(14.0, 4.0, 60.0), estimatedDuration = 1000.seconds),
+    ) {
+    /** How often the key-value store refused a transaction for the size of a value. */
+    protected var sizeRefusals = 0
+        private set
+
+    init {
+        state.valueLimit = VALUE_BYTES
+        state.opsLimit = MAX_CHANGES
+    }
+
+    /** Executes what is to be stored in so many rounds, as the key-value store does; all other actions. */
+    protected fun storeAll(first: List<Action>, rounds: Int = 60): List<Action> {
+        val others = ArrayList<Action>()
+        var actions = first
+        repeat(rounds) {
+            val changes = actions.filterIsInstance<StoreChanges>().singleOrNull()
+            others += actions.filter { it !is StoreChanges }
+            actions = if (changes == null) wait(1.seconds) else transact(changes)
+        }
+        return others
+    }
+
+    private fun transact(changes: StoreChanges): List<Action> {
+        val transaction = transactionOf(0, changes)
+        assertTrue(transaction.puts.size + transaction.removes.size <= 4)
+        if (transaction.puts.any(state::tooLarge)) {
+            sizeRefusals++
+            return step { storeEnded(StoreOutcome.TooLarge()) }
+        }
+        state.transact(emptyMap(), transaction.puts, transaction.removes)
+        return confirm()
+    }
+
+    protected companion object {
+        const val VALUE_BYTES = 2048
+        const val MAX_CHANGES = 4
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
@@ -0,0 +1,64 @@
+package glenspool.core
+
+import glenspool.core.model.ExitReason
+import glenspool.core.model.ForgetTask
+import glenspool.core.model.JobRecord
+import glenspool.core.model.StoredPlacement
+import glenspool.simulation.bigType
+import glenspool.simulation.job
+import glenspool.wire.Cbor
+import glenspool.wire.RecordWire
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.util.BitSet
+import kotlin.time.Duration.Companion.seconds
+
+/** Records, results and descriptions that exceed the size of a value. */
+class TooLargeValuesTest : SmallValuesTestBase() {
+    @Test
+    fun `a result of a large job may be forgotten only when its own chunk of done bits is stored`() {
+        val tasks = listOf(0, 9_000, 18_000, 27_000)
+        step { machineTypesKnown(listOf(bigType)) }
+        submit(job("large", tasks = 30_000), tasks.map { StoredPlacement(it, 1, "i-000001") }, last = 1)
+        val exited = tasks.map { exitedTask("large", it, 1, ExitReason.DONE) }.toTypedArray()
+        heartbeatReply("i-000001", *exited)
+        val write = store(wait(3.seconds)).writes.single() as UpdateJobRecord
+        confirm()
+        val forgotten = heartbeatReply("i-000001", *exited).filterIsInstance<ForgetTask>().map { it.key.task }
+        assertEquals(write.chunks, forgotten.map { it / JobRecord.TASKS_PER_CHUNK })
+        assertEquals(2, forgotten.size)
+    }
+
+    @Test
+    fun `a record that an old controller left too large is split when it is written again`() {
+        val placements = (0 until 120).map { StoredPlacement(it, 100L + it, machineId(it + 1)) }
+        step { jobStored(JobRecord(wide, now, 400, BitSet(), placements), ++revision) }
+        // Refused once: that is how the new limit shows.
+        scheduledJob("wide").storeSoon()
+        storeAll(wait(1.seconds))
+        assertEquals(1, sizeRefusals)
+        assertEquals((0 until 120).associateWith { machineId(it + 1) }, storedRecord().machinesByTask())
+    }
+
+    @Test
+    fun `a change too large for the key-value store delays no other, and is not retried without end`() {
+        val types = List(300) { "some-type-$it" } + "big"
+        step { membersChecked(true) }
+        startFleet(4)
+        submit(job("huge").copy(types = types))
+        val actions = storeAll(submit(job("small")) + wait(2.seconds))
+        assertEquals(listOf("small"), actions.starts().map { it.key.job })
+        assertTrue(sizeRefusals in 1..4, "tried $sizeRefusals times in a minute")
+        val messages = actions.filterIsInstance<LogMessage>()
+        assertTrue(messages.any { it.isImportant && "too-large job=huge" in it.text })
+        // Its description was stored in parts, so that the record fits.
+        now += 60.seconds
+        val retry = store(wait(1.seconds))
+        step { storeEnded(StoreOutcome.TooLarge(mapOf("huge" to 3))) }
+        assertEquals(listOf("huge"), retry.writes.map { it.id })
+        val write = store(wait(1.seconds)).writes.single() as UpdateJobRecord
+        assertEquals(3, write.record.descriptionParts)
+        assertTrue(Cbor.jsonBytes(RecordWire.encode(write.record)) < VALUE_BYTES)
+    }
+}
