--- /dev/null
+++ b/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
@@ -0,0 +1,38 @@
+package glenspool.core
+
+import glenspool.simulation.FaultRates
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Whole days in simulated time of jobs with dependencies. */
+class DependencySimulationTest {
+    @ParameterizedTest
+    @ValueSource(longs = [101, 102, 103, 104])
+    fun `jobs with dependencies start when all of these are done, and are aborted with them`(seed: Long) {
+        val day = RandomDay(seed, FaultRates(), hasDependencies = true).play()
+        assertTrue(day.dependenciesOf.size > 5)
+        assertTrue(day.dependenciesOf.keys.any { day.end(it) == "done" })
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [111, 112, 113, 114, 115, 116, 117, 118])
+    fun `jobs with dependencies break no rule amid all faults and failovers`(seed: Long) {
+        val faults =
+            FaultRates(
+                lost = 0.05, held = 0.05, copies = 0.05, oneWay = 0.01, outages = 0.02, takeovers = 0.04,
+                deaths = 0.01, cuts = 0.02, hangs = 0.01, restarts = 0.01, apart = 0.01,
+            )
+        RandomDay(seed, faults, hasDependencies = true, allNew = true).play()
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [121, 122, 123, 124, 125, 126, 127, 128])
+    fun `old and new versions that lead in turn break no rule, whatever has dependencies`(seed: Long) {
+        val faults =
+            FaultRates(
+                lost = 0.05, held = 0.05, takeovers = 0.06, outages = 0.02, deaths = 0.01, cuts = 0.02, olds = 0.5,
+            )
+        RandomDay(seed, faults, hasDependencies = true).play()
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/core/FaultSimulationTest.kt
@@ -0,0 +1,49 @@
+package glenspool.core
+
+import glenspool.simulation.FaultRates
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Whole days in simulated time with faults of machines and of the network. */
+class FaultSimulationTest {
+    private fun play(seed: Long, faults: FaultRates) = RandomDay(seed, faults).play()
+
+    @ParameterizedTest
+    @ValueSource(longs = [1, 1056, 2, 3])
+    fun `without faults everything runs`(seed: Long) {
+        assertTrue(play(seed, FaultRates()).starts > 30)
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [11, 11021, 11056, 11011, 12, 13, 14, 15, 16])
+    fun `lost and delayed messages break no rule`(seed: Long) {
+        play(seed, FaultRates(lost = 0.1, held = 0.1))
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [21, 21157, 22, 23, 24, 25, 26])
+    fun `machines that fail, hang, are cut off or reclaimed break no rule`(seed: Long) {
+        play(seed, FaultRates(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05))
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [51, 52, 53, 54, 55, 56])
+    fun `machines with heartbeats but unreachable break no rule`(seed: Long) {
+        play(seed, FaultRates(oneWay = 0.05, lost = 0.03, takeovers = 0.01))
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [61, 62, 63, 64, 65, 66])
+    fun `late duplicates of heartbeats and machines that restart break no rule`(seed: Long) {
+        play(seed, FaultRates(copies = 0.3, deaths = 0.02, restarts = 0.02, cuts = 0.02, takeovers = 0.02))
+    }
+
+    @Test
+    fun `the same seed gives the same day`() {
+        val faults = FaultRates(lost = 0.05, held = 0.05, takeovers = 0.02, deaths = 0.01)
+        assertEquals(play(41, faults).state.revision, play(41, faults).state.revision)
+    }
+}
