--- a/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
@@ -4,99 +4,80 @@
 import glenspool.core.cluster.CancelledWorkTracker
 import glenspool.core.model.ExitReason
 import glenspool.core.model.StopTask
-import glenspool.core.model.TaskState
-import glenspool.simulation.SchedulerDriver
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What any controller does about cancelled work while nobody leads. */
-class CancelledWorkTrackerTest : SchedulerDriver() {
-    private val work = CancelledWorkTracker(40.seconds)
-    private val places = mapOf("a" to listOf("m1", "m2"), "b" to listOf("m2", "m3"))
+/** What any controller does about cancelled work while there is no leader. */
+class CancelledWorkTrackerTest : SchedulerTestBase() {
+    private val tracker = CancelledWorkTracker(40.seconds)
+    private val machinesByJob = mapOf("a" to listOf("m1", "m2"), "b" to listOf("m2", "m3"))
 
-    private fun due(at: Int, known: Map<String, Int> = mapOf("a" to 0, "b" to 4)) =
-        work
-            .due(at.seconds, known.map { Cancellation(it.key, it.value.seconds, 1) }) { places[it].orEmpty() }
+    /** The machines to ask after so many seconds; [cancelledAt] has the second of each job's cancellation. */
+    private fun due(at: Int, cancelledAt: Map<String, Int> = mapOf("a" to 0, "b" to 4)) =
+        tracker.due(at.seconds, cancelledAt.map { (job, second) -> Cancellation(job, second.seconds, 1) }) { job ->
+            machinesByJob[job].orEmpty()
+        }
+
+    private fun dueJobs(at: Int) = due(at).map { it.machine to it.jobs }
 
     @Test
-    fun `machines are asked when their time is half over, and only about what was cancelled`() {
+    fun `machines are probed when half their time is over, and only about what was cancelled`() {
         assertEquals(emptyList<String>(), due(15).map { it.machine })
-        assertEquals(listOf("m1" to setOf("a"), "m2" to setOf("a")), due(17).map { it.machine to it.jobs })
-        assertEquals(
-            listOf("m1" to setOf("a"), "m2" to setOf("a", "b"), "m3" to setOf("b")),
-            due(21).map {
-                it.machine to
-                    it.jobs
-            },
-        )
+        assertEquals(listOf("m1" to setOf("a"), "m2" to setOf("a")), dueJobs(17))
+        val expected = listOf("m1" to setOf("a"), "m2" to setOf("a", "b"), "m3" to setOf("b"))
+        assertEquals(expected, dueJobs(21))
     }
 
     @Test
-    fun `what still runs is stopped, and a machine that was seen to be rid of it is left alone`() {
+    fun `what still runs is stopped, and a machine seen without cancelled work is not probed again`() {
         val (m1, m2, m3) = due(21)
-        assertEquals(
-            emptyList<StopTask>(),
-            work
-                .seen(m1, heartbeat("m1", listOf(task("a", 0, 1, TaskState.EXITED, ExitReason.STOPPED), task("other", 0, 1, TaskState.RUNNING)))),
-        )
-        val running =
-            heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING), task("b", 0, 3, TaskState.EXITED, ExitReason.DONE)))
-        assertEquals(listOf("a" to 7L), work.seen(m2, running).map { it.key.job to it.attempt })
-        assertEquals(emptyList<StopTask>(), work.seen(m3, null))
-        assertEquals(listOf("m2" to setOf("a"), "m3" to setOf("b")), due(22).map { it.machine to it.jobs })
+        val stopped = listOf(exitedTask("a", 0, 1, ExitReason.STOPPED), runningTask("other", 0, 1))
+        assertEquals(emptyList<StopTask>(), tracker.seen(m1, heartbeat("m1", stopped)))
+        val running = listOf(runningTask("a", 1, 7), exitedTask("b", 0, 3, ExitReason.DONE))
+        val stops = tracker.seen(m2, heartbeat("m2", running))
+        assertEquals(listOf("a" to 7L), stops.map { it.key.job to it.attempt })
+        assertEquals(emptyList<StopTask>(), tracker.seen(m3, null))
+        assertEquals(listOf("m2" to setOf("a"), "m3" to setOf("b")), dueJobs(22))
     }
 
     @Test
-    fun `a machine that does not answer, or does not obey, is deleted before the time is over, and no other`() {
+    fun `a machine that does not answer, or does not stop the work, is deleted before the deadline, and no other`() {
         val (m1, m2, _) = due(21)
-        work.seen(m1, heartbeat("m1"))
-        work.seen(m2, heartbeat("m2", listOf(task("a", 1, 7, TaskState.RUNNING))))
+        tracker.seen(m1, heartbeat("m1"))
+        tracker.seen(m2, heartbeat("m2", listOf(runningTask("a", 1, 7))))
         due(30)
-        assertEquals(emptyList<String>(), work.late(30.seconds))
+        assertEquals(emptyList<String>(), tracker.late(30.seconds))
         due(31)
-        assertEquals(listOf("m2"), work.late(31.seconds))
-        // One that was never asked may be rid of it.
+        assertEquals(listOf("m2"), tracker.late(31.seconds))
+        // One that was never probed may have stopped the work.
         val (_, m3) = due(35)
-        assertEquals(listOf("m2"), work.late(35.seconds))
-        work.seen(m3, null)
-        assertEquals(listOf("m2", "m3"), work.late(35.seconds))
-        work.gone("m2")
+        assertEquals(listOf("m2"), tracker.late(35.seconds))
+        tracker.seen(m3, null)
+        assertEquals(listOf("m2", "m3"), tracker.late(35.seconds))
+        tracker.gone("m2")
         due(36)
-        assertEquals(listOf("m3"), work.late(36.seconds))
+        assertEquals(listOf("m3"), tracker.late(36.seconds))
     }
 
     @Test
-    fun `what ended meanwhile, or was cancelled very long ago, is nobody's concern`() {
+    fun `jobs that ended meanwhile, or were cancelled long before, are not probed for`() {
         assertEquals(emptyList<String>(), due(81, mapOf("a" to 0)).map { it.machine })
         assertEquals(emptyList<String>(), due(21, mapOf("gone" to 0)).map { it.machine })
-        assertEquals(emptyList<String>(), work.late(100.seconds))
+        assertEquals(emptyList<String>(), tracker.late(100.seconds))
     }
 
     @Test
-    fun `a leader that hears of a cancellation from another controller stops the work at once`() {
-        val running = busy(1)
-        val (machine, task) = running.entries.single()
-        val stops =
-            step { jobCancelled("a", 900, now) }
-                .filterIsInstance<SendCommands>()
-                .flatMap { it.commands }
-                .filterIsInstance<StopTask>()
+    fun `a leader told of a cancellation by another controller stops the work at once`() {
+        val (machine, task) = busy(1).entries.single()
+        val stops = step { jobCancelled("a", 900, now) }.stops()
         assertEquals(listOf(StopTask(task.key, task.attempt, Duration.ZERO, StopCause.CANCELLED)), stops)
-        // The state service tells the same later: nothing changes but its version, which a final record is conditioned
-        // on.
-        assertEquals(emptyList<SendCommands>(), step { jobCancelled("a", 901, now) }.filterIsInstance<SendCommands>())
-        val after =
-            say(heartbeat(machine, listOf(task.copy(state = TaskState.EXITED, exit = ExitReason.STOPPED)))).second +
-                wait(1.seconds)
-        assertEquals(
-            listOf<Long?>(901),
-            after
-                .filterIsInstance<StoreChanges>()
-                .flatMap { it.writes }
-                .filterIsInstance<StoreFinalState>()
-                .map { it.cancelVersion },
-        )
+        // The key-value store shows the same later: nothing changes but its version, which a final record is
+        // conditioned on.
+        assertEquals(emptyList<SendCommands>(), step { jobCancelled("a", 901, now) }.commandRequests())
+        val afterStop = heartbeatActions(machine, task.exited(ExitReason.STOPPED)) + wait(1.seconds)
+        val finalStates = afterStop.writes().filterIsInstance<StoreFinalState>()
+        assertEquals(listOf<Long?>(901), finalStates.map { it.cancelVersion })
     }
 }
--- a/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
@@ -1,7 +1,5 @@
 package glenspool.core
 
-import glenspool.core.model.Resources
-import glenspool.simulation.SchedulerDriver
 import glenspool.simulation.bigType
 import glenspool.simulation.config
 import glenspool.simulation.job
@@ -10,41 +8,37 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * PROTOCOL: "Direct commands do not renew the lease." What a worker is given that can't report is lost with its lease.
+ * PROTOCOL: "Direct commands do not renew the lease." Work given to a worker that can't send heartbeats is lost when
+ * its lease expires.
  */
-class OwnHeartbeatTest : SchedulerDriver(config(), SchedulerHooks(newWorkNeedsOwnHeartbeat = true)) {
-    private val whole = Resources(14.0, 4.0, 50.0)
+class OwnHeartbeatTest : SchedulerTestBase(config(), SchedulerHooks(newWorkNeedsOwnHeartbeat = true)) {
+    private fun submitForTwoMachines() = submit(job("a", tasks = 2, resourceRequest = wholeMachine))
 
-    private fun placed() =
-        core.jobs
-            .getValue("a")
-            .placements.values
-            .map { it.machine }
-            .toSet()
+    private fun machinesWithWork() = scheduledJob("a").placements.values.map { it.machine }.toSet()
 
     @Test
-    fun `a machine that only answers questions gets no work until its own report comes`() {
+    fun `a machine that only answers probes gets no work until its own heartbeat comes`() {
         step { machineTypesKnown(listOf(bigType)) }
         list(listOf("m1", "m2"))
-        say(heartbeat("m1"))
+        heartbeatReply("m1")
         step { probeEnded("m2", heartbeat("m2")) }
-        submit(job("a", tasks = 2, resourceRequest = whole))
+        submitForTwoMachines()
         wait(2.seconds)
-        assertEquals(setOf("m1"), placed())
+        assertEquals(setOf("m1"), machinesWithWork())
         confirm()
-        say(heartbeat("m2"))
+        heartbeatReply("m2")
         wait(2.seconds)
-        assertEquals(setOf("m1", "m2"), placed())
+        assertEquals(setOf("m1", "m2"), machinesWithWork())
     }
 
     @Test
-    fun `a machine whose reports stay away gets no more work, however well it answers`() {
+    fun `a machine whose heartbeats stop gets no more work, however well it answers probes`() {
         started(2)
         wait(6.seconds)
-        say(heartbeat("m1"))
+        heartbeatReply("m1")
         step { probeEnded("m2", heartbeat("m2")) }
-        submit(job("a", tasks = 2, resourceRequest = whole))
+        submitForTwoMachines()
         wait(2.seconds)
-        assertEquals(setOf("m1"), placed())
+        assertEquals(setOf("m1"), machinesWithWork())
     }
 }
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -3,7 +3,6 @@
 import glenspool.core.model.StartTask
 import glenspool.core.model.StoredPlacement
 import glenspool.core.model.TaskKey
-import glenspool.simulation.SchedulerDriver
 import glenspool.simulation.bigType
 import glenspool.simulation.config
 import glenspool.simulation.job
@@ -11,43 +10,40 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** A stored place whose task is gone from its machine is used again, if the machine's own reports arrive. */
-class RestoreInPlaceTest :
-    SchedulerDriver(
-        config(),
-        SchedulerHooks(newWorkNeedsOwnHeartbeat = true, missingTaskPolicy = {
-            MissingTaskPolicy.RESTORE
-        }),
-    ) {
-    private val again = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
-
-    private fun placedBefore() {
+private val RESTORING =
+    SchedulerHooks(newWorkNeedsOwnHeartbeat = true, missingTaskPolicy = { MissingTaskPolicy.RESTORE })
+
+/** A stored placement whose task is missing on its machine is used again, if the machine's own heartbeats arrive. */
+class RestoreInPlaceTest : SchedulerTestBase(config(), RESTORING) {
+    private val restart = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
+
+    private fun submitPlaced() {
         step { machineTypesKnown(listOf(bigType)) }
         submit(job("a"), listOf(StoredPlacement(0, 3, "m1")), last = 3)
     }
 
-    private fun List<Action>.writes() = filterIsInstance<StoreChanges>().size
+    private fun List<Action>.transactions() = filterIsInstance<StoreChanges>().size
 
     @Test
-    fun `it is started there under the same attempt, and nothing is stored`() {
-        placedBefore()
-        val actions = say(heartbeat("m1")).second + wait(2.seconds)
-        assertEquals(listOf(again) to 0, actions.starts() to actions.writes())
+    fun `a missing task is started on its machine under the same attempt, and nothing is stored`() {
+        submitPlaced()
+        val actions = heartbeatActions("m1") + wait(2.seconds)
+        assertEquals(listOf(restart) to 0, actions.starts() to actions.transactions())
     }
 
     @Test
-    fun `so it is when an answer shows the absence and the machine has reported before, under an earlier leader's token`() {
-        placedBefore()
+    fun `a task missing in a probe's answer is restored if a heartbeat came before, under an earlier leader's token`() {
+        submitPlaced()
         say(heartbeat("m1", token = TOKEN - 1))
         val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
-        assertEquals(listOf(again) to 0, actions.starts() to actions.writes())
+        assertEquals(listOf(restart) to 0, actions.starts() to actions.transactions())
     }
 
     @Test
-    fun `a machine that only answers is given nothing`() {
-        placedBefore()
+    fun `nothing is started on a machine that only answers probes`() {
+        submitPlaced()
         val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
         assertEquals(0, actions.starts().size)
-        assertEquals(emptyMap<Int, Any>(), core.jobs.getValue("a").placements)
+        assertEquals(emptyMap<Int, Any>(), scheduledJob("a").placements)
     }
 }
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -23,72 +23,73 @@
 class StarvationTest {
     private val machines = 6
 
-    private fun play(
-        largest: List<JobSpec>,
-        objectives: List<Objective> = emptyList(),
-        small: (Int) -> JobSpec,
-    ): ClusterSimulation {
-        val w =
-            ClusterSimulation(7, config(objectives = objectives), listOf(bigType), FaultRates(), maxMachines = machines)
-        repeat(machines) { w.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
-        w.elect()
-        var n = 0
-        while (w.now < 60.seconds) {
-            w.submit(small(n++))
-            w.run(w.now + 2.seconds)
-        }
-        largest.forEach(w::submit)
-        val at = w.now
-        while (w.now - at < 5.minutes) {
-            w.submit(small(n++))
-            w.run(w.now + 2.seconds)
+    /** A minute of small work, then the largest jobs and five minutes more of it. */
+    private fun play(largest: List<JobSpec>, objectives: List<Objective> = emptyList()): ClusterSimulation {
+        val settings = config(objectives = objectives)
+        val simulation = ClusterSimulation(7, settings, listOf(bigType), FaultRates(), maxMachines = machines)
+        repeat(machines) { simulation.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
+        simulation.elect()
+        var smallJobs = 0
+
+        fun submitSmallUntil(end: Duration) {
+            while (simulation.now < end) {
+                simulation.submit(smallJob(smallJobs++))
+                simulation.run(simulation.now + 2.seconds)
+            }
         }
-        assertEquals(emptyList<String>(), w.violations)
-        for (j in largest) {
-            val begun = w.firstStart[j.id]
-            assertTrue(begun != null && begun - at < 4.minutes, "${j.id} began after ${begun?.minus(at)}: ${w.describe(j.id)}")
+        submitSmallUntil(60.seconds)
+        largest.forEach(simulation::submit)
+        val submittedAt = simulation.now
+        submitSmallUntil(submittedAt + 5.minutes)
+        assertEquals(emptyList<String>(), simulation.violations)
+        for (job in largest) {
+            val startedAt = simulation.firstStart[job.id]
+            val waited = startedAt?.minus(submittedAt)
+            val message = "${job.id} began after $waited: ${simulation.describe(job.id)}"
+            assertTrue(waited != null && waited < 4.minutes, message)
         }
-        // The stream goes on meanwhile: nothing is bought by stopping everything else.
-        assertTrue(w.firstStart.keys.count { it.startsWith("small-") } > n / 3, "${w.firstStart.size} of $n began")
-        return w
+        // The stream goes on meanwhile: nothing is gained by stopping everything else.
+        val startedSmallJobs = simulation.firstStart.keys.count { it.startsWith("small-") }
+        assertTrue(startedSmallJobs > smallJobs / 3, "${simulation.firstStart.size} of $smallJobs began")
+        return simulation
     }
 
     /** More work than the fleet can do: each takes a third of a machine for longer than a third of the pause. */
-    private fun small(n: Int, priority: Priority) =
-        job("small-$n", tasks = 6, priority = priority, estimatedDuration = 14.seconds, checkpointInterval = 5.seconds, image = "i${n % 3}")
+    private fun smallJob(number: Int) =
+        job(
+            "small-$number", tasks = 6, priority = Priority.STANDARD, estimatedDuration = 14.seconds,
+            checkpointInterval = 5.seconds, image = "i${number % 3}",
+        )
 
     @Test
-    fun `the largest array, too late for its aim from the first, begins among small ones that can still meet it`() {
-        val aim = Objective("finished", "class-ARRAY", 30.seconds, 0.9)
+    fun `the largest array, too late for its objective from the first, starts among small ones that can meet it`() {
+        val objective = Objective("finished", "class-ARRAY", 30.seconds, 0.9)
         val large =
             job(
                 "large", tasks = 90, resourceRequest = Resources(4.0, 1.0, 16.0), estimatedDuration = 100.seconds,
-                checkpointInterval =
-                    5
-                        .seconds,
-                image = "large",
+                checkpointInterval = 5.seconds, image = "large",
             )
-        play(listOf(large), listOf(aim)) { small(it, Priority.STANDARD) }
+        play(listOf(large), listOf(objective))
     }
 
     @Test
-    fun `a gang that takes the whole fleet begins among small work of its own priority`() {
-        play(listOf(job("large", JobKind.GANG, machines, Resources(14.0, 4.0, 50.0), priority = Priority.STANDARD))) {
-            small(it, Priority.STANDARD)
-        }
+    fun `a gang that takes the whole fleet starts among small work of its own priority`() {
+        val gang = job("large", JobKind.GANG, machines, Resources(14.0, 4.0, 50.0), priority = Priority.STANDARD)
+        play(listOf(gang))
     }
 
     @Test
-    fun `the largest gang and service begin among small work below them`() {
+    fun `the largest gang and service start among small work of lower priority`() {
         val gang =
             job(
                 "large-gang", JobKind.GANG, machines - 2, Resources(14.0, 4.0, 50.0), priority = Priority.URGENT,
-                estimatedDuration =
-                    40
-                        .seconds,
+                estimatedDuration = 40.seconds,
             )
         val service =
-            job("large-service", JobKind.SERVICE, 6, Resources(2.0, 1.0, 8.0), priority = Priority.CRITICAL, spread = true)
-        play(listOf(gang, service)) { small(it, Priority.STANDARD) }
+            job(
+                "large-service", JobKind.SERVICE, 6, Resources(2.0, 1.0, 8.0), priority = Priority.CRITICAL,
+                spread = true,
+            )
+        play(listOf(gang, service))
     }
 }
