--- a/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
@@ -6,8 +6,8 @@
 import glenspool.core.model.Resources
 import glenspool.core.model.Team
 import glenspool.simulation.ClusterSimulation
-import glenspool.simulation.ClusterSimulation.Fault
 import glenspool.simulation.FaultRates
+import glenspool.simulation.MachineFault
 import glenspool.simulation.bigType
 import glenspool.simulation.config
 import glenspool.simulation.job
@@ -87,7 +87,7 @@
         val w = simulation(seed)
         for (n in 0 until 6) w.take(array("a-$n", team = "t${n % 2}", estimatedDuration = 100.seconds))
         w.run(20.seconds)
-        w.trouble(0.5, if (seed % 2 == 0L) Fault.CUT else Fault.DEAF, 30.seconds)
+        w.injectFault(if (seed % 2 == 0L) MachineFault.CUT else MachineFault.UNREACHABLE, 0.5, 30.seconds)
         w.changeLeader(2.seconds)
         w.run(50.seconds)
         w.finish(seed)
@@ -101,8 +101,8 @@
         val w = simulation(seed)
         for (n in 0 until 10) w.take(array("a-$n", tasks = 2, team = "t${1 + n % 2}", estimatedDuration = 50.seconds))
         w.run(15.seconds)
-        w.storm(4, hang = seed % 2 == 0L)
-        if (seed % 2 == 1L) w.trouble(0.4, Fault.CUT, 40.seconds)
+        w.cancelRunningJobs(4, hang = seed % 2 == 0L)
+        if (seed % 2 == 1L) w.injectFault(MachineFault.CUT, 0.4, 40.seconds)
         w.run(15.3.seconds)
         w.changeLeader(if (seed % 3 == 0L) 200.milliseconds else 3.seconds)
         // What waits wants the room that only seems to be free.
@@ -120,10 +120,10 @@
         for (n in 0 until 4) w.take(array("a-$n", tasks = 2, team = "t1", estimatedDuration = 60.seconds))
         w.take(service("s-1", 4, "t2"))
         w.run(15.seconds)
-        w.trouble(0.5, Fault.DEAF, 35.seconds)
+        w.injectFault(MachineFault.UNREACHABLE, 0.5, 35.seconds)
         w.changeLeader(4.seconds)
         w.run(16.seconds)
-        w.storm(2, hang = false)
+        w.cancelRunningJobs(2, hang = false)
         for (n in 4 until 10) w.take(array("a-$n", tasks = 3, team = "t${1 + n % 2}", estimatedDuration = 20.seconds))
         w.run(60.seconds)
         w.finish(seed)
@@ -146,7 +146,7 @@
             )
         w.take(job("s-0", JobKind.SERVICE, 3, priority = Priority.CRITICAL, spread = true))
         w.run(25.seconds)
-        w.trouble(0.5, if (seed % 2 == 0L) Fault.DIE else Fault.CUT, 45.seconds)
+        w.injectFault(if (seed % 2 == 0L) MachineFault.DIE else MachineFault.CUT, 0.5, 45.seconds)
         if (seed % 3 == 0L) w.changeLeader(2.seconds)
         w.run(70.seconds)
         w.finish(seed)
@@ -162,7 +162,7 @@
         w.run(20.seconds)
         w.cutZone("b", if (seed % 2 == 0L) 30.seconds else 70.seconds)
         w.run(24.seconds)
-        w.storm(4, hang = false)
+        w.cancelRunningJobs(4, hang = false)
         w.run(110.seconds)
         w.finish(seed)
     }
@@ -217,9 +217,9 @@
             for (n in 0 until 5) w.take(array("a-$round-$n", team = "t${n % 3}", estimatedDuration = 25.seconds))
             w.run(w.now + 9.seconds + (seed * 70).milliseconds)
             w.changeLeader(2.seconds)
-            w.storm(3, hang = round % 2 == 0)
+            w.cancelRunningJobs(3, hang = round % 2 == 0)
             w.run(w.now + (500 * round).milliseconds)
-            w.storm(2, hang = false)
+            w.cancelRunningJobs(2, hang = false)
         }
         w.run(w.now + 50.seconds)
         w.finish(seed)
@@ -291,7 +291,7 @@
         for (n in 0 until 15) {
             w.take(array("a-$n", tasks = 2, estimatedDuration = 8.seconds, team = "t${n % 3}"))
             w.run(w.now + 5.seconds)
-            if (n % 4 == 3) w.storm(2, hang = false)
+            if (n % 4 == 3) w.cancelRunningJobs(2, hang = false)
         }
         w.run(w.now + 20.seconds)
         w.finish(seed)
@@ -305,7 +305,7 @@
             w.take(array("a-$n", tasks = 3, estimatedDuration = 12.seconds, team = "t${n % 3}"))
             w.run(w.now + 6.seconds)
             if (n % 2 == 0) w.changeLeader((300 + 500 * (n % 5)).milliseconds)
-            if (n % 5 == 4) w.storm(2, hang = true)
+            if (n % 5 == 4) w.cancelRunningJobs(2, hang = true)
         }
         w.run(w.now + 20.seconds)
         w.finish(seed)
@@ -318,8 +318,8 @@
         for (n in 0 until 14) {
             w.take(array("a-$n", tasks = 3, estimatedDuration = 20.seconds, team = "t${n % 3}"))
             w.run(w.now + 6.seconds)
-            if (n == 5) w.trouble(0.4, Fault.MUTE, 40.seconds)
-            if (n == 7) w.storm(3, hang = false)
+            if (n == 5) w.injectFault(MachineFault.MUTE, 0.4, 40.seconds)
+            if (n == 7) w.cancelRunningJobs(3, hang = false)
             if (n == 8) w.changeLeader(2.seconds)
         }
         w.run(w.now + 60.seconds)
@@ -329,11 +329,11 @@
     @ParameterizedTest
     @ValueSource(longs = [161, 162, 163, 164])
     fun `cancelled work on machines that hang is gone in time though the cloud answers late`(seed: Long) {
-        val w = simulation(seed, FaultRates(cloudLate = 6))
+        val w = simulation(seed, FaultRates(maxDeletionDelaySeconds = 6))
         for (n in 0 until 6) w.take(array("a-$n", estimatedDuration = 200.seconds, team = "t${n % 2}"))
         w.run(20.seconds)
-        w.storm(4, hang = true)
-        w.trouble(0.3, Fault.HANG, 55.seconds)
+        w.cancelRunningJobs(4, hang = true)
+        w.injectFault(MachineFault.HANG, 0.3, 55.seconds)
         if (seed % 2 == 0L) w.changeLeader(3.seconds)
         w.run(90.seconds)
         w.finish(seed)
@@ -356,7 +356,7 @@
                     copy(restarts = 0.02)
                 }, {
                     copy(mute = 0.03)
-                }, { copy(forNext = 0.3) }, { copy(storms = 0.02) }, { copy(cloudLate = 4) }, { copy(deaths = 0.02) },
+                }, { copy(forNext = 0.3) }, { copy(storms = 0.02) }, { copy(maxDeletionDelaySeconds = 4) }, { copy(deaths = 0.02) },
             )
         val faults = all.shuffled(r).take(3 + r.nextInt(2)).fold(FaultRates()) { x, f -> x.f() }
         val w = simulation(seed, faults)
--- /dev/null
+++ b/src/test/kotlin/glenspool/simulation/ActionPerformer.kt
@@ -0,0 +1,60 @@
+package glenspool.simulation
+
+import glenspool.api.FinalStates
+import glenspool.core.Action
+import glenspool.core.AdvanceFencingToken
+import glenspool.core.DeleteMachines
+import glenspool.core.LogMessage
+import glenspool.core.Probe
+import glenspool.core.ReadFinalStates
+import glenspool.core.Resign
+import glenspool.core.ScaleOut
+import glenspool.core.Scheduler
+import glenspool.core.SendCommands
+import glenspool.core.StoreChanges
+import glenspool.core.StoreImageLocations
+import glenspool.core.model.FinalState
+
+/** Carries out what a leader decides, with the faults that requests can meet. */
+internal class ActionPerformer(
+    private val context: SimulationContext,
+    private val store: SimulatedStore,
+    private val leader: SimulatedLeader,
+    private val cloud: SimulatedCloud,
+    private val requests: WorkerRequests,
+    private val transactions: LeaderTransactions,
+) {
+    fun perform(action: Action, scheduler: Scheduler) {
+        when (action) {
+            is SendCommands -> requests.send(action, scheduler)
+            is Probe -> requests.probe(action, scheduler)
+            is ScaleOut -> cloud.scaleOut(action, scheduler)
+            is DeleteMachines -> cloud.delete(action, scheduler)
+            is StoreChanges -> transactions.store(action, scheduler)
+            is AdvanceFencingToken -> advanceFencingToken(scheduler)
+            is ReadFinalStates -> readFinalStates(action, scheduler)
+            is StoreImageLocations -> check(action.images.values.none { it.isEmpty() }) { "image without a location" }
+            is LogMessage -> check(action.text.isNotEmpty()) { "empty log message" }
+            is Resign -> leader.resigned(scheduler)
+        }
+    }
+
+    private fun advanceFencingToken(scheduler: Scheduler) =
+        context.after(context.networkDelay()) {
+            val token = leader.advanceToken(scheduler)
+            leader.stepIfLeading(scheduler) { fencingTokenAdvanced(token) }
+        }
+
+    private fun readFinalStates(action: ReadFinalStates, scheduler: Scheduler) =
+        context.after(context.networkDelay()) {
+            val isAnswered = !store.isDown && !context.chance(context.faults.lost)
+            val found = HashMap<String, FinalState>()
+            if (isAnswered) {
+                for (job in action.jobs) {
+                    val state = store.finalStates.read(job)
+                    if (state is FinalStates.Ended) found[job] = state.end
+                }
+            }
+            leader.stepIfLeading(scheduler) { finalStatesRead(action.jobs, found) }
+        }
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/simulation/ReceivedOrder.kt
@@ -0,0 +1,10 @@
+package glenspool.simulation
+
+import glenspool.core.OrderCause
+import glenspool.core.OrderKind
+import kotlin.time.Duration
+
+/** An order as a worker or the cloud received it, and when. */
+data class ReceivedOrder(val at: Duration, val cause: OrderCause) {
+    val kind: OrderKind get() = cause.kind
+}
--- /dev/null
+++ b/src/test/kotlin/glenspool/simulation/TaskExecution.kt
@@ -0,0 +1,76 @@
+package glenspool.simulation
+
+import glenspool.core.SendCommands
+import glenspool.core.model.Command
+import glenspool.core.model.ExitReason
+import glenspool.core.model.ForgetTask
+import glenspool.core.model.JobSpec
+import glenspool.core.model.StartTask
+import glenspool.core.model.StopTask
+import glenspool.core.model.TaskState
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/** What workers do with the commands that reach them. */
+internal class TaskExecution(
+    private val context: SimulationContext,
+    private val jobs: SimulatedJobs,
+    private val rules: StartRules,
+) {
+    /** Tasks started so far. */
+    var starts = 0
+        private set
+
+    /** When the first task of each job was started. */
+    val firstStart = HashMap<String, Duration>()
+
+    /** False: the worker refuses the request, because its token or incarnation is out of date. */
+    fun execute(worker: SimulatedWorker, request: SendCommands): Boolean {
+        if (request.token < worker.highestToken || request.incarnation != worker.incarnation) return false
+        worker.highestToken = request.token
+        request.commands.forEach { execute(worker, it) }
+        return true
+    }
+
+    fun execute(worker: SimulatedWorker, command: Command) {
+        val slot = TaskSlot(command.key, command.attempt)
+        val task = worker.tasks[slot]
+        when (command) {
+            is StartTask ->
+                if (task == null) {
+                    context.orderReceived(command.cause)
+                    worker.tasks[slot] = start(worker, command)
+                }
+            is StopTask ->
+                if (task != null && task.isLive) {
+                    context.orderReceived(command.cause)
+                    task.exit(ExitReason.STOPPED)
+                }
+            is ForgetTask -> if (task != null && !task.isLive) worker.tasks.remove(slot)
+        }
+    }
+
+    private fun start(worker: SimulatedWorker, command: StartTask): WorkerTask {
+        val spec = jobs.specs[command.key.job]
+        if (spec == null || command.key.task >= spec.tasks) return failed(command.attempt, ExitReason.UNKNOWN)
+        val live = worker.liveSlots()
+        if (live.any { it.key == command.key }) return failed(command.attempt, ExitReason.ALREADY_PRESENT)
+        val placed = live.map { jobs.specs.getValue(it.job).resourceRequest }
+        val requested = placed.fold(spec.resourceRequest) { sum, next -> sum + next }
+        if (!requested.fits(worker.type.capacity)) return failed(command.attempt, ExitReason.INSUFFICIENT_RESOURCES)
+        rules.check(command.key, spec, worker)
+        val fetchTime = fetchTime(worker, spec)
+        starts++
+        firstStart.putIfAbsent(command.key.job, context.now)
+        return WorkerTask(command.attempt, TaskState.FETCHING, context.now + fetchTime)
+    }
+
+    private fun failed(attempt: Long, reason: ExitReason) = WorkerTask(attempt, TaskState.EXITED, context.now, reason)
+
+    private fun fetchTime(worker: SimulatedWorker, spec: JobSpec): Duration =
+        if (spec.image in worker.images) {
+            Duration.ZERO
+        } else {
+            (spec.imageGb / worker.type.fetchGbPerS).seconds * (0.7 + 0.6 * context.random.nextDouble())
+        }
+}
