--- a/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -34,7 +34,7 @@
         t.run(30.seconds)
         val (leader, b, c) = t.members
         leader.refusedUntil = 44.seconds
-        t.at(32.seconds) { t.stateOutUntil = 93.seconds }
+        t.at(32.seconds) { t.storeDownUntil = 93.seconds }
         for ((i, w) in t.workers.withIndex()) {
             t.at(30.seconds + (100 + i * 100).milliseconds) {
                 (
@@ -103,7 +103,7 @@
             t.members[0].peersCutUntil = 150.seconds
             t.members[0].refusedUntil = 150.seconds
             for (w in t.workers) t.at(48.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-            t.at(49.seconds) { t.stateOutUntil = 120.seconds }
+            t.at(49.seconds) { t.storeDownUntil = 120.seconds }
             t.run(200.seconds)
             assertEquals(t.workers.size, t.confirmed.size)
             assertEquals(emptyList<String>(), t.violations)
@@ -118,7 +118,7 @@
         t.members[0].peersCutUntil = 70.seconds
         t.members[0].refusedUntil = 70.seconds
         for (w in t.workers) t.at(50.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-        t.at(52.seconds) { t.stateOutUntil = 170.seconds }
+        t.at(52.seconds) { t.storeDownUntil = 170.seconds }
         // Back with nothing in their memory, they say truly that they know of nothing.
         t.at(60.seconds) { t.members.drop(1).forEach { it.stop(8.seconds) } }
         t.run(250.seconds)
@@ -143,7 +143,7 @@
                         .cancel("cancelled-$round-${w.name}")
                 }
             }
-            t.at(from + 3.seconds) { t.stateOutUntil = from + 64.seconds }
+            t.at(from + 3.seconds) { t.storeDownUntil = from + 64.seconds }
         }
         t.run(260.seconds)
         assertEquals(emptyList<String>(), t.violations, "seed $seed")
@@ -157,7 +157,7 @@
         val t = CancellationSimulation(seed, mill)
         for (w in t.workers) w.jobs += "healthy-${w.name}"
         t.run(30.seconds)
-        t.stateOutUntil = 200.seconds
+        t.storeDownUntil = 200.seconds
         for (n in 0..5) {
             t.at((50 + n * 20).seconds) {
                 t.members[n % 3].stop(
@@ -181,12 +181,12 @@
         seed: Long,
     ) {
         val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
-        t.members[1].old = true
-        t.members[2].old = true
+        t.members[1].isOldVersion = true
+        t.members[2].isOldVersion = true
         t.run(30.seconds)
         t.members[0].refusedUntil = 44.seconds
         for (w in t.workers) t.at(31.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-        t.at(32.seconds) { t.stateOutUntil = 93.seconds }
+        t.at(32.seconds) { t.storeDownUntil = 93.seconds }
         // Workers that are let go must not come to a node of the old version, which keeps them for ever: that is how it
         // is.
         t.at(33.seconds) { t.members.drop(1).forEach { it.downUntil = 150.seconds } }
@@ -203,7 +203,7 @@
         t.run(30.seconds)
         t.members[0].refusedUntil = 44.seconds
         for ((i, j) in jobs.withIndex()) t.at(30.5.seconds + (i / 3).milliseconds) { t.members[1 + i % 2].cancel(j) }
-        t.at(31.seconds) { t.stateOutUntil = 93.seconds }
+        t.at(31.seconds) { t.storeDownUntil = 93.seconds }
         t.run(200.seconds)
         assertEquals(emptyList<String>(), t.violations.take(3), "seed $seed")
         assertEquals(jobs.size, t.confirmed.size)
@@ -219,7 +219,7 @@
         for (w in t.workers) t.at(30.2.seconds) { t.members[1].cancel("cancelled-${w.name}") }
         t.at(30.201.seconds) { t.members[1].stop(6.seconds) }
         for (w in t.workers) t.at(31.2.seconds) { t.members[2].cancel("cancelled-${w.name}") }
-        t.at(33.seconds) { t.stateOutUntil = 94.seconds }
+        t.at(33.seconds) { t.storeDownUntil = 94.seconds }
         t.run(200.seconds)
         assertEquals(emptyList<String>(), t.violations.take(3), "seed $seed")
         assertTrue(t.workers.none { w -> w.jobs.any { it in t.confirmed } })
@@ -231,8 +231,8 @@
     fun `the state service is slow instead of out`(seed: Long) {
         val t =
             gap(seed) {
-                at(29.seconds) { stateSlowUntil = 120.seconds }
-                at(33.seconds) { stateOutUntil = 33.seconds }
+                at(29.seconds) { storeSlowUntil = 120.seconds }
+                at(33.seconds) { storeDownUntil = 33.seconds }
             }
         assertEquals(t.workers.size, t.confirmed.size)
         assertEquals(emptyList<String>(), t.killed, "seed $seed")
@@ -256,7 +256,7 @@
                     when (kind) {
                         0 -> node.refusedUntil = t.now + span
                         1 -> node.peersCutUntil = t.now + span
-                        2 -> t.stateOutUntil = t.now + span
+                        2 -> t.storeDownUntil = t.now + span
                         3 -> node.stop(if (r.nextBoolean()) 300.milliseconds else 8.seconds)
                         else -> {
                             val w = t.workers[r.nextInt(t.workers.size)]
