--- a/src/test/kotlin/glenspool/simulation/Fixtures.kt
+++ b/src/test/kotlin/glenspool/simulation/Fixtures.kt
@@ -12,9 +12,13 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
+/** A machine type with GPUs. */
 val bigType = MachineType("big", Resources(16.0, 4.0, 64.0), 100.0, 1.0, 8.0, 2.0, 20.seconds, listOf("a", "b"))
+
+/** A machine type without GPUs. */
 val leanType = MachineType("lean", Resources(8.0, 0.0, 64.0), 50.0, 1.0, 2.0, 0.5, 10.seconds, listOf("a", "b"))
 
+/** A job; one that is not described further has one short task that fits on any machine with a GPU. */
 fun job(
     id: String,
     kind: JobKind = JobKind.ARRAY,
@@ -33,25 +37,27 @@
     checkpointInterval: Duration = Duration.ZERO,
     deadline: Duration? = null,
 ) = JobSpec(
-    id, "class-$kind", team, kind, priority, tasks, resourceRequest, image, imageGb, types, zone, sameZone, spread, spot,
-    if (kind ==
-        JobKind.SERVICE
-    ) {
-        Duration.ZERO
-    } else {
-        estimatedDuration
-    },
-    checkpointInterval,
-    if (checkpointInterval >
-        Duration.ZERO
-    ) {
-        1.seconds
-    } else {
-        Duration.ZERO
-    },
-    deadline,
+    id = id,
+    jobClass = "class-$kind",
+    team = team,
+    kind = kind,
+    priority = priority,
+    tasks = tasks,
+    resourceRequest = resourceRequest,
+    image = image,
+    imageGb = imageGb,
+    types = types,
+    zone = zone,
+    sameZone = sameZone,
+    spread = spread,
+    spot = spot,
+    estimatedDuration = if (kind == JobKind.SERVICE) Duration.ZERO else estimatedDuration,
+    checkpointInterval = checkpointInterval,
+    checkpointDuration = if (checkpointInterval > Duration.ZERO) 1.seconds else Duration.ZERO,
+    deadline = deadline,
 )
 
+/** The settings of a small deployment in zones a and b. */
 fun config(
     teams: List<Team> = listOf(Team("t0", 0.0, 0.0, null, null)),
     tuning: Tuning = Tuning(),
@@ -59,8 +65,18 @@
     objectives: List<Objective> = emptyList(),
     peerZones: Set<String> = emptySet(),
 ) = SchedulerConfig(
-    teams, objectives, listOf("a", "b"), 2.seconds, 16.seconds, 15.seconds, 5.seconds, 40.seconds,
-    3
-        .seconds,
-    txnOps, 80.0, 4096, tuning, peerZones,
+    teams = teams,
+    objectives = objectives,
+    zones = listOf("a", "b"),
+    heartbeatInterval = 2.seconds,
+    lease = 16.seconds,
+    gangWait = 15.seconds,
+    gangPeer = 5.seconds,
+    cancellationDeadline = 40.seconds,
+    listLag = 3.seconds,
+    txnOps = txnOps,
+    writeRps = 80.0,
+    valueBytes = 4096,
+    tuning = tuning,
+    peerZones = peerZones,
 )
--- a/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
+++ b/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
@@ -16,37 +16,44 @@
 import java.nio.ByteBuffer
 import java.util.TreeMap
 
-/** The state service as the protocol describes it, in memory. Leases end only when told to. */
+/**
+ * The key-value store as its protocol describes it, in memory: called directly, or over HTTP by [serve]. Leases end
+ * only by [endLease].
+ */
 class InMemoryStore : LiveKeyReader {
     data class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     val entries = TreeMap<String, Entry>()
+
+    /** All changes: key, value or null if the key was removed, and revision. */
     val log = ArrayList<Triple<String, Fields?, Long>>()
+
+    /** Of the newest change. */
     var revision = 0L
+        private set
     private var lastLease = 0L
     private val leases = HashSet<Long>()
 
-    /** The node that gets 503, or everyone. */
+    /** Whether every request is answered with 503. */
     var down = false
+
+    /** Most changes of a transaction; there may be four times as many conditions. */
     var opsLimit = 24
 
-    /** Larger values get 400. */
+    /** Bytes in JSON; a larger value is answered with 400. */
     var valueLimit = 16 * 1024
 
-    /** What others do just before a transaction is carried out. */
+    /** Called just before a transaction over HTTP is carried out, so that a test can let others change something. */
     var beforeTransaction: (List<Put>) -> Unit = {}
 
-    /**
-     * Whether the answer to a transaction is lost although it was carried out. It can't be read then, which is no
-     * answer.
-     */
+    /** Whether the answer to a transaction that was carried out is replaced by one that can't be read. */
     var loses: () -> Boolean = { false }
 
-    /** Transactions and reads of single keys that came in. */
+    /** Requests that came in, apart from those that follow the changes. */
     var served = 0
         private set
 
-    /** So many of the next transactions are over the rate. */
+    /** As many of the next transactions are answered with 429, as being above the rate. */
     var throttled = 0
 
     @Synchronized
@@ -58,33 +65,32 @@
         val keys = entries.filterValues { it.lease == id }.keys.toList()
         if (keys.isEmpty()) return
         revision++
-        keys.forEach(::drop)
+        keys.forEach(::remove)
     }
 
-    private fun drop(key: String) {
+    private fun remove(key: String) {
         if (entries.remove(key) != null) log.add(Triple(key, null, revision))
     }
 
-    /** Sizes are counted in JSON. */
-    fun tooLarge(p: Put) = Cbor.jsonBytes(p.value) > valueLimit
+    fun tooLarge(put: Put) = Cbor.jsonBytes(put.value) > valueLimit
 
-    /** The failed keys, or null once applied. */
+    /** Compare-and-swap: returns the keys whose versions differ from [conditions], or null if it was carried out. */
     @Synchronized
     fun transact(conditions: Map<String, Long>, puts: List<Put>, removes: List<String>): List<String>? {
         check(puts.size + removes.size <= opsLimit) { "too many changes: ${puts.size + removes.size}" }
         check(conditions.size <= opsLimit * 4) { "too many conditions" }
         check(puts.none(::tooLarge)) { "too large" }
-        val failed = conditions.filter { (k, v) -> (entries[k]?.version ?: 0L) != v }.keys.toList()
+        val failed = conditions.filter { (key, version) -> (entries[key]?.version ?: 0L) != version }.keys.toList()
         if (failed.isNotEmpty()) return failed
         if (puts.isEmpty() && removes.isEmpty()) return null
         revision++
-        for (p in puts) {
+        for (put in puts) {
             // As it would come back over the wire.
-            val value = Cbor.decodeMap(Cbor.encode(p.value))
-            entries[p.key] = Entry(value, revision, p.lease)
-            log.add(Triple(p.key, value, revision))
+            val value = Cbor.decodeMap(Cbor.encode(put.value))
+            entries[put.key] = Entry(value, revision, put.lease)
+            log.add(Triple(put.key, value, revision))
         }
-        removes.forEach(::drop)
+        removes.forEach(::remove)
         return null
     }
 
@@ -95,105 +101,95 @@
 
     override fun withPrefix(prefix: String): List<StoreWire.Item> =
         entries
-            .filterKeys {
-                it.startsWith(prefix)
-            }.map {
-                StoreWire
-                    .Item(it.key, it.value.value, it.value.version)
-            }
-
-    /** The same over HTTP. */
+            .filterKeys { it.startsWith(prefix) }
+            .map { (key, entry) -> StoreWire.Item(key, entry.value, entry.version) }
+
+    /** Answers a request of the store's HTTP protocol. */
     @Synchronized
-    fun serve(r: Request): Response {
+    fun serve(request: Request): Response {
         if (down) return reply(503, mapOf("error" to "trouble"))
-        val path = r.uri.path
+        val path = request.uri.path
         if (path != "/follow") served++
         return when {
-            path == "/multi" && throttled > 0 -> reply(429, emptyMap()).also { throttled-- }
-            path == "/multi" ->
-                multi(Cbor.decodeMap(r.body.stream.readAllBytes())).let {
-                    if (loses()) {
-                        Response(Status.OK)
-                            .body("\u00ff")
-                    } else {
-                        it
-                    }
-                }
+            path == "/multi" -> multi(request)
             path == "/leases" -> reply(200, mapOf("tenure" to newLease()))
-            path.endsWith("/touch") ->
-                if (path.split('/')[2].toLong() in
-                    leases
-                ) {
-                    reply(200, emptyMap())
-                } else {
-                    reply(404, emptyMap())
-                }
-            path == "/follow" -> follow(r)
-            path == "/store" -> list(r)
-            r.method == Method.GET -> item(path.removePrefix("/store/"))
+            path.endsWith("/touch") -> touch(path.split('/')[2].toLong())
+            path == "/follow" -> follow(request)
+            path == "/store" -> list(request)
+            request.method == Method.GET -> item(path.removePrefix("/store/"))
             else -> reply(400, emptyMap())
         }
     }
 
-    private fun multi(m: Fields): Response {
-        val apply =
-            (m["apply"] as? List<*> ?: emptyList<Any>()).map {
-                @Suppress("UNCHECKED_CAST")
-                it as Fields
-            }
-        val puts =
-            apply.filter { "set" in it }.map {
-                @Suppress("UNCHECKED_CAST")
-                Put(it.text("set"), it["data"] as Fields, it["tenure"] as Long?)
-            }
+    private fun multi(request: Request): Response {
+        if (throttled > 0) {
+            throttled--
+            return reply(429, emptyMap())
+        }
+        val response = execute(Cbor.decodeMap(request.body.stream.readAllBytes()))
+        return if (loses()) Response(Status.OK).body(UNREADABLE) else response
+    }
+
+    private fun execute(transaction: Fields): Response {
+        val changes = if ("apply" in transaction) transaction.maps("apply") else emptyList()
+        val puts = changes.filter { "set" in it }.map(::put)
         beforeTransaction(puts)
-        if (puts.any { tooLarge(it) }) return reply(400, mapOf("error" to "too large"))
+        if (puts.any(::tooLarge)) return reply(400, mapOf("error" to "too large"))
         if (puts.any { it.lease != null && it.lease !in leases }) return reply(400, mapOf("error" to "no such lease"))
-        val failed =
-            transact(
-                m.maps("guards").associate {
-                    it.text("key") to it.count("mark")
-                },
-                puts, apply.mapNotNull { it["remove"] as String? },
-            )
-        return if (failed ==
-            null
-        ) {
+        val conditions = transaction.maps("guards").associate { it.text("key") to it.count("mark") }
+        val failed = transact(conditions, puts, changes.mapNotNull { it["remove"] as String? })
+        return if (failed == null) {
             reply(200, mapOf("ledger" to revision))
         } else {
             reply(409, mapOf("failed" to failed, "ledger" to revision))
         }
     }
 
-    private fun follow(r: Request): Response {
-        val after = r.query("after")?.toLong() ?: 0
-        val prefix = r.query("starts") ?: ""
+    @Suppress("UNCHECKED_CAST")
+    private fun put(change: Fields) = Put(change.text("set"), change["data"] as Fields, change["tenure"] as Long?)
+
+    private fun touch(lease: Long): Response = reply(if (lease in leases) 200 else 404, emptyMap())
+
+    private fun follow(request: Request): Response {
+        val after = request.query("after")?.toLong() ?: 0
+        val prefix = request.query("starts") ?: ""
         val changes =
-            log.filter { it.third > after && it.first.startsWith(prefix) }.map { (k, v, n) ->
-                if (v == null) mapOf("remove" to k, "mark" to n) else mapOf("set" to k, "data" to v, "mark" to n)
-            }
+            log
+                .filter { (key, _, version) -> version > after && key.startsWith(prefix) }
+                .map { (key, value, version) ->
+                    if (value == null) {
+                        mapOf("remove" to key, "mark" to version)
+                    } else {
+                        mapOf("set" to key, "data" to value, "mark" to version)
+                    }
+                }
         return reply(200, mapOf("ledger" to revision, "log" to changes))
     }
 
-    private fun list(r: Request): Response {
-        val prefix = r.query("starts") ?: ""
-        val after = r.query("after") ?: ""
+    private fun list(request: Request): Response {
+        val prefix = request.query("starts") ?: ""
+        val after = request.query("after") ?: ""
         val all = entries.filterKeys { it.startsWith(prefix) && it > after }
-        val page = all.entries.take(PAGE).map { (k, e) -> mapOf("key" to k, "data" to e.value, "mark" to e.version) }
+        val page = all.entries.take(PAGE).map { (key, entry) -> row(key, entry) }
         return reply(200, mapOf("rows" to page, "has_next" to (all.size > PAGE), "ledger" to revision))
     }
 
     private fun item(key: String): Response {
-        val e = entries[key] ?: return reply(404, mapOf("ledger" to revision))
-        return reply(200, mapOf("key" to key, "data" to e.value, "mark" to e.version))
+        val entry = entries[key] ?: return reply(404, mapOf("ledger" to revision))
+        return reply(200, row(key, entry))
     }
 
+    private fun row(key: String, entry: Entry): Fields =
+        mapOf("key" to key, "data" to entry.value, "mark" to entry.version)
+
     private fun reply(status: Int, body: Fields) =
-        Response(Status(status, null))
-            .body(Body(ByteBuffer.wrap(Cbor.encode(body))))
+        Response(Status(status, null)).body(Body(ByteBuffer.wrap(Cbor.encode(body))))
 
     companion object {
-        /** Small, so that paging is exercised. */
+        /** Entries of a page: few, so that paging is exercised. */
         const val PAGE = 3
+
+        /** Not decodable as CBOR. */
+        private const val UNREADABLE = "\u00ff"
     }
 }
--- a/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
@@ -5,12 +5,13 @@
 import glenspool.core.StopCause
 import glenspool.reconcile.RepairRates
 import kotlin.math.ceil
+import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Whether orders, as they were received, came faster than a recovery may give them: a second's worth at once, then so
- * many a second.
+ * Checks whether orders were received faster than the token bucket of a recovery allows: the orders of one second at
+ * once, then as many in each second. [fleet]: machines, to which the rates are relative.
  */
 class OrderRateChecker(rates: RepairRates, fleet: Int) {
     private val limits =
@@ -19,24 +20,29 @@
             OrderKind.DELETION to rates.deletions, OrderKind.RENTAL to rates.rentals,
         ).mapValues { (_, rate) -> ceil(rate * fleet).toInt().coerceAtLeast(1) }
 
+    /** The first moment of each kind at which the rate was exceeded. */
     fun faults(received: List<ReceivedOrder>): List<String> =
-        limits.flatMap { (kind, limit) ->
+        limits.mapNotNull { (kind, limit) ->
             val times = received.filter { it.kind == kind && it.cause !in unlimited }.map { it.at }
-            times
-                .filterIndexed { i, at ->
-                    // So many were received in the second up to this one, with some room for what was on its way.
-                    val recent = times.subList(0, i + 1).count { at - it < 1.seconds - SLACK }
-                    recent > limit * 2
-                }.map { "$kind above $limit a second at $it" }
-                .take(1)
+            firstAbove(limit, times)?.let { "$kind above $limit a second at $it" }
         }
 
+    private fun firstAbove(limit: Int, times: List<Duration>): Duration? {
+        for ((index, at) in times.withIndex()) {
+            // The second up to this order, with some tolerance for orders that were on their way.
+            val recent = times.subList(0, index + 1).count { at - it < 1.seconds - TOLERANCE }
+            if (recent > limit * 2) return at
+        }
+        return null
+    }
+
     private companion object {
-        /** Promises to users, and what follows from certain knowledge. */
+        /** Orders that users were promised, and those that follow from certain knowledge. */
         val unlimited =
             setOf(
-                StopCause.CANCELLED, StopCause.PREEMPTED, StopCause.NOTICE, StopCause.GANG_BROKEN, DeletionCause.FAILED, DeletionCause.NOTICE, DeletionCause.CANCELLED_WORK,
+                StopCause.CANCELLED, StopCause.PREEMPTED, StopCause.NOTICE, StopCause.GANG_BROKEN,
+                DeletionCause.FAILED, DeletionCause.NOTICE, DeletionCause.CANCELLED_WORK,
             )
-        val SLACK = 50.milliseconds
+        val TOLERANCE = 50.milliseconds
     }
 }
--- a/src/test/kotlin/glenspool/simulation/ReferenceDifferences.kt
+++ b/src/test/kotlin/glenspool/simulation/ReferenceDifferences.kt
@@ -6,104 +6,114 @@
 import glenspool.core.model.JobRecord
 import glenspool.core.model.MachineStage
 import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
 import glenspool.reconcile.DifferenceKind
 
 /**
- * The slow plain model of differences: plain lists, looked through from one end to the other. It knows the newest
- * record of each job and the newest report of each machine, and names a difference by its kind, machine and task.
+ * The slow reference model of the differences between stored state and reports: plain collections, searched from one
+ * end to the other. It knows the newest record of each job and the newest heartbeat of each machine.
  */
 class ReferenceDifferences {
+    /** The newest [heartbeat] of a machine. [reportedItself]: the machine has sent one, and not only answered. */
     class Seen(val heartbeat: Heartbeat, val trusted: Boolean, val reportedItself: Boolean)
 
+    /** A machine of the cloud's lists. [missing]: it is not in the newest one. */
     class Listed(val stage: MachineStage, val missing: Boolean)
 
     val records = HashMap<String, JobRecord>()
     val cancelled = HashSet<String>()
 
-    /** Places that this leader did not store itself, as text. */
+    /** Placements that this leader did not store itself, as `job/task#attempt@machine`. */
     val adopted = HashSet<String>()
     val seen = HashMap<String, Seen>()
     val listed = HashMap<String, Listed>()
+
+    /** Whether the cloud has listed its machines. */
     var listRead = false
 
-    private class Place(val job: String, val task: Int, val attempt: Long, val machine: String) {
-        val name get() = "$job/$task#$attempt@$machine"
+    private class Placement(val job: String, val task: Int, val attempt: Long, val machine: String) {
+        val name: String get() = "$job/$task#$attempt@$machine"
+
+        fun isOf(status: TaskStatus): Boolean =
+            job == status.key.job && task == status.key.task && attempt == status.attempt
     }
 
-    private fun places() =
-        records.values.flatMap { r ->
-            r.placements.map { Place(r.spec.id, it.task, it.attempt, it.machine) }
+    private fun placements(): List<Placement> =
+        records.values.flatMap { record ->
+            record.placements.map { Placement(record.spec.id, it.task, it.attempt, it.machine) }
         }
 
-    fun names(): List<String> = (ofTasks() + ofPlaces() + ofMachines()).sorted()
+    /** Each difference as its kind, its machine and its task if it has one, sorted. */
+    fun names(): List<String> = (ofTasks() + ofPlacements() + ofMachines()).sorted()
 
     private fun ofTasks(): List<String> =
-        seen.values.flatMap { s ->
-            s.heartbeat.tasks.flatMap { t ->
-                val record = records[t.key.job]
-                val what = "${s.heartbeat.machine} ${t.key.job}/${t.key.task}"
-                when {
-                    t.state == TaskState.EXITED -> {
-                        val result =
-                            t.exit == ExitReason.DONE &&
-                                record != null &&
-                                record.spec.kind != JobKind.SERVICE &&
-                                t.key.job !in cancelled &&
-                                !record.done[t.key.task]
-                        listOfNotNull("${DifferenceKind.UNRECORDED_RESULT} $what".takeIf { result })
-                    }
-                    else -> {
-                        val placed =
-                            places().any {
-                                it.job == t.key.job &&
-                                    it.task == t.key.task &&
-                                    it.attempt == t.attempt &&
-                                    it.machine == s.heartbeat.machine
-                            }
-                        val others =
-                            seen.values.any { o ->
-                                o !== s &&
-                                    o.heartbeat.tasks.any { it.key == t.key && it.state != TaskState.EXITED }
-                            }
-                        val kind =
-                            when {
-                                record == null -> DifferenceKind.ORPHAN_TASK
-                                t.key.job in cancelled -> DifferenceKind.CANCELLED_TASK
-                                placed -> null
-                                else -> DifferenceKind.ORPHAN_TASK
-                            }
-                        listOfNotNull(
-                            kind?.let {
-                                "$it $what"
-                            },
-                            "${DifferenceKind.DUPLICATE_TASK} $what".takeIf { others },
-                        )
-                    }
-                }
+        seen.values.flatMap { machine ->
+            machine.heartbeat.tasks.flatMap { task ->
+                val kinds = if (task.state == TaskState.EXITED) ofEndedTask(task) else ofLiveTask(machine, task)
+                kinds.map { "$it ${machine.heartbeat.machine} ${task.key.job}/${task.key.task}" }
             }
         }
 
-    private fun ofPlaces(): List<String> =
-        places().mapNotNull { p ->
-            val s = seen[p.machine] ?: return@mapNotNull null
-            val shown = s.heartbeat.tasks.any { it.key.job == p.job && it.key.task == p.task && it.attempt == p.attempt }
+    private fun ofEndedTask(task: TaskStatus): List<DifferenceKind> {
+        val record = records[task.key.job] ?: return emptyList()
+        val isResult =
+            task.exit == ExitReason.DONE &&
+                record.spec.kind != JobKind.SERVICE &&
+                task.key.job !in cancelled &&
+                !record.done[task.key.task]
+        return if (isResult) listOf(DifferenceKind.UNRECORDED_RESULT) else emptyList()
+    }
+
+    private fun ofLiveTask(machine: Seen, task: TaskStatus): List<DifferenceKind> {
+        val isPlaced = placements().any { it.isOf(task) && it.machine == machine.heartbeat.machine }
+        val kind =
             when {
-                records.getValue(p.job).done[p.task] -> "${DifferenceKind.OBSOLETE_PLACE} ${p.machine} ${p.job}/${p.task}"
-                p.name in adopted && s.trusted && !shown && p.job !in cancelled -> "${DifferenceKind.MISSING_TASK} ${p.machine} ${p.job}/${p.task}"
-                else -> null
+                task.key.job !in records -> DifferenceKind.ORPHAN_TASK
+                task.key.job in cancelled -> DifferenceKind.CANCELLED_TASK
+                isPlaced -> null
+                else -> DifferenceKind.ORPHAN_TASK
+            }
+        val runsElsewhere =
+            seen.values.any { other ->
+                other !== machine &&
+                    other.heartbeat.tasks.any { it.key == task.key && it.state != TaskState.EXITED }
             }
+        return listOfNotNull(kind, DifferenceKind.DUPLICATE_TASK.takeIf { runsElsewhere })
+    }
+
+    private fun ofPlacements(): List<String> =
+        placements().mapNotNull { placement ->
+            val machine = seen[placement.machine]
+            val kind = machine?.let { ofPlacement(placement, it) }
+            kind?.let { "$it ${placement.machine} ${placement.job}/${placement.task}" }
         }
 
-    private fun ofMachines(): List<String> =
-        (places().map { it.machine } + seen.keys + listed.keys).distinct().flatMap { m ->
-            val entry = listed[m]
-            val placed = places().filter { it.machine == m }
-            val delisted = if (entry != null) entry.missing else listRead && placed.any { it.name in adopted }
-            val up = entry != null && entry.stage == MachineStage.RUNNING && !entry.missing
-            listOfNotNull(
-                "${DifferenceKind.DELISTED_MACHINE} $m".takeIf { delisted },
-                "${DifferenceKind.UNHEARD_MACHINE} $m".takeIf { m !in seen && (placed.isNotEmpty() || up) },
-                "${DifferenceKind.UNREPORTING_MACHINE} $m".takeIf { seen[m]?.reportedItself == false },
-            )
+    private fun ofPlacement(placement: Placement, machine: Seen): DifferenceKind? {
+        val isReported = machine.heartbeat.tasks.any(placement::isOf)
+        val isMissing =
+            placement.name in adopted && machine.trusted && !isReported && placement.job !in cancelled
+        return when {
+            records.getValue(placement.job).done[placement.task] -> DifferenceKind.OBSOLETE_PLACE
+            isMissing -> DifferenceKind.MISSING_TASK
+            else -> null
         }
+    }
+
+    private fun ofMachines(): List<String> {
+        val machines = placements().map { it.machine } + seen.keys + listed.keys
+        return machines.distinct().flatMap { machine -> ofMachine(machine).map { "$it $machine" } }
+    }
+
+    private fun ofMachine(machine: String): List<DifferenceKind> {
+        val entry = listed[machine]
+        val placed = placements().filter { it.machine == machine }
+        val isDelisted = if (entry != null) entry.missing else listRead && placed.any { it.name in adopted }
+        val isUp = entry != null && entry.stage == MachineStage.RUNNING && !entry.missing
+        val isUnheard = machine !in seen && (placed.isNotEmpty() || isUp)
+        return listOfNotNull(
+            DifferenceKind.DELISTED_MACHINE.takeIf { isDelisted },
+            DifferenceKind.UNHEARD_MACHINE.takeIf { isUnheard },
+            DifferenceKind.UNREPORTING_MACHINE.takeIf { seen[machine]?.reportedItself == false },
+        )
+    }
 }
--- a/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -25,7 +25,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Levels of a build that does not exist yet: one that can be left again, and one that can't. */
+/** Levels of a build that does not exist yet: one that can be deactivated again, and one that can't. */
 val FUTURE_LEVELS =
     listOf(
         checkNotNull(FeatureRegistry.CURRENT.find(FeatureRegistry.SEALED_RECORDS)),
@@ -34,35 +34,40 @@
     )
 
 /** A build that knows levels up to [highest] of [FUTURE_LEVELS]. */
-fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE) = FeatureRegistry(FUTURE_LEVELS.take(highest), lowest)
+fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE): FeatureRegistry {
+    val levels = FUTURE_LEVELS.take(highest)
+    return FeatureRegistry(levels, lowest)
+}
 
 /**
- * A rollout in simulated time: real engines, gates and stored forms against a stand-in for the state service. Members
- * are what the tests say they are.
+ * A rollout in simulated time: real engines, gates and stored forms on an [InMemoryStore]. A test says what each member
+ * is at any time.
  */
 class RolloutSimulation(val policy: RolloutPolicy = RolloutPolicy(), names: List<String> = listOf("a", "b", "c")) {
+    /** A controller as the rollout knows it. */
     inner class Member(val name: String) {
         var registry = registryUpTo(1)
 
-        /** Builds before levels say nothing of them but which stored forms they read. */
+        /** Of a build without levels, which reports only which stored forms it reads. */
         var unmanaged = false
         var up = true
         var ready = true
 
-        /** Nobody gets an answer from it, though it may reach the state service. */
+        /** Nobody receives an answer from it, though it may reach the store. */
         var cutFromPeers = false
         private var processes = 0
-        val boot get() = "$name-$processes"
-
-        val levels: BuildLevels get() =
-            if (unmanaged) {
-                BuildLevels("unmanaged", FeatureRegistry.BASE, registry.highest)
-            } else {
-                registry
-                    .of("build-${registry.highest}")
-            }
+        val boot: String get() = "$name-$processes"
+
+        val levels: BuildLevels
+            get() =
+                if (unmanaged) {
+                    BuildLevels("unmanaged", FeatureRegistry.BASE, registry.highest)
+                } else {
+                    registry.of("build-${registry.highest}")
+                }
         val gate: FeatureGate get() = FeatureGate(levels, records::level)
 
+        /** Starts a new process of a build that knows levels up to [highest]. */
         fun restart(highest: Int, unmanaged: Boolean = false, lowest: Int = FeatureRegistry.BASE) {
             processes++
             registry = registryUpTo(highest, lowest)
@@ -70,11 +75,10 @@
             up = true
         }
 
-        fun report() =
-            MemberReport(
-                name, if (unmanaged) null else boot, levels,
-                ready && (unmanaged || gate.fence() == null),
-            )
+        fun report(): MemberReport {
+            val isReady = ready && (unmanaged || gate.fence() == null)
+            return MemberReport(name, if (unmanaged) null else boot, levels, isReady)
+        }
     }
 
     val state = InMemoryStore()
@@ -87,21 +91,23 @@
         private set
     private lateinit var engine: RolloutEngine
 
-    /** How transactions of the leader end; what is returned as late is carried out by [deliverLate]. */
+    /** What happens to a transaction of the leader; one that is late is carried out by [deliverLate]. */
     enum class Fate { DONE, ANSWER_LOST, LATE, REFUSED }
 
     var fate = Fate.DONE
-    private val late = ArrayList<() -> Unit>()
+    private val lateTransactions = ArrayList<() -> Unit>()
     val notices = ArrayList<String>()
 
     /** Each level record that was stored, in order. */
     val levelHistory = ArrayList<LevelRecord>()
+
+    /** How often the rollout's state was stored. */
     var stateWrites = 0
         private set
-    var recordsIn: (Int) -> Int = { records.sealedRecords() }
 
     fun member(name: String) = members.first { it.name == name }
 
+    /** Begins a term of the given member, whoever leads at present. */
     fun elect(name: String) {
         leader = member(name)
         token++
@@ -110,24 +116,36 @@
         engine = RolloutEngine(leader.registry, policy, members.map { it.name }, now)
     }
 
-    /** The leader asks everybody and acts on what the engine decides. */
+    /** The leader asks everybody and performs what the engine decides. */
     fun round() {
-        hear()
+        collectReports()
         engine.step(input()).forEach(::perform)
     }
 
-    fun hear() {
-        members.filter { it.up && (it === leader || !it.cutFromPeers && !leader.cutFromPeers) }.forEach {
-            engine
-                .heard(it.report(), now)
-        }
+    private fun collectReports() {
+        members.filter(::answersLeader).forEach { engine.heard(it.report(), now) }
     }
 
-    fun input() = RolloutInput(now, now, token, leader.name, records.level(), records.orders(), records.state(), recordsIn)
+    private fun answersLeader(member: Member): Boolean {
+        val isConnected = !member.cutFromPeers && !leader.cutFromPeers
+        return member.up && (member === leader || isConnected)
+    }
+
+    fun input() =
+        RolloutInput(
+            now = now,
+            wall = now,
+            token = token,
+            leader = leader.name,
+            level = records.level(),
+            orders = records.orders(),
+            state = records.state(),
+            recordsIn = { records.sealedRecords() },
+        )
 
     fun overview() = engine.overview(input())
 
-    /** Rounds every two seconds for so long. */
+    /** Rounds every two seconds for as long as [time]. */
     fun run(time: Duration) {
         val end = now + time
         while (now < end) {
@@ -140,51 +158,44 @@
         when (action) {
             is RolloutAction.Notice -> notices.add(action.text)
             is RolloutAction.StoreLevel ->
-                store(Keys.LEVEL, action.version, RolloutWire.encode(action.record)) {
-                    levelHistory
-                        .add(action.record)
-                }
+                store(Keys.LEVEL, action.version, RolloutWire.encode(action.record)) { levelHistory.add(action.record) }
             is RolloutAction.StoreState ->
-                store(Keys.ROLLOUT_STATE, action.version, RolloutWire.encode(action.state)) {
-                    stateWrites++
-                }
+                store(Keys.ROLLOUT_STATE, action.version, RolloutWire.encode(action.state)) { stateWrites++ }
         }
     }
 
-    private fun store(key: String, version: Long, value: Map<String, Any?>, done: () -> Unit) {
+    private fun store(key: String, version: Long, value: Map<String, Any?>, onStored: () -> Unit) {
         val conditions = mapOf(Keys.LEAD to recordVersion, key to version)
-        val carryOut = { if (state.transact(conditions, listOf(Put(key, value)), emptyList()) == null) done() }
+        val transaction = { if (state.transact(conditions, listOf(Put(key, value)), emptyList()) == null) onStored() }
         when (fate) {
-            Fate.DONE, Fate.ANSWER_LOST -> carryOut()
-            Fate.LATE -> late.add(carryOut)
+            Fate.DONE, Fate.ANSWER_LOST -> transaction()
+            Fate.LATE -> lateTransactions.add(transaction)
             Fate.REFUSED -> Unit
         }
     }
 
+    /** Carries out the transactions that were late, if their conditions still hold. */
     fun deliverLate() {
-        late.forEach { it() }
-        late.clear()
+        lateTransactions.forEach { it() }
+        lateTransactions.clear()
     }
 
+    /** Applies an order of an operator, as the leader does. */
     fun order(request: OperatorRequest): OrderOutcome {
         val stored = records.orders()
-        val outcome =
-            OrderRule(leader.registry, members.map { it.name }.toSet()).apply(
-                request,
-                stored.valueOrNull() ?: OperatorOrders(), records.level(), now,
-            )
+        val rule = OrderRule(leader.registry, members.map { it.name }.toSet())
+        val outcome = rule.apply(request, stored.valueOrNull() ?: OperatorOrders(), records.level(), now)
         if (outcome is OrderOutcome.Accepted) {
             val condition = mapOf(Keys.ROLLOUT_ORDERS to checkNotNull(stored.replaceableVersion()))
-            check(
-                state.transact(condition, listOf(Put(Keys.ROLLOUT_ORDERS, RolloutWire.encode(outcome.orders))), emptyList()) ==
-                    null,
-            )
+            val put = Put(Keys.ROLLOUT_ORDERS, RolloutWire.encode(outcome.orders))
+            check(state.transact(condition, listOf(put), emptyList()) == null) { "the orders were changed meanwhile" }
         }
         return outcome
     }
 
+    /** The level that is active according to the store. */
     val active: Int get() = records.level().valueOrNull()?.level ?: FeatureRegistry.BASE
 
-    /** The time of day is the simulated time here; a moment of it in the records. */
+    /** A moment of the records, whose time of day is the simulated time. */
     fun moment(milliseconds: Long) = milliseconds.milliseconds
 }
--- a/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
+++ b/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
@@ -28,62 +28,70 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The core alone, driven by hand: events go in, what it wants done comes out. */
+/** The core alone: a test hands it events, and sees the actions that it decides. */
 abstract class SchedulerDriver(
     settings: SchedulerConfig = config(peerZones = setOf("b")),
     hooks: SchedulerHooks = SchedulerHooks(),
 ) {
     protected val core = Scheduler(settings, TOKEN, Duration.ZERO, hooks)
     protected var now = Duration.ZERO
+
+    /** The store's revision, which the next stored change increases. */
     protected var revision = 100L
     private val sequences = HashMap<String, Long>()
 
     protected fun step(body: Scheduler.() -> Unit): List<Action> = core.step(now, now, body)
 
-    protected fun wait(d: Duration): List<Action> {
-        val all = ArrayList<Action>()
-        val end = now + d
+    /** Lets time pass in ticks; returns all that was decided meanwhile. */
+    protected fun wait(time: Duration): List<Action> {
+        val actions = ArrayList<Action>()
+        val end = now + time
         while (now < end) {
             now += 200.milliseconds
-            all += step { tick() }
+            actions += step { tick() }
         }
-        return all
+        return actions
     }
 
-    private fun homeOf(machine: String) = if (machine.startsWith("z")) "b" else "a"
+    private fun zoneOf(machine: String) = if (machine.startsWith("z")) "b" else "a"
 
-    /** What the cloud's list says of the machines. */
-    protected fun list(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> =
-        step {
-            machinesListed(
-                machines.map {
-                    ListedMachine(
-                        it, "addr-$it", "big", homeOf(it), false,
-                        if (it in
-                            failed
-                        ) {
-                            MachineStage.FAILED
-                        } else {
-                            MachineStage.RUNNING
-                        },
-                        100.seconds,
-                    )
-                },
-            )
-        }
+    /** The cloud lists these machines, of which those in [failed] have failed. */
+    protected fun list(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> {
+        val listed =
+            machines.map { machine ->
+                val stage = if (machine in failed) MachineStage.FAILED else MachineStage.RUNNING
+                ListedMachine(machine, "addr-$machine", "big", zoneOf(machine), false, stage, 100.seconds)
+            }
+        return step { machinesListed(listed) }
+    }
 
+    /** The next heartbeat of a machine. */
     protected fun heartbeat(
         machine: String,
         tasks: List<TaskStatus> = emptyList(),
         token: Long = TOKEN,
         incarnation: Long = 1,
-    ) = Heartbeat(machine, "addr-$machine", "big", homeOf(machine), false, incarnation, sequences.merge(machine, 1, Long::plus) ?: 1, token, null, tasks)
+    ): Heartbeat {
+        val sequence = sequences.merge(machine, 1, Long::plus) ?: 1
+        val zone = zoneOf(machine)
+        return Heartbeat(machine, "addr-$machine", "big", zone, false, incarnation, sequence, token, null, tasks)
+    }
 
-    protected fun task(job: String, n: Int, attempt: Long, state: TaskState, exit: ExitReason? = null) = TaskStatus(TaskKey(job, n), attempt, state, exit, false)
+    protected fun task(
+        job: String,
+        number: Int,
+        attempt: Long,
+        state: TaskState,
+        exit: ExitReason? = null,
+    ): TaskStatus {
+        val key = TaskKey(job, number)
+        return TaskStatus(key, attempt, state, exit, false)
+    }
 
-    protected fun say(r: Heartbeat): Pair<List<Command>, List<Action>> {
+    /** The leader receives a heartbeat; returns the commands it answers with, and the actions it decides. */
+    protected fun say(received: Heartbeat): Pair<List<Command>, List<Action>> {
         var commands: List<Command> = emptyList()
-        val actions = step { commands = heartbeatReceived(r) }
+        val actions = step { commands = heartbeatReceived(received) }
         return commands to actions
     }
 
@@ -94,16 +102,17 @@
         dependencies: List<String> = emptyList(),
     ) = step { jobStored(JobRecord(spec, now, last, BitSet(), placements, dependencies), ++revision) }
 
-    /** Machines of zone a, and of zone b where this node's controllers have another. */
+    /** Machines of zone a, and [others] of zone b, where this node's controllers have another, report. */
     protected fun started(machines: Int = 1, others: Int = 0): Scheduler {
         step { machineTypesKnown(listOf(bigType)) }
-        for (i in 1..machines) say(heartbeat("m$i"))
-        for (i in 1..others) say(heartbeat("z$i"))
+        for (number in 1..machines) say(heartbeat("m$number"))
+        for (number in 1..others) say(heartbeat("z$number"))
         return core
     }
 
     protected fun store(actions: List<Action>) = actions.filterIsInstance<StoreChanges>().single()
 
+    /** The transaction under way is carried out. */
     protected fun confirm(): List<Action> = step { storeEnded(StoreOutcome.Stored(++revision)) }
 
     /** One machine, one job of one task, and the request that starts it there. */
@@ -122,7 +131,8 @@
     /** Machines with one large running task each, so that none is returned for want of work. */
     protected fun busy(machines: Int, others: Int = 0): Map<String, TaskStatus> {
         started(machines, others)
-        submit(job("a", tasks = machines + others, resourceRequest = Resources(14.0, 4.0, 50.0), estimatedDuration = 1000.seconds))
+        val large = Resources(14.0, 4.0, 50.0)
+        submit(job("a", tasks = machines + others, resourceRequest = large, estimatedDuration = 1000.seconds))
         wait(1.seconds)
         return carriedOut().also { assertEquals(machines + others, it.size) }
     }
@@ -130,51 +140,53 @@
     /** What was placed is stored, sent and runs: the task on each machine that was sent one. */
     protected fun carriedOut(): Map<String, TaskStatus> {
         val running =
-            confirm().filterIsInstance<SendCommands>().associateWith { d ->
-                d.commands.single().let { task(it.key.job, it.key.task, it.attempt, TaskState.RUNNING) }
+            confirm().filterIsInstance<SendCommands>().associateWith { request ->
+                val command = request.commands.single()
+                task(command.key.job, command.key.task, command.attempt, TaskState.RUNNING)
             }
-        running.forEach { (d, t) ->
-            step { commandsEnded(d.machine, d, CommandOutcome.DONE, heartbeat(d.machine, listOf(t))) }
+        running.forEach { (request, task) ->
+            val machine = request.machine
+            step { commandsEnded(machine, request, CommandOutcome.DONE, heartbeat(machine, listOf(task))) }
         }
         return running.mapKeys { it.key.machine }
     }
 
-    /** Reports of the machines keep coming; requests to [unreached] end without an answer, others are answered. */
-    protected fun live(d: Duration, running: Map<String, TaskStatus>, unreached: Set<String>): List<Action> {
-        val all = ArrayList<Action>()
-        val end = now + d
+    /** Heartbeats of the machines keep coming; requests to [unreached] end without an answer, others are answered. */
+    protected fun live(time: Duration, running: Map<String, TaskStatus>, unreached: Set<String>): List<Action> {
+        val actions = ArrayList<Action>()
+        val end = now + time
         while (now < end) {
-            for ((m, t) in running) if (m in core.machines) all += say(heartbeat(m, listOf(t))).second
-            val acts = wait(2.seconds)
-            all += acts
-            for (a in acts) {
-                when (a) {
-                    is Probe ->
-                        if (a.machine in running ||
-                            a.machine in unreached
-                        ) {
-                            step {
-                                probeEnded(
-                                    a.machine,
-                                    running[a.machine]
-                                        ?.takeIf {
-                                            a.machine !in unreached
-                                        }?.let { heartbeat(a.machine, listOf(it)) },
-                                )
-                            }
-                        }
-                    is SendCommands -> {
-                        val out = a.machine in unreached
-                        val answer = if (out) null else heartbeat(a.machine, listOfNotNull(running[a.machine]))
-                        step {
-                            commandsEnded(a.machine, a, if (out) CommandOutcome.UNKNOWN else CommandOutcome.DONE, answer)
-                        }
-                    }
+            for ((machine, task) in running) {
+                if (machine in core.machines) actions += say(heartbeat(machine, listOf(task))).second
+            }
+            val decided = wait(2.seconds)
+            actions += decided
+            for (action in decided) {
+                when (action) {
+                    is Probe -> answerProbe(action, running, unreached)
+                    is SendCommands -> answerCommands(action, running, unreached)
                     else -> Unit
                 }
             }
         }
-        return all
+        return actions
+    }
+
+    private fun answerProbe(probe: Probe, running: Map<String, TaskStatus>, unreached: Set<String>) {
+        val machine = probe.machine
+        if (machine !in running && machine !in unreached) return
+        step {
+            val task = running[machine]?.takeIf { machine !in unreached }
+            probeEnded(machine, task?.let { heartbeat(machine, listOf(it)) })
+        }
+    }
+
+    private fun answerCommands(request: SendCommands, running: Map<String, TaskStatus>, unreached: Set<String>) {
+        val machine = request.machine
+        val isReached = machine !in unreached
+        val outcome = if (isReached) CommandOutcome.DONE else CommandOutcome.UNKNOWN
+        val answer = if (isReached) heartbeat(machine, listOfNotNull(running[machine])) else null
+        step { commandsEnded(machine, request, outcome, answer) }
     }
 
     protected companion object {
--- a/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
+++ b/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
@@ -26,7 +26,7 @@
 import kotlin.concurrent.thread
 import kotlin.time.Duration.Companion.seconds
 
-/** The users' requests over real sockets on loopback, against a stand-in for the state service. */
+/** Requests of users over real sockets on loopback, against an [InMemoryStore]. */
 abstract class ServedUserApi(private val settingsText: String = SettingsTest.GOOD) {
     @TempDir
     lateinit var dir: File
@@ -36,20 +36,30 @@
     protected val client = KeyValueStoreClient("127.0.0.1:${outside.port}", http)
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val syncs = syncing(cache)
+
+    /** Null while no machine types are known. */
     protected var types: List<MachineType>? = listOf(bigType)
-    protected val settings by lazy { SettingsReader().read(File(dir, "s.toml").also { it.writeText(settingsText) }) }
+    protected val settings by lazy {
+        val file = File(dir, "s.toml").also { it.writeText(settingsText) }
+        SettingsReader().read(file)
+    }
     protected var members = emptyList<Member>()
     protected var allMembersReadSplitRecords = true
     protected var features: FeaturePermits = UnmanagedFeatures { allMembersReadSplitRecords }
+
+    /** Whether the node takes itself for cut off from the store. */
     protected var cutOff = false
+
+    /** Whether every cancellation can be confirmed to its user. */
     protected var confirmable = true
-    private val node by lazy {
+    private val api by lazy {
         val users =
             UserApi(settings, client, cache, PeerClient(members), { cutOff }, features, { confirmable }) { types }
         HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 8, users)
     }
-    protected val addr get() = "127.0.0.1:${node.port}"
+    protected val addr get() = "127.0.0.1:${api.port}"
 
+    /** Starts the thread that brings a store cache up to date when a request needs it. */
     protected fun syncing(cache: StoreCache) =
         thread(isDaemon = true) {
             try {
@@ -62,7 +72,7 @@
     @AfterEach
     fun close() {
         syncs.interrupt()
-        node.close()
+        api.close()
         outside.close()
     }
 
@@ -74,34 +84,22 @@
         team: String = "a",
     ) = job(id, kind, tasks, resourceRequest, team)
 
-    protected fun submit(s: JobSpec, awaits: Any? = null) =
-        http.post(
-            addr, "/api/jobs",
-            JobWire.encode(s) + (
-                if (awaits ==
-                    null
-                ) {
-                    emptyMap()
-                } else {
-                    mapOf("awaits" to awaits)
-                }
-            ),
-            20.seconds,
-        ) as CallResult.Answer
+    /** Submits a job. [awaits]: the field of its dependencies, as it is sent. */
+    protected fun submit(spec: JobSpec, awaits: Any? = null): CallResult.Answer {
+        val dependencies = if (awaits == null) emptyMap() else mapOf("awaits" to awaits)
+        return http.post(addr, "/api/jobs", JobWire.encode(spec) + dependencies, 20.seconds) as CallResult.Answer
+    }
 
     protected fun show(id: String) = http.get(addr, "/api/jobs/$id", 20.seconds) as CallResult.Answer
 
-    protected fun withdraw(id: String) = http.post(addr, "/api/jobs/$id/withdraw", emptyMap(), 10.seconds) as CallResult.Answer
+    protected fun withdraw(id: String): CallResult.Answer {
+        val path = "/api/jobs/$id/withdraw"
+        return http.post(addr, path, emptyMap(), 10.seconds) as CallResult.Answer
+    }
 
+    /** Stores the final state of a job, as the leader does. */
     protected fun end(id: String, word: String) {
-        state
-            .transact(
-                emptyMap(), listOf(Put(Keys.final(id), mapOf("end" to word, "tasks" to 1L))),
-                listOf(
-                    Keys.job(id),
-                    Keys
-                        .cancel(id),
-                ),
-            )
+        val finalState = Put(Keys.final(id), mapOf("end" to word, "tasks" to 1L))
+        state.transact(emptyMap(), listOf(finalState), listOf(Keys.job(id), Keys.cancel(id)))
     }
 }
--- a/src/test/kotlin/glenspool/simulation/SimulatedFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedFleet.kt
@@ -8,10 +8,7 @@
 internal class LiveTask(val worker: SimulatedWorker, val key: TaskKey)
 
 /** All machines of a [ClusterSimulation], in the order in which they were added. [onUp]: a machine has booted. */
-internal class SimulatedFleet(
-    private val context: SimulationContext,
-    private val onUp: (SimulatedWorker) -> Unit,
-) {
+internal class SimulatedFleet(private val context: SimulationContext, private val onUp: (SimulatedWorker) -> Unit) {
     private val workersById = LinkedHashMap<String, SimulatedWorker>()
     private var added = 0
 
