--- a/src/test/kotlin/glenspool/simulation/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -3,9 +3,7 @@
 import glenspool.config.SettingsReader
 import glenspool.controller.Node
 import glenspool.core.Tuning
-import glenspool.core.model.JobKind
 import glenspool.core.model.JobSpec
-import glenspool.core.model.Resources
 import glenspool.http.CallResult
 import glenspool.http.HttpCaller
 import glenspool.http.HttpListener
@@ -19,13 +17,9 @@
 import glenspool.rollout.FeatureRegistry
 import glenspool.rollout.RolloutPolicy
 import glenspool.state.Keys
-import glenspool.wire.JobWire
 import java.io.File
-import java.net.BindException
 import java.net.InetSocketAddress
-import java.net.ServerSocket
 import java.util.concurrent.atomic.AtomicReference
-import kotlin.concurrent.thread
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -33,8 +27,8 @@
 import kotlin.time.TimeSource
 
 /**
- * Three controllers with their real wiring on loopback, against stand-ins for everything else, under a steady load of
- * one-task jobs.
+ * Three controllers with their real wiring on loopback, with an [InMemoryStore], a [LoopbackFleet] and users that keep
+ * up a steady load of one-task jobs.
  */
 class LoopbackService(
     private val dir: File,
@@ -42,80 +36,85 @@
     seed: Int,
     private val recovery: RecoveryPolicy? = null,
     private val workers: Int = 4,
-    private val heartbeatInterval: Duration = LoopbackFleet.REPORT,
+    private val heartbeatInterval: Duration = LoopbackFleet.HEARTBEAT_INTERVAL,
     private val lease: Duration = LoopbackFleet.LEASE,
     runTime: Duration = LoopbackFleet.RUN_TIME,
-    /** Whether jobs of one task each come all the time. */
+    /** Whether users submit jobs of one task each all the time. */
     steadyLoad: Boolean = true,
 ) : AutoCloseable {
     private val random = Random(seed)
     private val clock = TimeSource.Monotonic.markNow()
     val history = JobHistory(clock::elapsedNow)
 
-    /** Since the start of the service. */
+    /** Time since the start of the service. */
     val now: Duration get() = clock.elapsedNow()
     val state = InMemoryStore()
     private val stateListener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 16, state::serve)
     private val names = listOf("bobbin-0", "bobbin-1", "bobbin-2")
-    private val ports = generateSequence { freePort() }.distinct().take(names.size * 2).toList()
-    private val apiPorts = names.zip(ports).toMap()
-    private val internalPorts = names.zip(ports.drop(names.size)).toMap()
+    private val ports = LoopbackPorts.free(names.size * 2)
+    private val apiAddresses = names.zip(ports).associate { (name, port) -> name to "127.0.0.1:$port" }
+    private val internalAddresses =
+        names.zip(ports.drop(names.size)).associate { (name, port) -> name to "127.0.0.1:$port" }
     val fleet =
-        LoopbackFleet(workers, {
-            apiPorts.mapValues { "127.0.0.1:${it.value}" }
-        }, history, heartbeatInterval, lease, runTime, clock::elapsedNow)
+        LoopbackFleet(workers, { apiAddresses }, history, heartbeatInterval, lease, runTime, clock::elapsedNow)
     private val nodes = HashMap<String, Node>()
     private val http = HttpCaller(300.milliseconds)
-    private val failure = AtomicReference<Throwable>()
 
-    @Volatile
-    private var loading = steadyLoad
+    /** The first thing that went wrong on any thread. */
+    private val failure = AtomicReference<Throwable>()
+    private val users =
+        LoopbackUsers(history, http, ::anyNode, steadyLoad) { failure.compareAndSet(null, it) }
 
-    /** Submissions that were answered with a request to come back. */
-    @Volatile
-    var postponed = 0
-        private set
+    /** Submissions that were answered with a request to repeat them later. */
+    val postponed: Int get() = users.postponed
 
     val leader: String? get() = state.get(Keys.LEAD)?.value?.get("node") as String?
     val fleetSize: Int get() = fleet.size
 
+    private fun anyNode() = apiAddresses.getValue(names[random.nextInt(names.size)])
+
+    private fun node(name: String): Node = checkNotNull(nodes[name]) { "$name is not running" }
+
     fun start(name: String, registry: FeatureRegistry = FeatureRegistry.CURRENT) {
         val file = File(dir, "$name.toml").also { it.writeText(settings(name)) }
+        val settings = SettingsReader().read(file)
         val node =
-            Node(SettingsReader().read(file), Tuning(), policy, registry, "build-${registry.highest}", recovery) {
-                failure
-                    .set(IllegalStateException("$name ended itself"))
+            Node(settings, Tuning(), policy, registry, "build-${registry.highest}", recovery) {
+                failure.set(IllegalStateException("$name ended itself"))
             }
         node.start()
         nodes[name] = node
     }
 
-    /** Ends a controller without any farewell; the state service ends its lease at once instead of after its time. */
+    /** Ends a controller as a crash would; the store ends its lease at once instead of after its time. */
     fun kill(name: String) {
-        val lease = state.entries[Keys.LEAD]?.takeIf { it.value["node"] == name }?.lease
+        val leaderLease = state.entries[Keys.LEAD]?.takeIf { it.value["node"] == name }?.lease
         nodes.remove(name)?.close()
-        lease?.let(state::endLease)
+        leaderLease?.let(state::endLease)
     }
 
+    /** Ends a controller, starts a build with the given levels in its place, and waits until all work again. */
     fun replace(name: String, registry: FeatureRegistry) {
         kill(name)
         start(name, registry)
-        // A listening node is ready at once; one that can say that a job is unknown has read the state.
-        await("$name serves") {
-            (http.get("127.0.0.1:${apiPorts[name]}", "/api/jobs/run-999999", 1.seconds) as? CallResult.Answer)?.status ==
-                404
-        }
+        await("$name serves") { hasReadState(name) }
         val replaced = now
         await("work starts again") { history.lastStart > replaced }
     }
 
-    /** Ends a random controller and starts the same build in its place, within a fraction of a second. */
+    /** A listening node is ready at once; one that can say that a job is unknown has read the state. */
+    private fun hasReadState(name: String): Boolean {
+        val answer = http.get(apiAddresses.getValue(name), "/api/jobs/run-999999", 1.seconds)
+        return (answer as? CallResult.Answer)?.status == 404
+    }
+
+    /** Ends a random controller and starts a build in its place at once. */
     fun endOne(registryOf: (String) -> FeatureRegistry) {
         val name = names[random.nextInt(names.size)]
         replace(name, registryOf(name))
     }
 
-    /** The state service answers nobody for a while, and the service finds back afterwards. */
+    /** The store answers nobody for [time]; returns when work starts again afterwards. */
     fun outage(time: Duration) {
         val begun = now
         state.down = true
@@ -125,126 +124,39 @@
         await("work starts again after the outage") { history.lastStart > ended }
     }
 
+    /** What a controller answers an operator about the rollout. */
     fun ask(name: String, request: RolloutRequest = RolloutRequest(RolloutVerb.STATUS)): RolloutReply =
-        checkNotNull(nodes[name])
-            .rolloutAnswer(request)
+        node(name).rolloutAnswer(request)
+
+    /** What a controller answers an operator about its recovery. */
+    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply = node(name).recoveryAnswer(RecoveryRequest(verb))
 
-    /** The status of a controller's users' door. */
-    fun readiness(name: String): CallResult = http.get("127.0.0.1:${apiPorts[name]}", "/ready", 1.seconds)
+    /** The answer of a controller to a readiness probe. */
+    fun readiness(name: String): CallResult = http.get(apiAddresses.getValue(name), "/ready", 1.seconds)
 
+    /** Waits for a condition; throws if it does not hold within [limit], or if anything has failed meanwhile. */
     fun await(what: String, limit: Duration = 30.seconds, condition: () -> Boolean) {
         val begun = TimeSource.Monotonic.markNow()
         while (!condition()) {
             failure.get()?.let { throw it }
             check(begun.elapsedNow() < limit) { "not within $limit: $what" }
             Thread.onSpinWait()
-            java.util.concurrent.locks.LockSupport
-                .parkNanos(POLL.inWholeNanoseconds)
+            LoopbackUsers.pause(LoopbackUsers.POLL_INTERVAL)
         }
     }
 
-    /** What a controller answers about its recovery. */
-    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply = checkNotNull(nodes[name]).recoveryAnswer(RecoveryRequest(verb))
-
-    /** A job as a user submits it, any number of tasks. */
-    fun submitJob(spec: JobSpec) {
-        val body = JobWire.encode(spec)
-        await("${spec.id} is accepted") {
-            (http.post(anyNode(), "/api/jobs", body, 5.seconds) as? CallResult.Answer)?.status.let {
-                it ==
-                    200 ||
-                    it == 201
-            }
-        }
-    }
-
-    private val users =
-        listOf(thread(name = "submissions", block = ::submitAll), thread(name = "polls", block = ::pollAll))
-
-    private fun submitAll() =
-        guarded {
-            var number = 0
-            while (loading) {
-                val id = "run-%06d".format(++number)
-                val awaits = if (number % WAITS_EVERY == 0) listOf("run-%06d".format(number - 1)) else null
-                if (submit(id, awaits) && number % CANCEL_EVERY == 0) cancel(id)
-                java.util.concurrent.locks.LockSupport
-                    .parkNanos(SUBMIT_EVERY.inWholeNanoseconds)
-            }
-        }
-
-    private fun guarded(body: () -> Unit) {
-        try {
-            body()
-        } catch (e: IllegalStateException) {
-            failure.compareAndSet(null, e)
-        }
-    }
+    /** Submits a job with any number of tasks as a user does, until it is accepted. */
+    fun submitJob(spec: JobSpec) = await("${spec.id} is accepted") { users.submitOnce(spec) }
 
-    /** As a user would: any controller, again after a refusal, for a while. */
-    private fun submit(id: String, awaits: List<String>?): Boolean {
-        val body =
-            JobWire.encode(job(id, JobKind.ARRAY, 1, Resources(1.0, 1.0, 4.0), "a", estimatedDuration = 1.seconds, imageGb = 0.0)) +
-                (if (awaits == null) emptyMap() else mapOf("awaits" to awaits))
-        val begun = TimeSource.Monotonic.markNow()
-        while (begun.elapsedNow() < PATIENCE) {
-            val status = (http.post(anyNode(), "/api/jobs", body, 5.seconds) as? CallResult.Answer)?.status
-            if (status == 200 || status == 201) {
-                history.add { HistoryEvent.Accepted(it, id) }
-                return true
-            }
-            // A job whose predecessor was cancelled or never accepted is refused for good.
-            if (status == 422 || status == 400) return false
-            if (status == 503) postponed++
-            java.util.concurrent.locks.LockSupport
-                .parkNanos(RETRY.inWholeNanoseconds)
-        }
-        return false
-    }
-
-    private fun cancel(id: String) {
-        val begun = TimeSource.Monotonic.markNow()
-        while (begun.elapsedNow() < PATIENCE) {
-            val answer = http.post(anyNode(), "/api/jobs/$id/withdraw", emptyMap(), 5.seconds) as? CallResult.Answer
-            if (answer?.status == 200) {
-                if (answer.body["stage"] == "aborted") history.add { HistoryEvent.CancelConfirmed(it, id) }
-                return
-            }
-            java.util.concurrent.locks.LockSupport
-                .parkNanos(RETRY.inWholeNanoseconds)
-        }
-    }
-
-    private fun pollAll() =
-        guarded {
-            while (loading || history.accepted.size > history.finished.size) {
-                val open = history.accepted - history.finished
-                for (id in open) {
-                    val answer = http.get(anyNode(), "/api/jobs/$id", 2.seconds) as? CallResult.Answer ?: continue
-                    check(answer.status != 404) { "$id was accepted and is unknown" }
-                    val stage = answer.body["stage"]
-                    if (answer.status == 200 &&
-                        (stage == "done" || stage == "aborted")
-                    ) {
-                        history.add { HistoryEvent.Told(it, id, stage as String) }
-                    }
-                }
-                java.util.concurrent.locks.LockSupport
-                    .parkNanos(POLL.inWholeNanoseconds)
-            }
-        }
-
-    private fun anyNode() = "127.0.0.1:${apiPorts.getValue(names[random.nextInt(names.size)])}"
-
-    /** Stops the load and waits until each accepted job has its final state. */
+    /** Ends the load and waits until each accepted job has its final state. */
     fun finish() {
-        loading = false
-        await("all accepted jobs are over", 60.seconds) { users.none { it.isAlive } }
+        users.stopSubmitting()
+        await("all accepted jobs are over", 60.seconds) { !users.areActive }
         failure.get()?.let { throw it }
     }
 
     override fun close() {
-        loading = false
+        users.stopSubmitting()
         nodes.values.forEach { it.close() }
         fleet.close()
         stateListener.close()
@@ -253,13 +165,13 @@
     private fun settings(name: String): String {
         val members =
             names.filter { it != name }.joinToString("\n") {
-                "[[members]]\nhost_name = \"$it\"\nlocation = \"here\"\naddr = \"127.0.0.1:${internalPorts[it]}\""
+                "[[members]]\nhost_name = \"$it\"\nlocation = \"here\"\naddr = \"${internalAddresses[it]}\""
             }
         return """
             host_name = "$name"
             location = "here"
-            api_addr = "127.0.0.1:${apiPorts[name]}"
-            internal_addr = "127.0.0.1:${internalPorts[name]}"
+            api_addr = "${apiAddresses[name]}"
+            internal_addr = "${internalAddresses[name]}"
             @members
             [outside]
             cloud = "127.0.0.1:${fleet.cloudPort}"
@@ -294,29 +206,4 @@
             fd_limit = ${900 + workers * 4}
             """.trimIndent().replace("@members", members)
     }
-
-    private companion object {
-        const val WAITS_EVERY = 5
-        const val CANCEL_EVERY = 7
-        val SUBMIT_EVERY = 60.milliseconds
-        val RETRY = 100.milliseconds
-        val PATIENCE = 40.seconds
-        val POLL = 50.milliseconds
-
-        /**
-         * Below the range from which the system gives ports to connections and to listeners that ask for any: nobody
-         * takes it meanwhile.
-         */
-        private val fixedPorts = 20_000..30_000
-
-        fun freePort(): Int = generateSequence { fixedPorts.random() }.first(::isFree)
-
-        private fun isFree(port: Int): Boolean =
-            try {
-                ServerSocket(port).close()
-                true
-            } catch (e: BindException) {
-                false
-            }
-    }
 }
--- /dev/null
+++ b/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
@@ -0,0 +1,170 @@
+package glenspool.simulation
+
+import glenspool.core.model.ExitReason
+import glenspool.core.model.Heartbeat
+import glenspool.core.model.TaskKey
+import glenspool.core.model.TaskState
+import glenspool.core.model.TaskStatus
+import glenspool.http.CallResult
+import glenspool.http.HttpListener
+import glenspool.http.cbor
+import glenspool.wire.Cbor
+import glenspool.wire.Fields
+import glenspool.wire.WorkerWire
+import org.http4k.core.Request
+import org.http4k.core.Response
+import org.http4k.core.Status
+import java.net.InetSocketAddress
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * A worker of a [LoopbackFleet]: it sends heartbeats, executes commands, and ends its tasks when its lease expires.
+ * [nextNode]: counts on with each heartbeat that goes to no known leader, and says to which node.
+ */
+internal class LoopbackWorker(val name: String, private var nextNode: Int, private val fleet: LoopbackFleet) {
+    private class RunningTask(val attempt: Long, val until: Duration, var exit: ExitReason? = null)
+
+    private val tasks = HashMap<TaskKey, RunningTask>()
+    private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), name, 2, ::serve)
+    private var incarnation = 1L
+    private var sequence = 0L
+
+    /** The highest fencing token seen. */
+    private var token = 0L
+    private var leaseRenewedAt = fleet.now()
+
+    /** The node that leads, as far as the worker knows. */
+    private var leader: String? = null
+
+    /** Whether it sends no heartbeats. */
+    @Volatile
+    var silent = false
+
+    @Synchronized
+    fun running(): List<TaskKey> = tasks.filterValues { it.exit == null }.keys.toList()
+
+    @Synchronized
+    fun plant(key: TaskKey, attempt: Long) {
+        tasks[key] = RunningTask(attempt, Duration.INFINITE)
+    }
+
+    /** Ends all tasks and begins a new incarnation, as after a lease expiry. */
+    @Synchronized
+    fun endLease() {
+        tasks.forEach { (key, task) -> if (task.exit == null) exit(key, task, ExitReason.STOPPED) }
+        tasks.clear()
+        incarnation++
+        leaseRenewedAt = fleet.now()
+    }
+
+    @Synchronized
+    private fun heartbeat(): Heartbeat {
+        for ((key, task) in tasks) {
+            if (task.exit == null && fleet.now() >= task.until) exit(key, task, ExitReason.DONE)
+        }
+        val statuses =
+            tasks.map { (key, task) ->
+                val state = if (task.exit == null) TaskState.RUNNING else TaskState.EXITED
+                TaskStatus(key, task.attempt, state, task.exit, false)
+            }
+        val address = "127.0.0.1:${listener.port}"
+        return Heartbeat(name, address, "big", "here", false, incarnation, ++sequence, token, null, statuses)
+    }
+
+    private fun exit(key: TaskKey, task: RunningTask, reason: ExitReason) {
+        task.exit = reason
+        fleet.history.add { HistoryEvent.Left(it, key.job, name, reason == ExitReason.DONE) }
+    }
+
+    /** Sends a heartbeat; a worker that is redirected sends one there at once. */
+    fun sendHeartbeat() {
+        if (sendOnce() && !silent) sendOnce()
+    }
+
+    /** True: the node has named another one, which leads. */
+    private fun sendOnce(): Boolean {
+        if (silent) return false
+        val addresses = fleet.nodes()
+        val sentAt = fleet.now()
+        val heartbeat = heartbeat()
+        val address = addresses[leader] ?: addresses.values.toList().let { it[nextNode++ % it.size] }
+        val answer = fleet.http.post(address, "/checkin", WorkerWire.encode(heartbeat), 2.seconds) as? CallResult.Answer
+        synchronized(this) { take(answer, heartbeat, sentAt) }
+        return answer?.status == MISDIRECTED
+    }
+
+    private fun take(answer: CallResult.Answer?, heartbeat: Heartbeat, sentAt: Duration) {
+        when (answer?.status) {
+            OK -> takeCommands(answer.body, heartbeat, sentAt)
+            MISDIRECTED -> leader = answer.body["foreman"] as? String
+            else -> leader = null
+        }
+        if (fleet.now() - leaseRenewedAt > fleet.lease) endLease()
+    }
+
+    private fun takeCommands(body: Fields, heartbeat: Heartbeat, sentAt: Duration) {
+        val answerToken = body["baton"] as? Long ?: 0
+        if (heartbeat.incarnation != incarnation || answerToken < token) return
+        leaseRenewedAt = sentAt
+        executeAll(body)
+    }
+
+    @Suppress("UNCHECKED_CAST")
+    private fun executeAll(body: Fields) {
+        token = maxOf(token, body["baton"] as Long)
+        for (command in body["orders"] as List<Fields>) {
+            val (job, task) = (command["thread"] as String).split('/')
+            execute(command["verb"] as String, TaskKey(job, task.toInt()), command["try"] as Long)
+        }
+    }
+
+    private fun execute(verb: String, key: TaskKey, attempt: Long) {
+        val known = tasks[key]
+        when {
+            verb == "run" && known == null -> {
+                tasks[key] = RunningTask(attempt, fleet.now() + fleet.runTime)
+                fleet.recordCommand(verb, name, key)
+                fleet.history.add { HistoryEvent.Started(it, key.job, name) }
+            }
+            known == null || known.attempt != attempt -> Unit
+            verb == "stop" ->
+                if (known.exit == null) {
+                    fleet.recordCommand(verb, name, key)
+                    exit(key, known, ExitReason.STOPPED)
+                }
+            verb == "clear" -> if (known.exit != null) tasks.remove(key)
+        }
+    }
+
+    private fun serve(request: Request): Response {
+        if (request.uri.path == "/show") return cbor(Status.OK, WorkerWire.encode(heartbeat()))
+        val body = Cbor.decodeMap(request.body.stream.readAllBytes())
+        val isExecuted = synchronized(this) { executeIfCurrent(body) }
+        return cbor(if (isExecuted) Status.OK else Status.CONFLICT, WorkerWire.encode(heartbeat()))
+    }
+
+    private fun executeIfCurrent(body: Fields): Boolean {
+        val isCurrent = body["baton"] as Long >= token && body["shift"] as Long == incarnation
+        if (isCurrent) executeAll(body)
+        return isCurrent
+    }
+
+    @Synchronized
+    fun delete() {
+        endLease()
+        listener.close()
+    }
+
+    /** The machine as the cloud lists it. */
+    fun listed(): Fields =
+        mapOf(
+            "uid" to name, "addr" to "127.0.0.1:${listener.port}", "frame" to "big", "hall" to "here",
+            "loaners" to false, "stage" to "running", "held_s" to 100.0,
+        )
+
+    private companion object {
+        const val OK = 200
+        const val MISDIRECTED = 421
+    }
+}
