--- a/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -1,276 +1,260 @@
 package glenspool.faults
 
 import glenspool.config.WorkerSettings
+import glenspool.simulation.CancellationNode
 import glenspool.simulation.CancellationSimulation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import java.util.Random
+import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, then the state service is out
- * for all, for longer than a cancellation has, while workers report to the old leader. Cancelled work must be gone in
- * time all the same, and nothing else may be lost.
+ * The store refuses the leader alone, another controller confirms cancellations, and then the store is down for all,
+ * for longer than the cancellation deadline, while workers send their heartbeats to the old leader. Cancelled work must
+ * end in time all the same, and no other work may be lost.
  */
 class CancellationGapTest {
-    private val mill = WorkerSettings(1.5.seconds, 14.seconds, 30.seconds, 8.seconds, 44.seconds)
-
-    /** All workers at the old leader, each with a job of each [kind] that bears its name. */
-    private fun atOldLeader(seed: Long, settings: WorkerSettings, vararg kind: String): CancellationSimulation {
-        val t = CancellationSimulation(seed, settings)
-        for (w in t.workers) {
-            w.home = 0
-            kind.forEach { w.jobs += "$it-${w.name}" }
+    /** All workers send their heartbeats to the old leader, each with one job of each kind, named `kind-worker`. */
+    private fun simulation(seed: Long, settings: WorkerSettings, vararg kinds: String): CancellationSimulation {
+        val simulation = CancellationSimulation(seed, settings)
+        for (worker in simulation.workers) {
+            worker.home = 0
+            kinds.forEach { worker.jobs += "$it-${worker.name}" }
         }
-        return t
+        return simulation
+    }
+
+    private fun simulation(seed: Long, vararg kinds: String) = simulation(seed, CancellationSimulation.SETTINGS, *kinds)
+
+    /** At a given moment, users cancel the job of each worker that is named `cancelled-worker`. */
+    private fun CancellationSimulation.cancelAll(moment: Duration, node: CancellationNode) {
+        for (worker in workers) at(moment) { node.cancel("cancelled-${worker.name}") }
+    }
+
+    private fun CancellationSimulation.storeDown(from: Duration, until: Duration) = at(from) { storeDownUntil = until }
+
+    private fun assertNoViolation(simulation: CancellationSimulation, seed: Long) {
+        assertEquals(emptyList<String>(), simulation.violations.take(3), "seed $seed")
+    }
+
+    private fun assertNoConfirmedWorkLeft(simulation: CancellationSimulation, seed: Long) {
+        assertTrue(simulation.workers.none { worker -> worker.jobs.any { it in simulation.confirmed } }, "seed $seed")
+    }
+
+    private fun assertAllConfirmed(simulation: CancellationSimulation) {
+        assertEquals(simulation.workers.size, simulation.confirmed.size)
+    }
+
+    private fun assertNothingKilled(simulation: CancellationSimulation, seed: Long) {
+        assertEquals(emptyList<String>(), simulation.killed, "seed $seed")
+    }
+
+    private fun assertNoHealthyJobKilled(simulation: CancellationSimulation, seed: Long) {
+        assertEquals(emptyList<String>(), simulation.killed.filter { it.startsWith("healthy") }, "seed $seed")
     }
 
-    private fun gap(seed: Long, settings: WorkerSettings = CancellationSimulation.SETTINGS, more: CancellationSimulation.() -> Unit = {}): CancellationSimulation {
-        val t = atOldLeader(seed, settings, "cancelled", "healthy")
-        t.run(30.seconds)
-        val (leader, b, c) = t.members
+    /** Plays the sequence of the class comment, with [more] added to it, and checks what must hold in any case. */
+    private fun playGap(
+        seed: Long,
+        settings: WorkerSettings = CancellationSimulation.SETTINGS,
+        more: CancellationSimulation.() -> Unit = {},
+    ): CancellationSimulation {
+        val simulation = simulation(seed, settings, "cancelled", "healthy")
+        simulation.run(30.seconds)
+        val (leader, second, third) = simulation.members
         leader.refusedUntil = 44.seconds
-        t.at(32.seconds) { t.storeDownUntil = 93.seconds }
-        for ((i, w) in t.workers.withIndex()) {
-            t.at(30.seconds + (100 + i * 100).milliseconds) {
-                (
-                    if (i % 2 ==
-                        0
-                    ) {
-                        b
-                    } else {
-                        c
-                    }
-                ).cancel("cancelled-${w.name}")
-            }
+        simulation.storeDown(32.seconds, until = 93.seconds)
+        for ((index, worker) in simulation.workers.withIndex()) {
+            val node = if (index % 2 == 0) second else third
+            simulation.at(30.seconds + (100 + index * 100).milliseconds) { node.cancel("cancelled-${worker.name}") }
         }
-        t.more()
-        t.run(200.seconds)
-        assertEquals(emptyList<String>(), t.violations, "seed $seed")
-        assertTrue(t.workers.none { w -> w.jobs.any { it in t.confirmed } }, "seed $seed")
-        return t
+        simulation.more()
+        simulation.run(200.seconds)
+        assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
+        assertNoConfirmedWorkLeft(simulation, seed)
+        return simulation
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5])
-    fun `cancelled work is gone in time, and nothing else is lost`(seed: Long) {
-        for (s in listOf(CancellationSimulation.SETTINGS, mill)) {
-            val t = gap(seed, s)
-            assertEquals(t.workers.size, t.confirmed.size)
-            assertEquals(emptyList<String>(), t.killed, "seed $seed")
-            assertEquals(t.workers.size, t.workers.sumOf { w -> w.jobs.count { it.startsWith("healthy") } })
+    fun `cancelled work ends in time, and no other work is lost`(seed: Long) {
+        for (settings in listOf(CancellationSimulation.SETTINGS, CancellationSimulation.SHORT_INTERVALS)) {
+            val simulation = playGap(seed, settings)
+            assertAllConfirmed(simulation)
+            assertNothingKilled(simulation, seed)
+            val healthy = simulation.workers.sumOf { worker -> worker.jobs.count { it.startsWith("healthy") } }
+            assertEquals(simulation.workers.size, healthy)
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15])
     fun `the node that confirmed ends at once`(seed: Long) {
-        val t =
-            gap(seed) {
+        val simulation =
+            playGap(seed) {
                 at(31.9.seconds) {
                     members[1].stop(6.seconds)
                     members[2].stop(200.milliseconds)
                 }
             }
-        assertTrue(t.confirmed.size > 3, "${t.confirmed.size} confirmed")
-        assertEquals(emptyList<String>(), t.killed.filter { it.startsWith("healthy") }, "seed $seed")
+        assertTrue(simulation.confirmed.size > 3, "${simulation.confirmed.size} confirmed")
+        assertNoHealthyJobKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24, 25])
-    fun `the old leader ends and is back within a second, with nothing left in its memory`(seed: Long) {
-        val t = gap(seed) { at(33.seconds) { members[0].stop(500.milliseconds) } }
-        assertEquals(t.workers.size, t.confirmed.size)
-        assertEquals(emptyList<String>(), t.killed, "seed $seed")
+    fun `the old leader restarts within a second, with nothing left in its memory`(seed: Long) {
+        val simulation = playGap(seed) { at(33.seconds) { members[0].stop(500.milliseconds) } }
+        assertAllConfirmed(simulation)
+        assertNothingKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35])
-    fun `the old leader is cut from the others as well`(seed: Long) {
+    fun `while the others can't tell what the old leader knows, cancellations are postponed`(seed: Long) {
         for (span in listOf(20.seconds, 90.seconds)) {
-            // The cancellations come while nobody can be sure that the old leader hears nothing: users are asked to
-            // come back.
-            val soon = gap(seed) { members[0].peersCutUntil = 30.seconds + span }
-            assertEquals(0, soon.confirmed.size)
-            assertTrue(soon.postponed > 0)
-            // They come when it has not been reached for long: it lets the leases run out in time.
-            val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
-            t.run(30.seconds)
-            t.members[0].peersCutUntil = 150.seconds
-            t.members[0].refusedUntil = 150.seconds
-            for (w in t.workers) t.at(48.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-            t.at(49.seconds) { t.storeDownUntil = 120.seconds }
-            t.run(200.seconds)
-            assertEquals(t.workers.size, t.confirmed.size)
-            assertEquals(emptyList<String>(), t.violations)
+            val simulation = playGap(seed) { members[0].peersCutUntil = 30.seconds + span }
+            assertEquals(0, simulation.confirmed.size)
+            assertTrue(simulation.postponed > 0)
         }
     }
 
+    @ParameterizedTest
+    @ValueSource(longs = [31, 32, 33, 34, 35])
+    fun `an old leader that has been cut off for long lets leases expire in time`(seed: Long) {
+        val simulation = simulation(seed, "cancelled")
+        simulation.run(30.seconds)
+        simulation.members[0].peersCutUntil = 150.seconds
+        simulation.members[0].refusedUntil = 150.seconds
+        simulation.cancelAll(48.seconds, simulation.members[1])
+        simulation.storeDown(49.seconds, until = 120.seconds)
+        simulation.run(200.seconds)
+        assertAllConfirmed(simulation)
+        assertNoViolation(simulation, seed)
+    }
+
     @ParameterizedTest
     @ValueSource(longs = [36, 37, 38])
-    fun `all who know of a cancellation end before the old leader is reached again`(seed: Long) {
-        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
-        t.run(30.seconds)
-        t.members[0].peersCutUntil = 70.seconds
-        t.members[0].refusedUntil = 70.seconds
-        for (w in t.workers) t.at(50.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-        t.at(52.seconds) { t.storeDownUntil = 170.seconds }
-        // Back with nothing in their memory, they say truly that they know of nothing.
-        t.at(60.seconds) { t.members.drop(1).forEach { it.stop(8.seconds) } }
-        t.run(250.seconds)
-        assertEquals(t.workers.size, t.confirmed.size)
-        assertEquals(emptyList<String>(), t.violations, "seed $seed")
+    fun `all nodes that know of a cancellation end before the old leader is reached again`(seed: Long) {
+        val simulation = simulation(seed, "cancelled")
+        simulation.run(30.seconds)
+        simulation.members[0].peersCutUntil = 70.seconds
+        simulation.members[0].refusedUntil = 70.seconds
+        simulation.cancelAll(50.seconds, simulation.members[1])
+        simulation.storeDown(52.seconds, until = 170.seconds)
+        // Back with nothing in their memory, they report correctly that they know of nothing.
+        simulation.at(60.seconds) { simulation.members.drop(1).forEach { it.stop(8.seconds) } }
+        simulation.run(250.seconds)
+        assertAllConfirmed(simulation)
+        assertNoViolation(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44, 45])
-    fun `the meeting comes twice within three minutes`(seed: Long) {
-        val t = CancellationSimulation(seed)
+    fun `the same sequence occurs twice within three minutes`(seed: Long) {
+        val simulation = CancellationSimulation(seed)
         for (round in 0..1) {
             val from = 30.seconds + 84.seconds * round
-            t.at(from) {
-                t.workers.forEach { it.home = round }
-                t.workers.forEach { it.jobs += listOf("cancelled-$round-${it.name}", "healthy-$round-${it.name}") }
-            }
-            t.at(from + 1.seconds) { t.members[round].refusedUntil = from + 15.seconds }
-            for (w in t.workers) {
-                t.at(from + 2.seconds) {
-                    t.members[(round + 1) % 3]
-                        .cancel("cancelled-$round-${w.name}")
+            simulation.at(from) {
+                for (worker in simulation.workers) worker.home = round
+                for (worker in simulation.workers) {
+                    worker.jobs += listOf("cancelled-$round-${worker.name}", "healthy-$round-${worker.name}")
                 }
             }
-            t.at(from + 3.seconds) { t.storeDownUntil = from + 64.seconds }
+            simulation.at(from + 1.seconds) { simulation.members[round].refusedUntil = from + 15.seconds }
+            val next = simulation.members[(round + 1) % 3]
+            for (worker in simulation.workers) {
+                simulation.at(from + 2.seconds) { next.cancel("cancelled-$round-${worker.name}") }
+            }
+            simulation.storeDown(from + 3.seconds, until = from + 64.seconds)
         }
-        t.run(260.seconds)
-        assertEquals(emptyList<String>(), t.violations, "seed $seed")
-        assertEquals(t.workers.size * 2, t.confirmed.size)
-        assertEquals(emptyList<String>(), t.killed, "seed $seed")
+        simulation.run(260.seconds)
+        assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
+        assertEquals(simulation.workers.size * 2, simulation.confirmed.size)
+        assertNothingKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
     fun `an outage in which nobody can confirm anything costs no work, however long, whoever ends in it`(seed: Long) {
-        val t = CancellationSimulation(seed, mill)
-        for (w in t.workers) w.jobs += "healthy-${w.name}"
-        t.run(30.seconds)
-        t.storeDownUntil = 200.seconds
-        for (n in 0..5) {
-            t.at((50 + n * 20).seconds) {
-                t.members[n % 3].stop(
-                    if (n % 2 ==
-                        0
-                    ) {
-                        8.seconds
-                    } else {
-                        300.milliseconds
-                    },
-                )
-            }
+        val simulation = CancellationSimulation(seed, CancellationSimulation.SHORT_INTERVALS)
+        for (worker in simulation.workers) worker.jobs += "healthy-${worker.name}"
+        simulation.run(30.seconds)
+        simulation.storeDownUntil = 200.seconds
+        for (number in 0..5) {
+            val downTime = if (number % 2 == 0) 8.seconds else 300.milliseconds
+            simulation.at((50 + number * 20).seconds) { simulation.members[number % 3].stop(downTime) }
         }
-        t.run(250.seconds)
-        assertEquals(emptyList<String>(), t.killed)
+        simulation.run(250.seconds)
+        assertNothingKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63])
-    fun `a node whose peers are of the production version keeps leases only as long as they can't hide a cancellation`(
+    fun `a node whose peers are of the production version renews leases only while no cancellation can be hidden`(
         seed: Long,
     ) {
-        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled")
-        t.members[1].isOldVersion = true
-        t.members[2].isOldVersion = true
-        t.run(30.seconds)
-        t.members[0].refusedUntil = 44.seconds
-        for (w in t.workers) t.at(31.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-        t.at(32.seconds) { t.storeDownUntil = 93.seconds }
-        // Workers that are let go must not come to a node of the old version, which keeps them for ever: that is how it
-        // is.
-        t.at(33.seconds) { t.members.drop(1).forEach { it.downUntil = 150.seconds } }
-        t.run(200.seconds)
-        assertEquals(emptyList<String>(), t.violations)
+        val simulation = simulation(seed, "cancelled")
+        simulation.members[1].isOldVersion = true
+        simulation.members[2].isOldVersion = true
+        simulation.run(30.seconds)
+        simulation.members[0].refusedUntil = 44.seconds
+        simulation.cancelAll(31.seconds, simulation.members[1])
+        simulation.storeDown(32.seconds, until = 93.seconds)
+        // A node of the old version renews leases without end, so workers that are refused must not reach one.
+        simulation.at(33.seconds) { simulation.members.drop(1).forEach { it.downUntil = 150.seconds } }
+        simulation.run(200.seconds)
+        assertNoViolation(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73])
     fun `hundreds of cancellations come within a fifth of a second`(seed: Long) {
-        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "healthy")
+        val simulation = simulation(seed, "healthy")
+        val workers = simulation.workers
         val jobs = (0 until 600).map { "many-$it" }
-        for ((i, j) in jobs.withIndex()) t.workers[i % t.workers.size].jobs += j
-        t.run(30.seconds)
-        t.members[0].refusedUntil = 44.seconds
-        for ((i, j) in jobs.withIndex()) t.at(30.5.seconds + (i / 3).milliseconds) { t.members[1 + i % 2].cancel(j) }
-        t.at(31.seconds) { t.storeDownUntil = 93.seconds }
-        t.run(200.seconds)
-        assertEquals(emptyList<String>(), t.violations.take(3), "seed $seed")
-        assertEquals(jobs.size, t.confirmed.size)
-        assertEquals(emptyList<String>(), t.killed, "seed $seed")
+        for ((index, job) in jobs.withIndex()) workers[index % workers.size].jobs += job
+        simulation.run(30.seconds)
+        simulation.members[0].refusedUntil = 44.seconds
+        for ((index, job) in jobs.withIndex()) {
+            val node = simulation.members[1 + index % 2]
+            simulation.at(30.5.seconds + (index / 3).milliseconds) { node.cancel(job) }
+        }
+        simulation.storeDown(31.seconds, until = 93.seconds)
+        simulation.run(200.seconds)
+        assertNoViolation(simulation, seed)
+        assertEquals(jobs.size, simulation.confirmed.size)
+        assertNothingKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83])
-    fun `the node that stored a cancellation ends before its user hears, and another one confirms it`(seed: Long) {
-        val t = atOldLeader(seed, CancellationSimulation.SETTINGS, "cancelled", "healthy")
-        t.run(30.seconds)
-        t.members[0].refusedUntil = 44.seconds
-        for (w in t.workers) t.at(30.2.seconds) { t.members[1].cancel("cancelled-${w.name}") }
-        t.at(30.201.seconds) { t.members[1].stop(6.seconds) }
-        for (w in t.workers) t.at(31.2.seconds) { t.members[2].cancel("cancelled-${w.name}") }
-        t.at(33.seconds) { t.storeDownUntil = 94.seconds }
-        t.run(200.seconds)
-        assertEquals(emptyList<String>(), t.violations.take(3), "seed $seed")
-        assertTrue(t.workers.none { w -> w.jobs.any { it in t.confirmed } })
-        assertEquals(emptyList<String>(), t.killed.filter { it.startsWith("healthy") }, "seed $seed")
+    fun `the node that stored a cancellation ends before it answers, and another one confirms it`(seed: Long) {
+        val simulation = simulation(seed, "cancelled", "healthy")
+        simulation.run(30.seconds)
+        simulation.members[0].refusedUntil = 44.seconds
+        simulation.cancelAll(30.2.seconds, simulation.members[1])
+        simulation.at(30.201.seconds) { simulation.members[1].stop(6.seconds) }
+        simulation.cancelAll(31.2.seconds, simulation.members[2])
+        simulation.storeDown(33.seconds, until = 94.seconds)
+        simulation.run(200.seconds)
+        assertNoViolation(simulation, seed)
+        assertNoConfirmedWorkLeft(simulation, seed)
+        assertNoHealthyJobKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [91, 92, 93])
-    fun `the state service is slow instead of out`(seed: Long) {
-        val t =
-            gap(seed) {
+    fun `the store is slow instead of down`(seed: Long) {
+        val simulation =
+            playGap(seed) {
                 at(29.seconds) { storeSlowUntil = 120.seconds }
                 at(33.seconds) { storeDownUntil = 33.seconds }
             }
-        assertEquals(t.workers.size, t.confirmed.size)
-        assertEquals(emptyList<String>(), t.killed, "seed $seed")
-    }
-
-    /** Cuts, refusals, outages, ends and losses in any order, with cancellations at any node. */
-    @Test
-    fun `random days keep the promise`() {
-        var told = 0
-        for (seed in 1L..300L) {
-            val r = Random(seed)
-            val t = CancellationSimulation(seed, if (seed % 2 == 0L) mill else CancellationSimulation.SETTINGS, loss = if (seed % 3 == 0L) 0.1 else 0.0)
-            var at = 20.0
-            var n = 0
-            while (at < 280.0) {
-                at += r.nextDouble() * 6
-                val node = t.members[r.nextInt(3)]
-                val span = (r.nextDouble() * 70).seconds
-                val kind = r.nextInt(12)
-                t.at(at.seconds) {
-                    when (kind) {
-                        0 -> node.refusedUntil = t.now + span
-                        1 -> node.peersCutUntil = t.now + span
-                        2 -> t.storeDownUntil = t.now + span
-                        3 -> node.stop(if (r.nextBoolean()) 300.milliseconds else 8.seconds)
-                        else -> {
-                            val w = t.workers[r.nextInt(t.workers.size)]
-                            val job = "j-${n++}"
-                            w.jobs += job
-                            t.at(t.now + (r.nextDouble() * 20).seconds) { node.cancel(job) }
-                        }
-                    }
-                }
-            }
-            t.run(400.seconds)
-            assertEquals(emptyList<String>(), t.violations.take(3), "seed $seed")
-            told += t.confirmed.size
-        }
-        assertTrue(told > 1000, "$told confirmed")
+        assertAllConfirmed(simulation)
+        assertNothingKilled(simulation, seed)
     }
 }
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -23,6 +23,7 @@
 import org.http4k.core.Body
 import org.http4k.core.Method
 import org.http4k.core.Request
+import org.http4k.core.Response
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -42,146 +43,151 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Users ask at all nodes at once, repeat submissions and cancel, right when jobs are accepted, end or are cancelled,
- * while answers of the state service are lost: no node may answer anything older than what any user was told before.
+ * Users query all nodes at once, repeat submissions and cancel, just when jobs are accepted, end or are cancelled,
+ * while answers of the store are lost. No node may answer anything older than what any user has received before.
  */
 class ConsistentReadsTest {
     @TempDir
     lateinit var dir: File
     private val state = InMemoryStore()
-    private val outside = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 24, state::serve)
-    private val open = ArrayList<AutoCloseable>()
-    private val nodes by lazy { List(3) { node() } }
+    private val storeListener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 24, state::serve)
+    private val resources = ArrayList<AutoCloseable>()
+    private val nodes by lazy { List(NODES) { node() } }
+    private val users by lazy {
+        Executors.newFixedThreadPool(12).also { resources.add(AutoCloseable(it::shutdownNow)) }
+    }
 
-    /** What users were told of a job, in the order in which it may change: 1 accepted, 2 done or cancelled. */
-    private val told = ConcurrentHashMap<String, String>()
-    private val wrong = ConcurrentLinkedQueue<String>()
+    /** The newest answer that users received about a job: accepted, and then done or aborted. */
+    private val lastAnswers = ConcurrentHashMap<String, String>()
+    private val faults = ConcurrentLinkedQueue<String>()
 
     private fun node(): UserApi {
         val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
-        val client = KeyValueStoreClient("127.0.0.1:${outside.port}", HttpCaller(2.seconds))
+        val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpCaller(2.seconds))
         val cache = StoreCache(client, 2000.0) { _, _ -> }
-        val duty =
-            thread(isDaemon = true) {
-                try {
-                    cache.serveSyncs()
-                } catch (e: InterruptedException) {
-                    Thread.currentThread().interrupt()
-                }
-            }
-        open.add(AutoCloseable { duty.interrupt() })
-        return UserApi(settings, client, cache, PeerClient(emptyList()), {
-            false
-        }, UnmanagedFeatures { true }, { true }) { listOf(bigType) }
+        val syncs = thread(isDaemon = true) { serveSyncs(cache) }
+        resources.add(AutoCloseable(syncs::interrupt))
+        val peers = PeerClient(emptyList())
+        val features = UnmanagedFeatures { true }
+        return UserApi(settings, client, cache, peers, { false }, features, { true }) { listOf(bigType) }
+    }
+
+    private fun serveSyncs(cache: StoreCache) {
+        try {
+            cache.serveSyncs()
+        } catch (e: InterruptedException) {
+            Thread.currentThread().interrupt()
+        }
     }
 
     @AfterEach
     fun close() {
-        open.forEach { it.close() }
-        outside.close()
+        resources.forEach { it.close() }
+        storeListener.close()
     }
 
-    /** One request, whose answer must not be older than what was told before it began. */
-    private fun ask(id: String, request: Request, node: Int) {
-        val before = told[id]
-        val r = nodes[node](request)
-        if (r.status.code == 503 || r.status.code == 429) return
-        if (r.status.code == 404) {
-            if (before != null) wrong.add("$id was $before and is unknown at $node")
+    /** Sends a request, whose answer must not be older than what any user had received before it began. */
+    private fun query(id: String, request: Request, node: Int) {
+        val previous = lastAnswers[id]
+        val response = nodes[node](request)
+        if (response.status.code == 503 || response.status.code == 429) return
+        if (response.status.code == 404) {
+            if (previous != null) faults.add("$id was $previous and is unknown at $node")
             return
         }
-        val now =
-            Cbor.decodeMap(r.body.stream.readAllBytes())["stage"].toString().let {
-                if (it == "pending" ||
-                    it == "running"
-                ) {
-                    "accepted"
-                } else {
-                    it
-                }
-            }
-        if (before != null && before != "accepted" && now != before) wrong.add("$id was $before and is $now at $node")
-        // Two answers that were under way together may come in any order; a final one stays.
-        told.merge(id, now) { old, new ->
-            if (old != "accepted" && new != "accepted" && old != new) wrong.add("$id is both $old and $new")
-            if (old == "accepted") new else old
+        val answer = answer(response)
+        if (previous != null && previous != ACCEPTED && answer != previous) {
+            faults.add("$id was $previous and is $answer at $node")
         }
+        lastAnswers.merge(id, answer) { old, new -> newerOf(id, old, new) }
+    }
+
+    private fun answer(response: Response): String {
+        val stage = Cbor.decodeMap(response.body.stream.readAllBytes())["stage"].toString()
+        return if (stage == "pending" || stage == "running") ACCEPTED else stage
     }
 
-    private fun submission(s: JobSpec) =
-        Request(Method.POST, "/api/jobs")
-            .body(Body(ByteBuffer.wrap(Cbor.encode(JobWire.encode(s)))))
+    /** Two answers to requests under way at the same time may come in any order; a final one stays. */
+    private fun newerOf(id: String, old: String, new: String): String {
+        if (old != ACCEPTED && new != ACCEPTED && old != new) faults.add("$id is both $old and $new")
+        return if (old == ACCEPTED) new else old
+    }
+
+    private fun submission(spec: JobSpec): Request {
+        val body = Body(ByteBuffer.wrap(Cbor.encode(JobWire.encode(spec))))
+        return Request(Method.POST, "/api/jobs").body(body)
+    }
 
-    private fun look(id: String) = Request(Method.GET, "/api/jobs/$id")
+    private fun submit(id: String, node: Int) = Callable { query(id, submission(job(id, team = "a")), node) }
 
-    private fun withdrawal(id: String) = Request(Method.POST, "/api/jobs/$id/withdraw")
+    private fun show(id: String, node: Int) = Callable { query(id, Request(Method.GET, "/api/jobs/$id"), node) }
 
-    /** As the leader closes a job: done unless it was cancelled, else cancelled; never both. */
+    private fun cancel(id: String, node: Int) =
+        Callable { query(id, Request(Method.POST, "/api/jobs/$id/withdraw"), node) }
+
+    /** Closes a job as the leader does: done unless it was cancelled, else cancelled, never both. */
     private fun end(id: String) {
         synchronized(state) {
             val record = state.get(Keys.job(id)) ?: return
-            val t =
-                transactionOf(
-                    state.get(Keys.LEAD)?.version ?: 0,
-                    StoreChanges(
-                        listOf(
-                            StoreFinalState(
-                                id, record.version,
-                                state
-                                    .get(Keys.cancel(id))
-                                    ?.version,
-                                1,
-                            ),
-                        ),
-                    ),
-                )
-            state.transact(t.conditions, t.puts, t.removes)
+            val cancellation = state.get(Keys.cancel(id))
+            val finalState = StoreFinalState(id, record.version, cancellation?.version, 1)
+            val leaderVersion = state.get(Keys.LEAD)?.version ?: 0
+            val transaction = transactionOf(leaderVersion, StoreChanges(listOf(finalState)))
+            state.transact(transaction.conditions, transaction.puts, transaction.removes)
         }
     }
 
+    private fun runAll(calls: List<Callable<Unit>>) = users.invokeAll(calls).forEach { it.get() }
+
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `no node answers anything older, whatever meets`(seed: Long) {
+    fun `no node answers anything older, whatever happens at the same time`(seed: Long) {
         val random = Random(seed)
-        val count = AtomicInteger()
-        val losing = seed % 2 == 0L
-        state.loses = { losing && count.incrementAndGet() % 3 == 0 }
+        loseAnswers(isLosing = seed % 2 == 0L)
         state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("token" to 1L), state.newLease())), emptyList())
-        val users = Executors.newFixedThreadPool(12)
-        open.add(AutoCloseable { users.shutdownNow() })
         val ids = (1..40).map { "run-%06d".format(seed * 1000 + it) }
-        for (id in ids) {
-            val calls = ArrayList<Callable<Unit>>()
-            repeat(3) { n -> calls.add(Callable { ask(id, submission(job(id, team = "a")), n) }) }
-            repeat(6) { n -> calls.add(Callable { ask(id, look(id), n % 3) }) }
-            users.invokeAll(calls.shuffled(random)).forEach { it.get() }
-            val more = ArrayList<Callable<Unit>>()
-            repeat(9) { n -> more.add(Callable { ask(id, look(id), n % 3) }) }
-            if (random.nextInt(3) > 0) repeat(2) { n -> more.add(Callable { ask(id, withdrawal(id), n) }) }
-            repeat(2) { n -> more.add(Callable { ask(id, submission(job(id, team = "a")), n) }) }
-            if (random.nextInt(3) > 0) more.add(Callable { end(id) })
-            users.invokeAll(more.shuffled(random)).forEach { it.get() }
-            users.invokeAll((0..8).map { n -> Callable { ask(id, look(id), n % 3) } }).forEach { it.get() }
-        }
-        assertEquals(emptyList<String>(), wrong.toList())
-        assertTrue(
-            told.values.toSet().containsAll(listOf("accepted", "done", "aborted")),
-            "${told.values.groupingBy {
-                it
-            }.eachCount()}",
-        )
-        // Each job was accepted, and by the records it is what users were told.
-        for (id in ids) {
-            val end = state.get(Keys.final(id))?.value?.get("end")
-            val stored =
-                if (end == "done") {
-                    "done"
-                } else if (end == "cancelled" || state.get(Keys.cancel(id)) != null) {
-                    "aborted"
-                } else {
-                    "accepted"
-                }
-            if (told[id] != "accepted") assertEquals(stored, told[id], id)
+
+        ids.forEach { play(it, random) }
+
+        assertEquals(emptyList<String>(), faults.toList())
+        val answers = lastAnswers.values.groupingBy { it }.eachCount()
+        assertTrue(answers.keys.containsAll(listOf(ACCEPTED, "done", "aborted")), "$answers")
+        // Each job was accepted, and its end according to the records is what users received.
+        for (id in ids) if (lastAnswers[id] != ACCEPTED) assertEquals(storedAnswer(id), lastAnswers[id], id)
+    }
+
+    /** If [isLosing], every third answer of the store to a transaction is lost. */
+    private fun loseAnswers(isLosing: Boolean) {
+        val transactions = AtomicInteger()
+        state.loses = { isLosing && transactions.incrementAndGet() % 3 == 0 }
+    }
+
+    private fun play(id: String, random: Random) {
+        val submissions = List(NODES) { node -> submit(id, node) }
+        val queries = List(6) { show(id, it % NODES) }
+        runAll((submissions + queries).shuffled(random))
+
+        val calls = ArrayList<Callable<Unit>>()
+        repeat(9) { calls.add(show(id, it % NODES)) }
+        if (random.nextInt(3) > 0) repeat(2) { node -> calls.add(cancel(id, node)) }
+        repeat(2) { node -> calls.add(submit(id, node)) }
+        if (random.nextInt(3) > 0) calls.add(Callable { end(id) })
+        runAll(calls.shuffled(random))
+
+        runAll(List(9) { show(id, it % NODES) })
+    }
+
+    private fun storedAnswer(id: String): String {
+        val end = state.get(Keys.final(id))?.value?.get("end")
+        return when {
+            end == "done" -> "done"
+            end == "cancelled" || state.get(Keys.cancel(id)) != null -> "aborted"
+            else -> ACCEPTED
         }
     }
+
+    private companion object {
+        const val NODES = 3
+        const val ACCEPTED = "accepted"
+    }
 }
--- /dev/null
+++ b/src/test/kotlin/glenspool/faults/RandomCancellationFaultsTest.kt
@@ -0,0 +1,54 @@
+package glenspool.faults
+
+import glenspool.simulation.CancellationSimulation
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.util.Random
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/** Cuts, refusals, outages, ends of nodes and lost messages in any order, with cancellations at any node. */
+class RandomCancellationFaultsTest {
+    @Test
+    fun `cancelled work ends in time on random days`() {
+        val confirmed = (1L..300L).sumOf { play(it).confirmed.size }
+        assertTrue(confirmed > 1000, "$confirmed confirmed")
+    }
+
+    private fun play(seed: Long): CancellationSimulation {
+        val random = Random(seed)
+        val settings = if (seed % 2 == 0L) CancellationSimulation.SHORT_INTERVALS else CancellationSimulation.SETTINGS
+        val simulation = CancellationSimulation(seed, settings, loss = if (seed % 3 == 0L) 0.1 else 0.0)
+        queueEvents(simulation, random)
+        simulation.run(400.seconds)
+        assertEquals(emptyList<String>(), simulation.violations.take(3), "seed $seed")
+        return simulation
+    }
+
+    private fun queueEvents(simulation: CancellationSimulation, random: Random) {
+        var moment = 20.0
+        var jobs = 0
+        while (moment < 280.0) {
+            moment += random.nextDouble() * 6
+            val node = simulation.members[random.nextInt(3)]
+            val span = (random.nextDouble() * 70).seconds
+            val kind = random.nextInt(12)
+            simulation.at(moment.seconds) {
+                when (kind) {
+                    0 -> node.refusedUntil = simulation.now + span
+                    1 -> node.peersCutUntil = simulation.now + span
+                    2 -> simulation.storeDownUntil = simulation.now + span
+                    3 -> node.stop(if (random.nextBoolean()) 300.milliseconds else 8.seconds)
+                    else -> {
+                        val worker = simulation.workers[random.nextInt(simulation.workers.size)]
+                        val job = "j-${jobs++}"
+                        worker.jobs += job
+                        val cancelledAt = simulation.now + (random.nextDouble() * 20).seconds
+                        simulation.at(cancelledAt) { node.cancel(job) }
+                    }
+                }
+            }
+        }
+    }
+}
--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -99,5 +99,8 @@
 
     companion object {
         val SETTINGS = WorkerSettings(4.seconds, 24.seconds, 30.seconds, 8.seconds, 49.seconds)
+
+        /** A deployment whose workers send heartbeats more often, and whose leases are shorter. */
+        val SHORT_INTERVALS = WorkerSettings(1.5.seconds, 14.seconds, 30.seconds, 8.seconds, 44.seconds)
     }
 }
