--- a/src/test/kotlin/glenspool/layout/LayersTest.kt
+++ b/src/test/kotlin/glenspool/layout/LayersTest.kt
@@ -5,13 +5,13 @@
 import org.junit.jupiter.api.Test
 import java.io.File
 
-/** Dependencies point inward, and the outside's odd names stay at the edge. */
+/** Dependencies between packages point inward, and the names of the external formats are used in `wire` alone. */
 class LayersTest {
     private val root = File("src/main/kotlin/glenspool")
     private val files = root.walkTopDown().filter { it.extension == "kt" }.toList()
 
-    /** What each package may import of our own. */
-    private val allowed =
+    /** The packages of this project that each package may import; others may import all. */
+    private val allowedImports =
         mapOf(
             "core" to setOf("core"),
             "reconcile" to setOf("core", "reconcile"),
@@ -26,46 +26,65 @@
             "peer" to setOf("config", "http", "peer", "logging"),
         )
 
-    private fun layer(f: File) = f.relativeTo(root).path.substringBefore('/')
+    /** Packages that take events and the time, and return decisions. */
+    private val purePackages = setOf("core", "reconcile", "rollout")
+
+    /** Parts of imports that stand for input, output, logging, threads or the time of day. */
+    private val impureImports =
+        listOf(
+            "java.io", "java.net", "java.util.concurrent", "java.time.Instant", "org.http4k", "org.slf4j",
+            "com.fasterxml", "Thread",
+        )
+
+    private val externalNames =
+        listOf(
+            "threads?", "crew", "weave", "urgency", "pattern", "frames?", "halls?", "loaners", "spindles?", "stitch",
+            "baton", "recall_s", "wind_down_s", "hire", "tenure", "ledger", "guards", "foreman", "knot_s", "awaits",
+            "aborted_with",
+        )
+
+    private fun packageOf(file: File) = file.relativeTo(root).path.substringBefore('/')
+
+    private fun importsOf(file: File) = file.readLines().filter { it.startsWith("import ") }
 
     @Test
     fun `imports point inward`() {
         assertTrue(files.size > 20)
         val wrong =
-            files.flatMap { f ->
-                val may = allowed[layer(f)] ?: return@flatMap emptyList()
-                f
-                    .readLines()
-                    .filter { it.startsWith("import glenspool.") }
-                    .filter { it.removePrefix("import glenspool.").substringBefore('.') !in may }
-                    .map { "${f.name}: $it" }
+            files.flatMap { file ->
+                val allowed = allowedImports[packageOf(file)] ?: return@flatMap emptyList()
+                importsOf(file)
+                    .filter { it.startsWith(OWN_IMPORT) }
+                    .filter { it.removePrefix(OWN_IMPORT).substringBefore('.') !in allowed }
+                    .map { "${file.name}: $it" }
             }
         assertEquals(emptyList<String>(), wrong)
     }
 
     @Test
     fun `the core, the rollout and the recovery do no input or output and start no thread`() {
-        val forbidden =
-            listOf("java.io", "java.net", "java.util.concurrent", "java.time.Instant", "org.http4k", "org.slf4j", "com.fasterxml", "Thread")
         val wrong =
-            files.filter { layer(it) in setOf("core", "reconcile", "rollout") }.flatMap { f ->
-                f
-                    .readLines()
-                    .filter { l ->
-                        l.startsWith("import ") && forbidden.any { it in l }
-                    }.map { "${f.name}: $it" }
+            files.filter { packageOf(it) in purePackages }.flatMap { file ->
+                importsOf(file)
+                    .filter { line -> impureImports.any { it in line } }
+                    .map { "${file.name}: $it" }
             }
         assertEquals(emptyList<String>(), wrong)
     }
 
     @Test
-    fun `field names of the outside stand in wire alone`() {
-        val names = "threads?|crew|weave|urgency|pattern|frames?|halls?|loaners|spindles?|stitch|baton|recall_s|wind_down_s|hire|tenure|ledger|guards|foreman|knot_s"
-        val odd = Regex("\"($names|awaits|aborted_with)\"")
+    fun `field names of external formats are used in wire alone`() {
+        val externalName = Regex("\"(${externalNames.joinToString("|")})\"")
         val wrong =
             files
-                .filter { layer(it) != "wire" && it.name != "ClassLoadingRun.kt" }
-                .flatMap { f -> f.readLines().filter { odd.containsMatchIn(it) }.map { "${f.name}: $it" } }
+                .filter { packageOf(it) != "wire" && it.name != "ClassLoadingRun.kt" }
+                .flatMap { file ->
+                    file.readLines().filter { externalName.containsMatchIn(it) }.map { "${file.name}: $it" }
+                }
         assertEquals(emptyList<String>(), wrong)
     }
+
+    private companion object {
+        const val OWN_IMPORT = "import glenspool."
+    }
 }
