--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -17,7 +17,7 @@
     seed: Long,
     val settings: WorkerSettings = SETTINGS,
     /** Share of the messages between controllers, and of the answers to them, that are lost. */
-    val loss: Double = 0.0,
+    internal val loss: Double = 0.0,
     workers: Int = 12,
 ) {
     internal val random = Random(seed)
--- a/src/test/kotlin/glenspool/simulation/JobHistory.kt
+++ b/src/test/kotlin/glenspool/simulation/JobHistory.kt
@@ -20,7 +20,7 @@
     data class Told(override val at: Duration, val job: String, val stage: String) : HistoryEvent
 }
 
-/** What users and workers observed of jobs of one task each, in this order. Safe for use by many threads. */
+/** What users and workers observed of jobs of one task each, in order of time. Safe for use by many threads. */
 class JobHistory(private val now: () -> Duration) {
     private val events = ArrayList<HistoryEvent>()
 
--- a/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
@@ -71,7 +71,7 @@
         return if (longest > 0) context.random.nextInt(longest).seconds else Duration.ZERO
     }
 
-    /** A node other than the leader has a machine deleted whose cancelled work is overdue. */
+    /** The leader's node has a machine deleted on which cancelled work is overdue, without a decision of the core. */
     fun deleteOverdue(machine: String, scheduler: Scheduler) =
         context.after(context.networkDelay() * 5) {
             fleet.remove(machine)
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -33,8 +33,7 @@
         private set
 
     /** The fencing token of the newest term. */
-    var token = 0L
-        private set
+    private var token = 0L
 
     /** The store's version of the leader record, on which the leader's transactions are conditioned. */
     var recordVersion = 0L
