--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -16,7 +16,7 @@
 import glenspool.reconcile.RecoveryRecord
 import glenspool.reconcile.RecoverySetting
 import glenspool.reconcile.RecoverySnapshot
-import glenspool.reconcile.StartJudgement
+import glenspool.reconcile.StartClassifier
 import glenspool.reconcile.StartKind
 import glenspool.reconcile.StoredRecovery
 import glenspool.state.KeyValueStoreClient
@@ -99,7 +99,7 @@
      * where it is certain that this is an ordinary take-over.
      */
     fun recordAtElection(token: Long): List<Put> {
-        val kind = StartJudgement.judge(token, firstWitnessed, unasked(memberCount), stored())
+        val kind = StartClassifier.classify(token, firstWitnessed, unasked(memberCount), stored())
         candidacy = Candidacy(token, kind)
         if (kind == StartKind.TAKE_OVER || kind == StartKind.FIRST) return emptyList()
         return listOf(Put(Keys.RECOVERY, RecoveryWire.encode(openRecord(token))))
@@ -137,7 +137,7 @@
         for (notice in notices) {
             when (notice) {
                 is RecoveryNotice.PhaseEntered -> entered(notice)
-                is RecoveryNotice.Settled -> log.info("recovery settled share={} after={}", notice.share, notice.after)
+                is RecoveryNotice.ShareResolved -> log.info("recovery settled share={} after={}", notice.share, notice.after)
                 is RecoveryNotice.BreakerOpened ->
                     log
                         .warn("recovery: {}", RecoveryReplies.breaker(notice.state, policy))
@@ -153,7 +153,7 @@
         val s = notice.snapshot
         log.info(
             "recovery phase={} cause={} start={} heard={} expected={} differences={} settled={} until={}",
-            notice.state.phase, notice.state.end, s.startKind, s.gathering.heard, s.gathering.expected, s.totals.byKind, s.settledShare, s.until,
+            notice.state.phase, notice.state.end, s.startKind, s.gathering.reported, s.gathering.expected, s.totals.byKind, s.resolvedShare, s.until,
         )
     }
 
@@ -189,7 +189,7 @@
                 }.map { MemberWitness(answered = true, firstToken = it.firstToken) }
         // The election has opened this term's own record, which says nothing about how the term began.
         val kind =
-            StartJudgement.judge(
+            StartClassifier.classify(
                 recovery.term.token, firstWitnessed,
                 answers + unasked(memberCount - answers.size), StoredRecovery.Absent,
             )
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -34,14 +34,14 @@
             paused = snapshot.isPaused,
             approved = snapshot.isApproved,
             expectedMachines = snapshot.gathering.expected,
-            heardMachines = snapshot.gathering.heard,
+            heardMachines = snapshot.gathering.reported,
             lacking =
                 snapshot.gathering.lacking(policy.gatherShare).map {
-                    "${it.zone}/${it.type}: ${it.heard} of ${it.expected}"
+                    "${it.zone}/${it.type}: ${it.reported} of ${it.expected}"
                 },
             adoptedTasks = snapshot.totals.adopted,
             confirmedTasks = snapshot.totals.confirmed,
-            settledShare = snapshot.settledShare,
+            settledShare = snapshot.resolvedShare,
             differences = snapshot.totals.byKind.mapKeys { it.key.label },
             breaker = breaker(snapshot.breaker, policy),
             ordersPerSecond = snapshot.ordersPerSecond,
@@ -77,9 +77,9 @@
     private fun detail(difference: Difference): String =
         when (difference) {
             is MissingTask -> "attempt ${difference.attempt}"
-            is OrphanTask -> "attempt ${difference.attempt}, ${if (difference.recorded) "its place is elsewhere" else "the state service knows no such job"}"
+            is OrphanTask -> "attempt ${difference.attempt}, ${if (difference.isJobRecorded) "its place is elsewhere" else "the state service knows no such job"}"
             is DuplicateTask -> "on ${difference.machines.joinToString(", ")}"
-            is UnheardMachine -> "${difference.places} stored places"
+            is UnheardMachine -> "${difference.placements} stored places"
             else -> ""
         }
 
--- a/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
+++ b/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
@@ -2,10 +2,18 @@
 
 import kotlin.time.Duration
 
-/** Why destructive orders go on after they were held. */
+/** Why destructive orders are admitted again after the breaker was open. */
 enum class BreakerRelease { FEWER_DIFFERENCES, APPROVED, TIME_OVER }
 
-/** Whether destructive orders are held: [machines] of a fleet of [fleet] would get them. */
+/**
+ * The state of the [CircuitBreaker] when it was last evaluated.
+ *
+ * @property isOpen whether destructive orders are held back
+ * @property machines the number of machines that would receive destructive orders
+ * @property fleet the number of machines in the fleet
+ * @property openSince when the breaker opened, in the term's monotonic time; null if it never did
+ * @property release why it closed again; null if it has not opened, or is still open
+ */
 data class BreakerState(
     val isOpen: Boolean,
     val machines: Int,
@@ -14,26 +22,27 @@
     val release: BreakerRelease?,
 ) {
     companion object {
-        val CLOSED = BreakerState(false, 0, 0, null, null)
+        val CLOSED = BreakerState(isOpen = false, machines = 0, fleet = 0, openSince = null, release = null)
     }
 }
 
 /**
- * Holds destructive orders while they concern more of the fleet than a stated share: that many machines and tasks are
- * seldom wrong at once, and more often it is the picture that is. Once released it stays so.
+ * Holds back destructive orders while they concern more than a configured share of the fleet: that many machines are
+ * seldom wrong at once, and it is more likely that the leader's knowledge is incomplete. Once released it never opens
+ * again.
  */
 class CircuitBreaker(private val policy: RecoveryPolicy) {
     var state = BreakerState.CLOSED
         private set
 
-    /** [machines]: how many would get destructive orders now. */
-    fun judge(machines: Int, fleet: Int, isApproved: Boolean, now: Duration): BreakerState {
+    /** Evaluates the breaker anew. [machines]: how many of the [fleet] would receive destructive orders now. */
+    fun evaluate(machines: Int, fleet: Int, isApproved: Boolean, now: Duration): BreakerState {
         if (state.release != null) return state
-        val isTooMany = fleet >= FEW && machines > fleet * policy.breakerShare
+        val isTooMany = fleet >= MIN_FLEET && machines > fleet * policy.breakerShare
         val openSince = state.openSince
         state =
             when {
-                openSince == null -> BreakerState(isTooMany, machines, fleet, now.takeIf { isTooMany }, null)
+                openSince == null -> BreakerState(isTooMany, machines, fleet, now.takeIf { isTooMany }, release = null)
                 isApproved -> released(BreakerRelease.APPROVED, machines, fleet)
                 !isTooMany -> released(BreakerRelease.FEWER_DIFFERENCES, machines, fleet)
                 now - openSince >= policy.breakerWait -> released(BreakerRelease.TIME_OVER, machines, fleet)
@@ -42,10 +51,10 @@
         return state
     }
 
-    private fun released(release: BreakerRelease, machines: Int, fleet: Int) = BreakerState(false, machines, fleet, state.openSince, release)
+    private fun released(release: BreakerRelease, machines: Int, fleet: Int) = BreakerState(isOpen = false, machines, fleet, state.openSince, release)
 
     private companion object {
-        /** Of fewer machines than this one alone is a large share. */
-        const val FEW = 4
+        /** In a smaller fleet a single machine is a large share, so the breaker never opens. */
+        const val MIN_FLEET = 4
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/reconcile/ClusterViews.kt
@@ -0,0 +1,11 @@
+package glenspool.reconcile
+
+/** The desired, observed and rented state at one moment. Immutable, so it may be read by any thread. */
+data class ClusterViews(
+    val desired: DesiredView = DesiredView(),
+    val observed: ObservedView = ObservedView(),
+    val rented: RentedView = RentedView(),
+) {
+    /** All machines that any of the views knows. */
+    fun machines(): Set<String> = desired.tasksByMachine.keys + observed.machines.keys + rented.machines.keys
+}
--- a/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
+++ b/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
@@ -7,60 +7,71 @@
 import kotlin.time.Duration
 
 /**
- * What was learnt and is not compared yet. In the first seconds after a cold start a small machine has no processor
- * time to spare for comparing, so that is done by and by; of several reports of a machine only the newest is kept
- * meanwhile.
+ * Queue of observations that the [tracker] has not compared yet. In the first seconds after a cold start a small
+ * machine has no processor time to spare for comparisons, so they are spread over later ticks. Of several heartbeats of
+ * one machine only the newest is kept.
  */
 class DeferredUpdates(private val tracker: DifferenceTracker) {
-    private class Observation(val heartbeat: Heartbeat, val source: HeartbeatSource, val trusted: Boolean, val at: Duration)
+    private class Observation(
+        val heartbeat: Heartbeat,
+        val source: HeartbeatSource,
+        val isTrusted: Boolean,
+        val at: Duration,
+    )
 
-    private val jobs = ArrayDeque<() -> Unit>()
-    private val machines = LinkedHashMap<String, Observation>()
-    private var list: (() -> Unit)? = null
+    private val jobUpdates = ArrayDeque<() -> Unit>()
+    private val observations = LinkedHashMap<String, Observation>()
+    private var listUpdate: (() -> Unit)? = null
 
-    /** How many updates wait. */
-    val size: Int get() = jobs.size + machines.size + (if (list == null) 0 else 1)
+    /** The number of updates in the queue. */
+    val size: Int get() = jobUpdates.size + observations.size + (if (listUpdate == null) 0 else 1)
 
-    fun jobStored(record: JobRecord, adopted: Boolean) = jobs.addLast { tracker.jobStored(record, adopted) }
+    val isEmpty: Boolean get() = size == 0
 
-    fun jobCancelled(job: String) = jobs.addLast { tracker.jobCancelled(job) }
+    fun jobStored(record: JobRecord, isAdopted: Boolean) = jobUpdates.addLast { tracker.jobStored(record, isAdopted) }
 
-    fun jobEnded(job: String) = jobs.addLast { tracker.jobEnded(job) }
+    fun jobCancelled(job: String) = jobUpdates.addLast { tracker.jobCancelled(job) }
 
-    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) {
-        // A report of the worker's own is not forgotten for an answer that came after it.
-        val own = source == HeartbeatSource.WORKER || machines[heartbeat.machine]?.source == HeartbeatSource.WORKER
-        machines[heartbeat.machine] = Observation(heartbeat, if (own) HeartbeatSource.WORKER else source, trusted, at)
+    fun jobEnded(job: String) = jobUpdates.addLast { tracker.jobEnded(job) }
+
+    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration) {
+        // That the worker sent a heartbeat by itself still holds if a later reply to a request replaces it here.
+        val isQueuedFromWorker = observations[heartbeat.machine]?.source == HeartbeatSource.WORKER
+        val effectiveSource = if (isQueuedFromWorker) HeartbeatSource.WORKER else source
+        observations[heartbeat.machine] = Observation(heartbeat, effectiveSource, isTrusted, at)
     }
 
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
-        list = { tracker.machinesListed(machines, at) }
+        listUpdate = { tracker.machinesListed(machines, at) }
     }
 
-    /** A deletion is certain knowledge and never waits. */
+    /** A deletion is certain, and is applied at once. */
     fun machineDeleted(machine: String) {
-        machines.remove(machine)
+        observations.remove(machine)
         tracker.machineDeleted(machine)
     }
 
-    /** Takes in as many as [most]. */
-    fun apply(most: Int) {
-        repeat(most) { if (!applyNext()) return }
+    /** Applies at most [limit] updates to the tracker. */
+    fun apply(limit: Int) {
+        repeat(limit) { if (!applyNext()) return }
     }
 
+    /** Applies one update: jobs first, then machines, then the cloud's list. False if there was none. */
     private fun applyNext(): Boolean {
-        val job = jobs.removeFirstOrNull()
-        val waiting = machines.values.firstOrNull()
+        val jobUpdate = jobUpdates.removeFirstOrNull()
+        val observation = observations.values.firstOrNull()
         when {
-            job != null -> job()
-            waiting != null -> {
-                machines.remove(waiting.heartbeat.machine)
-                tracker.machineObserved(waiting.heartbeat, waiting.source, waiting.trusted, waiting.at)
+            jobUpdate != null -> jobUpdate()
+            observation != null -> {
+                observations.remove(observation.heartbeat.machine)
+                tracker.machineObserved(
+                    observation.heartbeat, observation.source, observation.isTrusted, observation.at,
+                )
             }
             else -> {
-                val next = list ?: return false
-                list = null
-                next()
+                val update = listUpdate ?: return false
+                listUpdate = null
+                update()
             }
         }
         return true
--- a/src/main/kotlin/glenspool/reconcile/Difference.kt
+++ b/src/main/kotlin/glenspool/reconcile/Difference.kt
@@ -3,22 +3,22 @@
 import glenspool.core.model.TaskKey
 import kotlin.time.Duration
 
-/** Where the knowledge behind a difference comes from. */
+/** The origin of the knowledge behind a difference. [ANSWER] is a worker's reply to a request of the leader. */
 enum class EvidenceSource { STATE_SERVICE, REPORT, ANSWER, CLOUD_LIST }
 
-/** What a difference rests on. [at]: when that was learnt, in the term's steady time. */
+/** What a difference rests on. [at]: when it was observed, in the term's monotonic time. */
 data class Evidence(val source: EvidenceSource, val at: Duration)
 
-/** Something that is not as it is stored, at one machine. */
+/** A deviation of one machine's observed state from the stored state. */
 sealed interface Difference {
     val machine: String
     val evidence: Evidence
 
-    /** The task that it is about, if it is about one. */
+    /** The task concerned; null if the difference concerns the machine as a whole. */
     val task: TaskKey? get() = null
 }
 
-/** A stored place whose machine shows that the task is not there. */
+/** A stored placement whose machine reports that it does not have the task. */
 data class MissingTask(
     override val machine: String,
     override val task: TaskKey,
@@ -26,16 +26,16 @@
     override val evidence: Evidence,
 ) : Difference
 
-/** A task without a stored place on its machine. [recorded]: whether its job is known to the state service. */
+/** A task that runs without a stored placement on its machine. [isJobRecorded]: whether the store knows its job. */
 data class OrphanTask(
     override val machine: String,
     override val task: TaskKey,
     val attempt: Long,
-    val recorded: Boolean,
+    val isJobRecorded: Boolean,
     override val evidence: Evidence,
 ) : Difference
 
-/** A task that several machines show at once. */
+/** A task that several [machines] report at once. */
 data class DuplicateTask(
     override val machine: String,
     override val task: TaskKey,
@@ -43,25 +43,45 @@
     override val evidence: Evidence,
 ) : Difference
 
-/** A task of a cancelled job that is still there. */
-data class CancelledTask(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
+/** A task of a cancelled job that still runs. */
+data class CancelledTask(
+    override val machine: String,
+    override val task: TaskKey,
+    override val evidence: Evidence,
+) : Difference
 
-/** A task that is done, whose result is not stored yet. */
-data class UnrecordedResult(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
+/** A finished task whose result is not stored yet. */
+data class UnrecordedResult(
+    override val machine: String,
+    override val task: TaskKey,
+    override val evidence: Evidence,
+) : Difference
 
-/** A stored place of a task whose result is stored. */
-data class ObsoletePlace(override val machine: String, override val task: TaskKey, override val evidence: Evidence) : Difference
+/** A stored placement of a task whose result is stored already. */
+data class ObsoletePlacement(
+    override val machine: String,
+    override val task: TaskKey,
+    override val evidence: Evidence,
+) : Difference
 
-/** A machine that the cloud lists no more, or never listed, though a place or a report names it. */
+/** A machine that the cloud does not list, though a placement or a heartbeat names it. */
 data class DelistedMachine(override val machine: String, override val evidence: Evidence) : Difference
 
-/** A machine that should be up and was not heard in this term: nothing is known of what is on it. */
-data class UnheardMachine(override val machine: String, val places: Int, override val evidence: Evidence) : Difference
+/**
+ * A machine that should be up and has not reported in this term: nothing is known of its tasks.
+ *
+ * @property placements the number of placements stored for it
+ */
+data class UnheardMachine(
+    override val machine: String,
+    val placements: Int,
+    override val evidence: Evidence,
+) : Difference
 
-/** A machine that answers questions and sends no report that arrives: its lease runs out. */
+/** A machine that answers requests but whose own heartbeats do not arrive: its lease will expire. */
 data class UnreportingMachine(override val machine: String, override val evidence: Evidence) : Difference
 
-/** The kinds of difference, for counting. */
+/** The kinds of difference, for counting. Operators are shown the constants' names. */
 enum class DifferenceKind {
     MISSING_TASK,
     ORPHAN_TASK,
@@ -74,14 +94,17 @@
     UNREPORTING_MACHINE,
     ;
 
-    /** Whether a recovery lasts until there are none: orders end them, and they do not come and go on any day. */
-    val isMended: Boolean get() =
+    /**
+     * Whether the recovery lasts until no difference of this kind is left: orders remove them, and they do not occur in
+     * ordinary operation.
+     */
+    val isRepairable: Boolean get() =
         this == MISSING_TASK ||
             this == ORPHAN_TASK ||
             this == DUPLICATE_TASK ||
             this == OBSOLETE_PLACE
 
-    /** The name as operators read it. */
+    /** The name that operators are shown. */
     val label: String get() = name.lowercase().replace('_', '-')
 }
 
@@ -93,7 +116,7 @@
             is DuplicateTask -> DifferenceKind.DUPLICATE_TASK
             is CancelledTask -> DifferenceKind.CANCELLED_TASK
             is UnrecordedResult -> DifferenceKind.UNRECORDED_RESULT
-            is ObsoletePlace -> DifferenceKind.OBSOLETE_PLACE
+            is ObsoletePlacement -> DifferenceKind.OBSOLETE_PLACE
             is DelistedMachine -> DifferenceKind.DELISTED_MACHINE
             is UnheardMachine -> DifferenceKind.UNHEARD_MACHINE
             is UnreportingMachine -> DifferenceKind.UNREPORTING_MACHINE
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -8,14 +8,21 @@
 import kotlinx.collections.immutable.persistentHashMapOf
 import kotlin.time.Duration
 
-/** How many differences there are of each kind, and how much of what was adopted is confirmed. */
+/**
+ * The number of differences of each kind, and how many of the adopted placements are confirmed.
+ *
+ * @property byKind only kinds that occur
+ */
 data class DifferenceTotals(val byKind: Map<DifferenceKind, Int>, val confirmed: Int, val adopted: Int) {
+    /** Adopted placements of which it is not known whether their task still runs. */
+    val unconfirmed: Int get() = adopted - confirmed
+
     operator fun get(kind: DifferenceKind): Int = byKind[kind] ?: 0
 }
 
 /**
- * Keeps the views and what comparing them shows, event by event: only machines that an event concerns are compared
- * again. The result always equals [MachineComparison.all] of the views.
+ * Maintains the views and their differences incrementally: an event causes a new comparison only of the machines that
+ * it concerns. The result always equals [MachineComparison.all] of the views.
  */
 class DifferenceTracker {
     var views = ClusterViews()
@@ -26,86 +33,59 @@
     private var confirmed = 0
     private var adopted = 0
 
-    /** Machines that were compared, so that tests can see that the work of an event does not grow with the fleet. */
+    /** Machines whose newest heartbeat names a task of the job, by job. */
+    private val machinesByObservedJob = HashMap<String, MutableSet<String>>()
+
+    /** The number of machine comparisons so far; tests verify by it that an event's cost is independent of the fleet. */
     var comparisons = 0L
         private set
 
-    fun totals() =
-        DifferenceTotals(
-            DifferenceKind.entries
-                .filter {
-                    counts[it.ordinal] > 0
-                }.associateWith { counts[it.ordinal] },
-            confirmed, adopted,
-        )
-
-    fun jobStored(record: JobRecord, adopted: Boolean) {
-        val isNew = record.spec.id !in views.desired.jobs
-        val change = views.desired.changeOf(record, adopted)
+    fun totals(): DifferenceTotals {
+        val occurring = DifferenceKind.entries.filter { counts[it.ordinal] > 0 }
+        return DifferenceTotals(occurring.associateWith { counts[it.ordinal] }, confirmed, adopted)
+    }
+
+    /** The job's record was read or stored. [isAdopted]: whether an earlier leader stored it. */
+    fun jobStored(record: JobRecord, isAdopted: Boolean) {
+        val job = record.spec.id
+        val isNew = job !in views.desired.jobs
+        val change = views.desired.changeOf(record, isAdopted)
         views = views.copy(desired = views.desired.with(record, change))
-        // A new job concerns every machine that shows tasks of it; a known one only where something is different now.
-        if (isNew) return compareAll(machinesOf(record.spec.id))
-        val concerned = HashSet<String>()
-        change.removed.mapTo(concerned) { it.machine }
-        change.added.filter { matters(it, record) }.mapTo(concerned) { it.machine }
-        if (change.finished.isNotEmpty()) {
-            machinesOf(record.spec.id).filterTo(concerned) {
-                concernsAny(it, record.spec.id, change.finished)
-            }
-        }
-        compareAll(concerned)
+        // A new job concerns every machine that reports a task of it; a known job only the machines that its change
+        // concerns.
+        compareAll(if (isNew) machinesOf(job) else machinesConcernedBy(change, record))
     }
 
     fun jobCancelled(job: String) = changeJob(job) { it.withCancelled(job) }
 
     fun jobEnded(job: String) = changeJob(job) { it.without(job) }
 
-    /**
-     * A place that this leader has just stored differs from nothing, unless the task is there already or its result is
-     * stored.
-     */
-    private fun matters(place: StoredPlace, record: JobRecord): Boolean {
-        val observed = views.observed.machines[place.machine]
-        return place.adopted ||
-            observed == null ||
-            record.done[place.key.task] ||
-            observed.tasks.any { it.key == place.key }
-    }
-
-    private fun concernsAny(machine: String, job: String, tasks: Set<Int>): Boolean =
-        views.desired.placesOn[machine]
-            .orEmpty()
-            .any { it.job == job && it.task in tasks } ||
-            views.observed.machines[machine]
-                ?.tasks
-                .orEmpty()
-                .any { it.key.job == job && it.key.task in tasks }
-
-    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) {
-        if (!views.observed.isNews(heartbeat, source, trusted)) return
+    /** [isTrusted]: whether the worker has seen this leader's token. */
+    fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration) {
+        if (!views.observed.isChange(heartbeat, source, isTrusted)) return
         val before = views.observed.machines[heartbeat.machine]
-        val sharedBefore = sharing(before)
-        views = views.copy(observed = views.observed.with(heartbeat, source, trusted, at))
-        val now = views.observed.machines[heartbeat.machine]
-        index(before, now)
-        compareAll(sharedBefore + sharing(now) + heartbeat.machine)
+        val sharingBefore = machinesSharingTasksWith(before)
+        views = views.copy(observed = views.observed.with(heartbeat, source, isTrusted, at))
+        val after = views.observed.machines[heartbeat.machine]
+        updateJobIndex(before, after)
+        compareAll(sharingBefore + machinesSharingTasksWith(after) + heartbeat.machine)
     }
 
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
         val before = views.rented
         views = views.copy(rented = before.with(machines, at))
-        // The first list tells of machines that are named by it and of those that it does not name.
+        // The first list concerns the machines that it names and those that it does not name.
         if (before.firstReadAt == null) return compareAll(views.machines())
-        // Most entries are the very same object as before.
+        // Entries that did not change are the same objects as before.
         for ((id, machine) in views.rented.machines) if (before.machines[id] !== machine) compare(id)
     }
 
     fun machineDeleted(machine: String) {
         val before = views.observed.machines[machine]
-        val shared = sharing(before)
-        index(before, null)
+        val sharing = machinesSharingTasksWith(before)
+        updateJobIndex(before, null)
         views = views.copy(observed = views.observed.without(machine), rented = views.rented.without(machine))
-        compareAll(shared + machine)
+        compareAll(sharing + machine)
     }
 
     private fun changeJob(job: String, change: (DesiredView) -> DesiredView) {
@@ -114,34 +94,68 @@
         compareAll(before + machinesOf(job))
     }
 
-    /** Machines that have a stored place of the job, or show a task of it. */
-    private fun machinesOf(job: String): Set<String> {
-        val known = views.desired.jobs[job]
-        val places = known?.places?.values.orEmpty()
-        return places.mapTo(HashSet()) { it.machine } + showing(job)
+    private fun machinesConcernedBy(change: JobChange, record: JobRecord): Set<String> {
+        val job = record.spec.id
+        val concerned = HashSet<String>()
+        change.removed.mapTo(concerned) { it.machine }
+        change.added.filter { mayDiffer(it, record) }.mapTo(concerned) { it.machine }
+        if (change.finished.isNotEmpty()) {
+            machinesOf(job).filterTo(concerned) { hasAnyOf(it, job, change.finished) }
+        }
+        return concerned
+    }
+
+    /**
+     * Whether a new placement can cause a difference. One that this leader has just stored can't, unless the machine is
+     * not known, has the task already, or the task's result is stored.
+     */
+    private fun mayDiffer(placement: DesiredPlacement, record: JobRecord): Boolean {
+        val observed = views.observed.machines[placement.machine]
+        return placement.isAdopted ||
+            observed == null ||
+            record.done[placement.key.task] ||
+            observed.tasks.any { it.key == placement.key }
     }
 
-    private fun showing(job: String): Set<String> = machinesShowing[job].orEmpty()
+    /** Whether any of the job's [tasks] is placed on the machine, or reported by it. */
+    private fun hasAnyOf(machine: String, job: String, tasks: Set<Int>): Boolean {
+        val placed = views.desired.tasksByMachine[machine].orEmpty()
+        val reported =
+            views.observed.machines[machine]
+                ?.tasks
+                .orEmpty()
+        return placed.any { it.job == job && it.task in tasks } ||
+            reported.any { it.key.job == job && it.key.task in tasks }
+    }
 
-    /** Machines whose newest report names a task of the job. */
-    private val machinesShowing = HashMap<String, MutableSet<String>>()
+    /** Machines that have a stored placement of the job, or report a task of it. */
+    private fun machinesOf(job: String): Set<String> {
+        val placements =
+            views.desired.jobs[job]
+                ?.placements
+                ?.values
+                .orEmpty()
+        return placements.mapTo(HashSet()) { it.machine } + machinesByObservedJob[job].orEmpty()
+    }
 
-    private fun index(before: ObservedMachine?, now: ObservedMachine?) {
-        val old = before?.tasks.orEmpty().mapTo(HashSet()) { it.key.job }
-        val new = now?.tasks.orEmpty().mapTo(HashSet()) { it.key.job }
-        for (job in old - new) {
-            val machines = machinesShowing[job] ?: continue
+    private fun updateJobIndex(before: ObservedMachine?, after: ObservedMachine?) {
+        val jobsBefore = before?.tasks.orEmpty().mapTo(HashSet()) { it.key.job }
+        val jobsAfter = after?.tasks.orEmpty().mapTo(HashSet()) { it.key.job }
+        for (job in jobsBefore - jobsAfter) {
+            val machines = machinesByObservedJob[job] ?: continue
             machines.remove(checkNotNull(before).id)
-            if (machines.isEmpty()) machinesShowing.remove(job)
+            if (machines.isEmpty()) machinesByObservedJob.remove(job)
+        }
+        for (job in jobsAfter - jobsBefore) {
+            machinesByObservedJob.getOrPut(job) { HashSet() }.add(checkNotNull(after).id)
         }
-        for (job in new - old) machinesShowing.getOrPut(job) { HashSet() }.add(checkNotNull(now).id)
     }
 
-    /** Other machines that claim a task that this one shows. */
-    private fun sharing(machine: ObservedMachine?): Set<String> {
+    /** The machines that claim a task which this machine and another one report. */
+    private fun machinesSharingTasksWith(machine: ObservedMachine?): Set<String> {
         if (machine == null) return emptySet()
-        val several = machine.tasks.mapNotNull { views.observed.claims[it.key] }.filter { it.size > 1 }
-        return if (several.isEmpty()) emptySet() else several.flatMapTo(HashSet()) { it }
+        val shared = machine.tasks.mapNotNull { views.observed.claims[it.key] }.filter { it.size > 1 }
+        return if (shared.isEmpty()) emptySet() else shared.flatMapTo(HashSet()) { it }
     }
 
     private fun compareAll(machines: Set<String>) = machines.forEach(::compare)
@@ -149,9 +163,9 @@
     private fun compare(machine: String) {
         comparisons++
         count(findings[machine] ?: MachineFindings.NONE, -1)
-        val fresh = MachineComparison.compare(machine, views)
-        findings = if (fresh.isEmpty) findings.remove(machine) else findings.put(machine, fresh)
-        count(fresh, 1)
+        val updated = MachineComparison.compare(machine, views)
+        findings = if (updated.isEmpty) findings.remove(machine) else findings.put(machine, updated)
+        count(updated, 1)
     }
 
     private fun count(found: MachineFindings, sign: Int) {
--- a/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
@@ -3,31 +3,39 @@
 import glenspool.core.model.ListedMachine
 import glenspool.core.model.MachineStage
 
-/** How far the gathering is: machines that should be heard, and those that were, by zone and type. */
+/** How many of the machines that should report have reported in this term, by zone and machine type. */
 data class GatheringProgress(val groups: List<Group>) {
-    data class Group(val zone: String, val type: String, val expected: Int, val heard: Int) {
-        fun reaches(share: Double) = heard >= expected * share
+    /**
+     * The machines of one type in one zone.
+     *
+     * @property expected the number of running machines that the cloud lists
+     * @property reported how many of them have reported
+     */
+    data class Group(val zone: String, val type: String, val expected: Int, val reported: Int) {
+        fun reaches(share: Double) = reported >= expected * share
     }
 
+    private data class GroupKey(val zone: String, val type: String)
+
     val expected: Int get() = groups.sumOf { it.expected }
-    val heard: Int get() = groups.sumOf { it.heard }
+    val reported: Int get() = groups.sumOf { it.reported }
 
-    /** The groups of which too little was heard. */
+    /** The groups of which less than [share] has reported. */
     fun lacking(share: Double): List<Group> = groups.filterNot { it.reaches(share) }
 
     companion object {
-        /** [listed]: the cloud's newest list. [heard]: machines whose workers have shown this leader's token. */
-        fun of(listed: List<ListedMachine>, heard: Set<String>): GatheringProgress {
-            val groups = listed.filter { it.stage == MachineStage.RUNNING }.groupBy { Pair(it.zone, it.type) }
+        val NONE = GatheringProgress(emptyList())
+
+        /**
+         * @param listed the cloud's newest list of machines
+         * @param reported machines whose workers have seen this leader's token
+         */
+        fun of(listed: List<ListedMachine>, reported: Set<String>): GatheringProgress {
+            val running = listed.filter { it.stage == MachineStage.RUNNING }
+            val groups = running.groupBy { GroupKey(it.zone, it.type) }
             return GatheringProgress(
-                groups.map { (place, machines) ->
-                    Group(
-                        place.first, place.second, machines.size,
-                        machines.count {
-                            it.id in
-                                heard
-                        },
-                    )
+                groups.map { (key, machines) ->
+                    Group(key.zone, key.type, machines.size, machines.count { it.id in reported })
                 },
             )
         }
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -3,14 +3,15 @@
 import glenspool.core.model.ExitReason
 import glenspool.core.model.JobKind
 import glenspool.core.model.MachineStage
-import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
 import glenspool.core.model.TaskStatus
 import kotlin.time.Duration
 
 /**
- * What comparing the views showed of one machine. [confirmed]: adopted places whose task is there; [adopted]: all
- * adopted places.
+ * The result of comparing the views of one machine.
+ *
+ * @property confirmed the number of adopted placements whose task the machine reports
+ * @property adopted the number of all adopted placements
  */
 data class MachineFindings(val differences: List<Difference>, val confirmed: Int, val adopted: Int) {
     val isEmpty: Boolean get() = differences.isEmpty() && adopted == 0
@@ -20,124 +21,103 @@
     }
 }
 
-/** Compares desired, observed and rented state, machine by machine. Nothing here depends on anything but the views. */
+/** Compares the desired, observed and rented state machine by machine. The result depends on the views only. */
 object MachineComparison {
-    /** The findings at every machine that any view knows; machines without findings are left out. */
+    /** Findings are lists whose order must not depend on the order of the observations. */
+    private val findingOrder =
+        compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
+
+    /** The findings of every machine that any view knows; machines without findings are left out. */
     fun all(views: ClusterViews): Map<String, MachineFindings> = views.machines().associateWith { compare(it, views) }.filterValues { !it.isEmpty }
 
     fun compare(machine: String, views: ClusterViews): MachineFindings {
-        val places =
-            views.desired.placesOn[machine]
-                .orEmpty()
-                .mapNotNull { views.desired.placeOf(it) }
+        val placements = views.desired.placementsOn(machine)
+        val adopted = placements.filter { it.isAdopted }
         val observed = views.observed.machines[machine]
         val differences = ArrayList<Difference>()
-        machinesListed(machine, places.any { it.adopted }, views)?.let(differences::add)
+        delisted(machine, adopted.isNotEmpty(), views.rented)?.let(differences::add)
         if (observed == null) {
-            unheard(machine, places.size, views)?.let(differences::add)
+            unheard(machine, placements.size, views.rented)?.let(differences::add)
         } else {
-            if (observed.lastHeartbeatAt ==
-                null
-            ) {
-                differences.add(UnreportingMachine(machine, Evidence(EvidenceSource.ANSWER, observed.observedAt)))
-            }
-            observed.tasks.flatMapTo(differences) { heartbeatReceived(observed, it, views) }
-            places.mapNotNullTo(differences) { missing(it, observed, views) }
+            unreporting(observed)?.let(differences::add)
+            observed.tasks.flatMapTo(differences) { taskDifferences(observed, it, views) }
+            placements.mapNotNullTo(differences) { placementDifference(it, observed, views.desired) }
         }
-        val adopted = places.filter { it.adopted }
-        // Most machines are as they should be.
-        val sorted = if (differences.size > 1) differences.sortedWith(order) else differences
-        return MachineFindings(sorted, adopted.count { observed != null && isPresent(it, observed) }, adopted.size)
+        // Most machines have no difference at all, or one.
+        val sorted = if (differences.size > 1) differences.sortedWith(findingOrder) else differences
+        val confirmed = adopted.count { observed != null && observed.reports(it) }
+        return MachineFindings(sorted, confirmed, adopted.size)
     }
 
-    /** Findings are lists whose order must not depend on the order in which things were learnt. */
-    private val order =
-        compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
-
-    private fun evidenceOf(observed: ObservedMachine) = Evidence(if (observed.lastHeartbeatAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER, observed.observedAt)
+    private fun evidenceOf(observed: ObservedMachine): Evidence {
+        val source = if (observed.lastHeartbeatAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER
+        return Evidence(source, observed.observedAt)
+    }
 
-    private fun machinesListed(machine: String, placed: Boolean, views: ClusterViews): Difference? {
-        val rented = views.rented
+    private fun delisted(machine: String, hasAdoptedPlacement: Boolean, rented: RentedView): Difference? {
         val entry = rented.machines[machine]
-        // Lists lag: one that was never listed is noted only if an earlier leader's place names it.
-        val since = if (entry != null) entry.unlistedSince else rented.firstReadAt.takeIf { placed }
-        return if (since != null) DelistedMachine(machine, Evidence(EvidenceSource.CLOUD_LIST, since)) else null
+        // The cloud's lists lag: a machine that was never listed counts only if an earlier leader placed a task on it.
+        val since = if (entry != null) entry.unlistedSince else rented.firstReadAt.takeIf { hasAdoptedPlacement }
+        return since?.let { DelistedMachine(machine, Evidence(EvidenceSource.CLOUD_LIST, it)) }
     }
 
-    private fun unheard(machine: String, places: Int, views: ClusterViews): Difference? {
-        val entry = views.rented.machines[machine]
+    private fun unheard(machine: String, placements: Int, rented: RentedView): Difference? {
+        val entry = rented.machines[machine]
         val isUp = entry != null && entry.stage == MachineStage.RUNNING && entry.unlistedSince == null
-        if (places == 0 && !isUp) return null
+        if (placements == 0 && !isUp) return null
         val evidence =
-            if (places >
-                0
-            ) {
+            if (placements > 0) {
                 Evidence(EvidenceSource.STATE_SERVICE, Duration.ZERO)
             } else {
-                Evidence(
-                    EvidenceSource.CLOUD_LIST,
-                    views.rented.firstReadAt ?: Duration.ZERO,
-                )
+                Evidence(EvidenceSource.CLOUD_LIST, rented.firstReadAt ?: Duration.ZERO)
             }
-        return UnheardMachine(machine, places, evidence)
+        return UnheardMachine(machine, placements, evidence)
     }
 
-    private fun heartbeatReceived(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): List<Difference> {
+    private fun unreporting(observed: ObservedMachine): Difference? = if (observed.lastHeartbeatAt == null) UnreportingMachine(observed.id, evidenceOf(observed)) else null
+
+    private fun taskDifferences(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): List<Difference> {
         val job = views.desired.jobs[task.key.job]
-        if (task.state ==
-            TaskState.EXITED
-        ) {
-            return listOfNotNull(unrecorded(observed.id, task, job, evidenceOf(observed)))
-        }
-        return listOfNotNull(misplaced(observed, task, job), duplicate(observed, task, views))
+        if (task.state == TaskState.EXITED) return listOfNotNull(unrecordedResult(observed, task, job))
+        return listOfNotNull(misplaced(observed, task, job), duplicate(observed, task, views.observed))
     }
 
-    private fun misplaced(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
-        val place = job?.places?.get(task.key.task)
-        return when {
-            job == null -> OrphanTask(observed.id, task.key, task.attempt, recorded = false, evidenceOf(observed))
-            job.cancelled -> CancelledTask(observed.id, task.key, evidenceOf(observed))
-            place != null && place.machine == observed.id && place.attempt == task.attempt -> null
-            else -> OrphanTask(observed.id, task.key, task.attempt, recorded = true, evidenceOf(observed))
-        }
+    private fun unrecordedResult(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
+        if (task.exit != ExitReason.DONE || job == null) return null
+        val isResultExpected = job.kind != JobKind.SERVICE && !job.isCancelled && !job.done[task.key.task]
+        return if (isResultExpected) UnrecordedResult(observed.id, task.key, evidenceOf(observed)) else null
     }
 
-    private fun duplicate(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): Difference? {
-        val claims = views.observed.claims[task.key] ?: return null
-        return if (claims.size >
-            1
-        ) {
-            DuplicateTask(observed.id, task.key, claims.toSortedSet(), evidenceOf(observed))
-        } else {
-            null
-        }
+    private fun misplaced(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
+        if (job?.isCancelled == true) return CancelledTask(observed.id, task.key, evidenceOf(observed))
+        val placement = job?.placements?.get(task.key.task)
+        val isPlacedHere = placement != null && placement.machine == observed.id && placement.attempt == task.attempt
+        if (isPlacedHere) return null
+        return OrphanTask(observed.id, task.key, task.attempt, isJobRecorded = job != null, evidenceOf(observed))
     }
 
-    private fun unrecorded(machine: String, task: TaskStatus, job: DesiredJob?, evidence: Evidence): Difference? {
-        if (task.exit != ExitReason.DONE ||
-            job == null ||
-            job.kind == JobKind.SERVICE ||
-            job.cancelled ||
-            job.done[task.key.task]
-        ) {
-            return null
-        }
-        return UnrecordedResult(machine, task.key, evidence)
+    private fun duplicate(observed: ObservedMachine, task: TaskStatus, view: ObservedView): Difference? {
+        val claimants = view.claims[task.key] ?: return null
+        if (claimants.size <= 1) return null
+        return DuplicateTask(observed.id, task.key, claimants.toSortedSet(), evidenceOf(observed))
     }
 
-    private fun missing(place: StoredPlace, observed: ObservedMachine, views: ClusterViews): Difference? {
-        val key: TaskKey = place.key
-        val job = views.desired.jobs[key.job] ?: return null
-        if (job.done[key.task]) return ObsoletePlace(place.machine, key, Evidence(EvidenceSource.STATE_SERVICE, observed.observedAt))
-        val shown = observed.tasks.any { it.key == key && it.attempt == place.attempt }
-        // Until the worker has seen this leader's token a start of an earlier leader may still arrive there.
-        if (!place.adopted || !observed.trusted || shown || job.cancelled) return null
-        return MissingTask(place.machine, key, place.attempt, evidenceOf(observed))
+    private fun placementDifference(
+        placement: DesiredPlacement,
+        observed: ObservedMachine,
+        desired: DesiredView,
+    ): Difference? {
+        val key = placement.key
+        val job = desired.jobs[key.job] ?: return null
+        if (job.done[key.task]) {
+            val evidence = Evidence(EvidenceSource.STATE_SERVICE, observed.observedAt)
+            return ObsoletePlacement(placement.machine, key, evidence)
+        }
+        // Until the worker has seen this leader's token, a start order of an earlier leader may still arrive there.
+        val isProvedMissing = placement.isAdopted && observed.isTrusted && !observed.reports(placement)
+        if (!isProvedMissing || job.isCancelled) return null
+        return MissingTask(placement.machine, key, placement.attempt, evidenceOf(observed))
     }
 
-    private fun isPresent(place: StoredPlace, observed: ObservedMachine) =
-        observed.tasks.any {
-            it.key == place.key &&
-                it.attempt == place.attempt
-        }
+    private fun ObservedMachine.reports(placement: DesiredPlacement) = tasks.any { it.key == placement.key && it.attempt == placement.attempt }
 }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
@@ -4,24 +4,24 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What operators decide about recovering after a cold start. Shares are of the fleet or of a lease, so that they suit
- * any deployment.
+ * The operators' settings for the recovery after a cold start. Shares refer to the fleet or to a worker's lease, so
+ * that they suit deployments of any size.
  */
 data class RecoveryPolicy(
-    /** The share of each zone's machines of each type that is waited for before anything is judged to be lost. */
+    /** The share of machines of each type in each zone that must report before tasks are taken for lost. */
     val gatherShare: Double = 0.9,
-    /** The longest time of gathering, as a share of a worker's lease. */
+    /** The time limit of the gathering phase, as a multiple of a worker's lease. */
     val gatherLeaseShare: Double = 0.5,
-    /** The longest time of repairing, as a share of a worker's lease. */
+    /** The time limit of the repairing phase, as a multiple of a worker's lease. */
     val repairLeaseShare: Double = 3.0,
     val rates: RepairRates = RepairRates(),
-    /** If more than this share of the fleet would get destructive orders, they wait. */
+    /** The circuit breaker opens if more than this share of the fleet would receive destructive orders. */
     val breakerShare: Double = 0.3,
-    /** How long they wait at most for an operator or for more evidence. */
+    /** How long the open circuit breaker holds destructive orders back at most. */
     val breakerWait: Duration = 60.seconds,
 )
 
-/** How many orders of a kind a second, for each machine of the fleet. */
+/** Rate limits of orders: orders of a kind per second and machine of the fleet. */
 data class RepairRates(
     val starts: Double = 1.0,
     val stops: Double = 0.1,
@@ -29,5 +29,10 @@
     val deletions: Double = 0.05,
 )
 
-/** What the deployment's settings say, as far as recovery depends on it. */
+/**
+ * The deployment's settings that a recovery depends on.
+ *
+ * @property lease how long a worker's lease lasts
+ * @property listLag how far the cloud's lists may lag behind
+ */
 data class RecoverySetting(val lease: Duration, val heartbeatInterval: Duration, val listLag: Duration)
--- a/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
@@ -3,9 +3,11 @@
 import kotlin.time.Duration
 
 /**
- * What later leaders must know of a recovery. [token]: the term that stored it. [startedAt]: when the recovery began,
- * by the time of day. Written with the election wherever it is not certain that the start is an ordinary take-over, so
- * that no leader acts before.
+ * The stored record of a recovery, for later leaders. It is written together with the election wherever the start is
+ * not certain to be an ordinary failover, so that no leader acts before it exists.
+ *
+ * @property token the fencing token of the term that stored it
+ * @property startedAt when the recovery began, in wall-clock time since the epoch
  */
 data class RecoveryRecord(
     val token: Long,
@@ -15,22 +17,22 @@
     val isApproved: Boolean = false,
 )
 
-/** The stored record as a node has it. */
+/** The stored record of the last recovery as this process could read it. */
 sealed interface StoredRecovery {
-    /** Whether a recovery of a term before [token] is still to be finished. */
-    fun isOpen(token: Long): Boolean
+    /** Whether a recovery that began before the term [token] is not finished. */
+    fun isUnfinished(token: Long): Boolean
 
-    /** No recovery was ever begun. */
+    /** There has never been a recovery. */
     data object Absent : StoredRecovery {
-        override fun isOpen(token: Long) = false
+        override fun isUnfinished(token: Long) = false
     }
 
     data class Present(val record: RecoveryRecord, val version: Long) : StoredRecovery {
-        override fun isOpen(token: Long) = record.token < token && record.phase != RecoveryPhase.NORMAL
+        override fun isUnfinished(token: Long) = record.token < token && record.phase != RecoveryPhase.NORMAL
     }
 
-    /** It can't be read: recovery begins anew. */
+    /** There is a record that can't be decoded: the recovery starts over. */
     data class Unreadable(val version: Long, val problem: String) : StoredRecovery {
-        override fun isOpen(token: Long) = true
+        override fun isUnfinished(token: Long) = true
     }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/reconcile/RentedView.kt
@@ -0,0 +1,51 @@
+package glenspool.reconcile
+
+import glenspool.core.model.ListedMachine
+import glenspool.core.model.MachineStage
+import kotlinx.collections.immutable.PersistentMap
+import kotlinx.collections.immutable.mutate
+import kotlinx.collections.immutable.persistentHashMapOf
+import kotlin.time.Duration
+
+/**
+ * A machine as the cloud lists it.
+ *
+ * @property unlistedSince when a list first came without the machine after one that had it; null if the newest list has
+ *   it. Lists lag behind.
+ */
+data class RentedMachine(
+    val id: String,
+    val type: String,
+    val zone: String,
+    val stage: MachineStage,
+    val unlistedSince: Duration?,
+)
+
+/**
+ * The rented state: the machines that the cloud lists.
+ *
+ * @property firstReadAt when the first list of this term came; null if none has
+ */
+data class RentedView(
+    val machines: PersistentMap<String, RentedMachine> = persistentHashMapOf(),
+    val firstReadAt: Duration? = null,
+) {
+    /** The view after a further [list]. Entries that did not change stay the same objects. */
+    fun with(list: List<ListedMachine>, at: Duration): RentedView {
+        val listedIds = list.mapTo(HashSet(list.size * 2)) { it.id }
+        val updated =
+            machines.mutate { result ->
+                for (machine in list) {
+                    val entry = RentedMachine(machine.id, machine.type, machine.zone, machine.stage, null)
+                    if (result[machine.id] != entry) result[machine.id] = entry
+                }
+                for (known in machines.values) {
+                    val isNewlyUnlisted = known.unlistedSince == null && known.id !in listedIds
+                    if (isNewlyUnlisted) result[known.id] = known.copy(unlistedSince = at)
+                }
+            }
+        return RentedView(updated, firstReadAt ?: at)
+    }
+
+    fun without(machine: String): RentedView = copy(machines = machines.remove(machine))
+}
--- a/src/main/kotlin/glenspool/reconcile/RepairBudget.kt
+++ b/src/main/kotlin/glenspool/reconcile/RepairBudget.kt
@@ -12,8 +12,8 @@
 import kotlin.time.toJavaDuration
 
 /**
- * Token buckets for the orders of a recovery: so many a second of each kind, by the fleet's size. [clock]: the steady
- * time.
+ * Rate limits for the orders of a recovery: a token bucket for each kind of order, whose rate depends on the fleet's
+ * size. [clock] is the term's monotonic time.
  */
 class RepairBudget(private val rates: RepairRates, clock: () -> Duration) {
     private val meter =
@@ -23,22 +23,15 @@
             override fun isWallClockBased(): Boolean = false
         }
 
-    /** Orders a second, by kind; permissions to forget are not limited. */
-    var perSecond: Map<OrderKind, Long> = rateFor(1)
+    /** The rate limits in orders per second; kinds that are missing here are not limited. */
+    var perSecond: Map<OrderKind, Long> = limitsFor(fleet = 1)
         private set
-    private val buckets =
-        perSecond.mapValues { (_, rate) ->
-            Bucket
-                .builder()
-                .addLimit(limit(rate))
-                .withCustomTimePrecision(meter)
-                .build()
-        }
+    private val buckets = perSecond.mapValues { (_, rate) -> bucket(rate) }
 
-    /** The fleet's size is known better now. What was spent stays spent. */
+    /** Adapts the limits to the fleet's size. Orders that were given already stay counted. */
     fun resize(fleet: Int) {
         val before = perSecond
-        perSecond = rateFor(fleet)
+        perSecond = limitsFor(fleet)
         for ((kind, rate) in perSecond) {
             if (before[kind] == rate) continue
             val configuration = BucketConfiguration.builder().addLimit(limit(rate)).build()
@@ -46,10 +39,10 @@
         }
     }
 
-    /** Whether one more order of the kind may be given now; it is counted if so. */
-    fun take(kind: OrderKind): Boolean = buckets[kind]?.tryConsume(1) ?: true
+    /** Counts one more order of the kind if the limit allows it; false if it does not. */
+    fun tryConsume(kind: OrderKind): Boolean = buckets[kind]?.tryConsume(1) ?: true
 
-    private fun rateFor(fleet: Int): Map<OrderKind, Long> =
+    private fun limitsFor(fleet: Int): Map<OrderKind, Long> =
         mapOf(
             OrderKind.START to perSecond(rates.starts, fleet),
             OrderKind.STOP to perSecond(rates.stops, fleet),
@@ -59,6 +52,13 @@
 
     private fun perSecond(rate: Double, fleet: Int): Long = ceil(rate * fleet).toLong().coerceAtLeast(1)
 
+    private fun bucket(rate: Long): Bucket =
+        Bucket
+            .builder()
+            .addLimit(limit(rate))
+            .withCustomTimePrecision(meter)
+            .build()
+
     private fun limit(rate: Long): Bandwidth =
         Bandwidth
             .builder()
--- /dev/null
+++ b/src/main/kotlin/glenspool/reconcile/UnrecordedTasks.kt
@@ -0,0 +1,71 @@
+package glenspool.reconcile
+
+import glenspool.core.model.Heartbeat
+import glenspool.core.model.TaskKey
+import glenspool.core.model.TaskState
+import kotlin.time.Duration
+
+/**
+ * The tasks that machines report and whose job the store does not know, as far as this leader has read it. Whether such
+ * a job is really absent is proved by a read of the store that was sent after the task was first reported.
+ *
+ * Used by the scheduler's thread only, but for [isStoreReadAwaited].
+ */
+internal class UnrecordedTasks(startedAt: Duration) {
+    private data class ReportedTask(val machine: String, val task: TaskKey)
+
+    /** The live jobs that this leader has read. */
+    private val knownJobs = HashSet<String>()
+
+    /** When a task was first reported. */
+    private val reportedSince = HashMap<ReportedTask, Duration>()
+
+    /** This leader knows everything that was stored before this moment. */
+    private var storeReadUpTo = startedAt
+
+    /** Whether it matters how recently the store was read; may be read by any thread. */
+    @Volatile
+    var isStoreReadAwaited = false
+        private set
+
+    fun jobRead(job: String) {
+        knownJobs.add(job)
+    }
+
+    fun jobEnded(job: String) {
+        knownJobs.remove(job)
+    }
+
+    fun machineObserved(heartbeat: Heartbeat, at: Duration) {
+        if (heartbeat.tasks.isEmpty() && reportedSince.isEmpty()) return
+        val reported =
+            heartbeat.tasks
+                .filter { it.key.job !in knownJobs && it.state != TaskState.EXITED }
+                .mapTo(HashSet()) { ReportedTask(heartbeat.machine, it.key) }
+        if (reported.isEmpty() && reportedSince.isEmpty()) return
+        reportedSince.keys.removeIf { it.machine == heartbeat.machine && it !in reported }
+        reported.forEach { reportedSince.putIfAbsent(it, at) }
+        isStoreReadAwaited = reportedSince.isNotEmpty()
+    }
+
+    fun machineDeleted(machine: String) {
+        reportedSince.keys.removeIf { it.machine == machine }
+    }
+
+    /** Everything stored before [sentAt] has been read and applied. */
+    fun storeRead(sentAt: Duration) {
+        storeReadUpTo = maxOf(storeReadUpTo, sentAt)
+    }
+
+    /** Whether the task's job was found absent by a read that was sent after the task was first reported. */
+    fun isProvedUnrecorded(machine: String, task: TaskKey): Boolean {
+        val since = reportedSince[ReportedTask(machine, task)] ?: return false
+        return storeReadUpTo > since
+    }
+
+    fun clear() {
+        reportedSince.clear()
+        isStoreReadAwaited = false
+        knownJobs.clear()
+    }
+}
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -23,224 +23,216 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Differences kept up event by event, against comparing everything anew and against a slow plain model. */
+private fun heartbeat(machine: String, incarnation: Long, sequence: Long, tasks: List<TaskStatus>) = Heartbeat(machine, "addr", "big", "a", false, incarnation, sequence, 1, null, tasks)
+
+/** Differences as the reference model names them: kind, machine, task. */
+private fun namesOf(findings: Map<String, MachineFindings>): List<String> =
+    findings.values
+        .flatMap { it.differences }
+        .map { difference ->
+            val task = difference.task?.let { " ${it.job}/${it.task}" }.orEmpty()
+            "${difference.kind} ${difference.machine}$task"
+        }.sorted()
+
+/** The incremental comparison against comparing everything anew and against a slow reference model. */
 class DifferenceTrackerTest {
-    private val tracker = DifferenceTracker()
-    private val plain = ReferenceDifferences()
-    private val machines = List(5) { "m$it" }
-    private val jobs = List(4) { "j$it" }
-    private var now = Duration.ZERO
-    private var sequence = 0L
-
-    private fun names(findings: Map<String, MachineFindings>) =
-        findings.values
-            .flatMap { it.differences }
-            .map { d ->
-                "${d.kind} ${d.machine}${d.task?.let { " ${it.job}/${it.task}" } ?: ""}"
-            }.sorted()
-
-    private fun store(random: Random, id: String, adopted: Boolean) {
-        val kind = if (id == "j0") JobKind.SERVICE else JobKind.ARRAY
-        val done = BitSet().also { if (kind == JobKind.ARRAY && random.nextInt(3) == 0) it.set(random.nextInt(3)) }
-        val placements =
-            (0 until 3)
-                .filter {
-                    random.nextBoolean()
-                }.map {
-                    StoredPlacement(
-                        it, 1L + random.nextInt(2),
-                        machines[
-                            random
-                                .nextInt(machines.size),
-                        ],
-                    )
-                }
-        val before =
-            plain.records[id]
-                ?.placements
-                .orEmpty()
-                .toSet()
-        val record = JobRecord(job(id, kind, 3), now, 2, done, placements)
-        plain.records[id] = record
-        for (i in placements) {
-            val name = "$id/${i.task}#${i.attempt}@${i.machine}"
-            if (i !in before) {
-                if (adopted) {
-                    plain.adopted.add(name)
-                } else {
-                    plain.adopted.remove(name)
-                }
+    /** Gives the same random events to the tracker and to the reference model. */
+    private class Scenario(private val random: Random) {
+        val tracker = DifferenceTracker()
+        val reference = ReferenceDifferences()
+        private val machines = List(5) { "m$it" }
+        private val jobs = List(4) { "j$it" }
+        private var now = Duration.ZERO
+        private var sequence = 0L
+
+        private fun isOneIn(number: Int) = random.nextInt(number) == 0
+
+        fun randomEvent() {
+            now += 1.seconds
+            val job = jobs[random.nextInt(jobs.size)]
+            val machine = machines[random.nextInt(machines.size)]
+            when (random.nextInt(12)) {
+                in 0..2 -> storeJob(job, isAdopted = random.nextBoolean())
+                in 3..7 -> observe(machine)
+                8 -> listMachines()
+                9 -> cancel(job)
+                10 -> end(job)
+                else -> delete(machine)
             }
         }
-        tracker.jobStored(record, adopted)
-    }
 
-    private fun observe(random: Random, machine: String) {
-        val tasks =
-            jobs.flatMap { id -> (0 until 3).map { TaskKey(id, it) } }.filter { random.nextInt(5) == 0 }.map { key ->
-                val ended = random.nextInt(3) == 0
-                TaskStatus(key, 1L + random.nextInt(2), if (ended) TaskState.EXITED else TaskState.RUNNING, if (ended) ExitReason.DONE else null, false)
+        private fun storeJob(id: String, isAdopted: Boolean) {
+            val kind = if (id == "j0") JobKind.SERVICE else JobKind.ARRAY
+            val done = BitSet()
+            if (kind == JobKind.ARRAY && isOneIn(3)) done.set(random.nextInt(TASKS))
+            val placements =
+                (0 until TASKS)
+                    .filter { random.nextBoolean() }
+                    .map { StoredPlacement(it, 1L + random.nextInt(2), machines[random.nextInt(machines.size)]) }
+            val before =
+                reference.records[id]
+                    ?.placements
+                    .orEmpty()
+                    .toSet()
+            val record = JobRecord(job(id, kind, TASKS), now, 2, done, placements)
+            reference.records[id] = record
+            for (placement in placements - before) {
+                val name = "$id/${placement.task}#${placement.attempt}@${placement.machine}"
+                if (isAdopted) reference.adopted.add(name) else reference.adopted.remove(name)
             }
-        val heartbeat = Heartbeat(machine, "addr", "big", "a", false, 1, ++sequence, 1, null, tasks)
-        val source = if (random.nextInt(3) == 0) HeartbeatSource.DIRECT else HeartbeatSource.WORKER
-        val trusted = random.nextInt(4) > 0
-        plain.seen[machine] =
-            ReferenceDifferences.Seen(
-                heartbeat, trusted,
-                source == HeartbeatSource.WORKER || plain.seen[machine]?.reportedItself == true,
-            )
-        tracker.machineObserved(heartbeat, source, trusted, now)
-    }
+            tracker.jobStored(record, isAdopted)
+        }
 
-    private fun list(random: Random) {
-        val named =
-            machines.filter { random.nextInt(4) > 0 }.associateWith {
-                if (random.nextInt(4) ==
-                    0
-                ) {
-                    MachineStage.BOOTING
-                } else {
-                    MachineStage.RUNNING
+        private fun observe(machine: String) {
+            val keys = jobs.flatMap { job -> (0 until TASKS).map { TaskKey(job, it) } }
+            val tasks =
+                keys.filter { isOneIn(5) }.map { key ->
+                    val hasEnded = isOneIn(3)
+                    val state = if (hasEnded) TaskState.EXITED else TaskState.RUNNING
+                    val exit = if (hasEnded) ExitReason.DONE else null
+                    TaskStatus(key, 1L + random.nextInt(2), state, exit, false)
                 }
-            }
-        plain.listRead = true
-        for ((m, old) in plain.listed.toMap()) {
-            if (m !in
-                named
-            ) {
-                plain.listed[m] = ReferenceDifferences.Listed(old.stage, true)
-            }
+            val heartbeat = heartbeat(machine, incarnation = 1, ++sequence, tasks)
+            val source = if (isOneIn(3)) HeartbeatSource.DIRECT else HeartbeatSource.WORKER
+            val isTrusted = random.nextInt(4) > 0
+            val hasReported = source == HeartbeatSource.WORKER || reference.seen[machine]?.reportedItself == true
+            reference.seen[machine] = ReferenceDifferences.Seen(heartbeat, isTrusted, hasReported)
+            tracker.machineObserved(heartbeat, source, isTrusted, now)
         }
-        for ((m, stage) in named) plain.listed[m] = ReferenceDifferences.Listed(stage, false)
-        tracker.machinesListed(
-            named.map { (m, stage) ->
-                ListedMachine(m, "addr", "big", "a", false, stage, 9.seconds)
-            },
-            now,
-        )
-    }
 
-    private fun happen(random: Random) {
-        val id = jobs[random.nextInt(jobs.size)]
-        val machine = machines[random.nextInt(machines.size)]
-        when (random.nextInt(12)) {
-            in 0..2 -> store(random, id, adopted = random.nextBoolean())
-            in 3..7 -> observe(random, machine)
-            8 -> list(random)
-            9 ->
-                if (plain.records.containsKey(id)) {
-                    plain.cancelled.add(id)
-                    tracker.jobCancelled(id)
+        private fun listMachines() {
+            val stages =
+                machines.filter { random.nextInt(4) > 0 }.associateWith {
+                    if (isOneIn(4)) MachineStage.BOOTING else MachineStage.RUNNING
+                }
+            reference.listRead = true
+            for ((machine, entry) in reference.listed.toMap()) {
+                if (machine !in stages) {
+                    reference.listed[machine] = ReferenceDifferences.Listed(entry.stage, missing = true)
                 }
-            10 -> {
-                plain.records.remove(id)
-                plain.cancelled.remove(id)
-                plain.adopted.removeIf { it.startsWith("$id/") }
-                tracker.jobEnded(id)
             }
-            else -> {
-                plain.seen.remove(machine)
-                plain.listed.remove(machine)
-                tracker.machineDeleted(machine)
+            for ((machine, stage) in stages) {
+                reference.listed[machine] = ReferenceDifferences.Listed(stage, missing = false)
+            }
+            val list = stages.map { (id, stage) -> ListedMachine(id, "addr", "big", "a", false, stage, 9.seconds) }
+            tracker.machinesListed(list, now)
+        }
+
+        private fun cancel(job: String) {
+            if (!reference.records.containsKey(job)) return
+            reference.cancelled.add(job)
+            tracker.jobCancelled(job)
+        }
+
+        private fun end(job: String) {
+            reference.records.remove(job)
+            reference.cancelled.remove(job)
+            reference.adopted.removeIf { it.startsWith("$job/") }
+            tracker.jobEnded(job)
+        }
+
+        private fun delete(machine: String) {
+            reference.seen.remove(machine)
+            reference.listed.remove(machine)
+            tracker.machineDeleted(machine)
+        }
+
+        /** Gives the tracker once more everything that it knows already. */
+        fun repeatAllObservations() {
+            reference.records.values.forEach { tracker.jobStored(it, isAdopted = false) }
+            for (seen in reference.seen.values) {
+                val source = if (seen.reportedItself) HeartbeatSource.WORKER else HeartbeatSource.DIRECT
+                tracker.machineObserved(seen.heartbeat, source, seen.trusted, 99.seconds)
             }
         }
     }
 
     @Property(tries = 400)
-    fun `what is kept up equals what comparing everything shows, and the plain model`(
+    fun `incremental findings equal a full comparison and the reference model`(
         @ForAll seed: Long,
     ) {
-        val random = Random(seed)
-        val test = DifferenceTrackerTest()
+        val scenario = Scenario(Random(seed))
+        val tracker = scenario.tracker
         repeat(60) {
-            test.now += 1.seconds
-            test.happen(random)
-            assertEquals(MachineComparison.all(test.tracker.views), test.tracker.findings.toMap(), "seed $seed")
-            assertEquals(test.plain.names(), test.names(test.tracker.findings), "seed $seed")
-            val totals = test.tracker.totals()
-            assertEquals(
-                test.tracker.findings.values
-                    .sumOf { it.differences.size },
-                totals.byKind.values.sum(),
-            )
-            assertEquals(
-                test.tracker.findings.values
-                    .sumOf { it.adopted } to
-                    test.tracker.findings.values
-                        .sumOf { it.confirmed },
-                totals.adopted to totals.confirmed,
-            )
+            scenario.randomEvent()
+
+            val findings = tracker.findings
+            assertEquals(MachineComparison.all(tracker.views), findings.toMap(), "seed $seed")
+            assertEquals(scenario.reference.names(), namesOf(findings), "seed $seed")
+            val totals = tracker.totals()
+            assertEquals(findings.values.sumOf { it.differences.size }, totals.byKind.values.sum())
+            assertEquals(findings.values.sumOf { it.adopted }, totals.adopted)
+            assertEquals(findings.values.sumOf { it.confirmed }, totals.confirmed)
         }
     }
 
     @Property(tries = 50)
-    fun `learning the same once more changes nothing`(
+    fun `repeated observations change nothing`(
         @ForAll seed: Long,
     ) {
-        val random = Random(seed)
-        val test = DifferenceTrackerTest()
-        repeat(30) { test.happen(random) }
-        val before = test.names(test.tracker.findings)
-        test.plain.records.values
-            .forEach { test.tracker.jobStored(it, adopted = false) }
-        for (seen in test.plain.seen.values) {
-            test.tracker
-                .machineObserved(
-                    seen.heartbeat, if (seen.reportedItself) HeartbeatSource.WORKER else HeartbeatSource.DIRECT, seen.trusted,
-                    99
-                        .seconds,
-                )
-        }
-        assertEquals(before, test.names(test.tracker.findings), "seed $seed")
+        val scenario = Scenario(Random(seed))
+        repeat(30) { scenario.randomEvent() }
+        val before = namesOf(scenario.tracker.findings)
+
+        scenario.repeatAllObservations()
+
+        assertEquals(before, namesOf(scenario.tracker.findings), "seed $seed")
     }
 
-    /** Comparisons for one report of a fleet whose machines run four tasks each. */
-    private fun comparisonsPerReport(fleet: Int): Long {
+    /** The comparisons caused by one changed heartbeat in a fleet whose machines run four tasks each. */
+    private fun comparisonsPerHeartbeat(fleet: Int): Long {
         val tracker = DifferenceTracker()
-        for (j in 0 until fleet) {
-            val placements = (0 until 4).map { StoredPlacement(it, 1, "m${(j + it * 7) % fleet}") }
-            tracker.jobStored(JobRecord(job("j$j", tasks = 4), Duration.ZERO, 1, BitSet(), placements), adopted = true)
+        for (number in 0 until fleet) {
+            val placements = (0 until 4).map { StoredPlacement(it, 1, "m${(number + it * 7) % fleet}") }
+            val record = JobRecord(job("j$number", tasks = 4), Duration.ZERO, 1, BitSet(), placements)
+            tracker.jobStored(record, isAdopted = true)
         }
 
-        fun heartbeat(m: Int, sequence: Long): Heartbeat {
-            val state = if (sequence > 1) TaskState.CHECKPOINTING else TaskState.RUNNING
-            val tasks =
-                (0 until 4).map {
-                    TaskStatus(TaskKey("j${(m - it * 7).mod(fleet)}", it), 1, state, null, false)
-                }
-            return Heartbeat("m$m", "addr", "big", "a", false, 1, sequence, 1, null, tasks)
+        fun observeFleet(sequence: Long, state: TaskState, at: Duration) {
+            for (number in 0 until fleet) {
+                val keys = (0 until 4).map { TaskKey("j${(number - it * 7).mod(fleet)}", it) }
+                val tasks = keys.map { TaskStatus(it, 1, state, null, false) }
+                val heartbeat = heartbeat("m$number", incarnation = 1, sequence, tasks)
+                tracker.machineObserved(heartbeat, HeartbeatSource.WORKER, isTrusted = true, at)
+            }
         }
-        for (m in 0 until fleet) tracker.machineObserved(heartbeat(m, 1), HeartbeatSource.WORKER, true, 1.seconds)
+        observeFleet(sequence = 1, TaskState.RUNNING, 1.seconds)
         assertEquals(DifferenceTotals(emptyMap(), fleet * 4, fleet * 4), tracker.totals())
         val before = tracker.comparisons
-        for (m in 0 until fleet) tracker.machineObserved(heartbeat(m, 1), HeartbeatSource.WORKER, true, 2.seconds)
-        assertEquals(before, tracker.comparisons)
-        for (m in 0 until fleet) tracker.machineObserved(heartbeat(m, 2), HeartbeatSource.WORKER, true, 2.seconds)
+        observeFleet(sequence = 1, TaskState.RUNNING, 2.seconds)
+        assertEquals(before, tracker.comparisons, "an unchanged heartbeat causes no comparison")
+        observeFleet(sequence = 2, TaskState.CHECKPOINTING, 2.seconds)
         return (tracker.comparisons - before) / fleet
     }
 
     @Test
-    fun `the work for a report does not grow with the fleet`() {
-        // The same report once more is no news; a changed one concerns its own machine.
-        assertEquals(listOf(1L, 1L, 1L), listOf(40, 300, 4000).map(::comparisonsPerReport))
+    fun `a changed heartbeat causes one comparison however large the fleet is`() {
+        assertEquals(listOf(1L, 1L, 1L), listOf(40, 300, 4000).map(::comparisonsPerHeartbeat))
     }
 
     @Test
-    fun `unheard is unknown, and only a report that shows this leader's token proves a task missing`() {
-        tracker.jobStored(JobRecord(job("a", tasks = 1), now, 1, BitSet(), listOf(StoredPlacement(0, 1, "m1"))), adopted = true)
-        assertEquals(listOf("UNHEARD_MACHINE m1"), names(tracker.findings))
-        val empty = Heartbeat("m1", "addr", "big", "a", false, 2, 1, 1, null, emptyList())
-        tracker.machineObserved(empty, HeartbeatSource.WORKER, trusted = false, 1.seconds)
+    fun `a task counts as missing only after a heartbeat that shows this leader's token`() {
+        val tracker = DifferenceTracker()
+        val placements = listOf(StoredPlacement(0, 1, "m1"))
+        val withoutTasks = heartbeat("m1", incarnation = 2, sequence = 1, emptyList())
+
+        tracker.jobStored(JobRecord(job("a", tasks = 1), Duration.ZERO, 1, BitSet(), placements), isAdopted = true)
+        assertEquals(listOf("UNHEARD_MACHINE m1"), namesOf(tracker.findings))
+
+        tracker.machineObserved(withoutTasks, HeartbeatSource.WORKER, isTrusted = false, 1.seconds)
         assertTrue(tracker.findings.values.all { it.differences.isEmpty() })
-        tracker.machineObserved(empty, HeartbeatSource.WORKER, trusted = true, 2.seconds)
-        assertEquals(listOf("MISSING_TASK m1 a/0"), names(tracker.findings))
-        assertEquals(
-            Evidence(EvidenceSource.REPORT, 2.seconds),
+
+        tracker.machineObserved(withoutTasks, HeartbeatSource.WORKER, isTrusted = true, 2.seconds)
+        assertEquals(listOf("MISSING_TASK m1 a/0"), namesOf(tracker.findings))
+        val difference =
             tracker.findings
                 .getValue("m1")
                 .differences
                 .single()
-                .evidence,
-        )
+        assertEquals(Evidence(EvidenceSource.REPORT, 2.seconds), difference.evidence)
+    }
+
+    private companion object {
+        const val TASKS = 3
     }
 }
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -24,188 +24,210 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The rules of a recovery, one by one, in made-up time. */
+/** The rules of a recovery, one by one, in simulated time. */
 class RecoveryRulesTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoverySetting(16.seconds, 2.seconds, 3.seconds)
-
-    private fun witness(vararg reads: Pair<Long?, Duration>) =
-        ContinuityWitness(4.seconds).also { w ->
-            reads.forEach { (leader, at) ->
-                w
-                    .stateRead(leader, at)
-            }
-        }
+    private val setting = RecoverySetting(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
+
+    /** The first token that a process witnesses whose reads of the store return these leaders' tokens. */
+    private fun firstTokenAfter(vararg reads: Pair<Long?, Duration>): Long? {
+        val witness = ContinuityWitness(staleLeaseLimit = 4.seconds)
+        reads.forEach { (leader, at) -> witness.stateRead(leader, at) }
+        return witness.firstToken
+    }
 
     @Test
     fun `a process witnesses a term only if it saw it begin or saw its lease renewed`() {
-        assertEquals(3L, witness(null to 0.seconds, 3L to 1.seconds).firstToken)
-        // What was there at the first look may be a remainder of a leader that has ended.
-        assertNull(witness(3L to 0.seconds, 3L to 3.seconds, null to 3.seconds).firstToken)
-        assertEquals(3L, witness(3L to 0.seconds, 3L to 2.seconds, 3L to 4.seconds).firstToken)
-        assertEquals(4L, witness(3L to 0.seconds, 4L to 1.seconds).firstToken)
-        // After an outage every lease has its full time again.
-        val interrupted = witness(3L to 0.seconds)
-        interrupted.readingInterrupted(9.seconds)
-        interrupted.stateRead(3L, 9.seconds)
-        assertNull(interrupted.firstToken)
+        assertEquals(3L, firstTokenAfter(null to 0.seconds, 3L to 1.seconds))
+        assertEquals(3L, firstTokenAfter(3L to 0.seconds, 3L to 2.seconds, 3L to 4.seconds))
+        assertEquals(4L, firstTokenAfter(3L to 0.seconds, 4L to 1.seconds))
+        // A record that exists at the first read may be stale: its leader may have ended.
+        assertNull(firstTokenAfter(3L to 0.seconds, 3L to 3.seconds, null to 3.seconds))
     }
 
     @Test
-    fun `a cold start is proved, and never guessed`() {
-        val nothing = StoredRecovery.Absent
-
-        fun said(token: Long?) = MemberWitness(true, token)
-        val silent = MemberWitness(false, null)
-        assertEquals(StartKind.FIRST, StartJudgement.judge(1, null, listOf(silent, silent), nothing))
-        assertEquals(StartKind.TAKE_OVER, StartJudgement.judge(5, 4, listOf(silent, silent), nothing))
-        assertEquals(StartKind.TAKE_OVER, StartJudgement.judge(5, null, listOf(silent, said(2)), nothing))
-        assertEquals(StartKind.UNKNOWN, StartJudgement.judge(5, null, listOf(silent, said(null)), nothing))
-        assertEquals(StartKind.COLD, StartJudgement.judge(5, null, listOf(said(null), said(null)), nothing))
-        // That the others saw this very term begin proves nothing of the time before.
-        assertEquals(StartKind.COLD, StartJudgement.judge(5, 5, listOf(said(5), said(null)), nothing))
-        val open = RecoveryRecord(4, RecoveryPhase.GATHERING, 1.seconds)
-        assertEquals(StartKind.CONTINUED, StartJudgement.judge(5, 4, listOf(said(2)), StoredRecovery.Present(open, 9)))
-        assertEquals(
-            StartKind.TAKE_OVER,
-            StartJudgement
-                .judge(5, 4, listOf(said(2)), StoredRecovery.Present(open.copy(phase = RecoveryPhase.NORMAL), 9)),
-        )
-        assertEquals(
-            StartKind.CONTINUED,
-            StartJudgement
-                .judge(5, 4, listOf(said(2)), StoredRecovery.Unreadable(9, "malformed")),
-        )
+    fun `an interruption of reading extends the time until a term counts as witnessed`() {
+        val witness = ContinuityWitness(staleLeaseLimit = 4.seconds)
+        witness.stateRead(3L, 0.seconds)
+
+        witness.readingInterrupted(9.seconds)
+        witness.stateRead(3L, 9.seconds)
+
+        assertNull(witness.firstToken)
     }
 
     @Test
-    fun `each phase admits what it should`() {
+    fun `a start counts as cold only if every controller answered and none witnessed an earlier term`() {
+        fun answered(firstToken: Long?) = MemberWitness(answered = true, firstToken)
+        val silent = MemberWitness(answered = false, firstToken = null)
+
+        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberWitness) = StartClassifier.classify(token, ownFirstToken, members.toList(), StoredRecovery.Absent)
+        assertEquals(StartKind.FIRST, classify(1, null, silent, silent))
+        assertEquals(StartKind.TAKE_OVER, classify(5, 4, silent, silent))
+        assertEquals(StartKind.TAKE_OVER, classify(5, null, silent, answered(2)))
+        assertEquals(StartKind.UNKNOWN, classify(5, null, silent, answered(null)))
+        assertEquals(StartKind.COLD, classify(5, null, answered(null), answered(null)))
+        // That other processes saw this very term begin proves nothing about the time before it.
+        assertEquals(StartKind.COLD, classify(5, 5, answered(5), answered(null)))
+    }
+
+    @Test
+    fun `a start continues a recovery whose record is unfinished or unreadable`() {
+        val unfinished = RecoveryRecord(4, RecoveryPhase.GATHERING, 1.seconds)
+        val finished = unfinished.copy(phase = RecoveryPhase.NORMAL)
+        val members = listOf(MemberWitness(answered = true, firstToken = 2))
+
+        fun classify(recovery: StoredRecovery) = StartClassifier.classify(5, 4, members, recovery)
+        assertEquals(StartKind.CONTINUED, classify(StoredRecovery.Present(unfinished, 9)))
+        assertEquals(StartKind.TAKE_OVER, classify(StoredRecovery.Present(finished, 9)))
+        assertEquals(StartKind.CONTINUED, classify(StoredRecovery.Unreadable(9, "malformed")))
+    }
+
+    @Test
+    fun `each phase admits its kinds of orders`() {
         val causes: List<OrderCause> =
-            listOf(StartCause.RESTORED, ScaleOutCause.HEADROOM, StopCause.ORPHANED, DeletionCause.SILENT, ForgetCause.RECORDED)
-        val admitted =
-            RecoveryPhase.entries.associateWith { phase ->
-                causes.filter { phase.admits(it) }.map { it.kind }
-            }
+            listOf(
+                StartCause.RESTORED,
+                ScaleOutCause.HEADROOM,
+                StopCause.ORPHANED,
+                DeletionCause.SILENT,
+                ForgetCause.RECORDED,
+            )
+        val all = listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET)
         val expected =
             mapOf(
                 RecoveryPhase.READING to listOf(OrderKind.FORGET),
                 RecoveryPhase.GATHERING to listOf(OrderKind.START, OrderKind.FORGET),
                 RecoveryPhase.ADOPTING to listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.FORGET),
-                RecoveryPhase.REPAIRING to
-                    listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
-                RecoveryPhase.NORMAL to
-                    listOf(OrderKind.START, OrderKind.RENTAL, OrderKind.STOP, OrderKind.DELETION, OrderKind.FORGET),
+                RecoveryPhase.REPAIRING to all,
+                RecoveryPhase.NORMAL to all,
             )
+        val admitted =
+            RecoveryPhase.entries.associateWith { phase -> causes.filter { phase.admits(it) }.map { it.kind } }
         assertEquals(expected, admitted)
     }
 
     private fun facts(
         now: Duration,
-        kind: StartKind = StartKind.COLD,
-        heard: Int = 0,
+        startKind: StartKind = StartKind.COLD,
+        reported: Int = 0,
         repairable: Int = 1,
-        paused: Boolean = false,
+        isListRead: Boolean = true,
+        isPaused: Boolean = false,
         breaker: BreakerState = BreakerState.CLOSED,
-    ) = PhaseFacts(now, kind, true, GatheringProgress(listOf(GatheringProgress.Group("a", "big", 10, heard))), repairable, 0, true, breaker, paused)
+        gathering: GatheringProgress = GatheringProgress(listOf(GatheringProgress.Group("a", "big", 10, reported))),
+    ) = PhaseFacts(
+        now,
+        startKind,
+        isListRead,
+        gathering,
+        repairable,
+        unconfirmed = 0,
+        isCompared = true,
+        breaker,
+        isPaused,
+    )
+
+    private fun phaseMachine() = PhaseMachine(policy, setting, startedAt = 0.seconds)
+
+    @Test
+    fun `phases end when they are complete or their time is over, and not while paused`() {
+        val phases = phaseMachine()
+        assertEquals(RecoveryPhase.GATHERING, phases.advance(facts(0.seconds))?.phase)
+
+        assertNull(phases.advance(facts(7.seconds, reported = 8)), "eight of ten machines are not enough")
+        assertNull(phases.advance(facts(9.seconds, reported = 8, isPaused = true)))
+        assertEquals(PhaseEnd.TIME_OVER, phases.advance(facts(9.seconds, reported = 8))?.end)
+        assertEquals(RecoveryPhase.ADOPTING, phases.state.phase)
+
+        val openBreaker = BreakerState(isOpen = true, machines = 9, fleet = 10, openSince = 9.seconds, release = null)
+        assertNull(phases.advance(facts(99.seconds, breaker = openBreaker)))
+        assertEquals(RecoveryPhase.REPAIRING, phases.advance(facts(100.seconds))?.phase)
+
+        assertNull(phases.advance(facts(101.seconds)))
+        val normal = PhaseState(RecoveryPhase.NORMAL, 102.seconds, PhaseEnd.COMPLETE)
+        assertEquals(normal, phases.advance(facts(102.seconds, repairable = 0)))
+    }
 
     @Test
-    fun `phases go on when they are complete or their time is over, and not while paused`() {
-        val machine = PhaseMachine(policy, setting, 0.seconds)
-        assertEquals(RecoveryPhase.GATHERING, machine.advance(facts(0.seconds))?.phase)
-        assertNull(machine.advance(facts(7.seconds, heard = 8)))
-        assertNull(machine.advance(facts(9.seconds, heard = 8, paused = true)))
-        // One late machine in ten is not waited for; nor are the others for ever.
-        assertEquals(PhaseEnd.TIME_OVER, machine.advance(facts(9.seconds, heard = 8))?.end)
-        assertEquals(RecoveryPhase.ADOPTING, machine.state.phase)
-        assertNull(machine.advance(facts(99.seconds, breaker = BreakerState(true, 9, 10, 9.seconds, null))))
-        assertEquals(RecoveryPhase.REPAIRING, machine.advance(facts(100.seconds))?.phase)
-        assertNull(machine.advance(facts(101.seconds)))
-        assertEquals(
-            PhaseState(RecoveryPhase.NORMAL, 102.seconds, PhaseEnd.COMPLETE),
-            machine
-                .advance(facts(102.seconds, repairable = 0)),
-        )
-        val withoutList = PhaseMachine(policy, setting, 0.seconds)
-        assertEquals(PhaseEnd.TIME_OVER, withoutList.advance(facts(3.seconds).copy(listRead = false))?.end)
-        assertNull(
-            withoutList
-                .advance(facts(4.seconds).copy(listRead = false, gathering = GatheringProgress(emptyList()))),
-            "nobody to wait for is known",
-        )
-        val ordinary = PhaseMachine(policy, setting, 0.seconds)
-        assertEquals(
-            PhaseState(RecoveryPhase.NORMAL, 1.seconds, PhaseEnd.ORDINARY_START),
-            ordinary
-                .advance(facts(1.seconds, StartKind.TAKE_OVER)),
-        )
+    fun `gathering is not complete while no list says which machines should report`() {
+        val phases = phaseMachine()
+        assertEquals(PhaseEnd.TIME_OVER, phases.advance(facts(3.seconds, isListRead = false))?.end)
+        assertNull(phases.advance(facts(4.seconds, isListRead = false, gathering = GatheringProgress.NONE)))
     }
 
     @Test
-    fun `the breaker holds until there is less to do, an operator approves or its time is over`() {
-        fun opened() = CircuitBreaker(policy).also { assertTrue(it.judge(4, 10, false, 1.seconds).isOpen) }
-        assertFalse(CircuitBreaker(policy).judge(3, 10, false, 1.seconds).isOpen)
-        assertTrue(opened().judge(4, 10, false, 60.seconds).isOpen)
-        assertEquals(BreakerRelease.FEWER_DIFFERENCES, opened().judge(3, 10, false, 2.seconds).release)
-        assertEquals(BreakerRelease.APPROVED, opened().judge(9, 10, true, 2.seconds).release)
-        val late = opened()
-        assertEquals(BreakerRelease.TIME_OVER, late.judge(9, 10, false, 61.seconds).release)
-        assertFalse(late.judge(10, 10, false, 62.seconds).isOpen, "once released it stays so")
+    fun `an ordinary failover ends the recovery at once`() {
+        val normal = PhaseState(RecoveryPhase.NORMAL, 1.seconds, PhaseEnd.ORDINARY_START)
+        assertEquals(normal, phaseMachine().advance(facts(1.seconds, StartKind.TAKE_OVER)))
     }
 
     @Test
-    fun `a budget gives so many a second, and what was spent stays spent when the fleet is known better`() {
+    fun `the breaker stays open until less is to be done, an operator approves or its time is over`() {
+        fun evaluated(breaker: CircuitBreaker, machines: Int, at: Duration, isApproved: Boolean = false) = breaker.evaluate(machines, fleet = 10, isApproved, at)
+
+        fun opened() = CircuitBreaker(policy).also { assertTrue(evaluated(it, 4, 1.seconds).isOpen) }
+        assertFalse(evaluated(CircuitBreaker(policy), 3, 1.seconds).isOpen)
+        assertTrue(evaluated(opened(), 4, 60.seconds).isOpen)
+        assertEquals(BreakerRelease.FEWER_DIFFERENCES, evaluated(opened(), 3, 2.seconds).release)
+        assertEquals(BreakerRelease.APPROVED, evaluated(opened(), 9, 2.seconds, isApproved = true).release)
+        val expired = opened()
+        assertEquals(BreakerRelease.TIME_OVER, evaluated(expired, 9, 61.seconds).release)
+        assertFalse(evaluated(expired, 10, 62.seconds).isOpen, "a released breaker never opens again")
+    }
+
+    @Test
+    fun `the budget limits orders per second, and resizing the fleet gives no spent order back`() {
         var now = 0.seconds
         val budget = RepairBudget(RepairRates(stops = 0.1)) { now }
-        budget.resize(50)
 
-        fun taken() = generateSequence { budget.take(OrderKind.STOP) }.takeWhile { it }.count()
-        assertEquals(1, taken(), "what the smallest fleet may do is there at first")
+        fun consumeAll() = generateSequence { budget.tryConsume(OrderKind.STOP) }.takeWhile { it }.count()
+        budget.resize(fleet = 50)
+        assertEquals(1, consumeAll(), "the budget begins with the smallest fleet's")
         now += 1.seconds
-        assertEquals(5, taken())
-        budget.resize(100)
-        assertEquals(0, taken())
+        assertEquals(5, consumeAll())
+        budget.resize(fleet = 100)
+        assertEquals(0, consumeAll())
         now += 0.5.seconds
-        assertEquals(5, taken())
-        assertTrue(budget.take(OrderKind.FORGET))
+        assertEquals(5, consumeAll())
+        assertTrue(budget.tryConsume(OrderKind.FORGET), "permissions to forget are not limited")
     }
 
     @Test
-    fun `a task of an unknown job is stopped only when its key was read as absent after it was seen`() {
-        val engine = RecoveryEngine(policy, setting, 2, 0.seconds, StartKind.COLD)
-        val order = ProposedOrder(StopCause.UNRECORDED, "m1", TaskKey("u", 0))
-        val tasks = listOf(TaskStatus(order.task!!, 1, TaskState.RUNNING, null, false))
-        engine
-            .machineObserved(
-                Heartbeat("m1", "addr", "big", "a", false, 1, 1, 2, null, tasks), HeartbeatSource.WORKER, true,
-                3
-                    .seconds,
-            )
-        engine.machinesListed(emptyList(), 3.seconds)
+    fun `a task of an unknown job is stopped only if its job was read as absent after the task was reported`() {
+        val engine = RecoveryEngine(policy, setting, token = 2, startedAt = 0.seconds, StartKind.COLD)
+        val gate = engine.hooks.gate
+        val observer = engine.hooks.observer
+        val task = TaskKey("u", 0)
+        val order = ProposedOrder(StopCause.UNRECORDED, "m1", task)
+        val tasks = listOf(TaskStatus(task, 1, TaskState.RUNNING, null, false))
+        val heartbeat = Heartbeat("m1", "addr", "big", "a", false, 1, 1, 2, null, tasks)
+        observer.machineObserved(heartbeat, HeartbeatSource.WORKER, trusted = true, 3.seconds)
+        observer.machinesListed(emptyList(), 3.seconds)
         (4..9).forEach { engine.tick(it.seconds) }
         assertEquals(RecoveryPhase.REPAIRING, engine.phase)
+
         engine.stateRead(2.9.seconds)
-        assertFalse(engine.admits(order))
+        assertFalse(gate.admits(order))
         engine.stateRead(3.1.seconds)
         engine.pause()
-        assertFalse(engine.admits(order))
+        assertFalse(gate.admits(order))
         engine.resume()
-        assertTrue(engine.admits(order))
-        assertFalse(engine.admits(order), "one a second for so small a fleet")
+        assertTrue(gate.admits(order))
+        assertFalse(gate.admits(order), "so small a fleet admits one stop per second")
     }
 
     @Test
-    fun `the stored record comes back as it was, and nothing else is taken for one`() {
+    fun `the stored record decodes to itself, and anything else is rejected as malformed`() {
         for (phase in RecoveryPhase.entries) {
-            val record =
-                RecoveryRecord(
-                    7, phase, 99.seconds, isPaused = true,
-                    isApproved =
-                        phase == RecoveryPhase.NORMAL,
-                )
+            val isApproved = phase == RecoveryPhase.NORMAL
+            val record = RecoveryRecord(7, phase, 99.seconds, isPaused = true, isApproved)
             assertEquals(record, RecoveryWire.decode(RecoveryWire.encode(record)))
         }
-        val good = RecoveryWire.encode(RecoveryRecord(7, RecoveryPhase.READING, 99.seconds))
-        for (name in good.keys) assertThrows(MalformedMessage::class.java, { RecoveryWire.decode(good - name) }, name)
-        assertThrows(MalformedMessage::class.java) { RecoveryWire.decode(good + ("phase" to "dreaming")) }
+        val fields = RecoveryWire.encode(RecoveryRecord(7, RecoveryPhase.READING, 99.seconds))
+        for (name in fields.keys) {
+            assertThrows(MalformedMessage::class.java, { RecoveryWire.decode(fields - name) }, name)
+        }
+        assertThrows(MalformedMessage::class.java) { RecoveryWire.decode(fields + ("phase" to "dreaming")) }
     }
 }
