--- a/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
+++ b/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
@@ -51,7 +51,10 @@
         return state
     }
 
-    private fun released(release: BreakerRelease, machines: Int, fleet: Int) = BreakerState(isOpen = false, machines, fleet, state.openSince, release)
+    private fun released(release: BreakerRelease, machines: Int, fleet: Int): BreakerState {
+        val openSince = state.openSince
+        return BreakerState(isOpen = false, machines, fleet, openSince, release)
+    }
 
     private companion object {
         /** In a smaller fleet a single machine is a large share, so the breaker never opens. */
--- a/src/main/kotlin/glenspool/reconcile/DesiredView.kt
+++ b/src/main/kotlin/glenspool/reconcile/DesiredView.kt
@@ -38,11 +38,7 @@
  *
  * @property finished indices of tasks whose result is stored now and was not before
  */
-data class JobChange(
-    val removed: List<DesiredPlacement>,
-    val added: List<DesiredPlacement>,
-    val finished: Set<Int>,
-)
+data class JobChange(val removed: List<DesiredPlacement>, val added: List<DesiredPlacement>, val finished: Set<Int>)
 
 /** The desired state: the stored jobs, and the keys of their placed tasks by machine. */
 data class DesiredView(
@@ -51,7 +47,10 @@
 ) {
     fun placementOf(key: TaskKey): DesiredPlacement? = jobs[key.job]?.placements?.get(key.task)
 
-    fun placementsOn(machine: String): List<DesiredPlacement> = tasksByMachine[machine].orEmpty().mapNotNull { placementOf(it) }
+    fun placementsOn(machine: String): List<DesiredPlacement> {
+        val tasks = tasksByMachine[machine].orEmpty()
+        return tasks.mapNotNull { placementOf(it) }
+    }
 
     /** What [record] changes of its job. [isAdopted]: whether an earlier leader stored its new placements. */
     fun changeOf(record: JobRecord, isAdopted: Boolean): JobChange {
@@ -119,7 +118,10 @@
         return result
     }
 
-    private fun StoredPlacement.isSameAs(other: DesiredPlacement?) = other != null && other.attempt == attempt && other.machine == machine
+    private fun StoredPlacement.isSameAs(other: DesiredPlacement?): Boolean {
+        if (other == null) return false
+        return other.attempt == attempt && other.machine == machine
+    }
 
     private fun newlyFinished(before: DesiredJob?, record: JobRecord): Set<Int> {
         if (before == null || before.done == record.done) return emptySet()
--- a/src/main/kotlin/glenspool/reconcile/Difference.kt
+++ b/src/main/kotlin/glenspool/reconcile/Difference.kt
@@ -44,11 +44,8 @@
 ) : Difference
 
 /** A task of a cancelled job that still runs. */
-data class CancelledTask(
-    override val machine: String,
-    override val task: TaskKey,
-    override val evidence: Evidence,
-) : Difference
+data class CancelledTask(override val machine: String, override val task: TaskKey, override val evidence: Evidence) :
+    Difference
 
 /** A finished task whose result is not stored yet. */
 data class UnrecordedResult(
@@ -72,11 +69,8 @@
  *
  * @property placements the number of placements stored for it
  */
-data class UnheardMachine(
-    override val machine: String,
-    val placements: Int,
-    override val evidence: Evidence,
-) : Difference
+data class UnheardMachine(override val machine: String, val placements: Int, override val evidence: Evidence) :
+    Difference
 
 /** A machine that answers requests but whose own heartbeats do not arrive: its lease will expire. */
 data class UnreportingMachine(override val machine: String, override val evidence: Evidence) : Difference
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -36,7 +36,7 @@
     /** Machines whose newest heartbeat names a task of the job, by job. */
     private val machinesByObservedJob = HashMap<String, MutableSet<String>>()
 
-    /** The number of machine comparisons so far; tests verify by it that an event's cost is independent of the fleet. */
+    /** The number of machine comparisons so far, for tests: an event's cost must not grow with the fleet. */
     var comparisons = 0L
         private set
 
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -28,7 +28,10 @@
         compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
 
     /** The findings of every machine that any view knows; machines without findings are left out. */
-    fun all(views: ClusterViews): Map<String, MachineFindings> = views.machines().associateWith { compare(it, views) }.filterValues { !it.isEmpty }
+    fun all(views: ClusterViews): Map<String, MachineFindings> {
+        val findings = views.machines().associateWith { compare(it, views) }
+        return findings.filterValues { !it.isEmpty }
+    }
 
     fun compare(machine: String, views: ClusterViews): MachineFindings {
         val placements = views.desired.placementsOn(machine)
@@ -74,7 +77,10 @@
         return UnheardMachine(machine, placements, evidence)
     }
 
-    private fun unreporting(observed: ObservedMachine): Difference? = if (observed.lastHeartbeatAt == null) UnreportingMachine(observed.id, evidenceOf(observed)) else null
+    private fun unreporting(observed: ObservedMachine): Difference? {
+        if (observed.lastHeartbeatAt != null) return null
+        return UnreportingMachine(observed.id, evidenceOf(observed))
+    }
 
     private fun taskDifferences(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): List<Difference> {
         val job = views.desired.jobs[task.key.job]
@@ -119,5 +125,9 @@
         return MissingTask(placement.machine, key, placement.attempt, evidenceOf(observed))
     }
 
-    private fun ObservedMachine.reports(placement: DesiredPlacement) = tasks.any { it.key == placement.key && it.attempt == placement.attempt }
+    private fun ObservedMachine.reports(placement: DesiredPlacement): Boolean =
+        tasks.any {
+            it.key == placement.key &&
+                it.attempt == placement.attempt
+        }
 }
--- a/src/main/kotlin/glenspool/reconcile/PhaseMachine.kt
+++ b/src/main/kotlin/glenspool/reconcile/PhaseMachine.kt
@@ -35,11 +35,7 @@
 data class PhaseState(val phase: RecoveryPhase, val since: Duration, val end: PhaseEnd? = null)
 
 /** The state machine of a recovery's phases. */
-class PhaseMachine(
-    private val policy: RecoveryPolicy,
-    private val setting: RecoverySetting,
-    startedAt: Duration,
-) {
+class PhaseMachine(private val policy: RecoveryPolicy, private val setting: RecoverySetting, startedAt: Duration) {
     var state = PhaseState(RecoveryPhase.READING, startedAt)
         private set
 
--- a/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
@@ -11,10 +11,8 @@
  * Observes what the scheduler learns of the cluster while the recovery is active, and queues it for comparison. Ignores
  * everything afterwards.
  */
-internal class RecoveryObserver(
-    private val phases: PhaseMachine,
-    private val unrecordedTasks: UnrecordedTasks,
-) : ClusterObserver {
+internal class RecoveryObserver(private val phases: PhaseMachine, private val unrecorded: UnrecordedTasks) :
+    ClusterObserver {
     private var tracker = DifferenceTracker()
     private var updates = DeferredUpdates(tracker)
 
@@ -57,14 +55,14 @@
     fun clear() {
         tracker = DifferenceTracker()
         updates = DeferredUpdates(tracker)
-        unrecordedTasks.clear()
+        unrecorded.clear()
         reportedMachines.clear()
         listed = null
     }
 
     override fun jobRead(record: JobRecord) =
         whileActive {
-            unrecordedTasks.jobRead(record.spec.id)
+            unrecorded.jobRead(record.spec.id)
             updates.jobStored(record, isAdopted = true)
         }
 
@@ -72,7 +70,7 @@
 
     override fun jobEnded(job: String) =
         whileActive {
-            unrecordedTasks.jobEnded(job)
+            unrecorded.jobEnded(job)
             updates.jobEnded(job)
         }
 
@@ -82,7 +80,7 @@
         whileActive {
             if (trusted) reportedMachines.add(heartbeat.machine)
             updates.machineObserved(heartbeat, source, trusted, at)
-            unrecordedTasks.machineObserved(heartbeat, at)
+            unrecorded.machineObserved(heartbeat, at)
         }
 
     override fun machinesListed(machines: List<ListedMachine>, at: Duration) =
@@ -95,7 +93,7 @@
         whileActive {
             reportedMachines.remove(machine)
             updates.machineDeleted(machine)
-            unrecordedTasks.machineDeleted(machine)
+            unrecorded.machineDeleted(machine)
         }
 
     private inline fun whileActive(body: () -> Unit) {
--- a/src/main/kotlin/glenspool/reconcile/RecoveryOrderGate.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryOrderGate.kt
@@ -17,7 +17,7 @@
 internal class RecoveryOrderGate(
     private val phases: PhaseMachine,
     private val overrides: OperatorOverrides,
-    private val unrecordedTasks: UnrecordedTasks,
+    private val unrecorded: UnrecordedTasks,
     private val budget: RepairBudget,
 ) : OrderGate {
     override fun admits(order: ProposedOrder): Boolean {
@@ -31,6 +31,6 @@
     private fun isProvedUnrecorded(order: ProposedOrder): Boolean {
         val machine = order.machine ?: return false
         val task = order.task ?: return false
-        return unrecordedTasks.isProvedUnrecorded(machine, task)
+        return unrecorded.isProvedUnrecorded(machine, task)
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/ResolutionProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/ResolutionProgress.kt
@@ -18,5 +18,8 @@
     }
 
     /** The resolved share; 1 if nothing was adopted. */
-    fun share(totals: DifferenceTotals): Double = if (mostAdopted == 0) 1.0 else 1.0 - totals.unconfirmed.toDouble() / mostAdopted
+    fun share(totals: DifferenceTotals): Double {
+        if (mostAdopted == 0) return 1.0
+        return 1.0 - totals.unconfirmed.toDouble() / mostAdopted
+    }
 }
--- a/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
@@ -6,6 +6,7 @@
 import glenspool.core.model.JobKind
 import glenspool.core.model.Resources
 import glenspool.core.model.TaskKey
+import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
 import glenspool.simulation.LoopbackService
 import glenspool.simulation.OrderRateChecker
@@ -33,15 +34,16 @@
     private val names = listOf("bobbin-0", "bobbin-1", "bobbin-2")
     private val policy = RecoveryPolicy(rates = RepairRates(stops = 0.02))
 
-    private fun LoopbackService.phase(): String? =
-        leader?.let {
-            recovery(it, RecoveryVerb.STATUS)
-                .status
-                ?.recovery
-                ?.phase
-        }
+    /** The recovery as the leader shows it. */
+    private fun LoopbackService.status(): RecoveryStatus.Recovery? {
+        val status = leader?.let { recovery(it, RecoveryVerb.STATUS).status }
+        return status?.recovery
+    }
 
-    private fun LoopbackService.ordered(verb: RecoveryVerb): Boolean = leader?.let { recovery(it, verb).accepted } ?: false
+    private fun LoopbackService.isOrderAccepted(verb: RecoveryVerb): Boolean {
+        val leader = leader ?: return false
+        return recovery(leader, verb).accepted
+    }
 
     /** The names of tasks that the leader lists as unrecorded. */
     private fun LoopbackService.unrecorded(): Set<String> {
@@ -54,19 +56,26 @@
 
     private fun service() =
         LoopbackService(
-            dir, null, seed = 3, recovery = policy, workers = WORKERS, heartbeatInterval = 1500.milliseconds,
-            lease =
-                30
-                    .seconds,
-            runTime = 1.hours, steadyLoad = false,
+            dir,
+            null,
+            seed = 3,
+            recovery = policy,
+            workers = WORKERS,
+            heartbeatInterval = 1500.milliseconds,
+            lease = 30.seconds,
+            runTime = 1.hours,
+            steadyLoad = false,
         )
 
-    private fun task(n: Int) =
+    private fun arrayJob(number: Int) =
         job(
-            "run-%06d".format(n), JobKind.ARRAY, WORKERS * SLOTS / JOBS, Resources(1.0, 1.0, 4.0), "a", imageGb = 0.0,
-            estimatedDuration =
-                1
-                    .hours,
+            "run-%06d".format(number),
+            JobKind.ARRAY,
+            WORKERS * SLOTS / JOBS,
+            Resources(1.0, 1.0, 4.0),
+            "a",
+            imageGb = 0.0,
+            estimatedDuration = 1.hours,
         )
 
     @Test
@@ -74,26 +83,30 @@
         val random = Random(11)
         service().use { service ->
             names.forEach { service.start(it) }
-            repeat(JOBS) { n -> service.submitJob(task(n)) }
+            repeat(JOBS) { number -> service.submitJob(arrayJob(number)) }
             service.await("all tasks run", 60.seconds) {
-                service.fleet.names.sumOf { service.fleet.tasksOn(it).size } ==
-                    WORKERS * SLOTS
+                val running = service.fleet.names.sumOf { service.fleet.tasksOn(it).size }
+                running == WORKERS * SLOTS
             }
             val first = checkNotNull(service.leader)
-            assertTrue(service.recovery(first, RecoveryVerb.STATUS).status?.recovery == null, "the first start is no recovery")
+            val firstStatus = service.recovery(first, RecoveryVerb.STATUS).status
+            assertTrue(firstStatus?.recovery == null, "the first start is no recovery")
 
             names.forEach(service::kill)
             val machines = service.fleet.names.shuffled(random)
-            val lost = machines.take(6).flatMap { m -> service.fleet.tasksOn(m).map { m to it } }
+            val lost = machines.take(6).flatMap { machine -> service.fleet.tasksOn(machine).map { machine to it } }
             machines.take(6).forEach(service.fleet::loseLease)
-            val unrecorded = machines.drop(6).take(5).mapIndexed { n, m -> m to TaskKey("run-9%05d".format(n), 0) }
-            unrecorded.forEach { (m, key) -> service.fleet.plant(m, key, 3) }
+            val unrecorded =
+                machines.drop(6).take(5).mapIndexed { number, machine ->
+                    machine to TaskKey("run-9%05d".format(number), 0)
+                }
+            unrecorded.forEach { (machine, key) -> service.fleet.plant(machine, key, 3) }
             val duplicates =
-                machines.drop(20).take(4).map { m ->
-                    m to
-                        service.fleet.tasksOn(machines[40 + random.nextInt(20)]).first()
+                machines.drop(20).take(4).map { machine ->
+                    val owner = machines[40 + random.nextInt(20)]
+                    machine to service.fleet.tasksOn(owner).first()
                 }
-            duplicates.forEach { (m, key) -> service.fleet.plant(m, key, 9) }
+            duplicates.forEach { (machine, key) -> service.fleet.plant(machine, key, 9) }
             val mute = machines.drop(30).take(3)
             mute.forEach { service.fleet.mute(it, true) }
             service.fleet.carriedOut.clear()
@@ -102,92 +115,46 @@
 
             val back = service.now
             names.forEach { service.start(it) }
-            service.await("an operator's pause is taken") { service.ordered(RecoveryVerb.PAUSE) }
+            service.await("an operator's pause is taken") { service.isOrderAccepted(RecoveryVerb.PAUSE) }
             service.await("every unrecorded task is listed by name") {
-                service.unrecorded() ==
-                    unrecorded.map { (_, key) -> "${key.job}/${key.task}" }.toSet()
+                service.unrecorded() == unrecorded.map { (_, key) -> "${key.job}/${key.task}" }.toSet()
             }
             // A follower names the leader, and the leader ends in the middle: the next goes on with the recovery, and
             // it is still paused.
             val leader = checkNotNull(service.leader)
             val follower = names.first { it != leader }
-            assertEquals(
-                "$follower does not lead; ask $leader",
-                service
-                    .recovery(follower, RecoveryVerb.APPROVE)
-                    .problem,
-            )
+            val refusal = service.recovery(follower, RecoveryVerb.APPROVE)
+            assertEquals("$follower does not lead; ask $leader", refusal.problem)
             service.kill(leader)
             service.await("another leads and goes on with the recovery") {
-                service.leader.let { it != null && it != leader } &&
-                    service.leader?.let {
-                        service
-                            .recovery(it, RecoveryVerb.STATUS)
-                            .status
-                            ?.recovery
-                            ?.start
-                    } ==
-                    "continued"
+                val hasNewLeader = service.leader.let { it != null && it != leader }
+                hasNewLeader && service.status()?.start == "continued"
             }
-            assertTrue(
-                service.fleet.carriedOut.none {
-                    it.verb == "stop"
-                },
-                "nothing is stopped while the recovery is paused",
-            )
+            val stops = service.fleet.carriedOut.filter { it.verb == "stop" }
+            assertTrue(stops.isEmpty(), "nothing is stopped while the recovery is paused")
             service.start(leader)
-            service.await("an operator's order to go on is taken") { service.ordered(RecoveryVerb.RESUME) }
+            service.await("an operator's order to go on is taken") { service.isOrderAccepted(RecoveryVerb.RESUME) }
             mute.forEach { service.fleet.mute(it, false) }
-            service.await("the recovery is over", 60.seconds) { service.phase() == "normal" }
-            assertFalse(service.ordered(RecoveryVerb.APPROVE), "there is nothing to approve any more")
+            service.await("the recovery is over", 60.seconds) { service.status()?.phase == "normal" }
+            assertFalse(service.isOrderAccepted(RecoveryVerb.APPROVE), "there is nothing to approve any more")
 
-            println(
-                "cold start over sockets: orders of the last term ${service.leader?.let {
-                    service
-                        .recovery(it, RecoveryVerb.STATUS)
-                        .status
-                        ?.orders
-                }}",
-            )
+            val orderCounts = service.leader?.let { service.recovery(it, RecoveryVerb.STATUS).status?.orders }
+            println("cold start over sockets: orders of the last term $orderCounts")
             val received = service.fleet.carriedOut.toList()
-            assertEquals(
-                lost.map { it.toString() }.sorted(),
-                received
-                    .filter { it.verb == "run" }
-                    .map {
-                        (
-                            it.machine to
-                                it.key
-                        ).toString()
-                    }.sorted(),
-            )
-            assertEquals(
-                (unrecorded + duplicates).map { it.toString() }.sorted(),
-                received
-                    .filter { it.verb == "stop" }
-                    .map {
-                        (
-                            it.machine to
-                                it.key
-                        ).toString()
-                    }.sorted(),
-            )
+
+            fun receivedTasks(verb: String) = received.filter { it.verb == verb }.map { "${it.machine to it.key}" }
+            assertEquals(lost.map { "$it" }.sorted(), receivedTasks("run").sorted())
+            assertEquals((unrecorded + duplicates).map { "$it" }.sorted(), receivedTasks("stop").sorted())
             assertEquals(0 to 0, service.fleet.deleted.get() to service.fleet.rented.get())
             val orders =
                 received.map {
-                    ReceivedOrder(
-                        it.at,
-                        if (it.verb ==
-                            "run"
-                        ) {
-                            StartCause.PLACED
-                        } else {
-                            StopCause.ORPHANED as OrderCause
-                        },
-                    )
+                    val cause: OrderCause = if (it.verb == "run") StartCause.PLACED else StopCause.ORPHANED
+                    ReceivedOrder(it.at, cause)
                 }
             assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, WORKERS).faults(orders))
-            println("cold start over sockets: ${received.size} orders for ${lost.size + unrecorded.size + duplicates.size} differences, over ${(service.now - back).rounded()} s")
+            val differences = lost.size + unrecorded.size + duplicates.size
+            val seconds = (service.now - back).rounded()
+            println("cold start over sockets: ${received.size} orders for $differences differences, over $seconds s")
         }
     }
 
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -205,7 +205,10 @@
         )
 
     @TestFactory
-    fun `after a cold start only real differences are repaired`() = scenarios.map { DynamicTest.dynamicTest(it.name) { verify(it) } }
+    fun `after a cold start only real differences are repaired`(): List<DynamicTest> =
+        scenarios.map { scenario ->
+            DynamicTest.dynamicTest(scenario.name) { verify(scenario) }
+        }
 
     private fun verify(scenario: Scenario) {
         val simulation = runningCluster()
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -23,7 +23,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-private fun heartbeat(machine: String, incarnation: Long, sequence: Long, tasks: List<TaskStatus>) = Heartbeat(machine, "addr", "big", "a", false, incarnation, sequence, 1, null, tasks)
+private fun heartbeat(machine: String, incarnation: Long, sequence: Long, tasks: List<TaskStatus>): Heartbeat {
+    val confirmedToken = 1L
+    return Heartbeat(machine, "addr", "big", "a", false, incarnation, sequence, confirmedToken, null, tasks)
+}
 
 /** Differences as the reference model names them: kind, machine, task. */
 private fun namesOf(findings: Map<String, MachineFindings>): List<String> =
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -61,7 +61,10 @@
         fun answered(firstToken: Long?) = MemberWitness(answered = true, firstToken)
         val silent = MemberWitness(answered = false, firstToken = null)
 
-        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberWitness) = StartClassifier.classify(token, ownFirstToken, members.toList(), StoredRecovery.Absent)
+        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberWitness): StartKind {
+            val noRecord = StoredRecovery.Absent
+            return StartClassifier.classify(token, ownFirstToken, members.toList(), noRecord)
+        }
         assertEquals(StartKind.FIRST, classify(1, null, silent, silent))
         assertEquals(StartKind.TAKE_OVER, classify(5, 4, silent, silent))
         assertEquals(StartKind.TAKE_OVER, classify(5, null, silent, answered(2)))
@@ -164,7 +167,10 @@
 
     @Test
     fun `the breaker stays open until less is to be done, an operator approves or its time is over`() {
-        fun evaluated(breaker: CircuitBreaker, machines: Int, at: Duration, isApproved: Boolean = false) = breaker.evaluate(machines, fleet = 10, isApproved, at)
+        fun evaluated(breaker: CircuitBreaker, machines: Int, at: Duration, isApproved: Boolean = false): BreakerState {
+            val fleet = 10
+            return breaker.evaluate(machines, fleet, isApproved, at)
+        }
 
         fun opened() = CircuitBreaker(policy).also { assertTrue(evaluated(it, 4, 1.seconds).isOpen) }
         assertFalse(evaluated(CircuitBreaker(policy), 3, 1.seconds).isOpen)
