--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -16,7 +16,7 @@
 import glenspool.reconcile.RecoveryPolicy
 import glenspool.reconcile.RecoverySetting
 import glenspool.reconcile.RecoverySnapshot
-import glenspool.reconcile.StartJudgement
+import glenspool.reconcile.StartClassifier
 import glenspool.reconcile.StartKind
 import glenspool.reconcile.StoredRecovery
 import glenspool.state.KeyValueStoreClient
@@ -94,7 +94,7 @@
      * where it is certain that this is an ordinary failover.
      */
     fun storedWithElection(token: Long): List<Put> {
-        val kind = StartJudgement.judge(token, firstWitnessed, unasked(memberCount), records.read())
+        val kind = StartClassifier.classify(token, firstWitnessed, unasked(memberCount), records.read())
         candidacy = Candidacy(token, kind)
         return if (kind.needsNoRecovery()) emptyList() else listOf(records.openedAtElection(token))
     }
@@ -153,7 +153,7 @@
         val answers = witnesses.map { MemberWitness(answered = true, firstToken = it.firstToken) }
         val members = answers + unasked(memberCount - answers.size)
         // The election has opened this term's own record, which says nothing about how the term began.
-        val kind = StartJudgement.judge(recovery.term.token, firstWitnessed, members, StoredRecovery.Absent)
+        val kind = StartClassifier.classify(recovery.term.token, firstWitnessed, members, StoredRecovery.Absent)
         if (kind != StartKind.UNKNOWN) post(Event.StartJudged(recovery.term, kind))
     }
 
--- a/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
@@ -11,7 +11,7 @@
     fun log(notice: RecoveryNotice, policy: RecoveryPolicy) {
         when (notice) {
             is RecoveryNotice.PhaseEntered -> logPhase(notice)
-            is RecoveryNotice.Settled -> log.info("recovery settled share={} after={}", notice.share, notice.after)
+            is RecoveryNotice.ShareResolved -> log.info("recovery settled share={} after={}", notice.share, notice.after)
             is RecoveryNotice.BreakerOpened ->
                 log.warn("recovery: {}", RecoveryReplies.breaker(notice.state, policy))
             is RecoveryNotice.BreakerReleased -> {
@@ -26,8 +26,8 @@
         val gathering = snapshot.gathering
         log.info(
             "recovery phase={} cause={} start={} heard={} expected={} differences={} settled={} until={}",
-            notice.state.phase, notice.state.end, snapshot.startKind, gathering.heard, gathering.expected,
-            snapshot.totals.byKind, snapshot.settledShare, snapshot.until,
+            notice.state.phase, notice.state.end, snapshot.startKind, gathering.reported, gathering.expected,
+            snapshot.totals.byKind, snapshot.resolvedShare, snapshot.until,
         )
     }
 }
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -38,11 +38,11 @@
             paused = snapshot.isPaused,
             approved = snapshot.isApproved,
             expectedMachines = snapshot.gathering.expected,
-            heardMachines = snapshot.gathering.heard,
-            lacking = lacking.map { "${it.zone}/${it.type}: ${it.heard} of ${it.expected}" },
+            heardMachines = snapshot.gathering.reported,
+            lacking = lacking.map { "${it.zone}/${it.type}: ${it.reported} of ${it.expected}" },
             adoptedTasks = snapshot.totals.adopted,
             confirmedTasks = snapshot.totals.confirmed,
-            settledShare = snapshot.settledShare,
+            settledShare = snapshot.resolvedShare,
             differences = snapshot.totals.byKind.mapKeys { it.key.label },
             breaker = breaker(snapshot.breaker, policy),
             ordersPerSecond = snapshot.ordersPerSecond,
@@ -79,13 +79,13 @@
             is MissingTask -> "attempt ${difference.attempt}"
             is OrphanTask -> "attempt ${difference.attempt}, ${orphanCause(difference)}"
             is DuplicateTask -> "on ${difference.machines.joinToString(", ")}"
-            is UnheardMachine -> "${difference.places} stored places"
+            is UnheardMachine -> "${difference.placements} stored places"
             else -> ""
         }
 
     private fun orphanCause(orphan: OrphanTask) =
         when {
-            orphan.recorded -> "its place is elsewhere"
+            orphan.isJobRecorded -> "its place is elsewhere"
             else -> "the state service knows no such job"
         }
 
