--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -8,10 +8,10 @@
 import glenspool.core.cluster.Cancellations
 import glenspool.http.hostPort
 import glenspool.logging.loggerOf
+import glenspool.peer.OperatorServer
 import glenspool.peer.PeerServer
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
-import glenspool.peer.OperatorServer
 import glenspool.peer.RolloutReply
 import glenspool.peer.RolloutRequest
 import glenspool.reconcile.RecoveryPolicy
--- a/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
@@ -11,7 +11,9 @@
     fun log(notice: RecoveryNotice, policy: RecoveryPolicy) {
         when (notice) {
             is RecoveryNotice.PhaseEntered -> logPhase(notice)
-            is RecoveryNotice.ShareResolved -> log.info("recovery settled share={} after={}", notice.share, notice.after)
+            is RecoveryNotice.ShareResolved ->
+                log
+                    .info("recovery settled share={} after={}", notice.share, notice.after)
             is RecoveryNotice.BreakerOpened ->
                 log.warn("recovery: {}", RecoveryReplies.breaker(notice.state, policy))
             is RecoveryNotice.BreakerReleased -> {
--- a/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
+++ b/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
@@ -28,12 +28,16 @@
 
     val isEmpty: Boolean get() = size == 0
 
+    /** Queues [DifferenceTracker.jobStored]. */
     fun jobStored(record: JobRecord, isAdopted: Boolean) = jobUpdates.addLast { tracker.jobStored(record, isAdopted) }
 
+    /** Queues [DifferenceTracker.jobCancelled]. */
     fun jobCancelled(job: String) = jobUpdates.addLast { tracker.jobCancelled(job) }
 
+    /** Queues [DifferenceTracker.jobEnded]. */
     fun jobEnded(job: String) = jobUpdates.addLast { tracker.jobEnded(job) }
 
+    /** Queues a heartbeat in place of an older one of its machine. */
     fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration) {
         // That the worker sent a heartbeat by itself still holds if a later reply to a request replaces it here.
         val isQueuedFromWorker = observations[heartbeat.machine]?.source == HeartbeatSource.WORKER
@@ -41,6 +45,7 @@
         observations[heartbeat.machine] = Observation(heartbeat, effectiveSource, isTrusted, at)
     }
 
+    /** Queues a list of the cloud in place of an older one. */
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
         listUpdate = { tracker.machinesListed(machines, at) }
     }
--- a/src/main/kotlin/glenspool/reconcile/DesiredView.kt
+++ b/src/main/kotlin/glenspool/reconcile/DesiredView.kt
@@ -45,8 +45,10 @@
     val jobs: PersistentMap<String, DesiredJob> = persistentHashMapOf(),
     val tasksByMachine: PersistentMap<String, PersistentSet<TaskKey>> = persistentHashMapOf(),
 ) {
+    /** The task's placement; null if it has none. */
     fun placementOf(key: TaskKey): DesiredPlacement? = jobs[key.job]?.placements?.get(key.task)
 
+    /** The placements of all tasks on the machine. */
     fun placementsOn(machine: String): List<DesiredPlacement> {
         val tasks = tasksByMachine[machine].orEmpty()
         return tasks.mapNotNull { placementOf(it) }
@@ -88,11 +90,13 @@
         return DesiredView(jobs.put(id, job), tasks)
     }
 
+    /** The view after the job was cancelled. */
     fun withCancelled(job: String): DesiredView {
         val known = jobs[job] ?: return this
         return copy(jobs = jobs.put(job, known.copy(isCancelled = true)))
     }
 
+    /** The view after the job's record was removed. */
     fun without(job: String): DesiredView {
         val known = jobs[job] ?: return this
         val tasks =
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -17,6 +17,7 @@
     /** Adopted placements of which it is not known whether their task still runs. */
     val unconfirmed: Int get() = adopted - confirmed
 
+    /** The number of differences of one kind. */
     operator fun get(kind: DifferenceKind): Int = byKind[kind] ?: 0
 }
 
@@ -40,6 +41,7 @@
     var comparisons = 0L
         private set
 
+    /** The numbers of differences and confirmed placements as of the last comparison. */
     fun totals(): DifferenceTotals {
         val occurring = DifferenceKind.entries.filter { counts[it.ordinal] > 0 }
         return DifferenceTotals(occurring.associateWith { counts[it.ordinal] }, confirmed, adopted)
@@ -56,8 +58,10 @@
         compareAll(if (isNew) machinesOf(job) else machinesConcernedBy(change, record))
     }
 
+    /** The job's cancellation was read or stored. */
     fun jobCancelled(job: String) = changeJob(job) { it.withCancelled(job) }
 
+    /** The job's record is no longer in the store. */
     fun jobEnded(job: String) = changeJob(job) { it.without(job) }
 
     /** [isTrusted]: whether the worker has seen this leader's token. */
@@ -71,6 +75,7 @@
         compareAll(sharingBefore + machinesSharingTasksWith(after) + heartbeat.machine)
     }
 
+    /** The cloud listed its machines. */
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
         val before = views.rented
         views = views.copy(rented = before.with(machines, at))
@@ -80,6 +85,7 @@
         for ((id, machine) in views.rented.machines) if (before.machines[id] !== machine) compare(id)
     }
 
+    /** The machine is known to be deleted. */
     fun machineDeleted(machine: String) {
         val before = views.observed.machines[machine]
         val sharing = machinesSharingTasksWith(before)
--- a/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
@@ -12,6 +12,7 @@
      * @property reported how many of them have reported
      */
     data class Group(val zone: String, val type: String, val expected: Int, val reported: Int) {
+        /** Whether at least [share] of the expected machines have reported. */
         fun reaches(share: Double) = reported >= expected * share
     }
 
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -33,6 +33,7 @@
         return findings.filterValues { !it.isEmpty }
     }
 
+    /** The findings of one machine. */
     fun compare(machine: String, views: ClusterViews): MachineFindings {
         val placements = views.desired.placementsOn(machine)
         val adopted = placements.filter { it.isAdopted }
--- a/src/main/kotlin/glenspool/reconcile/ObservedView.kt
+++ b/src/main/kotlin/glenspool/reconcile/ObservedView.kt
@@ -44,6 +44,7 @@
     val machines: PersistentMap<String, ObservedMachine> = persistentHashMapOf(),
     val claims: PersistentMap<TaskKey, PersistentSet<String>> = persistentHashMapOf(),
 ) {
+    /** The view after a further [heartbeat]. [isTrusted]: whether the worker has seen this leader's token. */
     fun with(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration): ObservedView {
         val before = machines[heartbeat.machine]
         val machine =
@@ -71,6 +72,7 @@
             before.tasks != heartbeat.tasks
     }
 
+    /** The view without a machine that no longer exists. */
     fun without(machine: String): ObservedView {
         val before = machines[machine] ?: return this
         return ObservedView(machines.remove(machine), claims.withoutClaimsOf(before))
--- a/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
@@ -27,6 +27,7 @@
         override fun isUnfinished(token: Long) = false
     }
 
+    /** The last recovery's record, and the version at which it was read. */
     data class Present(val record: RecoveryRecord, val version: Long) : StoredRecovery {
         override fun isUnfinished(token: Long) = record.token < token && record.phase != RecoveryPhase.NORMAL
     }
--- a/src/main/kotlin/glenspool/reconcile/RecoverySnapshot.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoverySnapshot.kt
@@ -32,12 +32,15 @@
 
 /** An event of a recovery that is to be logged. */
 sealed interface RecoveryNotice {
+    /** The recovery entered a phase. */
     data class PhaseEntered(val state: PhaseState, val snapshot: RecoverySnapshot) : RecoveryNotice
 
     /** The [share] of adopted placements whose state is known reached a milestone, [after] the start of the term. */
     data class ShareResolved(val share: Double, val after: Duration) : RecoveryNotice
 
+    /** The circuit breaker opened: too much of the fleet would be affected. */
     data class BreakerOpened(val state: BreakerState) : RecoveryNotice
 
+    /** Destructive orders are admitted again. */
     data class BreakerReleased(val state: BreakerState) : RecoveryNotice
 }
--- a/src/main/kotlin/glenspool/reconcile/RentedView.kt
+++ b/src/main/kotlin/glenspool/reconcile/RentedView.kt
@@ -47,5 +47,6 @@
         return RentedView(updated, firstReadAt ?: at)
     }
 
+    /** The view without a machine that was deleted. */
     fun without(machine: String): RentedView = copy(machines = machines.remove(machine))
 }
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -2,9 +2,9 @@
 
 import glenspool.controller.RecoveryReplies
 import glenspool.http.HttpListener
+import glenspool.peer.OperatorServer
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
-import glenspool.peer.OperatorServer
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
 import glenspool.reconcile.BreakerState
--- a/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
@@ -4,9 +4,9 @@
 import com.googlecode.lanterna.input.KeyStroke
 import com.googlecode.lanterna.terminal.virtual.DefaultVirtualTerminal
 import glenspool.http.HttpListener
+import glenspool.peer.OperatorServer
 import glenspool.peer.RolloutReply
 import glenspool.peer.RolloutRequest
-import glenspool.peer.OperatorServer
 import glenspool.peer.RolloutStatus
 import glenspool.peer.RolloutVerb
 import glenspool.simulation.CapturedRun
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -38,7 +38,10 @@
     /** [transaction]: what a [StoreChanges] comes to; other actions have none. Lines of the log are no decisions. */
     fun action(at: Duration, action: Action, transaction: (StoreChanges) -> Transaction) =
         when (action) {
-            is SendCommands -> add(at, "direct ${action.machine} ${action.addr} ${action.token} ${action.incarnation} ${spelled(action.commands)}")
+            is SendCommands -> {
+                val target = "${action.machine} ${action.addr} ${action.token} ${action.incarnation}"
+                add(at, "direct $target ${spelled(action.commands)}")
+            }
             is Probe -> add(at, "probe ${action.machine} ${action.addr}")
             is ScaleOut -> {
                 val causes = action.causes.entries.joinToString { (cause, number) -> "${cause.label}:$number" }
@@ -58,15 +61,22 @@
         }
 
     /** What a worker was answered. */
-    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) = add(at, "answer $machine $token ${spelled(commands)}")
+    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) =
+        add(at, "answer $machine $token ${spelled(commands)}")
 
-    fun workCounters(workCounters: WorkCounters) = add(Duration.ZERO, "effort ${workCounters.placementScores} ${workCounters.storeScans} ${workCounters.commandScans} ${workCounters.rounds}")
+    fun workCounters(counters: WorkCounters) {
+        val scans = "${counters.placementScores} ${counters.storeScans} ${counters.commandScans}"
+        add(Duration.ZERO, "effort $scans ${counters.rounds}")
+    }
 
     private fun spelled(commands: List<Command>) =
         commands.joinToString {
             when (it) {
                 is StartTask -> "start ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
-                is StopTask -> "stop ${it.key.job}/${it.key.task}#${it.attempt} ${it.grace.inWholeMicroseconds} ${it.cause.label}"
+                is StopTask -> {
+                    val grace = it.grace.inWholeMicroseconds
+                    "stop ${it.key.job}/${it.key.task}#${it.attempt} $grace ${it.cause.label}"
+                }
                 is ForgetTask -> "forget ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
             }
         }
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -66,27 +66,34 @@
             "an upgrade" to Day(11, FaultRates(lost = 0.03, takeovers = 0.05, olds = 0.5), chained = true),
             "cold starts" to Day(12, FaultRates(mute = 0.02, deaths = 0.01), coldStarts = true),
             "cold starts amid all troubles" to
-                Day(13, FaultRates(lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02), chained = true, coldStarts = true),
+                Day(
+                    13,
+                    FaultRates(
+                        lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02,
+                    ),
+                    chained = true,
+                    coldStarts = true,
+                ),
         )
 
     private fun jobOf(random: Random, number: Int) =
         when (number % 4) {
             0 ->
                 job(
-                    "service-$number", JobKind.SERVICE, 1 + random.nextInt(3), team = "t${random.nextInt(3)}", priority = Priority.CRITICAL,
+                    "service-$number", JobKind.SERVICE, 1 + random.nextInt(3),
+                    team = "t${random.nextInt(3)}", priority = Priority.CRITICAL,
                     spread = random.nextBoolean(), image = "i${random.nextInt(3)}",
                 )
             1 ->
                 job(
-                    "gang-$number", JobKind.GANG, 1 + random.nextInt(4), Resources(4.0, 2.0, 16.0), "t0", Priority.URGENT,
-                    sameZone =
-                        random
-                            .nextBoolean(),
+                    "gang-$number", JobKind.GANG, 1 + random.nextInt(4), Resources(4.0, 2.0, 16.0),
+                    "t0", Priority.URGENT, sameZone = random.nextBoolean(),
                     image = "i${random.nextInt(3)}", imageGb = 1.0 + random.nextInt(9),
                 )
             2 ->
                 job(
-                    "cheap-$number", JobKind.ARRAY, 1 + random.nextInt(5), Resources(2.0, 0.0, 20.0), "t${random.nextInt(3)}", Priority.IDLE,
+                    "cheap-$number", JobKind.ARRAY, 1 + random.nextInt(5), Resources(2.0, 0.0, 20.0),
+                    "t${random.nextInt(3)}", Priority.IDLE,
                     zone = listOf(null, "a", "b")[random.nextInt(3)], spot = true, checkpointInterval = 3.seconds,
                 )
             else ->
@@ -205,7 +212,10 @@
             while (open.isNotEmpty()) {
                 val action = open.removeFirst()
                 trace.action(now, action) { transactionOf(1, it) }
-                if (action is StoreChanges) open.addAll(core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) })
+                if (action is StoreChanges) {
+                    open
+                        .addAll(core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) })
+                }
                 if (action !is SendCommands) continue
                 for (start in action.commands.filterIsInstance<StartTask>()) {
                     running.getOrPut(action.machine) { HashMap() }[start.key] =
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -98,7 +98,8 @@
     private fun hex(bytes: ByteArray) = bytes.joinToString("") { "%02x".format(it) }
 
     /** The bytes, and what they say for those who read a difference. */
-    private fun spelled(fields: Fields): String = Cbor.encode(fields).let { "${hex(it)} ${json.writeValueAsString(Cbor.decodeMap(it))}" }
+    private fun spelled(fields: Fields): String =
+        Cbor.encode(fields).let { "${hex(it)} ${json.writeValueAsString(Cbor.decodeMap(it))}" }
 
     private val done =
         BitSet().apply {
@@ -113,13 +114,20 @@
                     .seconds,
             deadline = 90.seconds,
         )
-    private val places = listOf(StoredPlacement(1, 8, "i-1"), StoredPlacement(2, 9, "i-1"), StoredPlacement(3, 9, "i-2"))
+    private val places =
+        listOf(StoredPlacement(1, 8, "i-1"), StoredPlacement(2, 9, "i-1"), StoredPlacement(3, 9, "i-2"))
     private val record = JobRecord(gang, 1234.seconds, 9, done, places, dependenciesDoneAt = 1300.seconds)
     private val waiting =
-        JobRecord(job("run-2", spread = true), 5.seconds, 0, BitSet(), emptyList(), dependencies = listOf("run-1", "run-0"))
+        JobRecord(
+            job("run-2", spread = true), 5.seconds, 0, BitSet(), emptyList(),
+            dependencies = listOf("run-1", "run-0"),
+        )
     private val split =
-        record
-            .copy(placementParts = mapOf(1 to places.take(1), 2 to places.drop(1)), descriptionParts = 2, placements = emptyList())
+        record.copy(
+            placementParts = mapOf(1 to places.take(1), 2 to places.drop(1)),
+            descriptionParts = 2,
+            placements = emptyList(),
+        )
 
     @Test
     fun `stored values`() {
@@ -170,8 +178,8 @@
                         RecoveryWire.encode(RecoveryRecord(7, it, 9.seconds, isPaused = true))
                 } +
                 HoldCause.entries.associate { cause ->
-                    val state =
-                        RolloutState(2, listOf(MemberSeen("b", "1.0", 2, 3.seconds)), Hold(cause, "b", "why"), 4.seconds)
+                    val members = listOf(MemberSeen("b", "1.0", 2, 3.seconds))
+                    val state = RolloutState(2, members, Hold(cause, "b", "why"), 4.seconds)
                     "rollout state ${cause.ordinal}" to RolloutWire.encode(state)
                 } +
                 ActivationMode.entries.associate {
@@ -186,15 +194,18 @@
         val keys =
             listOf(
                 Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.images(3), Keys.job("run-1"), Keys.cancel("run-1"),
-                Keys
-                    .chunk("run-1", 2),
-                Keys.descriptionPart("run-1", 2),
-                Keys.placementPart("run-1", 2), Keys.final("run-1"), Keys.RECOVERY, Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE, Keys.LIVE,
+                Keys.chunk("run-1", 2), Keys.descriptionPart("run-1", 2), Keys.placementPart("run-1", 2),
+                Keys.final("run-1"), Keys.RECOVERY, Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE, Keys.LIVE,
             )
         val writes =
             listOf(
-                UpdateJobRecord("run-1", 5, split, listOf(0), 3, requiresUncancelled = true, parts = mapOf(1 to 1L, 7 to 2L)),
-                StoreFinalState("run-3", 6, null, 4), StoreFinalState("run-4", 7, 8, 4), StoreFinalState("run-5", 9, null, 4, "run-4"),
+                UpdateJobRecord(
+                    "run-1", 5, split, listOf(0), 3, requiresUncancelled = true,
+                    parts = mapOf(1 to 1L, 7 to 2L),
+                ),
+                StoreFinalState("run-3", 6, null, 4),
+                StoreFinalState("run-4", 7, 8, 4),
+                StoreFinalState("run-5", 9, null, 4, "run-4"),
             )
         val transaction = transactionOf(11, StoreChanges(writes), mapOf(Keys.LEVEL to 12L))
         val message = StoreWire.transaction(transaction.conditions, transaction.puts, transaction.removes)
@@ -223,7 +234,8 @@
                 ExitReason.entries.map { TaskStatus(TaskKey("run-2", it.ordinal), 4, TaskState.EXITED, it, false) }
         val commands =
             listOf(
-                StartTask(TaskKey("run-1", 4), 2, StartCause.PLACED), StopTask(TaskKey("run-1", 1), 1, 10.seconds, StopCause.PREEMPTED),
+                StartTask(TaskKey("run-1", 4), 2, StartCause.PLACED),
+                StopTask(TaskKey("run-1", 1), 1, 10.seconds, StopCause.PREEMPTED),
                 ForgetTask(TaskKey("run-1", 0), 1, ForgetCause.RECORDED),
             )
         val statuses =
@@ -272,7 +284,8 @@
     private val recoveryReply = RecoveryReply(false, "why", 2, recoveryStatus, differences)
     private val rolloutStatus =
         RolloutStatus(
-            "n1", "n2", "1.0", 0, 2, 1, "sealed", "active", 5, "problem", "fence", 2, "manual", 2, 1, listOf("b"), "hold", "b", "detail", 6,
+            "n1", "n2", "1.0", 0, 2, 1, "sealed", "active", 5, "problem", "fence", 2, "manual", 2, 1, listOf("b"),
+            "hold", "b", "detail", 6,
             listOf(RolloutStatus.Member("b", "1.0", 2, true, 3, 4, 5)), listOf("health"), listOf("plan"), 7,
         )
     private val rolloutReply = RolloutReply(false, "why", 2, rolloutStatus)
@@ -282,7 +295,9 @@
         val status =
             PeerStatus("n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerWitness(7))
         val cancellations =
-            CancellationMessage("n1", "boot", 5, listOf(CancellationMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12)
+            CancellationMessage(
+                "n1", "boot", 5, listOf(CancellationMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12,
+            )
         val messages =
             mapOf(
                 "status" to PeerWire.encode(status),
@@ -302,7 +317,8 @@
                 }
         val paths =
             listOf(
-                PeerPaths.STATUS, PeerPaths.RELAY, PeerPaths.RELAY_CHAINED, PeerPaths.CANCELLATIONS, PeerPaths.ROLLOUT, PeerPaths.RECOVERY,
+                PeerPaths.STATUS, PeerPaths.RELAY, PeerPaths.RELAY_CHAINED,
+                PeerPaths.CANCELLATIONS, PeerPaths.ROLLOUT, PeerPaths.RECOVERY,
             )
         GoldenFile("peer-messages.txt").check(
             messages.mapValues { hex(it.value) } + ("paths" to paths.joinToString(" ")),
@@ -317,7 +333,8 @@
         val settings = SettingsReader().read(settingsFile())
         val table =
             "local t = {} for k, v in pairs(tuning) do t[#t + 1] = k .. '=' .. v end " +
-                "for k, v in pairs(deployment) do t[#t + 1] = 'deployment.' .. k .. '=' .. v end table.sort(t) error(table.concat(t, ' '))"
+                "for k, v in pairs(deployment) do t[#t + 1] = 'deployment.' .. k .. '=' .. v end " +
+                "table.sort(t) error(table.concat(t, ' '))"
         val script = assertThrows(SettingsError::class.java) { OperatorScript(settings).run(table, "names") }
         val help = CapturedRun.of { execute(listOf("--help")) }
         GoldenFile("operators.txt").check(
