--- a/src/main/kotlin/glenspool/api/JobCancellation.kt
+++ b/src/main/kotlin/glenspool/api/JobCancellation.kt
@@ -1,10 +1,10 @@
 package glenspool.api
 
-import glenspool.controller.wallClock
 import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.StoreResult
+import glenspool.state.wallClock
 import glenspool.wire.UserWire
 
 /** Cancels jobs on their users' request. */
--- a/src/main/kotlin/glenspool/api/JobSubmission.kt
+++ b/src/main/kotlin/glenspool/api/JobSubmission.kt
@@ -1,10 +1,10 @@
 package glenspool.api
 
-import glenspool.controller.wallClock
 import glenspool.core.model.JobRecord
 import glenspool.rollout.FeaturePermits
 import glenspool.rollout.FeatureRegistry
 import glenspool.state.StoreCache
+import glenspool.state.wallClock
 import glenspool.wire.MalformedMessage
 import glenspool.wire.UserWire
 import org.http4k.core.Status
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -1,8 +1,6 @@
 package glenspool.api
 
 import glenspool.config.Settings
-import glenspool.controller.CoreLoop
-import glenspool.controller.Node
 import glenspool.core.StopCause
 import glenspool.core.model.Command
 import glenspool.core.model.Heartbeat
@@ -27,7 +25,7 @@
  * Takes workers' heartbeats. The leader answers with commands; another node redirects the worker to the leader, or
  * renews its lease, or refuses.
  */
-class WorkerApi(settings: Settings, private val node: Node, private val loop: CoreLoop) : AsyncHandler {
+class WorkerApi(settings: Settings, private val node: NodeState, private val core: HeartbeatReceiver) : AsyncHandler {
     private val leaseRenewal = LeaseRenewalPolicy(settings.workers, settings.members.size, node::uptime)
     private val redirectLimiter = RedirectLimiter(settings.workers.lease, node::uptime)
     private val heartbeats = AtomicLong()
@@ -51,7 +49,7 @@
                 return respond(badRequest(e.message ?: "malformed"))
             }
         incarnationSeen?.invoke(heartbeat.machine, heartbeat.incarnation)
-        loop.heartbeat(heartbeat) { orders ->
+        core.receive(heartbeat) { orders ->
             respond(
                 if (orders == null) {
                     answerWithoutLead(heartbeat)
--- a/src/main/kotlin/glenspool/controller/BootId.kt
+++ b/src/main/kotlin/glenspool/controller/BootId.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.state.wallClock
 import java.util.concurrent.ThreadLocalRandom
 
 /**
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.WorkerCommands
 import glenspool.cloud.ScaleOutOutcome
 import glenspool.core.OrderCounts
 import glenspool.core.Scheduler
--- a/src/main/kotlin/glenspool/controller/Events.kt
+++ b/src/main/kotlin/glenspool/controller/Events.kt
@@ -6,7 +6,6 @@
 import glenspool.core.SendCommands
 import glenspool.core.StoreOutcome
 import glenspool.core.cluster.Cancellation
-import glenspool.core.model.Command
 import glenspool.core.model.FinalState
 import glenspool.core.model.Heartbeat
 import glenspool.core.model.ListedMachine
@@ -16,9 +15,6 @@
 import glenspool.wire.StoreWire
 import kotlin.time.ComparableTimeMark
 
-/** The leader's answer to a heartbeat: the fencing token in force and the commands that carry it. */
-data class WorkerCommands(val token: Long, val commands: List<Command>)
-
 /** Everything that reaches the core thread, in the order in which it is queued. */
 sealed interface Event {
     /** This node was elected, and [term] begins. */
--- a/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
+++ b/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.WorkerCommands
 import glenspool.core.model.Heartbeat
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.WorkerCommands
 import glenspool.core.OrderCounts
 import glenspool.core.Scheduler
 import glenspool.core.model.Command
@@ -8,6 +9,7 @@
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.StartKind
 import glenspool.rollout.FeatureRegistry
+import glenspool.state.wallClock
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.NodeState
 import glenspool.api.UserApi
 import glenspool.api.WorkerApi
 import glenspool.config.Settings
@@ -20,6 +21,7 @@
 import glenspool.rollout.RolloutPolicy
 import glenspool.rollout.UnmanagedFeatures
 import glenspool.state.StoreCache
+import glenspool.state.wallClock
 import kotlin.time.Duration
 import kotlin.time.TimeSource
 
@@ -35,7 +37,8 @@
     recoveryPolicy: RecoveryPolicy? = null,
     /** Ends the process at once. */
     private val fatal: () -> Unit,
-) : AutoCloseable {
+) : NodeState,
+    AutoCloseable {
     private val clock = TimeSource.Monotonic.markNow()
     private val boot = newBootId()
     private val members = settings.members.map { it.name }
@@ -49,8 +52,8 @@
     private val workers = clients.workers
     private val peers = clients.peers
 
-    /** The cancellations that this node knows; kept for a multiple of the time in which they have to take effect. */
-    val cancellations =
+    /** Kept for a multiple of the time in which they have to take effect. */
+    override val cancellations =
         Cancellations(boot, members, settings.workers.cancellationDeadline * 4, ::uptime, ::wallClock)
     private val cache: StoreCache =
         StoreCache(store, storeLimits.rps, ::storeRead) { changes, _ ->
@@ -114,7 +117,7 @@
             rollout?.gate,
             health,
         )
-    private val workerApi = WorkerApi(settings, this, loop)
+    private val workerApi = WorkerApi(settings, this, loop::heartbeat)
     private val ownStatus = OwnPeerStatus(settings.node, leadership, freshness, rollout, recovery)
     private val internalRouter =
         InternalRouter(
@@ -184,17 +187,15 @@
     /** This node's answer to an operator about its orders and its recovery. */
     fun recoveryAnswer(request: RecoveryRequest): RecoveryReply = recoveryOperations.answer(request)
 
-    /** Whether this build can't read the active level: the process must neither lead, accept nor confirm anything. */
-    fun fenced(): Boolean = rollout?.gate?.fence() != null
+    override fun fenced(): Boolean = rollout?.gate?.fence() != null
 
     /** See [PeerMonitor.isIsolated]. */
-    fun isolated(): Boolean = monitor.isIsolated()
+    override fun isolated(): Boolean = monitor.isIsolated()
 
     /** See [LeaderDirectory.otherLeader]. */
-    fun leaderToName(): String? = leaders.otherLeader()
+    override fun leaderToName(): String? = leaders.otherLeader()
 
-    /** Since the start of this process, by the steady clock. */
-    fun uptime(): Duration = clock.elapsedNow()
+    override fun uptime(): Duration = clock.elapsedNow()
 
     /** Waits until all service threads have ended. */
     fun join() = threads.join()
--- a/src/main/kotlin/glenspool/controller/PendingHeartbeat.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeat.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.WorkerCommands
 import glenspool.core.model.Heartbeat
 import java.util.concurrent.atomic.AtomicBoolean
 import kotlin.time.Duration
--- a/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.WorkerCommands
 import glenspool.core.model.Heartbeat
 import glenspool.logging.loggerOf
 import java.util.concurrent.ConcurrentLinkedQueue
--- a/src/main/kotlin/glenspool/controller/RecoveryRecords.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryRecords.kt
@@ -8,6 +8,7 @@
 import glenspool.state.Put
 import glenspool.state.StoreCache
 import glenspool.state.StoreResult
+import glenspool.state.wallClock
 import glenspool.wire.MalformedMessage
 import glenspool.wire.RecoveryWire
 
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -23,6 +23,7 @@
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
 import glenspool.state.StoreCache
+import glenspool.state.wallClock
 import glenspool.wire.RolloutWire
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
--- a/src/main/kotlin/glenspool/controller/RolloutOperations.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutOperations.kt
@@ -17,6 +17,7 @@
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
 import glenspool.state.StoreResult
+import glenspool.state.wallClock
 import glenspool.wire.RolloutWire
 
 /** Answers operators' questions and orders about the rollout. Any node takes orders; the leader carries them out. */
--- a/src/main/kotlin/glenspool/controller/WallClock.kt
+++ b/src/main/kotlin/glenspool/state/WallClock.kt
@@ -1,4 +1,4 @@
-package glenspool.controller
+package glenspool.state
 
 import java.time.Instant
 import kotlin.time.Duration
--- a/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
@@ -1,5 +1,6 @@
 package glenspool.controller
 
+import glenspool.api.WorkerCommands
 import glenspool.core.model.Heartbeat
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/glenspool/layout/LayersTest.kt
+++ b/src/test/kotlin/glenspool/layout/LayersTest.kt
@@ -24,6 +24,12 @@
             "cloud" to setOf("core", "http", "wire", "cloud", "logging"),
             "worker" to setOf("core", "http", "wire", "worker", "logging"),
             "peer" to setOf("config", "http", "peer", "logging"),
+            "api" to setOf("config", "core", "http", "peer", "rollout", "state", "wire", "api", "logging"),
+            "controller" to
+                setOf(
+                    "api", "cloud", "config", "controller", "core", "http", "logging", "peer", "reconcile", "rollout",
+                    "state", "wire", "worker",
+                ),
         )
 
     /** Packages that take events and the time, and return decisions. */
