--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -255,7 +255,7 @@
         val patience = Patience()
         val limit =
             if (record.dependencies.isEmpty() &&
-                !features.inUse(FeatureRegistry.SEALED_RECORDS)
+                !features.isInUse(FeatureRegistry.SEALED_RECORDS)
             ) {
                 settings.storeLimits.now.valueBytes
             } else {
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -156,7 +156,7 @@
     }
 
     private fun Scheduler.splittingKnown() {
-        membersChecked(features.inUse(FeatureRegistry.SEALED_RECORDS))
+        membersChecked(features.isInUse(FeatureRegistry.SEALED_RECORDS))
         splittingForbidden(features.permit(FeatureRegistry.SEALED_RECORDS) == null)
     }
 
@@ -250,7 +250,7 @@
         orderCounts = scheduler.orderCounts
         pausedSince = null
         step {
-            membersChecked(features.inUse(FeatureRegistry.SEALED_RECORDS))
+            membersChecked(features.isInUse(FeatureRegistry.SEALED_RECORDS))
             knownTypes()?.let { machineTypesKnown(it) }
             imageLocationsRead(cache.withPrefix(Keys.IMAGES).map(::rememberedImages).fold(emptyMap()) { x, y -> x + y })
             cache.withPrefix(Keys.JOB).forEach { applyChange(StoreWire.Change(it.key, it.value, it.version)) }
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -102,8 +102,8 @@
         val (actions, settled) =
             synchronized(this) {
                 val engine = engineOf(term)
-                engine.heard(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
-                statuses.forEach { engine.heard(report(it), askedAt) }
+                engine.memberReported(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
+                statuses.forEach { engine.memberReported(report(it), askedAt) }
                 val input = input(term)
                 engine.step(input) to (engine.overview(input).hold == null)
             }
@@ -159,7 +159,7 @@
                         .encode(action.state),
                 )
             is RolloutAction.Notice ->
-                if (action.warning) {
+                if (action.isWarning) {
                     log.warn("rollout: {}", action.text)
                 } else {
                     log
--- a/src/main/kotlin/glenspool/controller/RolloutReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutReplies.kt
@@ -96,7 +96,7 @@
             view.member,
             view.report?.levels?.build,
             view.report?.levels?.highest,
-            view.reachable,
+            view.isReachable,
             view.readyFor.inWholeSeconds,
             view.unchangedFor.inWholeSeconds,
             view.restarts,
@@ -104,7 +104,7 @@
 
     private fun text(step: PlanStep): String =
         when (step) {
-            is PlanStep.Replace -> "replace ${step.member}${if (step.leading) " (it leads, so it comes last)" else ""}"
+            is PlanStep.Replace -> "replace ${step.member}${if (step.isLeader) " (it leads, so it comes last)" else ""}"
             is PlanStep.WaitFor -> "wait for ${step.member}: ${step.reason}"
             is PlanStep.Stop -> "stop: ${step.reason}"
             is PlanStep.Activate -> "activate level ${step.level}"
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -7,8 +7,8 @@
 
 /**
  * Recovery in one term: observes what the scheduler learns ([RecoveryObserver]), decides which of its orders have to
- * wait ([RecoveryOrderGate]), and moves through the phases ([PhaseMachine]). A term that began with an ordinary failover
- * has no engine.
+ * wait ([RecoveryOrderGate]), and moves through the phases ([PhaseMachine]). A term that began with an ordinary
+ * failover has no engine.
  *
  * Owned by the scheduler's thread; [snapshot] and [awaitsStateRead] may be read by any thread.
  *
--- a/src/main/kotlin/glenspool/rollout/ActivationRule.kt
+++ b/src/main/kotlin/glenspool/rollout/ActivationRule.kt
@@ -1,6 +1,6 @@
 package glenspool.rollout
 
-/** Why a level does not become active. */
+/** Why a level does not become active. The constants' names are stored and printed; their order is their priority. */
 enum class HoldCause {
     LEVEL_NOT_READ,
     LEVEL_UNREADABLE,
@@ -16,10 +16,10 @@
     HEALTH,
 }
 
-/** A cause with the member that it is about, if it is about one. */
+/** A cause with the member concerned; null if the cause does not concern a single member. */
 data class Hold(val cause: HoldCause, val member: String? = null, val detail: String? = null)
 
-/** Everything that decides about activation, at one moment. */
+/** Everything that a decision about activation depends on, at one moment. */
 data class ActivationInput(
     val registry: FeatureRegistry,
     val policy: RolloutPolicy,
@@ -30,43 +30,46 @@
 )
 
 /** Whether the next level may become active. */
-sealed interface ActivationVerdict {
+sealed interface ActivationDecision {
     /** No member knows a higher level than the active one. */
-    data object NothingHigher : ActivationVerdict
+    data object NothingHigher : ActivationDecision
 
-    data class Held(val target: Int, val hold: Hold) : ActivationVerdict
+    /** The level [target] must not become active yet. */
+    data class Held(val target: Int, val hold: Hold) : ActivationDecision
 
-    data class Due(val target: Int) : ActivationVerdict
+    /** The level [target] is to become active. */
+    data class Due(val target: Int) : ActivationDecision
 }
 
 /**
- * The rule for activation. Levels become active one at a time. Every configured member that is not excluded must be
- * heard now, in a process whose build reads the level and which has been ready for the settling time. Absence of
- * evidence always holds.
+ * The rule for activation. Levels become active one at a time. Every configured member that is not excluded must have
+ * reported lately, from a process whose build reads the level and which has been ready for the settling time. Missing
+ * evidence always holds the level.
  */
 object ActivationRule {
-    fun judge(input: ActivationInput): ActivationVerdict {
-        val current = currentLevel(input.level)
-        val highestSeen =
-            maxOf(
-                input.registry.highest,
-                input.members.mapNotNull { it.report?.levels?.highest }.maxOrNull() ?: 0,
-            )
-        if (current != null && highestSeen <= current) return ActivationVerdict.NothingHigher
+    fun evaluate(input: ActivationInput): ActivationDecision {
+        val current = activeLevel(input.level)
+        val highestReported = input.members.mapNotNull { it.report?.levels?.highest }.maxOrNull() ?: 0
+        val highestKnown = maxOf(input.registry.highest, highestReported)
+        if (current != null && highestKnown <= current) return ActivationDecision.NothingHigher
         val target = (current ?: FeatureRegistry.BASE) + 1
-        val hold = storedFacts(input, target) ?: operators(input, target) ?: members(input, target) ?: health(input)
-        return if (hold == null) ActivationVerdict.Due(target) else ActivationVerdict.Held(target, hold)
+        val hold =
+            holdByStoredRecords(input, target)
+                ?: holdByOperators(input, target)
+                ?: holdByMembers(input, target)
+                ?: holdByHealth(input)
+        return if (hold == null) ActivationDecision.Due(target) else ActivationDecision.Held(target, hold)
     }
 
     /** The active level; null if it is not known. */
-    fun currentLevel(level: Stored<LevelRecord>): Int? =
+    fun activeLevel(level: Stored<LevelRecord>): Int? =
         when (level) {
             is Stored.Present -> level.value.level
             Stored.Absent -> FeatureRegistry.BASE
             Stored.NotRead, is Stored.Unreadable -> null
         }
 
-    private fun storedFacts(input: ActivationInput, target: Int): Hold? =
+    private fun holdByStoredRecords(input: ActivationInput, target: Int): Hold? =
         when {
             input.level is Stored.Unreadable -> Hold(HoldCause.LEVEL_UNREADABLE, detail = input.level.reason)
             input.level is Stored.NotRead -> Hold(HoldCause.LEVEL_NOT_READ)
@@ -76,48 +79,45 @@
             else -> null
         }
 
-    private fun operators(input: ActivationInput, target: Int): Hold? {
-        val orders = input.orders.valueOrNull() ?: OperatorOrders()
-        val approved = orders.approvedLevel.let { it != null && it >= target }
+    private fun holdByOperators(input: ActivationInput, target: Int): Hold? {
+        val orders = input.orders.valueOrDefault()
+        val isApproved = orders.approvedLevel.let { it != null && it >= target }
         return when {
             orders.lowerTo != null -> Hold(HoldCause.LOWERED_BY_OPERATOR)
-            approved -> null
-            else ->
-                when (orders.mode ?: input.policy.mode) {
-                    ActivationMode.AUTOMATIC -> null
-                    ActivationMode.MANUAL -> Hold(HoldCause.AWAITING_OPERATOR)
-                    ActivationMode.HOLD -> Hold(HoldCause.POLICY)
-                }
+            isApproved -> null
+            else -> holdByMode(orders.mode ?: input.policy.mode)
         }
     }
 
-    private fun members(input: ActivationInput, target: Int): Hold? {
-        val orders = input.orders.valueOrNull() ?: OperatorOrders()
-        // What an operator has to do something about is named before what passes by itself.
+    private fun holdByMode(mode: ActivationMode): Hold? =
+        when (mode) {
+            ActivationMode.AUTOMATIC -> null
+            ActivationMode.MANUAL -> Hold(HoldCause.AWAITING_OPERATOR)
+            ActivationMode.HOLD -> Hold(HoldCause.POLICY)
+        }
+
+    private fun holdByMembers(input: ActivationInput, target: Int): Hold? {
+        val orders = input.orders.valueOrDefault()
+        // A cause that needs an operator's action takes precedence over one that passes by itself.
         return input.members
             .filterNot { orders.excludes(it.member) }
-            .mapNotNull { member(it, target, input.policy) }
+            .mapNotNull { holdByMember(it, target, input.policy) }
             .minByOrNull { it.cause }
     }
 
-    private fun member(view: MemberView, target: Int, policy: RolloutPolicy): Hold? {
+    private fun holdByMember(view: MemberView, target: Int, policy: RolloutPolicy): Hold? {
         val report = view.report
         return when {
-            report == null || !view.reachable -> Hold(HoldCause.MEMBER_UNREACHABLE, view.member)
+            report == null || !view.isReachable -> Hold(HoldCause.MEMBER_UNREACHABLE, view.member)
             !report.levels.reads(target) -> Hold(HoldCause.MEMBER_OLD_BUILD, view.member, report.levels.build)
-            !report.ready -> Hold(HoldCause.MEMBER_NOT_READY, view.member)
+            !report.isReady -> Hold(HoldCause.MEMBER_NOT_READY, view.member)
             view.readyFor < policy.settle -> Hold(HoldCause.MEMBER_SETTLING, view.member)
             else -> null
         }
     }
 
-    private fun health(input: ActivationInput): Hold? =
-        input.health.firstOrNull()?.let {
-            Hold(
-                HoldCause.HEALTH,
-                detail =
-                    it
-                        .toString(),
-            )
-        }
+    private fun holdByHealth(input: ActivationInput): Hold? {
+        val failure = input.health.firstOrNull() ?: return null
+        return Hold(HoldCause.HEALTH, detail = failure.toString())
+    }
 }
--- a/src/main/kotlin/glenspool/rollout/FeatureGate.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureGate.kt
@@ -1,6 +1,11 @@
 package glenspool.rollout
 
-/** Permission to write a form. The write must be conditioned on the level record's version, if there is one. */
+/**
+ * Permission to write a stored form.
+ *
+ * @property levelVersion the version of the level record on which the write must be conditioned; null if there is no
+ *   condition
+ */
 data class WritePermit(val levelVersion: Long?) {
     companion object {
         /** For services in which levels are not managed. */
@@ -8,52 +13,60 @@
     }
 }
 
-/** Which forms may be written. All code that writes a form of a higher level asks here, and nowhere else. */
+/** Which stored forms may be written. Code that writes a form above the base level has to ask for a permit here. */
 interface FeaturePermits {
-    /** Whether the level's forms are to be used where they are merely useful. */
-    fun inUse(level: Int): Boolean
+    /** Whether the level's forms are to be used where they are useful but not required. */
+    fun isInUse(level: Int): Boolean
 
-    /** The permit to write in a form of the level; null: it must not be written now. */
+    /** The permit to write a form of the level; null if it must not be written now. */
     fun permit(level: Int): WritePermit?
 }
 
-/** Where levels are not managed: each process finds out by itself whether [allRead], and nothing is forbidden. */
-class UnmanagedFeatures(private val allRead: () -> Boolean) : FeaturePermits {
-    override fun inUse(level: Int): Boolean = allRead()
+/** For services without managed levels: nothing is forbidden, and forms are in use once [canAllRead] says so. */
+class UnmanagedFeatures(private val canAllRead: () -> Boolean) : FeaturePermits {
+    override fun isInUse(level: Int): Boolean = canAllRead()
 
     override fun permit(level: Int): WritePermit = WritePermit.UNCONDITIONAL
 }
 
-/** Why this process must not lead, accept or confirm anything. */
+/**
+ * Why this process must not lead, accept requests or confirm anything: its build does not read the active level.
+ *
+ * @property neededLevel the active level
+ * @property neededName the active level's name
+ * @property own the levels that this process reads
+ */
 data class Fence(val neededLevel: Int, val neededName: String, val own: BuildLevels) {
-    override fun toString(): String = "level $neededLevel ($neededName) is active, and build ${own.build} reads levels ${own.lowest} to ${own.highest}"
+    override fun toString(): String {
+        val readable = "build ${own.build} reads levels ${own.lowest} to ${own.highest}"
+        return "level $neededLevel ($neededName) is active, and $readable"
+    }
 }
 
 /**
- * What the stored level means for this process. The level is read anew at each question, so it is as new as the
- * replica. A permit carries the record's version: a write that arrives after the level was left fails on that
+ * What the stored level means for this process. The level is read anew at each call, so it is as recent as the store
+ * cache. A permit carries the level record's version: a write that arrives after the level was left fails on that
  * condition, however late it is.
  */
 class FeatureGate(private val own: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
-    override fun inUse(level: Int): Boolean = permit(level) != null
+    override fun isInUse(level: Int): Boolean = permit(level) != null
 
     override fun permit(level: Int): WritePermit? {
         val record = stored() as? Stored.Present ?: return null
-        if (!own.reads(record.value.level) || level > record.value.written) return null
+        if (!own.reads(record.value.level) || level > record.value.highestWritable) return null
         return WritePermit(record.version)
     }
 
     /**
-     * Null: this process may serve. What can't be read names no level, so it fences nobody; it only forbids higher
-     * forms.
+     * Why this process must not serve; null if it may. A record that can't be read names no level, so it fences nobody;
+     * it only forbids the higher forms.
      */
-    fun fence(): Fence? {
-        val record =
-            when (val fact = stored()) {
-                is Stored.Present -> fact.value
-                Stored.Absent -> return if (own.reads(FeatureRegistry.BASE)) null else Fence(FeatureRegistry.BASE, FeatureRegistry.BASE_NAME, own)
-                Stored.NotRead, is Stored.Unreadable -> return null
-            }
-        return if (own.reads(record.level)) null else Fence(record.level, record.name, own)
-    }
+    fun fence(): Fence? =
+        when (val record = stored()) {
+            is Stored.Present -> fence(record.value.level, record.value.name)
+            Stored.Absent -> fence(FeatureRegistry.BASE, FeatureRegistry.BASE_NAME)
+            Stored.NotRead, is Stored.Unreadable -> null
+        }
+
+    private fun fence(level: Int, name: String): Fence? = if (own.reads(level)) null else Fence(level, name, own)
 }
--- a/src/main/kotlin/glenspool/rollout/HealthGate.kt
+++ b/src/main/kotlin/glenspool/rollout/HealthGate.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What went wrong in a process since its start. */
+/** How often something went wrong in a process since its start. */
 data class HealthCounts(val takeOvers: Long, val leasesExpired: Long, val refusals: Long, val rejectedWrites: Long) {
     operator fun plus(other: HealthCounts) =
         HealthCounts(
@@ -13,7 +13,7 @@
             rejectedWrites + other.rejectedWrites,
         )
 
-    /** What was added since [earlier] of the same process. */
+    /** What was added since the [earlier] counts of the same process. */
     operator fun minus(earlier: HealthCounts) =
         HealthCounts(
             takeOvers - earlier.takeOvers,
@@ -27,59 +27,78 @@
     }
 }
 
-/** A kind of event that has become too frequent. */
-data class HealthFailure(val kind: String, val before: Long, val after: Long) {
-    override fun toString(): String = "$kind: $after since the last step, $before in the time before it"
+/** The kinds of events that are counted. Operators are shown the [label]. */
+enum class HealthEvent(val label: String) {
+    FAILOVER("take-overs"),
+    LEASE_EXPIRY("leases that ran out"),
+    REFUSED_REQUEST("refused requests"),
+    REJECTED_TRANSACTION("rejected transactions"),
+    ;
+
+    fun countIn(counts: HealthCounts): Long =
+        when (this) {
+            FAILOVER -> counts.takeOvers
+            LEASE_EXPIRY -> counts.leasesExpired
+            REFUSED_REQUEST -> counts.refusals
+            REJECTED_TRANSACTION -> counts.rejectedWrites
+        }
+}
+
+/** An event that is too frequent: how often it occurred [before] the last step of the upgrade and [after] it. */
+data class HealthFailure(val event: HealthEvent, val before: Long, val after: Long) {
+    override fun toString(): String = "${event.label}: $after since the last step, $before in the time before it"
 }
 
 /**
  * Compares the time since the last step of an upgrade with the time before it. Counts are summed over all members; a
- * process that began anew counts from zero. Samples are kept for as long as they can be compared, and are bounded in
- * number.
+ * restarted process counts from zero. The number of samples is bounded.
  */
 class HealthGate(private val limits: HealthLimits) {
     private class Sample(val at: Duration, val total: HealthCounts)
 
+    /** The newest counts of one process. [boot] identifies the process. */
+    private class ProcessCounts(val boot: String?, val counts: HealthCounts)
+
     private val samples = ArrayDeque<Sample>()
-    private val lastOfProcess = HashMap<String, Pair<String?, HealthCounts>>()
+    private val newestByMember = HashMap<String, ProcessCounts>()
     private var total = HealthCounts.NONE
 
     fun add(report: MemberReport) {
-        val last = lastOfProcess[report.member]
-        val sameProcess = last != null && last.first == report.boot
-        total += if (sameProcess) report.health - checkNotNull(last).second else report.health
-        lastOfProcess[report.member] = report.boot to report.health
+        val previous = newestByMember[report.member]?.takeIf { it.boot == report.boot }
+        total += if (previous != null) report.health - previous.counts else report.health
+        newestByMember[report.member] = ProcessCounts(report.boot, report.health)
     }
 
-    /** Keeps what has been added until [now]. */
+    /** Samples the counts that have been added until [now], if the last sample is old enough. */
     fun sample(now: Duration) {
-        if (samples.lastOrNull()?.let { now - it.at < SAMPLE_EVERY } == true) return
+        val last = samples.lastOrNull()
+        if (last != null && now - last.at < SAMPLE_INTERVAL) return
         samples.addLast(Sample(now, total))
         while (samples.size > MAX_SAMPLES) samples.removeFirst()
     }
 
-    /** What is worse since the step at [stepAt] than in the window before it. */
+    /** The events that are too frequent since the step at [stepAt], compared with the window before it. */
     fun failures(stepAt: Duration, now: Duration): List<HealthFailure> {
         val atStep = totalAt(stepAt)
         val before = atStep - totalAt(stepAt - limits.window)
         val after = total - atStep
-        // Of a long time after the step only as much is held against it as was looked at before it.
+        // The time after the step is seldom as long as the window before it: the limits are scaled to its length.
         val share = ((now - stepAt) / limits.window).coerceIn(MIN_SHARE, Double.MAX_VALUE)
-        return listOf(
-            HealthFailure("take-overs", before.takeOvers, after.takeOvers),
-            HealthFailure("leases that ran out", before.leasesExpired, after.leasesExpired),
-            HealthFailure("refused requests", before.refusals, after.refusals),
-            HealthFailure("rejected transactions", before.rejectedWrites, after.rejectedWrites),
-        ).filter { it.after > limits.tolerated * maxOf(1.0, share) + limits.factor * it.before * share }
+        return HealthEvent.entries
+            .map { HealthFailure(it, it.countIn(before), it.countIn(after)) }
+            .filter { it.after > limits.tolerated * maxOf(1.0, share) + limits.factor * it.before * share }
     }
 
-    private fun totalAt(at: Duration): HealthCounts = samples.lastOrNull { it.at <= at }?.total ?: samples.firstOrNull()?.total ?: HealthCounts.NONE
+    private fun totalAt(at: Duration): HealthCounts {
+        val sample = samples.lastOrNull { it.at <= at } ?: samples.firstOrNull()
+        return sample?.total ?: HealthCounts.NONE
+    }
 
     private companion object {
-        val SAMPLE_EVERY = 10.seconds
+        val SAMPLE_INTERVAL = 10.seconds
         const val MAX_SAMPLES = 720
 
-        /** Just after a step a single event would look like a very high rate. */
+        /** Just after a step a single event would otherwise look like a very high rate. */
         const val MIN_SHARE = 0.05
     }
 }
--- a/src/main/kotlin/glenspool/rollout/MemberTracker.kt
+++ b/src/main/kotlin/glenspool/rollout/MemberTracker.kt
@@ -2,76 +2,85 @@
 
 import kotlin.time.Duration
 
-/** What a controller says of itself. [boot] is null for builds that know nothing of levels. */
+/**
+ * What a controller reports about itself.
+ *
+ * @property boot identifies the process; null for builds that do not know levels
+ */
 data class MemberReport(
     val member: String,
     val boot: String?,
     val levels: BuildLevels,
-    val ready: Boolean,
+    val isReady: Boolean,
     val health: HealthCounts = HealthCounts.NONE,
 )
 
-/** What is known of a member at one moment. Spans count back from that moment. */
+/** What is known of a member at one moment. Time spans count back from that moment. */
 data class MemberView(
     val member: String,
-    /** Null: never heard. */
+    /** The newest report; null if there is none. */
     val report: MemberReport?,
-    val heardAgo: Duration?,
-    /** How long this very process has been seen ready without interruption. */
+    /** The time since the request was sent that the newest report answers; null if there is none. */
+    val lastReportAge: Duration?,
+    /** How long the present process has reported to be ready without interruption. */
     val readyFor: Duration,
-    /** Since when its process, build or reachability is what it is. */
+    /** How long the member's process, build and reachability have been the same. */
     val unchangedFor: Duration,
-    val reachable: Boolean,
-    /** How often another process was found in its place. */
+    val isReachable: Boolean,
+    /** How often a different process was found at this member. */
     val restarts: Int,
 )
 
 /**
- * The leader's evidence about all members. It counts from the moment a question was sent, so an answer that was held up
- * is as old as its question, and one that was overtaken is ignored. Another process in a member's place begins from
- * nothing.
+ * The leader's evidence about all members. Evidence counts from when the request was sent, so a delayed answer is as
+ * old as its request, and one that was overtaken is ignored. The evidence about a restarted process starts over.
  */
-class MemberTracker(members: Collection<String>, private val evidenceAge: Duration, begun: Duration) {
-    private class Known(var changedAt: Duration) {
+class MemberTracker(members: Collection<String>, private val evidenceAge: Duration, startedAt: Duration) {
+    private class Evidence(var changedAt: Duration) {
         var report: MemberReport? = null
         var askedAt: Duration? = null
         var readySince: Duration? = null
         var restarts = 0
     }
 
-    private val known = members.sorted().associateWith { Known(begun) }
+    private val evidenceByMember = members.sorted().associateWith { Evidence(startedAt) }
 
-    /** [askedAt]: when the question was sent that the report answers. */
-    fun heard(report: MemberReport, askedAt: Duration) {
-        val entry = known[report.member] ?: return
-        val before = entry.askedAt
-        if (before != null && askedAt <= before) return
-        val unbroken = before != null && askedAt - before <= evidenceAge
-        val sameProcess = entry.report?.let { it.boot == report.boot && it.levels == report.levels } ?: false
-        if (!sameProcess || !unbroken) {
-            entry.changedAt = askedAt
-            entry.readySince = null
+    /** Reports of members that are not configured are ignored. [askedAt]: when the request was sent. */
+    fun memberReported(report: MemberReport, askedAt: Duration) {
+        val evidence = evidenceByMember[report.member] ?: return
+        val previouslyAskedAt = evidence.askedAt
+        if (previouslyAskedAt != null && askedAt <= previouslyAskedAt) return
+        val isUninterrupted = previouslyAskedAt != null && askedAt - previouslyAskedAt <= evidenceAge
+        val previous = evidence.report
+        val isSameProcess = previous != null && previous.boot == report.boot && previous.levels == report.levels
+        if (!isSameProcess || !isUninterrupted) {
+            evidence.changedAt = askedAt
+            evidence.readySince = null
         }
-        if (!sameProcess && entry.report != null) entry.restarts++
-        entry.readySince = if (report.ready) entry.readySince ?: askedAt else null
-        entry.report = report
-        entry.askedAt = askedAt
+        if (!isSameProcess && previous != null) evidence.restarts++
+        evidence.readySince = if (report.isReady) evidence.readySince ?: askedAt else null
+        evidence.report = report
+        evidence.askedAt = askedAt
     }
 
-    fun view(now: Duration): List<MemberView> = known.map { (member, entry) -> view(member, entry, now) }
+    /** The views of all members, in the order of their names. */
+    fun view(now: Duration): List<MemberView> =
+        evidenceByMember.map { (member, evidence) -> view(member, evidence, now) }
 
-    private fun view(member: String, entry: Known, now: Duration): MemberView {
-        val heardAgo = entry.askedAt?.let { now - it }
-        val reachable = heardAgo != null && heardAgo <= evidenceAge
-        val changedAt = if (reachable) entry.changedAt else entry.askedAt ?: entry.changedAt
+    private fun view(member: String, evidence: Evidence, now: Duration): MemberView {
+        val lastReportAge = evidence.askedAt?.let { now - it }
+        val isReachable = lastReportAge != null && lastReportAge <= evidenceAge
+        val readySince = evidence.readySince?.takeIf { isReachable }
+        // A member that is not reachable any more has been so since its last report.
+        val changedAt = if (isReachable) evidence.changedAt else evidence.askedAt ?: evidence.changedAt
         return MemberView(
             member,
-            entry.report,
-            heardAgo,
-            entry.readySince?.takeIf { reachable }?.let { now - it } ?: Duration.ZERO,
-            now - changedAt,
-            reachable,
-            entry.restarts,
+            evidence.report,
+            lastReportAge,
+            readyFor = if (readySince == null) Duration.ZERO else now - readySince,
+            unchangedFor = now - changedAt,
+            isReachable,
+            evidence.restarts,
         )
     }
 }
--- a/src/main/kotlin/glenspool/rollout/OrderRule.kt
+++ b/src/main/kotlin/glenspool/rollout/OrderRule.kt
@@ -4,57 +4,67 @@
 
 /** What an operator asks for. */
 sealed interface OperatorRequest {
+    /** No level is to become active until [Resume]. */
     data object Hold : OperatorRequest
 
+    /** Takes [Hold] and [Deactivate] back. */
     data object Resume : OperatorRequest
 
+    /** Approves the activation of a level. */
     data class Activate(val level: Int) : OperatorRequest
 
+    /** Asks to deactivate the active level. */
     data class Deactivate(val level: Int) : OperatorRequest
 
+    /** Asks to activate levels without evidence about a member. */
     data class Exclude(val member: String, val by: String) : OperatorRequest
 
+    /** Takes [Exclude] back. */
     data class Include(val member: String) : OperatorRequest
 }
 
-/** What becomes of a request. */
+/** The result of a request. */
 sealed interface OrderOutcome {
+    /** The orders to be stored. */
     data class Accepted(val orders: OperatorOrders) : OrderOutcome
 
-    /** [reason] says what would do instead. */
+    /** [reason] names what would be accepted instead. */
     data class Refused(val reason: String) : OrderOutcome
 }
 
-/** Turns a request into the orders to be stored. The same request again gives the same orders. */
+/** Translates a request into the orders to be stored. Requests are idempotent. */
 class OrderRule(private val registry: FeatureRegistry, private val members: Set<String>) {
+    /**
+     * @param before the orders that are stored now
+     * @param level the level record as it is stored now
+     * @param wallClock the wall-clock time since the epoch
+     */
     fun apply(
         request: OperatorRequest,
         before: OperatorOrders,
         level: Stored<LevelRecord>,
-        wall: Duration,
+        wallClock: Duration,
     ): OrderOutcome =
         when (request) {
             OperatorRequest.Hold -> OrderOutcome.Accepted(before.copy(mode = ActivationMode.HOLD, approvedLevel = null))
             OperatorRequest.Resume -> OrderOutcome.Accepted(before.copy(mode = null, lowerTo = null))
             is OperatorRequest.Activate -> activate(request.level, before, level)
             is OperatorRequest.Deactivate -> deactivate(request.level, before, level)
-            is OperatorRequest.Exclude -> exclude(request, before, wall)
+            is OperatorRequest.Exclude -> exclude(request, before, wallClock)
             is OperatorRequest.Include -> include(request.member, before)
         }
 
     private fun activate(target: Int, before: OperatorOrders, level: Stored<LevelRecord>): OrderOutcome {
-        val current =
-            ActivationRule.currentLevel(level)
+        val active =
+            ActivationRule.activeLevel(level)
                 ?: return OrderOutcome.Refused("the active level can't be read; nothing can be activated")
-        return when {
-            registry.find(target) == null ->
-                OrderOutcome
-                    .Refused("level $target is not known; the highest known one is ${registry.highest}")
-            target > current + 1 ->
-                OrderOutcome
-                    .Refused("level $target can't be next; activate level ${current + 1} first")
-            else -> OrderOutcome.Accepted(before.copy(approvedLevel = target, lowerTo = null))
+        if (registry.find(target) == null) {
+            return OrderOutcome.Refused("level $target is not known; the highest known one is ${registry.highest}")
+        }
+        if (target > active + 1) {
+            return OrderOutcome.Refused("level $target can't be next; activate level ${active + 1} first")
         }
+        return OrderOutcome.Accepted(before.copy(approvedLevel = target, lowerTo = null))
     }
 
     private fun deactivate(target: Int, before: OperatorOrders, level: Stored<LevelRecord>): OrderOutcome {
@@ -62,39 +72,30 @@
         val active =
             registry.find(record.level)
                 ?: return OrderOutcome.Refused("level ${record.level} is not known to this build")
-        return when {
-            target != record.level ->
-                OrderOutcome
-                    .Refused("level $target is not the active one; level ${record.level} is")
-            active.wayDown == WayDown.NONE ->
-                OrderOutcome
-                    .Refused("level $target (${active.name}) can't be deactivated")
-            else ->
-                OrderOutcome.Accepted(
-                    before.copy(
-                        mode = ActivationMode.HOLD, approvedLevel = null,
-                        lowerTo =
-                            target - 1,
-                    ),
-                )
+        if (target != record.level) {
+            return OrderOutcome.Refused("level $target is not the active one; level ${record.level} is")
         }
+        if (active.deactivation == Deactivation.UNSUPPORTED) {
+            return OrderOutcome.Refused("level $target (${active.name}) can't be deactivated")
+        }
+        val orders = before.copy(mode = ActivationMode.HOLD, approvedLevel = null, lowerTo = target - 1)
+        return OrderOutcome.Accepted(orders)
     }
 
-    private fun exclude(request: OperatorRequest.Exclude, before: OperatorOrders, wall: Duration): OrderOutcome {
-        if (request.member !in members) return OrderOutcome.Refused(unknown(request.member))
+    private fun exclude(request: OperatorRequest.Exclude, before: OperatorOrders, wallClock: Duration): OrderOutcome {
+        if (request.member !in members) return unknownMember(request.member)
         if (before.excludes(request.member)) return OrderOutcome.Accepted(before)
-        return OrderOutcome.Accepted(
-            before.copy(
-                exclusions =
-                    before.exclusions + Exclusion(request.member, request.by, wall),
-            ),
-        )
+        val exclusion = Exclusion(request.member, request.by, wallClock)
+        return OrderOutcome.Accepted(before.copy(exclusions = before.exclusions + exclusion))
     }
 
     private fun include(member: String, before: OperatorOrders): OrderOutcome {
-        if (member !in members) return OrderOutcome.Refused(unknown(member))
+        if (member !in members) return unknownMember(member)
         return OrderOutcome.Accepted(before.copy(exclusions = before.exclusions.filterNot { it.member == member }))
     }
 
-    private fun unknown(member: String) = "member $member is not configured; one of ${members.sorted().joinToString(", ")} is needed"
+    private fun unknownMember(member: String): OrderOutcome {
+        val known = members.sorted().joinToString(", ")
+        return OrderOutcome.Refused("member $member is not configured; one of $known is needed")
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/glenspool/rollout/RolloutNotices.kt
@@ -0,0 +1,50 @@
+package glenspool.rollout
+
+import kotlin.time.Duration
+
+/** Generates the rollout's log messages, each only when something changed or a warning is due again. */
+internal class RolloutNotices(private val policy: RolloutPolicy) {
+    private val lastWarnedAt = HashMap<String, Duration>()
+    private var lastHold: Hold? = null
+
+    /**
+     * Warnings about members that hold the rollout back, or whose build can't read the active level, for longer than
+     * the policy allows.
+     */
+    fun membersLeftBehind(input: RolloutInput, overview: RolloutOverview): List<RolloutAction.Notice> =
+        overview.members.mapNotNull { view ->
+            val problem = problemOf(view, input, overview)
+            if (problem == null) lastWarnedAt.remove(view.member)
+            if (problem == null || !isWarningDue(view, input.now)) return@mapNotNull null
+            lastWarnedAt[view.member] = input.now
+            val seconds = view.unchangedFor.inWholeSeconds
+            RolloutAction.Notice("member ${view.member} is left behind: $problem for $seconds s", isWarning = true)
+        }
+
+    private fun isWarningDue(view: MemberView, now: Duration): Boolean {
+        val last = lastWarnedAt[view.member]
+        val wasWarnedLately = last != null && now - last < policy.leftBehindAfter
+        return view.unchangedFor >= policy.leftBehindAfter && !wasWarnedLately
+    }
+
+    private fun problemOf(view: MemberView, input: RolloutInput, overview: RolloutOverview): String? {
+        val levels = view.report?.levels
+        val active = input.level.valueOrNull()?.level ?: FeatureRegistry.BASE
+        return when {
+            !view.isReachable || levels == null -> "not reachable"
+            !levels.reads(active) -> "build ${levels.build} can't read the active level $active"
+            overview.hold?.member == view.member -> "${overview.hold.cause}, build ${levels.build}"
+            else -> null
+        }
+    }
+
+    /** A message if the cause that holds the target level has changed. */
+    fun changedHold(overview: RolloutOverview): RolloutAction.Notice? {
+        val hold = overview.hold
+        if (hold == lastHold) return null
+        lastHold = hold
+        if (hold == null) return RolloutAction.Notice("nothing holds level ${overview.target}")
+        val member = hold.member?.let { " member=$it" }.orEmpty()
+        return RolloutAction.Notice("level ${overview.target} is held: ${hold.cause}$member")
+    }
+}
--- a/src/main/kotlin/glenspool/rollout/StoredRecords.kt
+++ b/src/main/kotlin/glenspool/rollout/StoredRecords.kt
@@ -2,23 +2,27 @@
 
 import kotlin.time.Duration
 
-/** A stored record as a replica has it. */
+/** A stored record as the store cache has it. */
 sealed interface Stored<out T> {
-    /** The replica has not been read yet. */
+    /** The store has not been read yet. */
     data object NotRead : Stored<Nothing>
 
+    /** There is no such record. */
     data object Absent : Stored<Nothing>
 
-    /** There is a record that this build can't read. */
+    /** There is a record that this build can't decode. */
     data class Unreadable(val version: Long, val reason: String) : Stored<Nothing>
 
     data class Present<T>(val value: T, val version: Long) : Stored<T>
 }
 
-/** The record, or null where there is none that can be read. */
+/** The record; null if there is none that can be decoded. */
 fun <T> Stored<T>.valueOrNull(): T? = (this as? Stored.Present)?.value
 
-/** The version on which a transaction that replaces the record is conditioned; null: it must not be replaced. */
+/** The operators' orders; the default if there are none that can be decoded. */
+internal fun Stored<OperatorOrders>.valueOrDefault(): OperatorOrders = valueOrNull() ?: OperatorOrders()
+
+/** The version for a compare-and-swap that replaces the record; null if it must not be replaced. */
 fun Stored<*>.replaceableVersion(): Long? =
     when (this) {
         Stored.NotRead, is Stored.Unreadable -> null
@@ -26,15 +30,20 @@
         is Stored.Present -> version
     }
 
-/** Whether the forms of the active level may still be written. */
+/** Whether the forms of the stored level may still be written. */
 enum class LevelStage {
     ACTIVE,
 
-    /** The level is being left: its forms are read and rewritten, but no record takes them on. */
+    /** The level is being deactivated: its forms are read and rewritten, but no record takes them on. */
     LEAVING,
 }
 
-/** The one stored fact about levels. [changedAt] is a time of day, [token] that of the leader which stored it. */
+/**
+ * The record of the active level.
+ *
+ * @property token the fencing token of the leader that stored it
+ * @property changedAt when it was stored, in wall-clock time since the epoch
+ */
 data class LevelRecord(
     val level: Int,
     val name: String,
@@ -42,42 +51,50 @@
     val token: Long,
     val changedAt: Duration,
 ) {
-    /** The highest level whose forms may be written anew. */
-    val written: Int get() = if (stage == LevelStage.ACTIVE) level else level - 1
+    /** The highest level whose forms may be written. */
+    val highestWritable: Int get() = if (stage == LevelStage.ACTIVE) level else level - 1
 }
 
-/** A member that an operator has excused from the evidence that activation needs. */
+/**
+ * A member whose evidence is not needed for an activation, by an operator's order.
+ *
+ * @property by who ordered it
+ * @property at when it was ordered, in wall-clock time since the epoch
+ */
 data class Exclusion(val member: String, val by: String, val at: Duration)
 
-/** What operators have ordered last; stored by whichever controller they asked. */
+/** The operators' orders in force; stored by the controller that received them. */
 data class OperatorOrders(
+    /** Overrides the policy's mode; null if it does not. */
     val mode: ActivationMode? = null,
-    /** The level that may become active while the policy asks for an operator's word. */
+    /** The level up to which activation is approved. */
     val approvedLevel: Int? = null,
-    /** The level to go back to; stays until another order replaces it. */
+    /** The level to go back to; in force until another order replaces it. */
     val lowerTo: Int? = null,
     val exclusions: List<Exclusion> = emptyList(),
 ) {
     fun excludes(member: String): Boolean = exclusions.any { it.member == member }
 }
 
-/** A member as the leader last saw it. [since] is the time of day from which this process was seen. */
-data class MemberSeen(val member: String, val build: String, val highest: Int, val since: Duration)
-
 /**
- * The rollout as the leader records it, so that the next leader and operators know how it came to stand where it is.
+ * A member as the leader last saw it.
+ *
+ * @property highest the highest level that its build reads
+ * @property since when its present process was first seen, in wall-clock time since the epoch
  */
+data class MemberSeen(val member: String, val build: String, val highest: Int, val since: Duration)
+
+/** The rollout's state as the leader stores it, for the next leader and for operators. */
 data class RolloutState(
     val target: Int,
     val members: List<MemberSeen>,
     val hold: Hold?,
-    /** The time of day since which [hold] stands. */
+    /** When [hold] came into force, in wall-clock time since the epoch; null if there is no hold. */
     val heldSince: Duration?,
 ) {
-    /** Whether the other one says the same to a reader, times apart. */
-    fun sameAs(other: RolloutState): Boolean =
-        target == other.target &&
-            hold == other.hold &&
-            members.map { it.copy(since = Duration.ZERO) } ==
-            other.members.map { it.copy(since = Duration.ZERO) }
+    /** Whether the other state differs in nothing but times. */
+    fun equalsExceptTimes(other: RolloutState): Boolean =
+        target == other.target && hold == other.hold && members.withoutTimes() == other.members.withoutTimes()
+
+    private fun List<MemberSeen>.withoutTimes() = map { it.copy(since = Duration.ZERO) }
 }
--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -17,127 +17,137 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Leaving a level again: each stage, and what happens when it is interrupted there. */
+/** Deactivation of a level: each stage, and what happens when it is interrupted there. */
 class DeactivationTest {
-    private val scene = RolloutSimulation()
-    private val split =
+    private val simulation = RolloutSimulation()
+
+    /** A record in a form of level 1, and the same record rewritten in the base form. */
+    private val splitRecord =
         JobRecord(
-            job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
-            placementParts =
-                mapOf(
-                    0 to listOf(StoredPlacement(2, 3, "i-2")),
-                ),
+            job("a", tasks = 9),
+            5.seconds,
+            3,
+            BitSet(),
+            listOf(StoredPlacement(1, 1, "i-1")),
+            placementParts = mapOf(0 to listOf(StoredPlacement(2, 3, "i-2"))),
         )
+    private val rewrittenRecord = splitRecord.copy(placementParts = emptyMap())
 
     @BeforeEach
     fun activate() {
-        scene.elect("a")
-        scene.run(30.seconds)
-        assertEquals(1, scene.active)
+        simulation.elect("a")
+        simulation.run(30.seconds)
+        assertEquals(1, simulation.active)
     }
 
-    private fun store(record: JobRecord, permit: WritePermit?) =
-        scene.state
-            .transact(permit?.conditions().orEmpty(), listOf(Put(Keys.job(record.spec.id), RecordWire.encode(record))), emptyList())
-
-    private fun stage() =
-        scene.records
-            .level()
-            .valueOrNull()
-            ?.let { it.level to it.stage }
+    /** Stores the record under the permit's condition; returns the keys whose conditions failed, null if none did. */
+    private fun store(record: JobRecord, permit: WritePermit?): List<String>? {
+        val put = Put(Keys.job(record.spec.id), RecordWire.encode(record))
+        return simulation.state.transact(permit?.conditions().orEmpty(), listOf(put), emptyList())
+    }
 
     @Test
-    fun `nothing new is written, what is left is waited for, and then the level is lowered and stays so`() {
-        store(split, scene.member("b").gate.permit(1))
-        assertTrue(scene.order(OperatorRequest.Deactivate(1)) is OrderOutcome.Accepted)
-        scene.run(1.minutes)
-        assertEquals(1 to LevelStage.LEAVING, stage())
-        scene.members.forEach { assertNull(it.gate.permit(1)) }
-        // Rewritten by the leader's ordinary changes.
-        store(split.copy(placementParts = emptyMap()), null)
-        scene.run(4.seconds)
-        assertEquals(0 to LevelStage.ACTIVE, stage())
-        scene.run(10.minutes)
-        assertEquals(0 to LevelStage.ACTIVE, stage())
-        assertEquals(HoldCause.LOWERED_BY_OPERATOR, scene.overview().hold?.cause)
-        scene.order(OperatorRequest.Resume)
-        scene.run(30.seconds)
-        assertEquals(1 to LevelStage.ACTIVE, stage())
+    fun `a level is lowered once no record has its form, and stays lowered until the operator resumes`() {
+        store(splitRecord, simulation.permitOf("b", 1))
+        simulation.accept(OperatorRequest.Deactivate(1))
+        simulation.run(1.minutes)
+        simulation.assertLevel(1, LevelStage.LEAVING)
+        simulation.members.forEach { assertNull(it.gate.permit(1)) }
+
+        store(rewrittenRecord, permit = null)
+        simulation.run(4.seconds)
+        simulation.assertLevel(0)
+
+        simulation.run(10.minutes)
+        simulation.assertLevel(0)
+        assertEquals(HoldCause.LOWERED_BY_OPERATOR, simulation.hold?.cause)
+
+        simulation.order(OperatorRequest.Resume)
+        simulation.run(30.seconds)
+        simulation.assertLevel(1)
     }
 
     @Test
-    fun `a write that was permitted before, and arrives after, is refused`() {
-        val permit = scene.member("b").gate.permit(1)
-        scene.order(OperatorRequest.Deactivate(1))
-        scene.run(4.seconds)
-        assertEquals(0 to LevelStage.ACTIVE, stage())
-        assertEquals(listOf(Keys.LEVEL), store(split, permit))
-        // Nor does it count once the level is active again: it is another version of the record.
-        scene.order(OperatorRequest.Activate(1))
-        scene.run(30.seconds)
-        assertEquals(1 to LevelStage.ACTIVE, stage())
-        assertEquals(listOf(Keys.LEVEL), store(split, permit))
-        assertNull(store(split, scene.member("b").gate.permit(1)))
+    fun `a write that was permitted before a deactivation and arrives after it is refused`() {
+        val permit = simulation.permitOf("b", 1)
+        simulation.order(OperatorRequest.Deactivate(1))
+        simulation.run(4.seconds)
+        simulation.assertLevel(0)
+        assertEquals(listOf(Keys.LEVEL), store(splitRecord, permit))
+
+        // The permit stays void when the level is active again: the level record has another version.
+        simulation.order(OperatorRequest.Activate(1))
+        simulation.run(30.seconds)
+        simulation.assertLevel(1)
+        assertEquals(listOf(Keys.LEVEL), store(splitRecord, permit))
+        assertNull(store(splitRecord, simulation.permitOf("b", 1)))
     }
 
     @Test
-    fun `the leader may end at each stage, before, after or without an answer`() {
-        for (fate in listOf(RolloutSimulation.Fate.REFUSED, RolloutSimulation.Fate.LATE, RolloutSimulation.Fate.ANSWER_LOST)) {
-            scene.order(OperatorRequest.Deactivate(1))
-            repeat(2) { step ->
-                scene.fate = fate
-                scene.now += 2.seconds
-                scene.round()
-                scene.fate = RolloutSimulation.Fate.DONE
-                scene.elect(if (step == 0) "b" else "c")
-                scene.deliverLate()
-                assertTrue(stage() in setOf(1 to LevelStage.ACTIVE, 1 to LevelStage.LEAVING, 0 to LevelStage.ACTIVE), "${stage()}")
+    fun `the leader may end at each stage, before its write, during it or before its answer`() {
+        val fates =
+            listOf(RolloutSimulation.Fate.REFUSED, RolloutSimulation.Fate.LATE, RolloutSimulation.Fate.ANSWER_LOST)
+        val stages = setOf(1 to LevelStage.ACTIVE, 1 to LevelStage.LEAVING, 0 to LevelStage.ACTIVE)
+        for (fate in fates) {
+            simulation.order(OperatorRequest.Deactivate(1))
+            for (nextLeader in listOf("b", "c")) {
+                simulation.fate = fate
+                simulation.now += 2.seconds
+                simulation.round()
+                simulation.fate = RolloutSimulation.Fate.DONE
+                simulation.elect(nextLeader)
+                simulation.deliverLate()
+                val record = simulation.records.level().valueOrNull()
+                assertTrue(record?.let { it.level to it.stage } in stages, "$record")
             }
-            scene.run(10.seconds)
-            assertEquals(0 to LevelStage.ACTIVE, stage())
-            scene.order(OperatorRequest.Resume)
-            scene.run(30.seconds)
-            assertEquals(1 to LevelStage.ACTIVE, stage())
+            simulation.run(10.seconds)
+            simulation.assertLevel(0)
+            simulation.order(OperatorRequest.Resume)
+            simulation.run(30.seconds)
+            simulation.assertLevel(1)
         }
     }
 
     @Test
-    fun `a level is not lowered beside a controller that would go on writing its form, or that may be one`() {
-        scene.member("c").restart(1, unmanaged = true)
-        scene.order(OperatorRequest.Deactivate(1))
-        scene.run(1.minutes)
-        assertEquals(1 to LevelStage.LEAVING, stage())
-        scene.member("c").up = false
-        scene.run(1.minutes)
-        assertEquals(1 to LevelStage.LEAVING, stage())
-        scene.member("c").restart(1)
-        scene.run(4.seconds)
-        assertEquals(0 to LevelStage.ACTIVE, stage())
+    fun `a level is not lowered while a member that may write its form is running or unreachable`() {
+        simulation.member("c").restart(1, unmanaged = true)
+        simulation.order(OperatorRequest.Deactivate(1))
+        simulation.run(1.minutes)
+        simulation.assertLevel(1, LevelStage.LEAVING)
+
+        simulation.member("c").up = false
+        simulation.run(1.minutes)
+        simulation.assertLevel(1, LevelStage.LEAVING)
+
+        simulation.member("c").restart(1)
+        simulation.run(4.seconds)
+        simulation.assertLevel(0)
     }
 
     @Test
-    fun `an operator may change his mind while records are left`() {
-        store(split, scene.member("b").gate.permit(1))
-        scene.order(OperatorRequest.Deactivate(1))
-        scene.run(10.seconds)
-        scene.order(OperatorRequest.Resume)
-        scene.run(4.seconds)
-        assertEquals(1 to LevelStage.ACTIVE, stage())
+    fun `an operator may take a deactivation back while records have the form`() {
+        store(splitRecord, simulation.permitOf("b", 1))
+        simulation.order(OperatorRequest.Deactivate(1))
+        simulation.run(10.seconds)
+        simulation.order(OperatorRequest.Resume)
+        simulation.run(4.seconds)
+        simulation.assertLevel(1)
     }
 
     @Test
-    fun `a level without a way down, or one that is not active, is refused at once`() {
-        assertTrue((scene.order(OperatorRequest.Deactivate(2)) as OrderOutcome.Refused).reason.contains("level 1 is"))
-        scene.members.forEach { it.restart(3) }
-        scene.elect("a")
-        scene.run(2.minutes)
-        assertEquals(3 to LevelStage.ACTIVE, stage())
-        assertTrue(
-            (scene.order(OperatorRequest.Deactivate(3)) as OrderOutcome.Refused)
-                .reason
-                .contains("can't be deactivated"),
-        )
-        scene.run(1.minutes)
-        assertEquals(3 to LevelStage.ACTIVE, stage())
+    fun `deactivation of a level that is not active is refused`() {
+        assertTrue("level 1 is" in simulation.refusalOf(OperatorRequest.Deactivate(2)))
+    }
+
+    @Test
+    fun `deactivation of a level that does not support it is refused, and the level stays active`() {
+        simulation.members.forEach { it.restart(3) }
+        simulation.elect("a")
+        simulation.run(2.minutes)
+        simulation.assertLevel(3)
+
+        assertTrue("can't be deactivated" in simulation.refusalOf(OperatorRequest.Deactivate(3)))
+        simulation.run(1.minutes)
+        simulation.assertLevel(3)
     }
 }
--- a/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
+++ b/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
@@ -2,77 +2,93 @@
 
 import glenspool.simulation.RolloutSimulation
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertInstanceOf
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** What stops an upgrade, and which controller comes next. */
+/** What stops an upgrade, and which controller is replaced next. */
 class HealthAndPlanTest {
-    private val levels = BuildLevels("new", 0, 1)
+    private val oldBuild = BuildLevels("old", 0, 0)
+    private val newBuild = BuildLevels("new", 0, 1)
+    private val noFailures = emptyList<HealthFailure>()
 
-    private fun report(boot: String, refusals: Long) = MemberReport("b", boot, levels, true, HealthCounts(0, 0, refusals, 0))
+    private fun report(member: String, boot: String, build: BuildLevels = newBuild, refusals: Long = 0): MemberReport {
+        val health = HealthCounts(0, 0, refusals, 0)
+        return MemberReport(member, boot, build, isReady = true, health)
+    }
 
     @Test
-    fun `the time since a step is compared with the time before it, over restarts`() {
+    fun `events since a step are compared with those before it, across restarts`() {
         val gate = HealthGate(HealthLimits(window = 10.minutes, tolerated = 5, factor = 2.0))
         for (minute in 0..9) {
-            gate.add(report("one", minute * 10L))
+            gate.add(report("b", "one", refusals = minute * 10L))
             gate.sample(minute.minutes)
         }
-        assertEquals(emptyList<HealthFailure>(), gate.failures(9.minutes, 9.minutes))
-        // Another process counts from zero. In one minute as much is tolerated as a share of what there was before.
-        gate.add(report("two", 20))
+        assertEquals(noFailures, gate.failures(9.minutes, 9.minutes))
+
+        // A restarted process counts from zero. Within one minute a share of the earlier number is tolerated.
+        gate.add(report("b", "two", refusals = 20))
         gate.sample(10.minutes)
-        assertEquals(emptyList<HealthFailure>(), gate.failures(9.minutes, 10.minutes))
-        gate.add(report("two", 60))
+        assertEquals(noFailures, gate.failures(9.minutes, 10.minutes))
+
+        gate.add(report("b", "two", refusals = 60))
         gate.sample(10.minutes + 10.seconds)
         val failure = gate.failures(9.minutes, 10.minutes + 10.seconds).single()
-        assertEquals(HealthFailure("refused requests", 90, 60), failure)
-        // The same within ten minutes is what was usual.
-        assertEquals(emptyList<HealthFailure>(), gate.failures(9.minutes, 19.minutes))
+        assertEquals(HealthFailure(HealthEvent.REFUSED_REQUEST, before = 90, after = 60), failure)
+        assertEquals("refused requests: 60 since the last step, 90 in the time before it", failure.toString())
+
+        // The same number within ten minutes is not more than before.
+        assertEquals(noFailures, gate.failures(9.minutes, 19.minutes))
     }
 
     @Test
-    fun `a service that got worse with the last step stops the plan and holds the level`() {
-        val scene = RolloutSimulation(RolloutPolicy(health = HealthLimits(tolerated = 3)))
-        scene.elect("a")
-        val engine = RolloutEngine(scene.leader.registry, scene.policy, listOf("a", "b", "c"), scene.now)
+    fun `too many events since the last step stop the plan and hold the level`() {
+        val simulation = RolloutSimulation(RolloutPolicy(health = HealthLimits(tolerated = 3)))
+        simulation.elect("a")
+        val startedAt = simulation.now
+        val engine = RolloutEngine(simulation.leader.registry, simulation.policy, listOf("a", "b", "c"), startedAt)
         var refusals = 0L
-
-        fun hear(second: Int) {
-            val at = scene.now + second.seconds
-            for (name in listOf("a", "c")) engine.heard(MemberReport(name, name, levels, true), at)
-            val after = second >= 60
-            if (after) refusals += 3
-            engine
-                .heard(MemberReport("b", if (after) "b-2" else "b-1", if (after) levels else BuildLevels("old", 0, 0), true, HealthCounts(0, 0, refusals, 0)), at)
-            engine.step(scene.input().copy(now = at))
+        for (second in 0..100 step 2) {
+            val at = startedAt + second.seconds
+            val isUpgraded = second >= 60
+            if (isUpgraded) refusals += 3
+            val upgraded = if (isUpgraded) report("b", "b-2", newBuild, refusals) else report("b", "b-1", oldBuild)
+            for (report in listOf(report("a", "a"), report("c", "c"), upgraded)) engine.memberReported(report, at)
+            engine.step(simulation.input().copy(now = at))
         }
-        for (second in 0..100 step 2) hear(second)
-        val overview = engine.overview(scene.input().copy(now = scene.now + 100.seconds))
+
+        val overview = engine.overview(simulation.input().copy(now = startedAt + 100.seconds))
+
         assertEquals(HoldCause.HEALTH, overview.hold?.cause)
-        assertTrue((overview.plan.single() as PlanStep.Stop).reason.startsWith("refused requests"))
+        val stop = assertInstanceOf(PlanStep.Stop::class.java, overview.plan.single())
+        assertTrue(stop.reason.startsWith("refused requests"))
     }
 
     @Test
-    fun `followers come first, the leader last, and none while another is not well`() {
-        val scene = RolloutSimulation()
-        listOf("a", "b").forEach { scene.member(it).restart(0, unmanaged = true) }
-        scene.elect("c")
-        scene.run(10.seconds)
-        assertEquals(listOf<PlanStep>(PlanStep.Replace("a", false), PlanStep.Replace("b", false)), scene.overview().plan)
-        scene.member("a").up = false
-        scene.run(20.seconds)
-        assertEquals(PlanStep.WaitFor("a", "not reachable"), scene.overview().plan.first())
-        scene.member("a").restart(1)
-        scene.elect("a")
-        scene.run(10.seconds)
-        assertEquals(listOf<PlanStep>(PlanStep.Replace("b", false)), scene.overview().plan)
-        scene.member("c").restart(2)
-        scene.run(4.seconds)
-        assertEquals(HoldCause.MEMBER_OLD_BUILD, scene.overview().hold?.cause)
-        // Members with the newest build that anybody shows come last; the leader among the others closes the list.
-        assertEquals(PlanStep.Replace("b", false), scene.overview().plan.first())
+    fun `followers are replaced first, the leader last, and none while another member is unhealthy`() {
+        fun replacements(vararg members: String): List<PlanStep> =
+            members.map { PlanStep.Replace(it, isLeader = false) }
+        val simulation = RolloutSimulation()
+        simulation.restartWithOldBuild("a", "b")
+        simulation.elect("c")
+        simulation.run(10.seconds)
+        assertEquals(replacements("a", "b"), simulation.overview().plan)
+
+        simulation.member("a").up = false
+        simulation.run(20.seconds)
+        assertEquals(PlanStep.WaitFor("a", "not reachable"), simulation.overview().plan.first())
+
+        simulation.member("a").restart(1)
+        simulation.elect("a")
+        simulation.run(10.seconds)
+        assertEquals(replacements("b"), simulation.overview().plan)
+
+        // A still newer build makes the leader's build an old one as well.
+        simulation.member("c").restart(2)
+        simulation.run(4.seconds)
+        assertEquals(HoldCause.MEMBER_OLD_BUILD, simulation.hold?.cause)
+        assertEquals(PlanStep.Replace("b", isLeader = false), simulation.overview().plan.first())
     }
 }
--- /dev/null
+++ b/src/test/kotlin/glenspool/rollout/RolloutFixtures.kt
@@ -0,0 +1,30 @@
+package glenspool.rollout
+
+import glenspool.simulation.RolloutSimulation
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertInstanceOf
+
+/** What holds the next level now. */
+internal val RolloutSimulation.hold: Hold? get() = overview().hold
+
+/** Restarts the members with a build that does not know levels. */
+internal fun RolloutSimulation.restartWithOldBuild(vararg members: String) =
+    members.forEach { member(it).restart(highest = 0, unmanaged = true) }
+
+internal fun RolloutSimulation.fenceOf(member: String): Fence? = member(member).gate.fence()
+
+internal fun RolloutSimulation.permitOf(member: String, level: Int): WritePermit? = member(member).gate.permit(level)
+
+/** The reason why the request is refused. */
+internal fun RolloutSimulation.refusalOf(request: OperatorRequest): String =
+    assertInstanceOf(OrderOutcome.Refused::class.java, order(request)).reason
+
+internal fun RolloutSimulation.accept(request: OperatorRequest) {
+    assertInstanceOf(OrderOutcome.Accepted::class.java, order(request))
+}
+
+/** Asserts the level record's level and stage. */
+internal fun RolloutSimulation.assertLevel(level: Int, stage: LevelStage = LevelStage.ACTIVE) {
+    val record = records.level().valueOrNull()
+    assertEquals(level to stage, record?.level to record?.stage)
+}
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -1,5 +1,6 @@
 package glenspool.rollout
 
+import glenspool.core.model.JobRecord
 import glenspool.simulation.InMemoryStore
 import glenspool.simulation.OldVersion
 import glenspool.simulation.job
@@ -22,84 +23,86 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertNull
+import java.util.BitSet
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The readers of stored records against what should never be stored. A reader may only answer or say
- * [MalformedMessage]: any other exception would stop a duty. A longer run than CI's: `mvn test
- * -Dtest=StoredFormsFuzzTest -DargLine=-Djqwik.tries.default=200000`.
+ * The readers of stored records against damaged records. A reader may only return a value or throw [MalformedMessage]:
+ * any other exception would end a service thread. A longer run than CI's: `mvn test -Dtest=StoredFormsFuzzTest
+ * -DargLine=-Djqwik.tries.default=200000`.
  */
 class StoredFormsFuzzTest {
-    private val files =
-        listOf("g~j~run-000412", "g~j~run-000413", "g~j~run-000414", "f~run-000001", "g~c~run-000414", "g~lead", "g~term", "g~images~3")
-    private val stored: List<Fields> =
-        files.map { name ->
-            Cbor
-                .decodeMap(
-                    javaClass.getResourceAsStream("/stored-by-production/$name.cbor").use {
-                        checkNotNull(it)
-                            .readAllBytes()
-                    },
-                )
-        } +
+    /** Records as the version in production stored them. */
+    private val productionFiles =
+        listOf(
+            "g~j~run-000412",
+            "g~j~run-000413",
+            "g~j~run-000414",
+            "f~run-000001",
+            "g~c~run-000414",
+            "g~lead",
+            "g~term",
+            "g~images~3",
+        )
+
+    private fun readProductionFile(name: String): Fields {
+        val stream = checkNotNull(javaClass.getResourceAsStream("/stored-by-production/$name.cbor"))
+        return Cbor.decodeMap(stream.use { it.readAllBytes() })
+    }
+
+    private val orders = OperatorOrders(ActivationMode.HOLD, 2, 1, listOf(Exclusion("a", "b", 7.milliseconds)))
+    private val state =
+        RolloutState(
+            target = 2,
+            members = listOf(MemberSeen("a", "b", 1, 3.milliseconds)),
+            hold = Hold(HoldCause.HEALTH, "a", "b"),
+            heldSince = 9.milliseconds,
+        )
+    private val dependentJob =
+        JobRecord(job("a", tasks = 9), 5.milliseconds, 0, BitSet(), emptyList(), dependencies = listOf("b"))
+
+    private val intactRecords: List<Fields> =
+        productionFiles.map(::readProductionFile) +
             listOf(
                 RolloutWire.encode(LevelRecord(1, "sealed-records", LevelStage.ACTIVE, 4, 5.milliseconds)),
-                RolloutWire
-                    .encode(OperatorOrders(ActivationMode.HOLD, 2, 1, listOf(Exclusion("a", "b", 7.milliseconds)))),
-                RolloutWire
-                    .encode(
-                        RolloutState(
-                            2, listOf(MemberSeen("a", "b", 1, 3.milliseconds)), Hold(HoldCause.HEALTH, "a", "b"),
-                            9
-                                .milliseconds,
-                        ),
-                    ),
-                RecordWire
-                    .encode(
-                        glenspool.core.model
-                            .JobRecord(job("a", tasks = 9), 5.milliseconds, 0, java.util.BitSet(), emptyList(), listOf("b")),
-                    ),
+                RolloutWire.encode(orders),
+                RolloutWire.encode(state),
+                RecordWire.encode(dependentJob),
             )
 
-    private val odd: List<Any?> =
+    private val unexpectedValues: List<Any?> =
         listOf(
-            null, true, "", "x", "active", -1L, 0L, 1L, Long.MAX_VALUE, 0.5, Double.NaN, emptyList<Any>(), listOf("a"), emptyMap<String, Any?>(),
-            mapOf(
-                "level" to 1L,
-            ),
+            null, true, "", "x", "active", -1L, 0L, 1L, Long.MAX_VALUE, 0.5, Double.NaN,
+            emptyList<Any>(), listOf("a"), emptyMap<String, Any?>(), mapOf("level" to 1L),
         )
 
     /** Replaces, removes or adds a few values anywhere in the tree. */
     private fun damaged(value: Any?, random: Random): Any? =
         when {
-            random.nextInt(12) == 0 -> odd.random(random)
-            value is Map<*, *> ->
-                value.entries.filter { random.nextInt(15) > 0 }.associate { (k, v) ->
-                    k.toString() to
-                        damaged(v, random)
-                }
-            value is List<*> ->
-                value.map { damaged(it, random) } +
-                    (if (random.nextInt(8) == 0) listOf(odd.random(random)) else emptyList())
+            random.nextInt(12) == 0 -> unexpectedValues.random(random)
+            value is Map<*, *> -> {
+                val remaining = value.entries.filter { random.nextInt(15) > 0 }
+                remaining.associate { (name, item) -> name.toString() to damaged(item, random) }
+            }
+            value is List<*> -> {
+                val items = value.map { damaged(it, random) }
+                if (random.nextInt(8) == 0) items + listOf(unexpectedValues.random(random)) else items
+            }
             else -> value
         }
 
     @Suppress("UNCHECKED_CAST")
     private fun damagedRecord(seed: Long): Fields {
         val random = Random(seed)
-        val original = stored.random(random)
+        val original = intactRecords.random(random)
         return damaged(original, random) as? Fields ?: original
     }
 
+    private fun readJobRecord(fields: Fields): Any? = JobRecordReader(InMemoryStore()).read("a", fields)
+
     private val readers: List<(Fields) -> Any?> =
-        listOf(
-            RolloutWire::level,
-            RolloutWire::orders,
-            RolloutWire::state,
-            { JobRecordReader(InMemoryStore()).read("a", it) },
-            { OldVersion.reads(it) },
-        )
+        listOf(RolloutWire::level, RolloutWire::orders, RolloutWire::state, ::readJobRecord, OldVersion::reads)
 
     private fun readOrNull(reader: (Fields) -> Any?, fields: Fields): Any? =
         try {
@@ -110,7 +113,7 @@
         }
 
     @Property(seed = "4711")
-    fun `damaged records are read or malformed, nothing else`(
+    fun `a damaged record is read, or rejected as malformed`(
         @ForAll @LongRange(min = 0) seed: Long,
     ) {
         val fields = damagedRecord(seed)
@@ -118,7 +121,7 @@
     }
 
     @Property(seed = "4712")
-    fun `bytes of any kind are a map or malformed`(
+    fun `arbitrary bytes are decoded, or rejected as malformed`(
         @ForAll bytes: ByteArray,
     ) {
         val fields =
@@ -132,27 +135,29 @@
     }
 
     @Property(tries = 400, seed = "4713")
-    fun `level records come back as they were written, and are nothing else`(
+    fun `a level record decodes to itself, and no other reader accepts it`(
         @ForAll("levelRecords") record: LevelRecord,
     ) {
-        val back = Cbor.decodeMap(Cbor.encode(RolloutWire.encode(record)))
-        assertEquals(record, RolloutWire.level(back))
-        assertNull(readOrNull(RolloutWire::orders, back))
-        assertNull(readOrNull(RolloutWire::state, back))
-        assertNull(OldVersion.reads(back))
-        assertNull(readOrNull({ JobRecordReader(InMemoryStore()).read("a", it) }, back))
+        val fields = Cbor.decodeMap(Cbor.encode(RolloutWire.encode(record)))
+        assertEquals(record, RolloutWire.level(fields))
+        assertNull(readOrNull(RolloutWire::orders, fields))
+        assertNull(readOrNull(RolloutWire::state, fields))
+        assertNull(OldVersion.reads(fields))
+        assertNull(readOrNull(::readJobRecord, fields))
     }
 
     @Property(seed = "4714")
-    fun `whatever lies under the level's key permits nothing beyond what it says`(
+    fun `a damaged level record permits and fences no more than what is legible of it`(
         @ForAll @LongRange(min = 0) seed: Long,
     ) {
-        val state = InMemoryStore()
-        state.transact(emptyMap(), listOf(Put(Keys.LEVEL, damagedRecord(seed))), emptyList())
-        val gate = FeatureGate(FeatureRegistry.CURRENT.of("b"), RolloutRecords(state) { true }::level)
-        val level = readOrNull(RolloutWire::level, state.entries.getValue(Keys.LEVEL).value) as LevelRecord?
-        assertEquals(level != null && level.level == 1 && level.stage == LevelStage.ACTIVE, gate.permit(1) != null)
-        assertEquals(level != null && level.level > 1, gate.fence() != null)
+        val store = InMemoryStore()
+        store.transact(emptyMap(), listOf(Put(Keys.LEVEL, damagedRecord(seed))), emptyList())
+        val gate = FeatureGate(FeatureRegistry.CURRENT.of("b"), RolloutRecords(store) { true }::level)
+        val record = readOrNull(RolloutWire::level, store.entries.getValue(Keys.LEVEL).value) as LevelRecord?
+        val mayWrite = record != null && record.level == 1 && record.stage == LevelStage.ACTIVE
+        val mustNotServe = record != null && record.level > 1
+        assertEquals(mayWrite, gate.permit(1) != null)
+        assertEquals(mustNotServe, gate.fence() != null)
     }
 
     @Provide
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -24,8 +24,8 @@
     @TempDir
     lateinit var dir: File
     private val policy = RolloutPolicy(settle = 400.milliseconds, evidenceAge = 1200.milliseconds)
-    private val old = registryUpTo(1)
-    private val new = registryUpTo(2)
+    private val oldBuild = registryUpTo(1)
+    private val newBuild = registryUpTo(2)
     private val names = listOf("bobbin-0", "bobbin-1", "bobbin-2")
 
     private class Phase(val name: String, val from: Duration, val to: Duration)
@@ -38,138 +38,120 @@
         phases.add(Phase(name, from, now))
     }
 
-    private fun gaps(history: JobHistory, phase: Phase): String {
+    private fun describe(phase: Phase, history: JobHistory): String {
+        val time = (phase.to - phase.from).inWholeMilliseconds
         val accepted = history.longestGap<HistoryEvent.Accepted>(phase.from, phase.to).inWholeMilliseconds
         val started = history.longestGap<HistoryEvent.Started>(phase.from, phase.to).inWholeMilliseconds
-        return "took ${(phase.to - phase.from).inWholeMilliseconds} ms, longest without an acceptance $accepted ms, without a start $started ms"
+        return "took $time ms, longest without an acceptance $accepted ms, without a start $started ms"
     }
 
-    private fun LoopbackService.level() = state.get(Keys.LEVEL)?.value?.let { it["level"] to it["stage"] }
+    private fun LoopbackService.isLevelActive(level: Long): Boolean {
+        val record = state.get(Keys.LEVEL)?.value ?: return false
+        return record["level"] == level && record["stage"] == "active"
+    }
 
-    private fun LoopbackService.awaitLevel(level: Long) =
-        await("level $level is active") {
-            level() == level to "active"
-        }
+    private fun LoopbackService.awaitLevel(level: Long) = await("level $level is active") { isLevelActive(level) }
 
     /** Followers first, the leader last, as the plan says. */
-    private fun LoopbackService.replaceAll(registry: FeatureRegistry) {
+    private fun LoopbackService.replaceAll(build: FeatureRegistry) {
         val order = names.filter { it != leader } + listOfNotNull(leader)
-        order.forEach { replace(it, registry) }
+        order.forEach { replace(it, build) }
+    }
+
+    /** Two members are upgraded and one is not: that alone activates nothing, whatever fails meanwhile. */
+    private fun LoopbackService.upgradeAllButOne() {
+        val leftBehind = checkNotNull(leader)
+
+        fun buildOf(name: String) = if (name == leftBehind) oldBuild else newBuild
+        names.filter { it != leftBehind }.forEach { replace(it, newBuild) }
+        repeat(4) { endOne(::buildOf) }
+        outage(1.seconds)
+        endOne(::buildOf)
+        val begun = now
+        await("two seconds have passed") { now - begun > 2.seconds }
+        assertTrue(isLevelActive(1))
+    }
+
+    /** A member that comes back with an old build does not serve, and says why. */
+    private fun LoopbackService.verifyOldBuildIsFenced(member: String) {
+        kill(member)
+        start(member, oldBuild)
+        await("it is fenced") { (readiness(member) as? CallResult.Answer)?.body?.get("needs_level") == 2L }
+        val fence = ask(member).status?.fence.orEmpty()
+        assertTrue(fence.contains("level 2 (next-form) is active"), fence)
+        assertFalse(ask(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
+        replace(member, newBuild)
     }
 
     @Test
-    fun `no job is lost, repeated or called two things while controllers go forward, back and forward again`() {
+    fun `no job is lost, repeated or reported twice while controllers are upgraded, rolled back and upgraded again`() {
         LoopbackService(dir, policy, seed = 7).use { service ->
-            names.forEach { service.start(it, old) }
+            names.forEach { service.start(it, oldBuild) }
             service.awaitLevel(1)
             service.await("jobs run") { service.history.finished.size >= 5 }
-            // The first upgraded members alone change nothing, however long it takes.
-            service.phase("one left behind") {
-                val behind = checkNotNull(service.leader)
-                names.filter { it != behind }.forEach { service.replace(it, new) }
-                repeat(4) { service.endOne { name -> if (name == behind) old else new } }
-                service.outage(1.seconds)
-                service.endOne { name -> if (name == behind) old else new }
-                val begun = service.now
-                service.await("two seconds have passed") { service.now - begun > 2.seconds }
-                assertEquals(1L to "active", service.level())
-            }
-            // A rollback halfway, and forward again.
-            service.phase("rollback halfway") { service.replaceAll(old) }
+            service.phase("one left behind") { service.upgradeAllButOne() }
+            service.phase("rollback halfway") { service.replaceAll(oldBuild) }
             service.phase("upgrade") {
-                service.replaceAll(new)
+                service.replaceAll(newBuild)
                 service.awaitLevel(2)
             }
-            // An old build that comes back now does not serve, and says why.
-            val fencedMember = names.first { it != service.leader }
-            service.kill(fencedMember)
-            service.start(fencedMember, old)
-            service.await("it is fenced") {
-                (service.readiness(fencedMember) as? CallResult.Answer)?.body?.get("needs_level") ==
-                    2L
-            }
-            assertTrue(
-                service
-                    .ask(fencedMember)
-                    .status
-                    ?.fence
-                    .orEmpty()
-                    .contains("level 2 (next-form) is active"),
-            )
-            assertFalse(service.ask(fencedMember, RolloutRequest(RolloutVerb.HOLD)).accepted)
-            service.replace(fencedMember, new)
-            // Down again under load, by an operator's word at any controller, with the leader ending on the way.
-            assertTrue(service.ask(fencedMember, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
-            service.leader?.let { service.replace(it, new) }
+            val follower = names.first { it != service.leader }
+            service.verifyOldBuildIsFenced(follower)
+
+            // An operator may order the deactivation at any controller; the leader ends on the way.
+            assertTrue(service.ask(follower, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
+            service.leader?.let { service.replace(it, newBuild) }
             service.awaitLevel(1)
-            service.phase("rollback after deactivation") { service.replaceAll(old) }
-            service.replaceAll(new)
-            assertEquals(1L to "active", service.level())
+            service.phase("rollback after deactivation") { service.replaceAll(oldBuild) }
+            service.replaceAll(newBuild)
+            assertTrue(service.isLevelActive(1))
             assertTrue(service.ask(names[0], RolloutRequest(RolloutVerb.ACTIVATE, level = 2)).accepted)
             service.awaitLevel(2)
+
             service.finish()
             val faults = HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(service.history)
             assertEquals(emptyList<String>(), faults)
             assertEquals(4, service.fleetSize, "a machine was given up")
-            phases.forEach { println("upgrade under load: ${it.name} ${gaps(service.history, it)}") }
+            phases.forEach { println("upgrade under load: ${it.name} ${describe(it, service.history)}") }
         }
     }
 
-    private fun history(vararg events: HistoryEvent) =
-        JobHistory {
-            Duration.ZERO
-        }.also { history ->
-            events.forEach { event ->
-                history
-                    .add { event }
-            }
-        }
+    private fun faultsOf(vararg events: HistoryEvent): List<String> {
+        val history = JobHistory { Duration.ZERO }
+        events.forEach { event -> history.add { event } }
+        return HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(history)
+    }
 
     @Test
     fun `the checker finds a planted duplicate, loss, stall, contradiction and late start`() {
-        fun faults(vararg events: HistoryEvent) = HistoryChecker(8.seconds, 24.seconds).faults(history(*events))
         val accepted = HistoryEvent.Accepted(1.seconds, "a")
         val started = HistoryEvent.Started(2.seconds, "a", "i-1")
         val left = HistoryEvent.Left(3.seconds, "a", "i-1", true)
         val told = HistoryEvent.Told(4.seconds, "a", "done")
-        assertEquals(emptyList<String>(), faults(accepted, started, left, told))
-        assertEquals(
-            listOf("a started on i-2 while on [i-1]"),
-            faults(
-                accepted, started,
-                HistoryEvent
-                    .Started(2.seconds, "a", "i-2"),
-                left, told,
-            ),
-        )
-        assertEquals(listOf("a was accepted and has no final state"), faults(accepted, started, left))
-        assertEquals(
-            listOf("a has several final states: [done, aborted]"),
-            faults(
-                accepted, started, left, told,
-                told
-                    .copy(stage = "aborted"),
-            ),
-        )
-        assertEquals(listOf("a is called done and never completed"), faults(accepted, told))
-        val later = HistoryEvent.Accepted(10.seconds, "b")
-        assertEquals(
-            listOf("no accepted submission for 9.0 s"),
-            faults(
-                accepted, started, left, told, later,
-                HistoryEvent
-                    .Told(10.seconds, "b", "aborted"),
-            ),
-        )
+        assertEquals(emptyList<String>(), faultsOf(accepted, started, left, told))
+
+        val duplicate = HistoryEvent.Started(2.seconds, "a", "i-2")
+        val duplicateFaults = listOf("a started on i-2 while on [i-1]")
+        assertEquals(duplicateFaults, faultsOf(accepted, started, duplicate, left, told))
+
+        val lossFaults = listOf("a was accepted and has no final state")
+        assertEquals(lossFaults, faultsOf(accepted, started, left))
+
+        val contradiction = told.copy(stage = "aborted")
+        val contradictionFaults = listOf("a has several final states: [done, aborted]")
+        assertEquals(contradictionFaults, faultsOf(accepted, started, left, told, contradiction))
+
+        val incompleteFaults = listOf("a is called done and never completed")
+        assertEquals(incompleteFaults, faultsOf(accepted, told))
+
+        val late = HistoryEvent.Accepted(10.seconds, "b")
+        val lateTold = HistoryEvent.Told(10.seconds, "b", "aborted")
+        val stallFaults = listOf("no accepted submission for 9.0 s")
+        assertEquals(stallFaults, faultsOf(accepted, started, left, told, late, lateTold))
+
         val cancelled = HistoryEvent.CancelConfirmed(0.seconds, "a")
-        assertEquals(
-            listOf("a started long after it was cancelled"),
-            faults(
-                accepted, cancelled,
-                started
-                    .copy(at = 25.seconds),
-                left, told,
-            ),
-        )
+        val lateStart = started.copy(at = 25.seconds)
+        val lateStartFaults = listOf("a started long after it was cancelled")
+        assertEquals(lateStartFaults, faultsOf(accepted, cancelled, lateStart, left, told))
     }
 }
--- a/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -1,6 +1,7 @@
 package glenspool.simulation
 
 import glenspool.rollout.BuildLevels
+import glenspool.rollout.Deactivation
 import glenspool.rollout.FeatureGate
 import glenspool.rollout.FeatureLevel
 import glenspool.rollout.FeatureRegistry
@@ -14,7 +15,6 @@
 import glenspool.rollout.RolloutEngine
 import glenspool.rollout.RolloutInput
 import glenspool.rollout.RolloutPolicy
-import glenspool.rollout.WayDown
 import glenspool.rollout.replaceableVersion
 import glenspool.rollout.valueOrNull
 import glenspool.state.Keys
@@ -29,8 +29,8 @@
 val FUTURE_LEVELS =
     listOf(
         checkNotNull(FeatureRegistry.CURRENT.find(FeatureRegistry.SEALED_RECORDS)),
-        FeatureLevel(2, "next-form", "a form that only tests write", WayDown.REWRITE),
-        FeatureLevel(3, "last-form", "a form without a way down", WayDown.NONE),
+        FeatureLevel(2, "next-form", "a form that only tests write", Deactivation.REWRITE),
+        FeatureLevel(3, "last-form", "a form without a way down", Deactivation.UNSUPPORTED),
     )
 
 /** A build that knows levels up to [highest] of [FUTURE_LEVELS]. */
@@ -119,7 +119,7 @@
     fun hear() {
         members.filter { it.up && (it === leader || !it.cutFromPeers && !leader.cutFromPeers) }.forEach {
             engine
-                .heard(it.report(), now)
+                .memberReported(it.report(), now)
         }
     }
 
