--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -43,7 +43,7 @@
 
     /** A record in the base level's form is kept whole as long as the store takes it: old controllers may lead. */
     private fun maxValueBytes(record: JobRecord): Int {
-        val isBaseForm = record.dependencies.isEmpty() && !features.inUse(FeatureRegistry.SEALED_RECORDS)
+        val isBaseForm = record.dependencies.isEmpty() && !features.isInUse(FeatureRegistry.SEALED_RECORDS)
         return if (isBaseForm) settings.storeLimits.now.valueBytes else limits.valueBytes
     }
 
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -32,7 +32,7 @@
     /** Loads everything that is stored; until it has returned, no heartbeat must reach this term. */
     fun start() {
         step {
-            membersChecked(context.features.inUse(FeatureRegistry.SEALED_RECORDS))
+            membersChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
             context.knownTypes()?.let { machineTypesKnown(it) }
             context.changes.loadAll(this)
             // Only now are the jobs known whose records an earlier leader has split.
@@ -84,7 +84,7 @@
     }
 
     private fun Scheduler.updateSplitting() {
-        membersChecked(context.features.inUse(FeatureRegistry.SEALED_RECORDS))
+        membersChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
         splittingForbidden(context.features.permit(FeatureRegistry.SEALED_RECORDS) == null)
     }
 
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -79,7 +79,7 @@
         return PeerLevels(
             identity.boot, identity.levels.build, identity.levels.lowest, identity.levels.highest,
             isReady() && gate.fence() == null,
-            counts.takeOvers, counts.leasesExpired, counts.refusals, counts.rejectedWrites,
+            counts.failovers, counts.expiredLeases, counts.refusals, counts.rejectedWrites,
         )
     }
 
@@ -115,8 +115,8 @@
 
     private fun decide(term: Term, statuses: List<PeerStatus>, askedAt: Duration): Decision {
         val engine = engineOf(term)
-        engine.heard(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
-        statuses.forEach { engine.heard(report(it), askedAt) }
+        engine.memberReported(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
+        statuses.forEach { engine.memberReported(report(it), askedAt) }
         val input = input(term)
         val actions = engine.step(input)
         return Decision(actions, isSettled = engine.overview(input).hold == null)
@@ -145,7 +145,7 @@
             levels.boot,
             BuildLevels(levels.build, levels.lowest, levels.highest),
             levels.ready,
-            HealthCounts(levels.takeOvers, levels.leasesExpired, levels.refusals, levels.rejectedWrites),
+            HealthCounts(levels.failovers, levels.expiredLeases, levels.refusals, levels.rejectedWrites),
         )
     }
 
@@ -159,7 +159,7 @@
             is RolloutAction.StoreState ->
                 store(term, Put(Keys.ROLLOUT_STATE, RolloutWire.encode(action.state)), action.version)
             is RolloutAction.Notice ->
-                if (action.warning) log.warn("rollout: {}", action.text) else log.info("rollout: {}", action.text)
+                if (action.isWarning) log.warn("rollout: {}", action.text) else log.info("rollout: {}", action.text)
         }
     }
 
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -40,8 +40,8 @@
     @SerialName("lowest") val lowest: Int,
     @SerialName("highest") val highest: Int,
     @SerialName("ready") val ready: Boolean,
-    @SerialName("takeOvers") val takeOvers: Long,
-    @SerialName("leasesExpired") val leasesExpired: Long,
+    @SerialName("takeOvers") val failovers: Long,
+    @SerialName("leasesExpired") val expiredLeases: Long,
     @SerialName("refusals") val refusals: Long,
     @SerialName("rejectedWrites") val rejectedWrites: Long,
 )
