--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -89,7 +89,7 @@
             is StoreResult.Ok -> Attempt.Answered(UserAnswer.Accepted(jobId, abortedBy))
             is StoreResult.Conflict -> Attempt.Answered(conflicting(jobId, result.keys))
             is StoreResult.Refused -> refused(result, isSplit, retry)
-            is StoreResult.Unknown, StoreResult.Missing -> Attempt.Answered(perhapsStored(jobId))
+            is StoreResult.Unknown, StoreResult.Missing -> Attempt.Answered(answerFromStore(jobId))
         }
     }
 
@@ -111,7 +111,7 @@
         }
 
     /** The store did not confirm the transaction: only a read tells whether it was carried out. */
-    private fun perhapsStored(jobId: String): UserAnswer =
+    private fun answerFromStore(jobId: String): UserAnswer =
         when (val state = query.find(jobId)) {
             is UserAnswer.Live, is UserAnswer.Ended -> state
             is UserAnswer.NotFound, UserAnswer.Unreachable, UserAnswer.TryLater -> UserAnswer.TryLater
--- a/src/main/kotlin/glenspool/controller/CancellationMessages.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationMessages.kt
@@ -21,8 +21,8 @@
             // Rounded to the safe side.
             completeAge = update.completeAge?.let { it.inWholeMilliseconds + 1 },
             contactAge = update.contactAge.inWholeMilliseconds + 1,
-            heardBoot = update.acknowledgement?.boot,
-            heardUpTo = update.acknowledgement?.upTo ?: 0,
+            acknowledgedBoot = update.acknowledgement?.boot,
+            acknowledgedUpTo = update.acknowledgement?.upTo ?: 0,
         )
 
     private fun entry(cancellation: Cancellation) =
@@ -42,6 +42,6 @@
             whole = message.whole,
             completeAge = message.completeAge?.milliseconds,
             contactAge = message.contactAge.milliseconds,
-            acknowledgement = message.heardBoot?.let { Acknowledgement(it, message.heardUpTo) },
+            acknowledgement = message.acknowledgedBoot?.let { Acknowledgement(it, message.acknowledgedUpTo) },
         )
 }
--- a/src/main/kotlin/glenspool/controller/StoreChangeApplier.kt
+++ b/src/main/kotlin/glenspool/controller/StoreChangeApplier.kt
@@ -45,7 +45,7 @@
         val known = scheduler.job(id)
         val value = change.value
         when {
-            value == null -> scheduler.jobGone(id)
+            value == null -> scheduler.jobRemoved(id)
             known == null -> scheduler.jobStored(records.read(id, value), change.version)
             // This leader wrote the record itself: only its version can be new.
             change.version > known.version -> known.version = change.version
--- a/src/main/kotlin/glenspool/core/Scheduler.kt
+++ b/src/main/kotlin/glenspool/core/Scheduler.kt
@@ -74,7 +74,7 @@
 
     /** Jobs that wait for others. */
     val dependencies: JobDependencies = JobDependencies(context, cluster, deadlines, intake::dependenciesDone)
-    private val writes = RecordWriteScheduler(context, cluster, commands, dependencies, splitting, ::jobGone)
+    private val writes = RecordWriteScheduler(context, cluster, commands, dependencies, splitting, ::jobRemoved)
 
     /** Jobs whose tasks may run; those that wait for others are in [dependencies]. */
     val jobs: Map<String, Job> get() = cluster.jobs
@@ -140,7 +140,7 @@
     }
 
     /** The job's record is gone from the live jobs: it has its final state. */
-    fun jobGone(id: String) {
+    fun jobRemoved(id: String) {
         dependencies.removed(id)
         intake.jobEnded(id)
     }
@@ -229,7 +229,7 @@
         hooks.observer.machineDeleted(machine.id)
         machine.placements.values
             .toList()
-            .forEach { missingTasks.gone(it, machine, null) }
+            .forEach { missingTasks.attemptEnded(it, machine, null) }
         orphans.removeAll(machine)
     }
 
--- a/src/main/kotlin/glenspool/core/autoscaling/FleetTimes.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/FleetTimes.kt
@@ -22,5 +22,5 @@
 
 /** Whether it was heard once and has been silent since. */
 internal fun Machine.isSilent(context: SchedulingContext): Boolean =
-    reachability.wasHeard &&
-        !reachability.wasHeardWithin(context.config.heartbeatFreshness, context.now)
+    reachability.hadContact &&
+        !reachability.hadContactWithin(context.config.heartbeatFreshness, context.now)
--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -32,7 +32,7 @@
 
     /** How long a machine may be silent before it is given up. */
     private val maxSilence: Duration
-        get() = maxOf(config.lease * config.tuning.silenceShare, config.heartbeatInterval * GONE_INTERVALS)
+        get() = maxOf(config.lease * config.tuning.silenceShare, config.heartbeatInterval * MIN_SILENCE_INTERVALS)
 
     /** Looks at the whole fleet. */
     fun tick() {
@@ -46,7 +46,7 @@
 
     private fun watch(machine: Machine) {
         if (machine.isDeleting) return deleter.retry(machine)
-        if (machine.isBooting && !machine.reachability.wasHeard) return watchBoot(machine)
+        if (machine.isBooting && !machine.reachability.hadContact) return watchBoot(machine)
         if (machine.preemptionNotice != null) {
             if (machine.workload.taskCount == 0 && machine.isTrusted) {
                 return deleter.delete(machine, DeletionCause.NOTICE)
@@ -60,7 +60,7 @@
 
     /** For how long nothing was heard of the machine, without what this process has yet to take in. */
     private fun silenceOf(machine: Machine): Duration {
-        val since = machine.reachability.lastHeardAt ?: maxOf(machine.firstSeen, context.startedAt)
+        val since = machine.reachability.lastContactAt ?: maxOf(machine.firstSeen, context.startedAt)
         return now - since - overload.backlog
     }
 
@@ -89,21 +89,21 @@
         machine.reachability.isUnreachableFor(maxSilence, now) && census.reached > census.unreachable
 
     private fun isLost(machine: Machine, silence: Duration): Boolean {
-        val isGone = isGone(machine)
-        val limit = if (isGone && machine.isListed) config.heartbeatInterval * GONE_INTERVALS else maxSilence
+        val isDelisted = isDelisted(machine)
+        val limit = if (isDelisted && machine.isListed) config.heartbeatInterval * MIN_SILENCE_INTERVALS else maxSilence
         if (silence <= limit) return false
         // Silence for two leases is given up in any case: if most machines are really lost, waiting would never end.
-        if (!census.areMostOthersHeard() && silence <= config.lease * 2) return false
-        return !mayBeElsewhere(machine, silence, isGone) || wereProbesUnanswered(machine)
+        if (!census.areMostOthersInContact() && silence <= config.lease * 2) return false
+        return !mayBeElsewhere(machine, silence, isDelisted) || wereProbesUnanswered(machine)
     }
 
     /**
      * A worker may need most of its lease to find a new leader, or one that was too slow to answer it: each dead
      * controller costs it a time-out. Until then only probes without an answer show that the machine itself is lost.
      */
-    private fun mayBeElsewhere(machine: Machine, silence: Duration, isGone: Boolean): Boolean {
-        val mayHaveTurnedAway = !machine.reachability.wasHeard || overload.isOverloaded
-        return mayHaveTurnedAway && silence <= config.lease && !isGone
+    private fun mayBeElsewhere(machine: Machine, silence: Duration, isDelisted: Boolean): Boolean {
+        val mayHaveTurnedAway = !machine.reachability.hadContact || overload.isOverloaded
+        return mayHaveTurnedAway && silence <= config.lease && !isDelisted
     }
 
     private fun wereProbesUnanswered(machine: Machine): Boolean {
@@ -115,7 +115,7 @@
      * Missing from lists for longer than they lag. A new leader knows such a machine from a stored placement only and
      * has no address to probe it at: the last leader deleted it, or it died, and its work would wait for a whole lease.
      */
-    private fun isGone(machine: Machine): Boolean {
+    private fun isDelisted(machine: Machine): Boolean {
         val since = machine.unlistedSince ?: return false
         return now - since > config.listLag * 2 + LIST_MARGIN
     }
@@ -126,7 +126,7 @@
     private fun probeIfSilent(machine: Machine, silence: Duration) {
         val reachability = machine.reachability
         val interval = config.heartbeatInterval
-        val patience = if (reachability.wasHeard) interval * LATE_INTERVALS + LATE_MARGIN else interval
+        val patience = if (reachability.hadContact) interval * LATE_INTERVALS + LATE_MARGIN else interval
         val isDue = silence > patience || reachability.isUnreachable
         if (isDue && machine.addr.isNotEmpty() && now >= machine.requests.nextProbeAt) probe(machine)
     }
@@ -149,7 +149,7 @@
 
     private fun isFitForControl(machine: Machine): Boolean {
         val reachability = machine.reachability
-        if (reachability.isUnreachable || !reachability.wasHeard) return false
+        if (reachability.isUnreachable || !reachability.hadContact) return false
         return !machine.isDeleting && machine.addr.isNotEmpty() && now >= machine.requests.nextProbeAt
     }
 
@@ -182,7 +182,7 @@
         val LATE_MARGIN = 500.milliseconds
 
         /** A machine that the cloud lists no more is given up after so many intervals without a heartbeat. */
-        const val GONE_INTERVALS = 2.5
+        const val MIN_SILENCE_INTERVALS = 2.5
 
         /** What the cloud's list may be late by, besides its usual lag. */
         val LIST_MARGIN = 2.seconds
--- a/src/main/kotlin/glenspool/core/cluster/FleetCensus.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FleetCensus.kt
@@ -16,7 +16,7 @@
     private var expected = 0
 
     /** Those of them that were heard of late. */
-    private var heard = 0
+    private var inContact = 0
 
     /** Machines that answered a request of late. */
     var reached = 0
@@ -29,7 +29,7 @@
     /** Counts all machines anew. [silence]: how long a machine may be silent before it is given up. */
     fun take(silence: Duration) {
         expected = 0
-        heard = 0
+        inContact = 0
         reached = 0
         unreachable = 0
         partitions.beginCount()
@@ -43,9 +43,9 @@
         val reachability = machine.reachability
         if (reachability.isUnreachable) unreachable++
         if (reachability.wasReachedWithin(recent, context.now)) reached++
-        if (machine.isBooting && !reachability.wasHeard) return
+        if (machine.isBooting && !reachability.hadContact) return
         expected++
-        if (reachability.wasHeardWithin(recent, context.now)) heard++
+        if (reachability.hadContactWithin(recent, context.now)) inContact++
         partitions.count(machine)
     }
 
@@ -53,10 +53,10 @@
      * Whether most machines other than a silent one are heard. A partition or a stall on our own side makes every
      * machine look silent.
      */
-    fun areMostOthersHeard(): Boolean {
+    fun areMostOthersInContact(): Boolean {
         val others = expected - 1
         if (others <= 0) return context.now - context.startedAt > context.config.lease * LEASES_ALONE
-        return heard * 2 > others
+        return inContact * 2 > others
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
@@ -40,7 +40,7 @@
                 Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now)
             }
         machine.describedBy(heartbeat)
-        if (!machine.reachability.wasHeard) imageLocations.restore(machine)
+        if (!machine.reachability.hadContact) imageLocations.restore(machine)
         logNewIncarnation(machine, heartbeat)
         val wasTrusted = machine.isTrusted
         machine.observed(heartbeat, source, context.token, context.electionToken, now)
@@ -104,7 +104,7 @@
 
     private fun exited(machine: Machine, job: Job?, placement: Placement?, status: TaskStatus) {
         if (status.exit == ExitReason.DONE && job != null) taskDone(machine, job, placement, status.key.task)
-        if (placement != null) missingTasks.gone(placement, machine, status.exit)
+        if (placement != null) missingTasks.attemptEnded(placement, machine, status.exit)
     }
 
     private fun taskDone(machine: Machine, job: Job, placement: Placement?, task: Int) {
--- a/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
@@ -58,8 +58,8 @@
         if (context.now - context.startedAt >= KEEP_REMEMBERED) return parts.parts
         // What was left for a machine that is not heard yet must not be lost by storing its part anew.
         for ((id, images) in remembered) {
-            val wasHeard = cluster.machines[id]?.reachability?.wasHeard == true
-            if (!wasHeard && !cluster.wasDeleted(id)) parts.add(id, images)
+            val hadContact = cluster.machines[id]?.reachability?.hadContact == true
+            if (!hadContact && !cluster.wasDeleted(id)) parts.add(id, images)
         }
         return parts.parts
     }
--- a/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
+++ b/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
@@ -38,14 +38,14 @@
     private fun hearsNobody(): Boolean {
         if (overload.isOverloaded) return false
         var up = 0
-        var lastHeardAt: Duration? = null
+        var lastContactAt: Duration? = null
         for (machine in cluster.machines.values) {
             if (machine.isDeleting || machine.isBooting) continue
             up++
-            machine.reachability.lastHeardAt?.let { lastHeardAt = maxOf(lastHeardAt ?: it, it) }
+            machine.reachability.lastContactAt?.let { lastContactAt = maxOf(lastContactAt ?: it, it) }
         }
         if (up < MIN_MACHINES) return false
-        val last = lastHeardAt ?: return now - context.startedAt > context.config.lease * MAX_LEASE_SHARE
+        val last = lastContactAt ?: return now - context.startedAt > context.config.lease * MAX_LEASE_SHARE
         return now - last > maxOf(context.config.heartbeatInterval * MAX_INTERVALS, MIN_SILENCE)
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -138,7 +138,7 @@
         // It has learnt a token since: something of ours has reached it.
         if (heartbeat.token > token && heartbeat.token >= leaderToken) reachability.reached(now)
         token = maxOf(token, heartbeat.token)
-        reachability.heard(source, now)
+        reachability.recordContact(source, now)
         preemptionNotice = heartbeat.preemptionNotice
         taskStatuses = heartbeat.tasks
         isTrusted = heartbeat.token >= electionToken
@@ -155,7 +155,7 @@
         isListed = true
         unlistedSince = null
         age = entry.age
-        if (!reachability.wasHeard) isBooting = entry.stage == MachineStage.BOOTING
+        if (!reachability.hadContact) isBooting = entry.stage == MachineStage.BOOTING
         if (entry.stage == MachineStage.FAILED) hasFailed = true
     }
 
@@ -216,7 +216,7 @@
 
     /** Whether it may get work. */
     fun isReady(now: Duration, freshness: Duration): Boolean {
-        if (!reachability.wasHeardWithin(freshness, now) || reachability.isUnreachable) return false
+        if (!reachability.hadContactWithin(freshness, now) || reachability.isUnreachable) return false
         return isTrusted && !isDeleting && !hasFailed && preemptionNotice == null && !health.isQuarantined(now)
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
@@ -17,9 +17,9 @@
         if (machine.isDeleting) return
         if (cause in DEFERRABLE && !context.hooks.gate.admits(ProposedOrder(cause, machine.id))) return
         context.log(isImportant = true) {
-            val lastHeardAt = machine.reachability.lastHeardAt
+            val lastContactAt = machine.reachability.lastContactAt
             "delete-machine machine=${machine.id} reason=${cause.label} tasks=${machine.placements.size} " +
-                "last-heard=$lastHeardAt now=${context.now}"
+                "last-heard=$lastContactAt now=${context.now}"
         }
         machine.giveUp(cause)
         enqueue(machine, cause)
--- a/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
@@ -27,7 +27,7 @@
         when {
             policy == MissingTaskPolicy.RESTORE_AND_WAIT && mayYetSendHeartbeat(machine, placement.job) -> Unit
             policy != MissingTaskPolicy.RESCHEDULE && mayBeRestored(placement, machine) -> restore(placement, machine)
-            else -> gone(placement, machine, null)
+            else -> attemptEnded(placement, machine, null)
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The attempt is proved to be off its machine. [exit]: why it ended, if that is known. */
-    fun gone(placement: Placement, machine: Machine, exit: ExitReason?) {
+    fun attemptEnded(placement: Placement, machine: Machine, exit: ExitReason?) {
         val job = placement.job
         cluster.unplace(placement)
         job.storeLater(now)
--- a/src/main/kotlin/glenspool/core/cluster/Reachability.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Reachability.kt
@@ -9,7 +9,7 @@
  */
 class Reachability {
     /** When it was last heard of, by a heartbeat or by the answer to a request. Null: never. */
-    var lastHeardAt: Duration? = null
+    var lastContactAt: Duration? = null
         private set
 
     /** When its worker last sent a heartbeat by itself. Null: not in this term. */
@@ -28,13 +28,13 @@
     var lastReachedAt: Duration? = null
         private set
 
-    val wasHeard: Boolean get() = lastHeardAt != null
+    val hadContact: Boolean get() = lastContactAt != null
 
     /** Whether requests to it go without an answer. */
     val isUnreachable: Boolean get() = unreachableSince != null
 
     /** Whether anything was heard of it within [span]. */
-    fun wasHeardWithin(span: Duration, now: Duration): Boolean = lastHeardAt.isWithin(span, now)
+    fun hadContactWithin(span: Duration, now: Duration): Boolean = lastContactAt.isWithin(span, now)
 
     /** Whether its worker sent a heartbeat by itself within [span]. */
     fun sentHeartbeatWithin(span: Duration, now: Duration): Boolean = lastHeartbeatAt.isWithin(span, now)
@@ -49,8 +49,8 @@
     private fun Duration?.isWithin(span: Duration, now: Duration) = this != null && now - this <= span
 
     /** A heartbeat came. */
-    fun heard(source: HeartbeatSource, now: Duration) {
-        lastHeardAt = now
+    fun recordContact(source: HeartbeatSource, now: Duration) {
+        lastContactAt = now
         when (source) {
             HeartbeatSource.WORKER -> lastHeartbeatAt = now
             HeartbeatSource.REPLY -> if (firstReplyAt == null) firstReplyAt = now
@@ -70,7 +70,7 @@
 
     /** Time in which this process could hear nothing is not held against the machine. */
     fun shift(gap: Duration, now: Duration) {
-        lastHeardAt = lastHeardAt?.let { minOf(now, it + gap) }
+        lastContactAt = lastContactAt?.let { minOf(now, it + gap) }
         lastHeartbeatAt = lastHeartbeatAt?.let { minOf(now, it + gap) }
         unreachableSince = unreachableSince?.let { minOf(now, it + gap) }
     }
--- a/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
@@ -10,7 +10,7 @@
  * ended too. Machines that died with their zone show in the cloud's list, and cancelled work is never waited for.
  */
 class ZonePartitionDetector(private val context: SchedulingContext) {
-    private class HeardMachines {
+    private class ContactCount {
         var total = 0
         var fresh = 0
     }
@@ -18,34 +18,34 @@
     /** A partition: since when, and when it was last seen. */
     private class Partition(val since: Duration, val lastSeen: Duration)
 
-    private val heardByZone = HashMap<String, HeardMachines>()
+    private val contactByZone = HashMap<String, ContactCount>()
 
     /** Zones that are partitioned off, or were until a moment ago. */
     private val partitions = HashMap<String, Partition>()
 
     /** Begins to count anew. */
-    fun beginCount() = heardByZone.clear()
+    fun beginCount() = contactByZone.clear()
 
     /** Counts a machine that is up. */
     fun count(machine: Machine) {
-        val heard = heardByZone.getOrPut(machine.zone) { HeardMachines() }
-        heard.total++
+        val contact = contactByZone.getOrPut(machine.zone) { ContactCount() }
+        contact.total++
         // Half of the machines that are heard at all were heard within this time: it shows a partition before the
         // first machine is given up.
         val span = context.config.heartbeatInterval / 2
-        if (machine.reachability.wasHeardWithin(span, context.now)) heard.fresh++
+        if (machine.reachability.hadContactWithin(span, context.now)) contact.fresh++
     }
 
     /** Judges from what was counted. */
     fun update() {
-        val total = heardByZone.values.sumOf { it.total }
-        val fresh = heardByZone.values.sumOf { it.fresh }
+        val total = contactByZone.values.sumOf { it.total }
+        val fresh = contactByZone.values.sumOf { it.fresh }
         for (zone in context.config.peerZones) {
-            val heard = heardByZone[zone] ?: HeardMachines()
+            val contact = contactByZone[zone] ?: ContactCount()
             // The other zones must be heard, or the fault is this node's own.
-            val othersAreHeard = (fresh - heard.fresh) * ONE_IN_HEARD_ELSEWHERE > total - heard.total
-            val isSilent = heard.total >= MIN_MACHINES && heard.fresh * ONE_IN_STILL_HEARD <= heard.total
-            update(zone, isSilent && othersAreHeard)
+            val areOthersInContact = (fresh - contact.fresh) * ONE_IN_CONTACT_ELSEWHERE > total - contact.total
+            val isSilent = contact.total >= MIN_MACHINES && contact.fresh * ONE_IN_STILL_IN_CONTACT <= contact.total
+            update(zone, isSilent && areOthersInContact)
         }
     }
 
@@ -71,13 +71,13 @@
         const val MIN_MACHINES = 4
 
         /** One machine in so many may still be heard in a zone that counts as partitioned off. */
-        const val ONE_IN_STILL_HEARD = 20
+        const val ONE_IN_STILL_IN_CONTACT = 20
 
         /**
          * More than one machine in so many of the other zones was heard within half a heartbeat interval; usually it is
          * one in two.
          */
-        const val ONE_IN_HEARD_ELSEWHERE = 4
+        const val ONE_IN_CONTACT_ELSEWHERE = 4
 
         /** A partition is waited for as long as so many leases. */
         const val MAX_LEASES = 4
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -74,8 +74,8 @@
     @SerialName("whole") val whole: Boolean,
     @SerialName("completeAge") val completeAge: Long?,
     @SerialName("contactAge") val contactAge: Long,
-    @SerialName("heardBoot") val heardBoot: String?,
-    @SerialName("heardUpTo") val heardUpTo: Long,
+    @SerialName("heardBoot") val acknowledgedBoot: String?,
+    @SerialName("heardUpTo") val acknowledgedUpTo: Long,
 ) {
     /** A stored cancellation; [at] is a time of day. */
     @Serializable
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -11,6 +11,7 @@
 import glenspool.rollout.UnmanagedFeatures
 import glenspool.simulation.ServedUserApi
 import glenspool.simulation.bigType
+import glenspool.simulation.startSyncThread
 import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.StoreCache
@@ -117,7 +118,7 @@
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state-2", 8, state::serve).use { reachable ->
             val peersClient = KeyValueStoreClient("127.0.0.1:${reachable.port}", http)
             val peersCache = StoreCache(peersClient, 1000.0) { _, _ -> }
-            val peersSyncs = syncing(peersCache)
+            val peersSyncs = startSyncThread(peersCache)
             servePeer(peerApi(peersClient, peersCache)).use { peer ->
                 members = listOf(Member("n1", "here", InetSocketAddress("127.0.0.1", peer.port)))
                 outside.close()
--- a/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
@@ -108,7 +108,7 @@
 
     private fun storeFinalState(model: Model, id: String, state: FinalState, isLeading: Boolean) {
         model.finalStates[id] = state
-        if (isLeading) step { jobGone(id) }
+        if (isLeading) step { jobRemoved(id) }
     }
 
     private fun storeCancellation(model: Model, id: String, isLeading: Boolean) {
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -56,7 +56,7 @@
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
         // As after the store cache was reloaded: the removal alone is seen, of a job that was done or cancelled.
-        val afterRemoval = step { jobGone("a") } + wait(1.seconds)
+        val afterRemoval = step { jobRemoved("a") } + wait(1.seconds)
         assertEquals(listOf("a"), afterRemoval.finalStatesRequested())
         assertNull(core.jobs["b"])
         // No answer: it is requested again.
@@ -96,7 +96,7 @@
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
         // The cancellation was answered with done: it was never stored.
-        step { jobGone("a") }
+        step { jobRemoved("a") }
         wait(1.seconds)
         finalStateRead("a", FinalState.DONE)
         assertEquals(setOf("b"), core.jobs.keys)
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -34,12 +34,12 @@
     @Test
     fun `a machine's heartbeat may be in the backlog, whose length is taken off its silence`() {
         val running = busy(10)
-        val lastHeardAt = now
+        val lastContactAt = now
         val others = running - LOST
 
         fun deletedAfter(silence: Duration, backlog: Duration): Set<String> {
             val actions = ArrayList<Action>()
-            while (now < lastHeardAt + silence) {
+            while (now < lastContactAt + silence) {
                 for ((machine, task) in others) actions += heartbeatActions(machine, task)
                 step { backlogMeasured(backlog) }
                 actions += wait(200.milliseconds)
--- a/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
@@ -31,11 +31,11 @@
         started()
         val last = heartbeat("m1")
         say(last)
-        val lastHeardAt = knownMachine("m1").reachability.lastHeardAt
+        val lastContactAt = knownMachine("m1").reachability.lastContactAt
         now += 3.seconds
         say(last)
         say(last.copy(sequence = last.sequence - 1))
-        assertEquals(lastHeardAt, knownMachine("m1").reachability.lastHeardAt)
+        assertEquals(lastContactAt, knownMachine("m1").reachability.lastContactAt)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -14,6 +14,7 @@
 import glenspool.simulation.InMemoryStore
 import glenspool.simulation.bigType
 import glenspool.simulation.job
+import glenspool.simulation.startSyncThread
 import glenspool.state.KeyValueStoreClient
 import glenspool.state.Keys
 import glenspool.state.Put
@@ -39,7 +40,6 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 import java.util.concurrent.Executors
 import java.util.concurrent.atomic.AtomicInteger
-import kotlin.concurrent.thread
 import kotlin.time.Duration.Companion.seconds
 
 /**
@@ -65,21 +65,13 @@
         val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
         val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpCaller(2.seconds))
         val cache = StoreCache(client, 2000.0) { _, _ -> }
-        val syncs = thread(isDaemon = true) { serveSyncs(cache) }
+        val syncs = startSyncThread(cache)
         resources.add(AutoCloseable(syncs::interrupt))
         val peers = PeerClient(emptyList())
         val features = UnmanagedFeatures { true }
         return UserApi(settings, client, cache, peers, { false }, features, { true }) { listOf(bigType) }
     }
 
-    private fun serveSyncs(cache: StoreCache) {
-        try {
-            cache.serveSyncs()
-        } catch (e: InterruptedException) {
-            Thread.currentThread().interrupt()
-        }
-    }
-
     @AfterEach
     fun close() {
         resources.forEach { it.close() }
--- a/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
+++ b/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
@@ -14,7 +14,7 @@
 ) {
     /** Sends a heartbeat, and from then on one in each interval, for as long as the machine exists. */
     fun sendPeriodically(worker: SimulatedWorker) {
-        if (worker.isGone) return
+        if (worker.isLost) return
         val untilNext = context.config.heartbeatInterval * (0.75 + context.random.nextDouble() / 2)
         context.after(untilNext) { sendPeriodically(worker) }
         if (worker.isHanging) return
@@ -40,7 +40,7 @@
 
     private fun receive(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Duration, receiver: Scheduler?) {
         if (context.now < leader.awayUntil) return
-        if (receiver == null || leader.scheduler !== receiver || worker.isGone) {
+        if (receiver == null || leader.scheduler !== receiver || worker.isLost) {
             // The receiving node knows no leader: it renews the lease with the worker's own token.
             val isAnswered = heartbeat.incarnation == worker.incarnation && context.now >= worker.unreachableUntil
             if (isAnswered) worker.leaseRenewedAt = sentAt
@@ -59,7 +59,7 @@
     }
 
     private fun acceptsAnswer(worker: SimulatedWorker, heartbeat: Heartbeat, token: Long): Boolean =
-        !worker.isGone &&
+        !worker.isLost &&
             !worker.isHanging &&
             context.now >= worker.cutUntil &&
             context.now >= worker.unreachableUntil &&
--- a/src/test/kotlin/glenspool/simulation/LeaderDescription.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderDescription.kt
@@ -16,7 +16,7 @@
     val machine = leader.machines[placement.machine]
     val task = "$placement@${placement.machine} ${placement.stage}/${placement.taskState}"
     val commands = "sent=${placement.startSentAt} stop=${placement.stopCause}"
-    val seen = "trusted=${machine?.isTrusted} heard=${machine?.reachability?.lastHeardAt}"
+    val seen = "trusted=${machine?.isTrusted} heard=${machine?.reachability?.lastContactAt}"
     val requests = "starts=${machine?.requests?.unconfirmedStarts} inFlight=${machine?.requests?.isInFlight}"
     return "$task $commands $seen deleting=${machine?.isDeleting} $requests"
 }
--- a/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
+++ b/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
@@ -23,7 +23,6 @@
 import org.junit.jupiter.api.io.TempDir
 import java.io.File
 import java.net.InetSocketAddress
-import kotlin.concurrent.thread
 import kotlin.time.Duration.Companion.seconds
 
 /** Requests of users over real sockets on loopback, against an [InMemoryStore]. */
@@ -35,7 +34,7 @@
     protected val http = HttpCaller(2.seconds)
     protected val client = KeyValueStoreClient("127.0.0.1:${outside.port}", http)
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
-    private val syncs = syncing(cache)
+    private val syncs = startSyncThread(cache)
 
     /** Null while no machine types are known. */
     protected var types: List<MachineType>? = listOf(bigType)
@@ -59,16 +58,6 @@
     }
     protected val addr get() = "127.0.0.1:${api.port}"
 
-    /** Starts the thread that brings a store cache up to date when a request needs it. */
-    protected fun syncing(cache: StoreCache) =
-        thread(isDaemon = true) {
-            try {
-                cache.serveSyncs()
-            } catch (e: InterruptedException) {
-                Thread.currentThread().interrupt()
-            }
-        }
-
     @AfterEach
     fun close() {
         syncs.interrupt()
--- a/src/test/kotlin/glenspool/simulation/SimulatedFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedFleet.kt
@@ -33,7 +33,7 @@
 
     /** Removes a machine with all that is on it, if there is one of that name. */
     fun remove(id: String) {
-        workersById.remove(id)?.isGone = true
+        workersById.remove(id)?.isLost = true
     }
 
     fun liveTasks(): List<LiveTask> =
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -177,7 +177,7 @@
         if (change.key.startsWith(Keys.JOB)) {
             val job = change.key.removePrefix(Keys.JOB)
             if (value == null) {
-                jobGone(job)
+                jobRemoved(job)
             } else {
                 val readable = if (isOldVersion) OldVersion.reads(value) else value
                 if (readable != null) jobStored(store.records.read(job, readable), change.version)
--- a/src/test/kotlin/glenspool/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedWorker.kt
@@ -49,7 +49,7 @@
     var isUp = false
 
     /** Whether the machine was deleted, evicted or has died. */
-    var isGone = false
+    var isLost = false
     var cutUntil = Duration.ZERO
     var hungUntil = Duration.ZERO
 
@@ -79,7 +79,7 @@
 
     /** Whether a command would reach the worker, apart from [unreachableUntil]. */
     val isReachable: Boolean
-        get() = !isGone && isUp && context.now >= cutUntil && context.now >= zoneCutUntil && !isHanging
+        get() = !isLost && isUp && context.now >= cutUntil && context.now >= zoneCutUntil && !isHanging
 
     /** Makes the next heartbeat, whether it is sent or answers a request. */
     fun heartbeat(): Heartbeat {
--- a/src/test/kotlin/glenspool/simulation/WorkerRequests.kt
+++ b/src/test/kotlin/glenspool/simulation/WorkerRequests.kt
@@ -28,7 +28,7 @@
     fun send(request: SendCommands, scheduler: Scheduler) {
         val worker = fleet[request.machine]
         when {
-            worker == null || worker.isGone || !worker.isUp ->
+            worker == null || worker.isLost || !worker.isUp ->
                 context.after(NO_CONNECTION_AFTER) { ended(request, scheduler, CommandOutcome.NOT_SENT) }
             context.now < worker.unreachableUntil ->
                 context.after(TIMEOUT) {
@@ -76,7 +76,7 @@
 
     /** Whether the worker runs, and has not restarted since the given count. */
     private fun isSameProcess(worker: SimulatedWorker, restarts: Int): Boolean {
-        val isRunning = !worker.isGone && !worker.isHanging
+        val isRunning = !worker.isLost && !worker.isHanging
         return isRunning && worker.restarts == restarts
     }
 
