--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -45,10 +45,8 @@
         if (now - since >= SURPLUS_WAIT) cordon(active, headroom)
     }
 
-    private fun isUsable(machine: Machine): Boolean {
-        if (!machine.isTrusted || machine.isDeleting || machine.hasFailed) return false
-        return machine.preemptionNotice == null && machine.type in cluster.types
-    }
+    private fun isUsable(machine: Machine): Boolean =
+        machine.isTrusted && !machine.isLeaving && machine.type in cluster.types
 
     /** As many at a time as the fleet is large, so that a large one shrinks as fast as a small one. */
     private fun cordon(active: List<Machine>, headroom: ServiceHeadroom.Slots) {
@@ -117,7 +115,7 @@
     private fun maxIdleTime(machine: Machine, imageGb: Double): Duration {
         val idleReturn = context.config.tuning.idleReturn
         val type = cluster.typeOf(machine) ?: return idleReturn
-        return idleReturn + (type.boot + fetchTime(imageGb, type)) * READY_TIME_SHARE
+        return idleReturn + (type.boot + type.fetchTime(imageGb)) * READY_TIME_SHARE
     }
 
     private fun priceOf(machine: Machine): Double {
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
@@ -222,30 +222,23 @@
     private fun fitsNowhere(spec: JobSpec): Boolean =
         cluster.machines.values.none { machine ->
             val type = cluster.typeOf(machine)
-            val stays =
-                !machine.isDeleting && !machine.hasFailed && !machine.isCordoned && machine.preemptionNotice == null
+            val stays = !machine.isLeaving && !machine.isCordoned
             stays && isAllowed(spec, machine) && type != null && spec.resourceRequest.fitsIn(type.capacity)
         }
 
     /** What a spot machine costs of an ordinary one's price: the cheaper, the sooner it is worth renting. */
     private fun spotDiscount(spec: JobSpec): Double {
         if (!spec.spot) return 1.0
-        val type = firstTypeFor(spec) ?: return 1.0
+        val type = cluster.firstTypeFor(spec) ?: return 1.0
         return (type.spotPrice / type.price.coerceAtLeast(MIN_PRICE)).coerceIn(0.0, 1.0)
     }
 
     /** From the scale-out request until a task runs. */
     private fun leadTime(spec: JobSpec): Duration {
-        val type = firstTypeFor(spec) ?: return UNKNOWN_LEAD_TIME
-        return type.boot * BOOT_MARGIN + fetchTime(spec, type)
+        val type = cluster.firstTypeFor(spec) ?: return UNKNOWN_LEAD_TIME
+        return type.boot * BOOT_MARGIN + type.fetchTime(spec.imageGb)
     }
 
-    private fun firstTypeFor(spec: JobSpec): MachineType? =
-        cluster.types.values.firstOrNull {
-            spec.resourceRequest
-                .fitsIn(it.capacity)
-        }
-
     private companion object {
         const val MAX_TASKS_PER_JOB = 400
 
--- a/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
@@ -80,8 +80,8 @@
     /** How many tasks of the class are likely to arrive while another machine could be got ready. */
     private fun neededFor(rate: ArrivalRate): Int {
         val perSecond = rate.tasksPerSecond(now)
-        val type = cluster.types.values.firstOrNull { rate.spec.resourceRequest.fitsIn(it.capacity) } ?: return 0
-        val leadTime = type.boot * BOOT_MARGIN + fetchTime(rate.spec, type) + LEAD_TIME_MARGIN
+        val type = cluster.firstTypeFor(rate.spec) ?: return 0
+        val leadTime = type.boot * BOOT_MARGIN + type.fetchTime(rate.spec.imageGb) + LEAD_TIME_MARGIN
         val mean = perSecond * (leadTime / 1.seconds) * context.config.tuning.headroom
         return ceil(mean + sqrt(mean)).toInt().coerceAtLeast(1)
     }
@@ -98,13 +98,7 @@
     }
 
     private fun isAvailable(machine: Machine): Boolean {
-        if (machine.isCordoned ||
-            machine.isDeleting ||
-            machine.hasFailed ||
-            machine.preemptionNotice != null
-        ) {
-            return false
-        }
+        if (machine.isCordoned || machine.isLeaving) return false
         return machine.isTrusted && !machine.reachability.isUnreachable && !machine.isSilent(context)
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
@@ -4,6 +4,7 @@
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.Placement
 import glenspool.core.lifecycle.PlacementStage
+import glenspool.core.model.JobSpec
 import glenspool.core.model.ListedMachine
 import glenspool.core.model.MachineType
 import glenspool.core.placement.TeamQuotas
@@ -46,6 +47,10 @@
     /** The type of the machine, if the cloud offers it. */
     fun typeOf(machine: Machine): MachineType? = types[machine.type]
 
+    /** The first type whose machines are large enough for a task of the job; null if there is none. */
+    fun firstTypeFor(spec: JobSpec): MachineType? =
+        types.values.firstOrNull { spec.resourceRequest.fitsIn(it.capacity) }
+
     /** The zone of the machine, null if it is not known. */
     fun zoneOf(machine: String): String? = machines[machine]?.zone?.ifEmpty { null }
 
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -214,10 +214,13 @@
     /** Whether the image is here or being fetched by some task. */
     fun willHaveImage(image: String): Boolean = hasImage(image) || placements.values.any { it.job.spec.image == image }
 
+    /** Whether it is given up, has failed, or will be taken back soon. */
+    val isLeaving: Boolean get() = isDeleting || hasFailed || preemptionNotice != null
+
     /** Whether it may get work. */
     fun isReady(now: Duration, freshness: Duration): Boolean {
         if (!reachability.hadContactWithin(freshness, now) || reachability.isUnreachable) return false
-        return isTrusted && !isDeleting && !hasFailed && preemptionNotice == null && !health.isQuarantined(now)
+        return isTrusted && !isLeaving && !health.isQuarantined(now)
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/core/model/Deployment.kt
+++ b/src/main/kotlin/glenspool/core/model/Deployment.kt
@@ -1,6 +1,7 @@
 package glenspool.core.model
 
 import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
 
 /** A machine type as the cloud offers it. Prices are per hour. */
 data class MachineType(
@@ -14,7 +15,15 @@
     /** How long a machine usually takes to start. */
     val boot: Duration,
     val zones: List<String>,
-)
+) {
+    /** How long a machine of the type takes to fetch an image of [gb] gigabytes. */
+    fun fetchTime(gb: Double): Duration = (gb / fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_S)).seconds
+
+    private companion object {
+        /** Keeps times finite for types that tell no speed. */
+        const val MIN_FETCH_GB_PER_S = 0.01
+    }
+}
 
 /**
  * A team's quota: what it is guaranteed of CPUs and GPUs, and what it may use at most; null where there is no limit.
--- a/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
+++ b/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
@@ -26,8 +26,8 @@
 
     /** How long a fetch of the job's image usually takes. */
     fun fetchTime(job: Job): Duration {
-        val gbPerS = cluster.commonType?.fetchGbPerS ?: DEFAULT_FETCH_GB_PER_S
-        return (job.spec.imageGb / gbPerS.coerceAtLeast(MIN_FETCH_GB_PER_S)).seconds
+        val imageGb = job.spec.imageGb
+        return cluster.commonType?.fetchTime(imageGb) ?: (imageGb / DEFAULT_FETCH_GB_PER_S).seconds
     }
 
     /** Whether the objective for the job's class can be met only where its image is cached. */
@@ -83,6 +83,5 @@
         /** Further away than any objective or deadline. */
         val FAR = 3600.seconds
         const val DEFAULT_FETCH_GB_PER_S = 1.0
-        const val MIN_FETCH_GB_PER_S = 0.01
     }
 }
