--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -71,7 +71,7 @@
     /** Removes cancelled work whose deadline has passed although this node can't lead at the moment. */
     fun endOverdueWork(overdue: OverdueMachine) =
         run(probePool, onNotDone = { log.debug("overdue machine {} not checked", overdue.machine) }) {
-            if (cancelledWork.deleteUnlessGone(overdue)) post(Event.DeletionEnded(listOf(overdue.machine), true))
+            if (cancelledWork.deleteUnlessWorkGone(overdue)) post(Event.DeletionEnded(listOf(overdue.machine), true))
         }
 
     private fun leads(term: Term) = leadership.current() == term
--- a/src/main/kotlin/glenspool/controller/ApiRouter.kt
+++ b/src/main/kotlin/glenspool/controller/ApiRouter.kt
@@ -12,7 +12,7 @@
     private val readiness = AsyncHandler { request, respond -> respond(users(request)) }
 
     /** Null: the request goes to the pool for users' requests. */
-    fun direct(request: Request): AsyncHandler? =
+    fun directHandler(request: Request): AsyncHandler? =
         when (request.uri.path) {
             "/checkin" -> workers
             "/ready" -> readiness
--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -106,7 +106,7 @@
     }
 
     /** Waits a moment until a user may get the answer that the job is cancelled; false: not yet. */
-    fun confirm(job: String): Boolean {
+    fun awaitConfirmable(job: String): Boolean {
         val begun = TimeSource.Monotonic.markNow()
         while (true) {
             lock.withLock {
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -75,7 +75,7 @@
 
     /** Asks the machine, and has the cancelled work that it still runs stopped. */
     private fun checkMachine(suspect: SuspectMachine, addr: String) {
-        val heartbeat = remover.heartbeatOf(suspect.machine, addr)
+        val heartbeat = remover.probe(suspect.machine, addr)
         val stops = tracker.probed(suspect, heartbeat)
         if (heartbeat == null || stops.isEmpty()) return
         // With the worker's own token: it starts nothing, and a cancellation is for ever.
--- a/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
@@ -13,14 +13,14 @@
  */
 internal class CancelledWorkRemover(private val cloud: CloudClient, private val workers: WorkerClient) {
     /** What [machine] answers at [addr]; null: no address is known, no answer, or another machine answered. */
-    fun heartbeatOf(machine: String, addr: String): Heartbeat? {
+    fun probe(machine: String, addr: String): Heartbeat? {
         if (addr.isEmpty()) return null
         return workers.probe(addr)?.takeIf { it.machine == machine }
     }
 
     /** Deletes the machine unless it shows that the cancelled work is gone. True: the cloud confirmed the deletion. */
-    fun deleteUnlessGone(overdue: OverdueMachine): Boolean {
-        val heartbeat = heartbeatOf(overdue.machine, overdue.addr)
+    fun deleteUnlessWorkGone(overdue: OverdueMachine): Boolean {
+        val heartbeat = probe(overdue.machine, overdue.addr)
         if (heartbeat != null && heartbeat.showsNoWorkOf(overdue.jobs)) return false
         return delete(listOf(overdue.machine))
     }
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -142,7 +142,7 @@
     }
 
     private fun answer(pending: PendingHeartbeat) {
-        pendingHeartbeats.take(pending)
+        pendingHeartbeats.dequeue(pending)
         var commands: WorkerCommands? = null
         try {
             commands = active?.answer(pending)
@@ -155,7 +155,7 @@
     private fun beginTerm(term: Term) {
         val now = clock.elapsedNow()
         val recovery = recoveries?.begin(term, now)
-        val hooks = recovery?.hooks ?: recoveries?.ordinaryHooks ?: SchedulerHooks()
+        val hooks = recovery?.hooks ?: recoveries?.hooksWithoutRecovery ?: SchedulerHooks()
         val begun = LeadershipTerm(term, Scheduler(config, term.token, now, hooks), recovery, context)
         active = begun
         orderCounts = begun.orderCounts
--- a/src/main/kotlin/glenspool/controller/HealthCounters.kt
+++ b/src/main/kotlin/glenspool/controller/HealthCounters.kt
@@ -26,7 +26,7 @@
     /**
      * A worker begins a new incarnation when its lease has expired. The first heartbeat of a machine shows nothing.
      */
-    fun incarnationSeen(machine: String, incarnation: Long) {
+    fun recordIncarnation(machine: String, incarnation: Long) {
         if (incarnations.size >= MAX_MACHINES) incarnations.clear()
         val before = incarnations.put(machine, incarnation)
         if (before != null && incarnation > before) expiredLeases.increment()
--- a/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
+++ b/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
@@ -31,7 +31,7 @@
         if (added == null) return answer(null)
         // Nor may workers wait behind a core that can't keep up; it takes their heartbeats in all the same, as signs of
         // life.
-        if (pending.oldestWait() >= KEEPS_UP) added.complete(null)
+        if (pending.oldestWait() >= OVERLOAD_WAIT_THRESHOLD) added.complete(null)
         post(added)
     }
 
@@ -40,6 +40,6 @@
          * With a longer wait the core counts as unable to keep up. Well below the time for which workers wait: an
          * answer that is sent now still has to reach the worker.
          */
-        val KEEPS_UP: Duration = 1.seconds
+        val OVERLOAD_WAIT_THRESHOLD: Duration = 1.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -69,7 +69,7 @@
         Leadership(
             settings.node, boot, store, cache, ::elected,
             deposed = { loop.post(Event.LeadershipLost) },
-            storedWithElection = { token -> recovery?.storedWithElection(token).orEmpty() },
+            storedWithElection = { token -> recovery?.electionPuts(token).orEmpty() },
             mayLead = { !fenced() },
         )
     private val monitor =
@@ -113,7 +113,9 @@
 
     private val users =
         UserRouter(
-            UserApi(settings, store, cache, peers, ::isolated, features, exchange::confirm, cloudWatch::knownTypes),
+            UserApi(
+                settings, store, cache, peers, ::isolated, features, exchange::awaitConfirmable, cloudWatch::knownTypes,
+            ),
             rollout?.gate,
             health,
         )
@@ -121,7 +123,7 @@
     private val ownStatus = OwnPeerStatus(settings.node, leadership, freshness, rollout, recovery)
     private val internalRouter =
         InternalRouter(
-            PeerServer(ownStatus::read, exchange::answer, users::relayed),
+            PeerServer(ownStatus::read, exchange::answer, users::handleRelayed),
             OperatorServer.forRecovery(recoveryOperations::answer),
             rollout?.let { OperatorServer.forRollout(it::answer) },
         )
@@ -156,7 +158,7 @@
         }
         recovery?.let { manager -> threads.start("recovery") { manager.run() } }
         rollout?.let { manager ->
-            workerApi.incarnationSeen = health::incarnationSeen
+            workerApi.incarnationSeen = health::recordIncarnation
             threads.start("rollout") { manager.run() }
         }
     }
--- a/src/main/kotlin/glenspool/controller/NodePorts.kt
+++ b/src/main/kotlin/glenspool/controller/NodePorts.kt
@@ -23,7 +23,7 @@
     /** Requests are taken as soon as a port is open; until the state is read they are refused with a time to retry. */
     fun open() {
         val apiThreads = minOf(MAX_API_THREADS, settings.maxSockets / 3)
-        val direct = ApiRouter(workers, users)::direct
+        val direct = ApiRouter(workers, users)::directHandler
         apiListener = HttpListener(settings.apiAddr, "api", apiThreads, direct, fatal, users)
         internalListener = HttpListener(settings.internalAddr, "peer", INTERNAL_THREADS, { null }, fatal, internal)
     }
--- a/src/main/kotlin/glenspool/controller/OwnPeerStatus.kt
+++ b/src/main/kotlin/glenspool/controller/OwnPeerStatus.kt
@@ -20,6 +20,6 @@
             fresh = freshness.isFresh(),
             reads = PeerStatus.SEALED,
             levels = rollout?.ownLevels(),
-            witness = recovery?.ownWitness(),
+            witness = recovery?.ownContinuityEvidence(),
         )
 }
--- a/src/main/kotlin/glenspool/controller/PendingHeartbeat.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeat.kt
@@ -19,7 +19,7 @@
 
     /** Whether the core has taken it in. */
     @Volatile
-    internal var isTaken = false
+    internal var isDequeued = false
 
     internal val isAnswered: Boolean get() = answered.get()
 
--- a/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
@@ -24,7 +24,7 @@
 
     /** Null: too many wait. */
     fun add(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit): PendingHeartbeat? {
-        if (waiting.incrementAndGet() > MAX_WAITING) {
+        if (waiting.incrementAndGet() > MAX_WAITING_HEARTBEATS) {
             waiting.decrementAndGet()
             hasRefused.set(true)
             return null
@@ -33,17 +33,17 @@
     }
 
     /** The core takes [pending] in. */
-    fun take(pending: PendingHeartbeat) {
-        if (pending.isTaken) return
-        pending.isTaken = true
+    fun dequeue(pending: PendingHeartbeat) {
+        if (pending.isDequeued) return
+        pending.isDequeued = true
         waiting.decrementAndGet()
-        while (queue.peek()?.isTaken == true) queue.poll()
+        while (queue.peek()?.isDequeued == true) queue.poll()
     }
 
     /** Answers all without commands: the core will take none of them in any more. */
     fun drop() {
         for (pending in queue) {
-            take(pending)
+            dequeue(pending)
             pending.complete(null)
         }
     }
@@ -52,16 +52,16 @@
      * How far the core is behind: how long the oldest heartbeat has waited for it, or more if some were refused since
      * the last call.
      */
-    fun backlog(): Duration = if (hasRefused.getAndSet(false)) maxOf(oldestWait(), PATIENCE) else oldestWait()
+    fun backlog(): Duration = if (hasRefused.getAndSet(false)) maxOf(oldestWait(), ANSWER_TIMEOUT) else oldestWait()
 
     /** How long the oldest heartbeat has waited for the core. */
-    fun oldestWait(): Duration = queue.firstOrNull { !it.isTaken }?.let { clock() - it.arrivedAt } ?: Duration.ZERO
+    fun oldestWait(): Duration = queue.firstOrNull { !it.isDequeued }?.let { clock() - it.arrivedAt } ?: Duration.ZERO
 
     /** Answers those that have waited for too long, without commands. */
     fun expire() {
         for (pending in queue) {
-            if (pending.isTaken || pending.isAnswered) continue
-            if (clock() - pending.arrivedAt < PATIENCE) return
+            if (pending.isDequeued || pending.isAnswered) continue
+            if (clock() - pending.arrivedAt < ANSWER_TIMEOUT) return
             if (pending.complete(null)) {
                 log.warn("heartbeat of {} was not answered in time", pending.heartbeat.machine)
             }
@@ -72,9 +72,9 @@
         private val log = loggerOf(PendingHeartbeats::class.java)
 
         /** How many heartbeats may wait at once. */
-        const val MAX_WAITING = 128
+        const val MAX_WAITING_HEARTBEATS = 128
 
         /** A worker waits 4 s for an answer; the rest is for the way to it and for timers that are late. */
-        val PATIENCE: Duration = 2500.milliseconds
+        val ANSWER_TIMEOUT: Duration = 2500.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -70,10 +70,10 @@
     private var membersAskedAt = Duration.ZERO
 
     /** What a scheduler is given in a term in which nothing has to be recovered. */
-    val ordinaryHooks = SchedulerHooks(newWorkNeedsOwnHeartbeat = true)
+    val hooksWithoutRecovery = SchedulerHooks(newWorkNeedsOwnHeartbeat = true)
 
     /** What this process shows of itself to the others. */
-    fun ownWitness() = PeerWitness(firstWitnessed)
+    fun ownContinuityEvidence() = PeerWitness(firstWitnessed)
 
     /** The store was read by a request sent [sentAgo]; all changes up to then were handed to the core before. */
     fun storeRead(sentAgo: Duration) {
@@ -93,10 +93,10 @@
      * What an election stores besides, so that no leader begins a recovery that a later one does not know of. Nothing
      * where it is certain that this is an ordinary failover.
      */
-    fun storedWithElection(token: Long): List<Put> {
+    fun electionPuts(token: Long): List<Put> {
         val kind = StartClassifier.classify(token, firstWitnessed, unasked(memberCount), records.read())
         candidacy = Candidacy(token, kind)
-        return if (kind.needsNoRecovery()) emptyList() else listOf(records.openedAtElection(token))
+        return if (kind.needsNoRecovery()) emptyList() else listOf(records.electionPut(token))
     }
 
     private fun StartKind.needsNoRecovery() = this == StartKind.TAKE_OVER || this == StartKind.FIRST
@@ -108,7 +108,7 @@
      * be recovered.
      */
     fun begin(term: Term, at: Duration): RecoveryEngine? {
-        val record = records.readable()?.takeIf { it.token == term.token }
+        val record = records.readOrNull()?.takeIf { it.token == term.token }
         val kind = candidacy?.takeIf { it.token == term.token }?.kind ?: StartKind.UNKNOWN
         enteredPhase = null
         current = null
@@ -161,8 +161,8 @@
     fun snapshot(): RecoverySnapshot? = currentRecovery()?.engine?.snapshot
 
     /** An operator's order; null if it was carried out, else why not. */
-    fun order(request: RecoveryRequest): RecoveryReply? {
-        val term = leadership.current() ?: return RecoveryReply(false, notLeading())
+    fun applyOrder(request: RecoveryRequest): RecoveryReply? {
+        val term = leadership.current() ?: return RecoveryReply(false, notLeaderMessage())
         val recovery = current?.takeIf { it.term == term }
         if (recovery == null || !recovery.engine.isActive) return RecoveryReply(false, "no recovery is under way")
         val isStored =
@@ -181,7 +181,7 @@
     }
 
     /** The answer to an operator who asks for something that only the leader can do. */
-    fun notLeading(): String {
+    fun notLeaderMessage(): String {
         val leader = leadership.recordedLeader()?.takeIf { it != node }
         return if (leader == null) "no leader is known; ask again in a moment" else "$node does not lead; ask $leader"
     }
--- a/src/main/kotlin/glenspool/controller/RecoveryOperations.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryOperations.kt
@@ -20,7 +20,7 @@
             RecoveryVerb.STATUS -> accepted()
             RecoveryVerb.DIFFERENCES -> if (recovery == null) notManaged() else differences(recovery)
             RecoveryVerb.APPROVE, RecoveryVerb.PAUSE, RecoveryVerb.RESUME ->
-                if (recovery == null) notManaged() else recovery.order(request) ?: accepted()
+                if (recovery == null) notManaged() else recovery.applyOrder(request) ?: accepted()
         }
 
     private fun accepted() = RecoveryReply(true, status = status())
@@ -28,7 +28,7 @@
     private fun notManaged() = RecoveryReply(false, NOT_MANAGED)
 
     private fun differences(manager: RecoveryManager): RecoveryReply {
-        if (leadership.current() == null) return RecoveryReply(false, manager.notLeading())
+        if (leadership.current() == null) return RecoveryReply(false, manager.notLeaderMessage())
         val snapshot =
             manager.snapshot() ?: return RecoveryReply(false, "this term began as usual: nothing was compared")
         return RecoveryReply(true, differences = RecoveryReplies.differences(snapshot))
--- a/src/main/kotlin/glenspool/controller/RecoveryRecords.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryRecords.kt
@@ -32,11 +32,11 @@
     }
 
     /** The stored record; null if there is none, or none that is readable. */
-    fun readable(): RecoveryRecord? = (read() as? StoredRecovery.Present)?.record
+    fun readOrNull(): RecoveryRecord? = (read() as? StoredRecovery.Present)?.record
 
     /** What an election with [token] stores: a recovery that an earlier term did not finish goes on under this one. */
-    fun openedAtElection(token: Long): Put {
-        val unfinished = readable()?.takeIf { it.phase != RecoveryPhase.NORMAL }
+    fun electionPut(token: Long): Put {
+        val unfinished = readOrNull()?.takeIf { it.phase != RecoveryPhase.NORMAL }
         val opened = unfinished?.copy(token = token, phase = RecoveryPhase.READING) ?: begun(token)
         return Put(Keys.RECOVERY, RecoveryWire.encode(opened))
     }
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -17,7 +17,7 @@
 /** Translates a recovery's state into the messages that operators' commands use. */
 internal object RecoveryReplies {
     /** So many differences are listed by name at most, so that the answer stays small. */
-    const val MOST_LISTED = 500
+    const val MAX_LISTED_DIFFERENCES = 500
 
     private val listingOrder =
         compareBy<Difference>({ it.kind }, { it.machine }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 })
@@ -58,7 +58,7 @@
 
     fun differences(snapshot: RecoverySnapshot): DifferenceList {
         val all = snapshot.findings.values.flatMap { it.differences }
-        val listed = all.sortedWith(listingOrder).take(MOST_LISTED)
+        val listed = all.sortedWith(listingOrder).take(MAX_LISTED_DIFFERENCES)
         return DifferenceList(all.size, listed.map { entry(it, snapshot.now) })
     }
 
--- a/src/main/kotlin/glenspool/controller/UserRouter.kt
+++ b/src/main/kotlin/glenspool/controller/UserRouter.kt
@@ -31,7 +31,7 @@
     override fun invoke(request: Request): Response = handler(request)
 
     /** A request that another node relayed; a fenced process is as good as one without the key-value store. */
-    fun relayed(request: RelayRequest): RelayAnswer =
+    fun handleRelayed(request: RelayRequest): RelayAnswer =
         if (gate?.fence() != null) {
             RelayAnswer(Status.SERVICE_UNAVAILABLE.code, ByteArray(0), null)
         } else {
--- a/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
@@ -80,12 +80,12 @@
         val member = member(server.port)
         val a = Controller("a", "b", PeerClient(listOf(member)))
         a.exchange.storeChanged(stored("run-1"))
-        assertFalse(a.exchange.confirm("run-1"))
+        assertFalse(a.exchange.awaitConfirmable("run-1"))
         gate.countDown()
         runExchange(a.exchange, member)
         assertEquals(Cancellation("run-1", Duration.ZERO, 7), learnedByOther.poll(10, TimeUnit.SECONDS))
         assertTrue(b.known.knows("run-1"))
-        assertTrue(a.exchange.confirm("run-1"))
+        assertTrue(a.exchange.awaitConfirmable("run-1"))
     }
 
     @Test
@@ -101,32 +101,32 @@
         val a = CancellationExchange("a", known, PeerClient(members), { now }, { false }) {}
         members.forEach { runExchange(a, it) }
         a.storeChanged(stored("run-1"))
-        assertTrue(a.confirm("run-1"))
+        assertTrue(a.awaitConfirmable("run-1"))
         // One round that found nothing new to tell, and one that told, at most; the next is due after two seconds.
         val settled = generateSequence { asked.poll(400, TimeUnit.MILLISECONDS) }.take(20).count()
         assertTrue(settled <= 6, "$settled exchanges")
     }
 
     @Test
-    fun `a user is not answered while another controller may not know, but not for ever`() {
+    fun `confirmation waits for an unreachable controller until the isolation timeout`() {
         val a = Controller("a", "b", PeerClient(emptyList()))
         a.exchange.storeChanged(stored("run-1"))
-        assertFalse(a.exchange.confirm("run-1"))
+        assertFalse(a.exchange.awaitConfirmable("run-1"))
         now = 14.seconds
-        assertFalse(a.exchange.confirm("run-1"))
+        assertFalse(a.exchange.awaitConfirmable("run-1"))
         now = 15.seconds
-        assertTrue(a.exchange.confirm("run-1"))
+        assertTrue(a.exchange.awaitConfirmable("run-1"))
     }
 
     @Test
-    fun `the version in production is not waited for`() {
+    fun `confirmation does not wait for a member whose version has no exchange`() {
         val server = HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4) { Response(Status.NOT_FOUND) }
         open.add(server)
         val member = member(server.port)
         val a = Controller("a", "b", PeerClient(listOf(member)))
         a.exchange.storeChanged(stored("run-1"))
         runExchange(a.exchange, member)
-        assertTrue(a.exchange.confirm("run-1"))
+        assertTrue(a.exchange.awaitConfirmable("run-1"))
         a.known.storeRead(now)
         now = 20.seconds
         // Nor is anything known of what it confirms.
--- a/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
@@ -42,11 +42,11 @@
     }
 
     @Test
-    fun `while the core is behind workers are answered at once, and it still gets their heartbeats`() {
+    fun `while the core is overloaded, workers are answered immediately and their heartbeats are still posted`() {
         term = Term(3, 10, 1)
         intake.readyTerm = term
         receive("first")
-        now += HeartbeatIntake.KEEPS_UP - 1.milliseconds
+        now += HeartbeatIntake.OVERLOAD_WAIT_THRESHOLD - 1.milliseconds
         receive("in time")
         assertEquals(0, answers.size)
         now += 1.milliseconds
@@ -54,7 +54,7 @@
         assertEquals(listOf(Answer("late", null)), answers)
         assertEquals(listOf("first", "in time", "late"), posted.map { it.heartbeat.machine })
         posted.forEach {
-            pending.take(it)
+            pending.dequeue(it)
             it.complete(commands)
         }
         assertEquals(listOf(Answer("late", null), Answer("first", commands), Answer("in time", commands)), answers)
--- a/src/test/kotlin/glenspool/controller/LargeIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/LargeFleetIntakeTest.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** A controller's intake while a whole fleet of 4,000 machines sends heartbeats at once. */
-class LargeIntakeTest {
+class LargeFleetIntakeTest {
     private var now = Duration.ZERO
     private val pending = PendingHeartbeats { now }
     private val term = Term(1, 1, 1)
@@ -47,21 +47,21 @@
     }
 
     private fun takeIn(taken: PendingHeartbeat) {
-        pending.take(taken)
+        pending.dequeue(taken)
         taken.complete(WorkerCommands(1, emptyList()))
     }
 
     @Test
-    fun `every machine is answered, with commands if the core keeps up`() {
+    fun `every machine receives commands if the core processes all heartbeats in time`() {
         assertEquals(Outcome(FLEET, FLEET), receiveFleet(corePerSecond = FLEET))
     }
 
     @Test
-    fun `every machine is answered in time if the core takes a tenth, and the core learns that it is behind`() {
+    fun `every machine is answered in time if the core processes a tenth, and the backlog shows the overload`() {
         val (answered, withCommands) = receiveFleet(corePerSecond = FLEET / 10)
         assertEquals(FLEET, answered)
-        assertTrue(withCommands in 400..(400 + 2 * PendingHeartbeats.MAX_WAITING), "$withCommands")
-        assertTrue(pending.backlog() >= PendingHeartbeats.PATIENCE)
+        assertTrue(withCommands in 400..(400 + 2 * PendingHeartbeats.MAX_WAITING_HEARTBEATS), "$withCommands")
+        assertTrue(pending.backlog() >= PendingHeartbeats.ANSWER_TIMEOUT)
         // Nothing is left to wait for once the burst is over.
         assertEquals(Duration.ZERO, pending.oldestWait())
         assertTrue(now < 1.seconds + 2500.milliseconds)
--- a/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
+++ b/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
@@ -28,13 +28,13 @@
     }
 
     private fun take(pending: PendingHeartbeat) {
-        heartbeats.take(pending)
+        heartbeats.dequeue(pending)
         pending.complete(commands)
     }
 
     @Test
-    fun `only so many wait, and room comes back with each that the core takes in`() {
-        val all = List(PendingHeartbeats.MAX_WAITING) { add("m$it") }
+    fun `the number of waiting heartbeats is limited, and dequeuing one frees a slot`() {
+        val all = List(PendingHeartbeats.MAX_WAITING_HEARTBEATS) { add("m$it") }
         assertTrue(all.all { it != null })
         assertNull(add("too many"))
         all.first()?.let { take(it) }
@@ -43,9 +43,9 @@
     }
 
     @Test
-    fun `what the core does not get to is answered without it, once, and newer ones go on waiting`() {
+    fun `an expired heartbeat is answered once without commands, and newer heartbeats continue to wait`() {
         val late = add("late")
-        now += PendingHeartbeats.PATIENCE - 1.milliseconds
+        now += PendingHeartbeats.ANSWER_TIMEOUT - 1.milliseconds
         val newer = add("newer")
         heartbeats.expire()
         assertEquals(emptyList<Answer>(), answers)
@@ -58,35 +58,35 @@
     }
 
     @Test
-    fun `a heartbeat that was answered without the core still waits for it`() {
+    fun `an expired heartbeat counts towards the backlog until the core dequeues it`() {
         val first = add("first")
-        now += PendingHeartbeats.PATIENCE
+        now += PendingHeartbeats.ANSWER_TIMEOUT
         heartbeats.expire()
         heartbeats.expire()
         assertEquals(listOf(Answer("first", null)), answers)
-        assertEquals(PendingHeartbeats.PATIENCE, heartbeats.backlog())
+        assertEquals(PendingHeartbeats.ANSWER_TIMEOUT, heartbeats.backlog())
         first?.let { take(it) }
         assertEquals(Duration.ZERO, heartbeats.backlog())
         assertEquals(listOf(Answer("first", null)), answers)
     }
 
     @Test
-    fun `the backlog is the wait of the oldest, and a refusal shows once`() {
+    fun `the backlog is the wait of the oldest heartbeat, and a rejection raises it once`() {
         assertEquals(Duration.ZERO, heartbeats.backlog())
-        val all = List(PendingHeartbeats.MAX_WAITING) { add("m$it").also { now += 1.milliseconds } }
+        val all = List(PendingHeartbeats.MAX_WAITING_HEARTBEATS) { add("m$it").also { now += 1.milliseconds } }
         all.first()?.let { take(it) }
-        assertEquals((PendingHeartbeats.MAX_WAITING - 1).milliseconds, heartbeats.backlog())
+        assertEquals((PendingHeartbeats.MAX_WAITING_HEARTBEATS - 1).milliseconds, heartbeats.backlog())
         add("fits")
         add("too many")
-        assertEquals(PendingHeartbeats.PATIENCE, heartbeats.backlog())
-        assertEquals((PendingHeartbeats.MAX_WAITING - 1).milliseconds, heartbeats.backlog())
+        assertEquals(PendingHeartbeats.ANSWER_TIMEOUT, heartbeats.backlog())
+        assertEquals((PendingHeartbeats.MAX_WAITING_HEARTBEATS - 1).milliseconds, heartbeats.backlog())
     }
 
     @Test
-    fun `what is dropped is answered and gives its room back`() {
-        List(PendingHeartbeats.MAX_WAITING) { add("m$it") }
+    fun `dropped heartbeats are answered without commands and free their slots`() {
+        List(PendingHeartbeats.MAX_WAITING_HEARTBEATS) { add("m$it") }
         heartbeats.drop()
-        assertEquals(PendingHeartbeats.MAX_WAITING, answers.size)
+        assertEquals(PendingHeartbeats.MAX_WAITING_HEARTBEATS, answers.size)
         assertTrue(answers.all { it.commands == null })
         assertEquals(Duration.ZERO, heartbeats.backlog())
         assertNotNull(add("next"))
