--- a/src/main/kotlin/glenspool/core/Scheduler.kt
+++ b/src/main/kotlin/glenspool/core/Scheduler.kt
@@ -209,14 +209,14 @@
             if (cluster.wasDeleted(name)) continue
             cluster.findOrAdd(name) { Machine(name, request.type, request.zone, request.spot, now) }
         }
-        autoscaler.answered(request, names.size)
+        autoscaler.scaleOutAnswered(request, names.size)
     }
 
     /** The cloud rented nothing. */
-    fun scaleOutRefused(request: ScaleOut) = autoscaler.answered(request, 0)
+    fun scaleOutRefused(request: ScaleOut) = autoscaler.scaleOutAnswered(request, 0)
 
     /** No answer: the same request is sent again, which rents nothing twice. */
-    fun scaleOutUnanswered(request: ScaleOut) = autoscaler.noAnswer(request)
+    fun scaleOutUnanswered(request: ScaleOut) = autoscaler.scaleOutUnanswered(request)
 
     /** A request to delete machines has ended. The cloud's consent proves that they and all on them are gone. */
     fun deletionEnded(ids: List<String>, ok: Boolean) {
--- a/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
@@ -23,13 +23,13 @@
     private var plannedAt = Duration.ZERO - LONG_AGO
 
     /** A job's tasks may be placed from now on. */
-    fun jobArrived(job: Job) = headroom.arrived(job)
+    fun jobArrived(job: Job) = headroom.jobArrived(job)
 
     /** The cloud has answered with [rented] machines. */
-    fun answered(request: ScaleOut, rented: Int) = requests.answered(request, rented)
+    fun scaleOutAnswered(request: ScaleOut, rented: Int) = requests.answered(request, rented)
 
     /** The cloud has not answered. */
-    fun noAnswer(request: ScaleOut) = requests.noAnswer(request)
+    fun scaleOutUnanswered(request: ScaleOut) = requests.noAnswer(request)
 
     /** Repeats requests that had no answer. */
     fun tick() = requests.retry()
--- a/src/main/kotlin/glenspool/core/autoscaling/PackingPlan.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/PackingPlan.kt
@@ -14,7 +14,7 @@
         private set
 
     /** Puts a task on it. */
-    fun take(request: Resources) {
+    fun allocate(request: Resources) {
         available -= request
     }
 }
@@ -30,7 +30,7 @@
     val machines: List<PlannedMachine> get() = planned
 
     /** Machines that are to be rented. */
-    val wanted: List<PlannedMachine> get() = planned.filter { it.cause != null }
+    val machinesToRent: List<PlannedMachine> get() = planned.filter { it.cause != null }
 
     /** Adds a machine that is on its way, or is to be rented. */
     fun add(machine: PlannedMachine) {
@@ -65,7 +65,7 @@
         while (position < plan.machines.size) {
             val machine = plan.machines[position]
             if (isSuitable(machine) && spec.resourceRequest.fitsIn(machine.available)) {
-                machine.take(spec.resourceRequest)
+                machine.allocate(spec.resourceRequest)
                 capacityInZone?.merge(machine.offer.zone, -1, Int::plus)
                 return true
             }
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -57,7 +57,7 @@
                 .sortedWith(compareByDescending<Machine> { priceOf(it) }.thenBy { loadOf(it) })
         for (machine in candidates) {
             if (left == 0) return
-            if (!headroom.release(machine)) continue
+            if (!headroom.tryRelease(machine)) continue
             machine.isCordoned = true
             surplusSince = now - SURPLUS_WAIT + CORDON_INTERVAL
             left--
@@ -108,7 +108,7 @@
     private fun mayBeReturned(machine: Machine, imageGb: Double, headroom: ServiceHeadroom.Slots): Boolean {
         val since = machine.idleSince ?: now.also { machine.idleSince = now }
         if (machine.isCordoned) return true
-        return now - since >= maxIdleTime(machine, imageGb) && headroom.release(machine)
+        return now - since >= maxIdleTime(machine, imageGb) && headroom.tryRelease(machine)
     }
 
     /** Keeping an empty machine is worth as long as getting another one ready would take. */
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
@@ -98,7 +98,7 @@
     private fun packHeadroom(plan: PackingPlan, headroom: ServiceHeadroom.Slots) {
         for (rate in headroom.rates) {
             val cursor = PackingCursor(rate.spec)
-            var missing = headroom.missing(rate)
+            var missing = headroom.missingSlots(rate)
             while (missing > 0 && packOrRent(cursor, plan, ScaleOutCause.HEADROOM)) missing--
         }
     }
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutRequests.kt
@@ -45,7 +45,7 @@
 
     /** Requests the machines that the plan wants. */
     fun request(plan: PackingPlan) {
-        for ((offer, machines) in plan.wanted.groupBy { it.offer }) {
+        for ((offer, machines) in plan.machinesToRent.groupBy { it.offer }) {
             if (open.size >= MAX_OPEN) return
             request(offer, machines)
         }
--- a/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
@@ -43,7 +43,7 @@
     private val arrivalRates = HashMap<String, ArrivalRate>()
 
     /** A job's tasks may be placed from now on. */
-    fun arrived(job: Job) {
+    fun jobArrived(job: Job) {
         if (job.spec.kind != JobKind.SERVICE || job.effectivePriority != Priority.CRITICAL) return
         arrivalRates.getOrPut(job.spec.jobClass) { ArrivalRate(job.spec, now) }.add(now, job.spec.tasks)
     }
@@ -61,10 +61,10 @@
         }
 
         /** How many slots more the class needs than there are. */
-        fun missing(rate: ArrivalRate): Int = needed.getValue(rate) - available.getValue(rate)
+        fun missingSlots(rate: ArrivalRate): Int = needed.getValue(rate) - available.getValue(rate)
 
         /** Takes the machine's slots out of the count if enough remain. */
-        fun release(machine: Machine): Boolean {
+        fun tryRelease(machine: Machine): Boolean {
             val lost = rates.associateWith { slotsOn(machine, it.spec) }
             val isNeeded =
                 lost.any { (rate, slots) ->
--- a/src/main/kotlin/glenspool/core/placement/GangPlanner.kt
+++ b/src/main/kotlin/glenspool/core/placement/GangPlanner.kt
@@ -20,7 +20,7 @@
         val attempt = view.newGangAttempt(gang)
         for (planned in plan) {
             view.place(gang, planned.task, planned.machine, attempt)
-            resources.take(planned.machine, gang)
+            resources.allocate(planned.machine, gang)
         }
         view.gangPlaced(gang)
         return true
--- a/src/main/kotlin/glenspool/core/placement/MachineScorer.kt
+++ b/src/main/kotlin/glenspool/core/placement/MachineScorer.kt
@@ -71,16 +71,16 @@
     private val queue = PriorityQueue<Entry> { first, second -> first.score.compareTo(second.score) }
 
     init {
-        machines.forEach(::changed)
+        machines.forEach(::update)
     }
 
     /** The machine suits the job differently now. */
-    fun changed(machine: Machine) {
+    fun update(machine: Machine) {
         if (isUsable(machine)) queue.add(Entry(scorer.score(job, machine), machine))
     }
 
     /** The best score of a usable machine. */
-    fun best(): Int {
+    fun bestScore(): Int {
         while (true) {
             val top = queue.peek() ?: return Int.MAX_VALUE
             if (isUsable(top.machine) && scorer.score(job, top.machine) == top.score) return top.score
--- a/src/main/kotlin/glenspool/core/placement/RoundResources.kt
+++ b/src/main/kotlin/glenspool/core/placement/RoundResources.kt
@@ -41,14 +41,14 @@
     }
 
     /** A task of the job was placed on the machine. */
-    fun take(machine: Machine, job: Job) {
+    fun allocate(machine: Machine, job: Job) {
         free[machine] = freeOn(machine) - job.resourceRequest
         // Its image is on its way there now, and the machine is no longer empty: that may suit others better.
         for (listener in listeners) listener(machine)
     }
 
     /** [listener] is told of each machine that a task was placed on. */
-    fun onTaken(listener: (Machine) -> Unit) {
+    fun onTaskPlaced(listener: (Machine) -> Unit) {
         listeners.add(listener)
     }
 }
--- a/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -17,7 +17,7 @@
     private val scorer = MachineScorer(view)
 
     init {
-        resources.onTaken { machine -> scores.values.forEach { it.changed(machine) } }
+        resources.onTaskPlaced { machine -> scores.values.forEach { it.update(machine) } }
     }
 
     /** Places tasks of [jobs], which are of one priority and in the order in which they should start. */
@@ -65,7 +65,7 @@
     private fun placeOne(machine: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Boolean {
         val job = chooseJob(machine, jobs, preferredOnly) ?: return false
         view.place(job, job.waitingTasks(1).first(), machine, null)
-        resources.take(machine, job)
+        resources.allocate(machine, job)
         return true
     }
 
@@ -113,7 +113,10 @@
 
     /** Whether no other machine suits the job better. */
     private fun isPreferred(job: Job, machine: Machine): Boolean {
-        val best = scores.getOrPut(job) { MachineScores(job, scorer, resources.machines) { isUsable(job, it) } }.best()
+        val best =
+            scores
+                .getOrPut(job) { MachineScores(job, scorer, resources.machines) { isUsable(job, it) } }
+                .bestScore()
         return best >= scorer.score(job, machine)
     }
 
--- a/src/test/kotlin/glenspool/core/GangSchedulingTest.kt
+++ b/src/test/kotlin/glenspool/core/GangSchedulingTest.kt
@@ -18,7 +18,7 @@
     private fun small(tasks: Int) = job("small", tasks = tasks, resourceRequest = wholeMachine)
 
     @Test
-    fun `a gang's image fetches go on when a waiting member gives up`() {
+    fun `a gang's image fetches go on when a waiting task of the gang times out`() {
         // Stopping them would throw the image away, and the next attempt would meet the same wait for ever.
         started(2)
         submit(gang("g"))
@@ -41,7 +41,7 @@
     }
 
     @Test
-    fun `work preempted for a gang does not get its capacity back`() {
+    fun `resources freed by preemption for a gang are not given to other tasks`() {
         started(2)
         val running = placeAndRun(small(2))
         submit(job("more", tasks = 8, resourceRequest = wholeMachine))
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `no work is preempted for a gang while some of its last attempt still runs`() {
+    fun `no work is preempted for a gang while a task of its last attempt still runs`() {
         started(2)
         val gang = placeAndRun(gang("gang"))
         heartbeatReply("m3")
@@ -74,7 +74,7 @@
     }
 
     @Test
-    fun `a broken gang keeps its machines from small work until it starts again there`() {
+    fun `the machines of a broken gang are reserved for its next attempt`() {
         started(2)
         val gang = placeAndRun(gang("gang"))
         submit(small(4))
--- a/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
@@ -24,7 +24,7 @@
     private val core = fleet.core
 
     @Test
-    fun `a job on four thousand machines at once is stored whole in values that fit`() {
+    fun `a job on 4000 machines is stored completely in values within the size limit`() {
         val wide =
             job(
                 "wide", tasks = 4000, resourceRequest = Resources(14.0, 4.0, 50.0), priority = Priority.URGENT,
@@ -62,7 +62,7 @@
     }
 
     @Test
-    fun `tasks that end cost a fraction of a stored change each`() {
+    fun `fewer changes are stored than half the number of ended and started tasks`() {
         fleet.fill(1000, 1000)
         val changesBefore = fleet.storedChanges
         val startedBefore = fleet.startedTasks
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -29,7 +29,7 @@
         val team get() = job.spec.team
     }
 
-    private class PlainView(private val quotas: Map<String, Int>) : PlacementView {
+    private class StubPlacementView(private val quotas: Map<String, Int>) : PlacementView {
         override val types = listOf(bigType, leanType).associateBy { it.name }
         override val commonType = bigType
         override val resourceFactor = 2.0
@@ -72,7 +72,7 @@
     /** A placement round on a random fleet with random jobs; it has run. */
     private class RandomRound(seed: Long) {
         private val random = Random(seed)
-        val view = PlainView(mapOf("t1" to 4, "t2" to 9))
+        val view = StubPlacementView(mapOf("t1" to 4, "t2" to 9))
         val jobs: List<Job>
 
         init {
@@ -108,7 +108,7 @@
     }
 
     /** The rules for one more task of the job on the machine, said as plainly as possible. */
-    private fun isLegal(view: PlainView, job: Job, machine: Machine, placed: List<PlacedTask>): Boolean {
+    private fun isLegal(view: StubPlacementView, job: Job, machine: Machine, placed: List<PlacedTask>): Boolean {
         val spec = job.spec
         val zones = placed.filter { it.job === job }.map { it.machine.zone }
         val used =
@@ -125,7 +125,7 @@
     }
 
     @Test
-    fun `every placement is legal at its moment, and no legal one is left out`() {
+    fun `every placement is legal when it is made, and no legal placement is missed`() {
         var placedCount = 0
         for (seed in 1L..400L) {
             val round = RandomRound(seed)
@@ -136,12 +136,12 @@
                 assertTrue(isLegal, "seed $seed: ${task.job.spec} on ${task.machine.id}")
             }
             assertEquals(placed.size, placed.map { it.job.spec.id to it.task }.distinct().size)
-            for (job in round.jobs) checkNoneLeftOut(round.view, job, "seed $seed")
+            for (job in round.jobs) assertNoPlacementMissed(round.view, job, "seed $seed")
         }
         assertTrue(placedCount > 2000)
     }
 
-    private fun checkNoneLeftOut(view: PlainView, job: Job, context: String) {
+    private fun assertNoPlacementMissed(view: StubPlacementView, job: Job, context: String) {
         if (job.spec.kind == JobKind.GANG) {
             val placed = job.placements.size
             assertTrue(placed == 0 || placed == job.spec.tasks, "$context: half a gang")
@@ -171,7 +171,7 @@
     }
 
     @Test
-    fun `a cached image wins over a larger or emptier machine`() {
+    fun `a machine that caches the image is preferred to a larger or emptier one`() {
         val warm = bigMachine("warm")
         warm.imageCache.used("img", 2.0, 100.0)
         val view = viewOf(bigMachine("empty"), warm)
@@ -183,7 +183,7 @@
 
     private fun bigMachine(id: String) = Machine(id, "big", "a", false, Duration.ZERO)
 
-    private fun viewOf(vararg machines: Machine) = PlainView(emptyMap()).also { it.machines += machines }
+    private fun viewOf(vararg machines: Machine) = StubPlacementView(emptyMap()).also { it.machines += machines }
 
     private companion object {
         fun newJob(spec: JobSpec) = Job(JobRecord(spec, Duration.ZERO, 0, BitSet(), emptyList()), 1)
--- a/src/test/kotlin/glenspool/core/ScaleOutTest.kt
+++ b/src/test/kotlin/glenspool/core/ScaleOutTest.kt
@@ -14,14 +14,14 @@
 /** Work that no machine of the fleet will ever take gets one. */
 class ScaleOutTest : SchedulerTestBase() {
     @Test
-    fun `an array that no machine could take gets one, however little its work is`() {
+    fun `a machine is rented for an array that fits no machine, however short its run time`() {
         step { machineTypesKnown(listOf(bigType)) }
         submit(job("a"))
         assertEquals(listOf(1), wait(4.seconds).scaleOuts().map { it.count })
     }
 
     @Test
-    fun `an array does not wait for ever behind work that never ends`() {
+    fun `a machine is rented for an array that waits behind a service that never ends`() {
         started()
         val all = Resources(16.0, 4.0, 64.0)
         val running = placeAndRun(job("s", JobKind.SERVICE, resourceRequest = all, priority = Priority.CRITICAL))
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -24,7 +24,10 @@
     private val machines = 6
 
     /** A minute of small work, then the largest jobs and five minutes more of it. */
-    private fun play(largest: List<JobSpec>, objectives: List<Objective> = emptyList()): ClusterSimulation {
+    private fun simulateWithSmallWork(
+        largest: List<JobSpec>,
+        objectives: List<Objective> = emptyList(),
+    ): ClusterSimulation {
         val settings = config(objectives = objectives)
         val simulation = ClusterSimulation(7, settings, listOf(bigType), FaultRates(), maxMachines = machines)
         repeat(machines) { simulation.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
@@ -62,24 +65,24 @@
         )
 
     @Test
-    fun `the largest array, too late for its objective from the first, starts among small ones that can meet it`() {
+    fun `the largest array starts although it cannot meet its objective and small arrays can`() {
         val objective = Objective("finished", "class-ARRAY", 30.seconds, 0.9)
         val large =
             job(
                 "large", tasks = 90, resourceRequest = Resources(4.0, 1.0, 16.0), estimatedDuration = 100.seconds,
                 checkpointInterval = 5.seconds, image = "large",
             )
-        play(listOf(large), listOf(objective))
+        simulateWithSmallWork(listOf(large), listOf(objective))
     }
 
     @Test
-    fun `a gang that takes the whole fleet starts among small work of its own priority`() {
+    fun `a gang that needs the whole fleet starts while small jobs of the same priority arrive`() {
         val gang = job("large", JobKind.GANG, machines, Resources(14.0, 4.0, 50.0), priority = Priority.STANDARD)
-        play(listOf(gang))
+        simulateWithSmallWork(listOf(gang))
     }
 
     @Test
-    fun `the largest gang and service start among small work of lower priority`() {
+    fun `the largest gang and service start while small jobs of lower priority arrive`() {
         val gang =
             job(
                 "large-gang", JobKind.GANG, machines - 2, Resources(14.0, 4.0, 50.0), priority = Priority.URGENT,
@@ -90,6 +93,6 @@
                 "large-service", JobKind.SERVICE, 6, Resources(2.0, 1.0, 8.0), priority = Priority.CRITICAL,
                 spread = true,
             )
-        play(listOf(gang, service))
+        simulateWithSmallWork(listOf(gang, service))
     }
 }
