--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -86,7 +86,7 @@
     /** A cancelled job stays cancelled, so any node may have its tasks stopped, whatever token is in force. */
     private fun stopsOfCancelled(heartbeat: Heartbeat): List<Command> =
         heartbeat.tasks
-            .filter { it.state != TaskState.EXITED && node.cancellations.knows(it.key.job) }
+            .filter { it.state != TaskState.EXITED && node.cancellations.contains(it.key.job) }
             .map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
 
     private fun badRequest(reason: String): Response = cbor(Status.BAD_REQUEST, UserWire.error(reason))
--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -61,7 +61,7 @@
                 continue
             }
             lock.withLock {
-                if (!cancellations.lacks(member.name)) {
+                if (!cancellations.needsUpdate(member.name)) {
                     val pause = if (isStale()) RETRY else PERIOD
                     hasNews.await(pause.inWholeMilliseconds, TimeUnit.MILLISECONDS)
                 }
@@ -76,7 +76,7 @@
         return when (val result = peers.exchange(member, CancellationMessages.encode(node, update))) {
             is PeerClient.Exchange.Answered -> {
                 val answer = CancellationMessages.decode(result.message)
-                takeIn(cancellations.replied(member.name, answer, sent))
+                takeIn(cancellations.applyReply(member.name, answer, sent))
                 lock.withLock { wasAnswered.signalAll() }
                 true
             }
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -49,7 +49,7 @@
     }
 
     private fun enforce() {
-        val due = tracker.suspects(wall(), cancellations.all(), ::machinesOf)
+        val due = tracker.machinesToProbe(wall(), cancellations.all(), ::machinesOf)
         if (due.isEmpty()) return
         // Without the cloud a machine's address is not known here, nor can the machine be deleted: the next round asks
         // again.
@@ -76,7 +76,7 @@
     /** Asks the machine, and has the cancelled work that it still runs stopped. */
     private fun checkMachine(suspect: SuspectMachine, addr: String) {
         val heartbeat = remover.probe(suspect.machine, addr)
-        val stops = tracker.probed(suspect, heartbeat)
+        val stops = tracker.recordProbe(suspect, heartbeat)
         if (heartbeat == null || stops.isEmpty()) return
         // With the worker's own token: it starts nothing, and a cancellation is for ever.
         val commands = SendCommands(suspect.machine, addr, heartbeat.token, heartbeat.incarnation, stops)
@@ -85,12 +85,12 @@
             "stop machine={} commands={} reason=cancelled-work leading=false outcome={}",
             suspect.machine, stops, outcome,
         )
-        if (outcome == CommandOutcome.DONE) tracker.probed(suspect, heartbeatAfter)
+        if (outcome == CommandOutcome.DONE) tracker.recordProbe(suspect, heartbeatAfter)
     }
 
     private fun deleteLate() {
-        for (machines in tracker.overdue(wall()).chunked(DeleteMachines.MAX_MACHINES)) {
-            if (remover.delete(machines)) machines.forEach(tracker::deleted)
+        for (machines in tracker.overdueMachines(wall()).chunked(DeleteMachines.MAX_MACHINES)) {
+            if (remover.delete(machines)) machines.forEach(tracker::recordDeletion)
         }
     }
 
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -174,7 +174,7 @@
     }
 
     private fun storeRead(sentAgo: Duration) {
-        cancellations.storeRead(uptime() - sentAgo)
+        cancellations.recordStoreRead(uptime() - sentAgo)
         recovery?.storeRead(sentAgo)
     }
 
--- a/src/main/kotlin/glenspool/core/Scheduler.kt
+++ b/src/main/kotlin/glenspool/core/Scheduler.kt
@@ -5,8 +5,8 @@
 import glenspool.core.cluster.ClusterState
 import glenspool.core.cluster.CommandQueue
 import glenspool.core.cluster.FailureDetector
-import glenspool.core.cluster.HeartbeatAnswer
 import glenspool.core.cluster.HeartbeatProcessor
+import glenspool.core.cluster.HeartbeatReplyCommands
 import glenspool.core.cluster.ImageLocations
 import glenspool.core.cluster.ImagesByMachine
 import glenspool.core.cluster.Machine
@@ -58,7 +58,7 @@
     private val missingTasks = MissingTaskHandler(context, cluster, commands)
     private val heartbeats =
         HeartbeatProcessor(context, cluster, orphans, imageLocations, performance, missingTasks)
-    private val heartbeatAnswer = HeartbeatAnswer(context, cluster)
+    private val heartbeatReplyCommands = HeartbeatReplyCommands(context, cluster)
     private val deleter = MachineDeleter(context)
     private val cancelledWork = CancelledWorkDeadline(context, cluster)
     private val failureDetector =
@@ -162,20 +162,20 @@
     fun splittingForbidden(forbidden: Boolean) = splitting.setForbidden(forbidden)
 
     /** What an earlier leader knew of the machines' image caches; used as each machine is heard. */
-    fun imageLocationsRead(images: ImagesByMachine) = imageLocations.remember(images)
+    fun imageLocationsRead(images: ImagesByMachine) = imageLocations.loadStored(images)
 
     // Machines.
 
     /** A worker sent a heartbeat by itself; the commands for the answer. */
     fun heartbeatReceived(heartbeat: Heartbeat): List<Command> {
         val machine = heartbeats.process(heartbeat, HeartbeatSource.WORKER) ?: return emptyList()
-        return if (machine.isTrusted) heartbeatAnswer.commandsFor(machine) else emptyList()
+        return if (machine.isTrusted) heartbeatReplyCommands.commandsFor(machine) else emptyList()
     }
 
     /** A request with commands has ended; [heartbeat]: the worker's answer, if it gave one. */
     fun commandsEnded(machine: String, request: SendCommands, outcome: CommandOutcome, heartbeat: Heartbeat?) {
         val known = machines[machine] ?: return
-        commands.ended(known, request, outcome)
+        commands.requestEnded(known, request, outcome)
         if (heartbeat != null) heartbeats.process(heartbeat, HeartbeatSource.REPLY)
     }
 
@@ -183,10 +183,10 @@
     fun probeEnded(machine: String, heartbeat: Heartbeat?, wasSent: Boolean = true) {
         val reachability = machines[machine]?.reachability
         if (heartbeat == null || heartbeat.machine != machine) {
-            if (wasSent && !overload.isOverloaded) reachability?.unanswered(now)
+            if (wasSent && !overload.isOverloaded) reachability?.recordNoResponse(now)
             return
         }
-        reachability?.reached(now)
+        reachability?.recordReachable(now)
         val processed = heartbeats.process(heartbeat, HeartbeatSource.REPLY) ?: return
         // A worker that sends its heartbeats to another node learns of this leader's token here.
         val isIdle = !processed.requests.isInFlight && !processed.isDeleting
@@ -220,7 +220,7 @@
 
     /** A request to delete machines has ended. The cloud's consent proves that they and all on them are gone. */
     fun deletionEnded(ids: List<String>, ok: Boolean) {
-        for (id in ids) machines[id]?.let { if (ok) machineDeleted(it) else it.deletionFailed(now + DELETION_RETRY) }
+        for (id in ids) machines[id]?.let { if (ok) machineDeleted(it) else it.retryDeletionAt(now + DELETION_RETRY) }
         context.requestRound()
     }
 
@@ -246,7 +246,7 @@
      * this a leader that outlived an outage of the key-value store would conclude that it hears nobody, and resign.
      */
     fun resumed(gap: Duration) {
-        for (machine in machines.values) machine.reachability.shift(gap, now)
+        for (machine in machines.values) machine.reachability.excludeGap(gap, now)
     }
 
     /**
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -69,7 +69,7 @@
 
     /** How much of the machine is in use, by its fullest resource. */
     private fun loadOf(machine: Machine): Double =
-        cluster.typeOf(machine)?.let { machine.workload.used().dominantShareOf(it.capacity) } ?: 0.0
+        cluster.typeOf(machine)?.let { machine.workload.usedResources().dominantShareOf(it.capacity) } ?: 0.0
 
     /** How many machines of the commonest type the waiting tasks would fill. */
     private fun loadOf(job: Job): Double {
--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -77,7 +77,7 @@
 
     /** Whether the job is known to be cancelled. */
     @Synchronized
-    fun knows(job: String): Boolean = job in known
+    fun contains(job: String): Boolean = job in known
 
     /** All that are known, oldest first. */
     @Synchronized
@@ -85,7 +85,7 @@
 
     /** The key-value store answered a read of the present state that was sent at [sent]. */
     @Synchronized
-    fun storeRead(sent: Duration) = coverAll(sent)
+    fun recordStoreRead(sent: Duration) = coverAll(sent)
 
     private fun coverAll(upTo: Duration) {
         ownCoveredUpTo = later(ownCoveredUpTo, upTo)
@@ -157,7 +157,7 @@
 
     /** [name] answered with [update] what was sent to it at [asked]. What was not known before is returned. */
     @Synchronized
-    fun replied(name: String, update: CancellationUpdate, asked: Duration): List<Cancellation> {
+    fun applyReply(name: String, update: CancellationUpdate, asked: Duration): List<Cancellation> {
         val member = members.getValue(name)
         member.isUnsupported = false
         member.contactedAt = asked
@@ -194,7 +194,8 @@
 
     /** Whether [name] lacks something that this controller knows. */
     @Synchronized
-    fun lacks(name: String): Boolean = members.getValue(name).let { !it.isUnsupported && it.acknowledged < lastOrder }
+    fun needsUpdate(name: String): Boolean =
+        members.getValue(name).let { !it.isUnsupported && it.acknowledged < lastOrder }
 
     /**
      * Whether a user may be told that the job is cancelled: every other controller knows it, or has had
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
@@ -23,7 +23,7 @@
 
     /** The machines to be probed at [now]. [machinesOf]: where the job was placed, as far as is known. */
     @Synchronized
-    fun suspects(
+    fun machinesToProbe(
         now: Duration,
         cancellations: List<Cancellation>,
         machinesOf: (String) -> List<String>,
@@ -52,7 +52,7 @@
 
     /** The machine's answer to a probe, null if there was none. What has to be stopped there is returned. */
     @Synchronized
-    fun probed(suspect: SuspectMachine, heartbeat: Heartbeat?): List<StopTask> {
+    fun recordProbe(suspect: SuspectMachine, heartbeat: Heartbeat?): List<StopTask> {
         probedMachines.add(suspect.machine)
         if (heartbeat == null) return emptyList()
         val left = heartbeat.tasks.filter { it.state != TaskState.EXITED && it.key.job in suspect.jobs }
@@ -69,7 +69,7 @@
      * stopped.
      */
     @Synchronized
-    fun overdue(now: Duration): List<String> = suspects.values.filter { isOverdue(it, now) }.map { it.machine }
+    fun overdueMachines(now: Duration): List<String> = suspects.values.filter { isOverdue(it, now) }.map { it.machine }
 
     private fun isOverdue(suspect: SuspectMachine, now: Duration): Boolean {
         val isLate = now - suspect.since > cancellationDeadline * DELETE_SHARE
@@ -79,7 +79,7 @@
 
     /** The machine is gone, with all that was on it. */
     @Synchronized
-    fun deleted(machine: String) = clear(machine, suspects[machine]?.jobs.orEmpty())
+    fun recordDeletion(machine: String) = clear(machine, suspects[machine]?.jobs.orEmpty())
 
     private companion object {
         /** The share of the deadline after which machines are probed. */
--- a/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
@@ -75,11 +75,11 @@
             if (wasDeleted(entry.id)) continue
             val machine = findOrAdd(entry.id) { Machine(entry.id, entry.type, entry.zone, entry.spot, context.now) }
             val hadFailed = machine.hasFailed
-            machine.listed(entry)
+            machine.applyListEntry(entry)
             if (machine.hasFailed && !hadFailed) failed.add(machine)
         }
         for (machine in machines.values) {
-            if (machine.id !in listedIds) machine.missingInList(context.now)
+            if (machine.id !in listedIds) machine.markUnlisted(context.now)
         }
         updateCommonType()
         return failed
@@ -94,7 +94,7 @@
     fun removeJob(id: String): Job? = runnableJobs.remove(id)
 
     /** Adds a new placement; [maySplit]: whether it may be stored apart from the job's record. */
-    fun place(placement: Placement, machine: Machine, maySplit: Boolean) {
+    fun addPlacement(placement: Placement, machine: Machine, maySplit: Boolean) {
         placement.job.place(placement, maySplit)
         attach(placement, machine)
     }
@@ -110,17 +110,17 @@
     }
 
     private fun attach(placement: Placement, machine: Machine) {
-        machine.workload.place(placement)
+        machine.workload.addPlacement(placement)
         quotas.charge(placement.job, +1)
     }
 
     /** Removes a placement: nothing of it is left anywhere, or will be. */
-    fun unplace(placement: Placement) {
+    fun removePlacement(placement: Placement) {
         val job = placement.job
         if (job.placementOf(placement.task) !== placement) return
         job.unplace(placement.task)
         machines[placement.machine]?.let { machine ->
-            machine.workload.unplace(placement)
+            machine.workload.removePlacement(placement)
             machine.requests.dropStart(placement.key, placement.attempt)
         }
         quotas.charge(job, -1)
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -132,32 +132,32 @@
 
     /** Sends commands at once; with none, the request tells the worker the leader's token. */
     fun send(machine: Machine, commands: List<Command>) {
-        machine.requests.sent(context.now)
+        machine.requests.requestSent(context.now)
         context.countOrders(commands)
         context.act(SendCommands(machine.id, machine.addr, context.token, machine.incarnation, commands))
     }
 
     /** A request to the machine has ended. */
-    fun ended(machine: Machine, request: SendCommands, outcome: CommandOutcome) {
+    fun requestEnded(machine: Machine, request: SendCommands, outcome: CommandOutcome) {
         val requests = machine.requests
-        requests.ended()
+        requests.requestEnded()
         when (outcome) {
-            CommandOutcome.DONE, CommandOutcome.REFUSED -> machine.reachability.reached(context.now)
+            CommandOutcome.DONE, CommandOutcome.REFUSED -> machine.reachability.recordReachable(context.now)
             CommandOutcome.NOT_SENT, CommandOutcome.UNKNOWN -> noteNoAnswer(machine)
             CommandOutcome.NOT_TRIED -> Unit
         }
         if (outcome == CommandOutcome.UNKNOWN) {
-            requests.pauseUntil(context.now + PAUSE_AFTER_NO_ANSWER)
+            requests.delayRequestsUntil(context.now + PAUSE_AFTER_NO_ANSWER)
             return
         }
         requests.confirmLastRequest(request.token, request.incarnation)
         if (outcome == CommandOutcome.DONE) return
-        requests.pauseUntil(context.now + PAUSE_AFTER_REFUSAL)
+        requests.delayRequestsUntil(context.now + PAUSE_AFTER_REFUSAL)
         request.commands.filterIsInstance<StartTask>().forEach { startNotCarriedOut(machine, it) }
     }
 
     private fun noteNoAnswer(machine: Machine) {
-        if (!overload.isOverloaded) machine.reachability.unanswered(machine.requests.sentAt ?: context.now)
+        if (!overload.isOverloaded) machine.reachability.recordNoResponse(machine.requests.sentAt ?: context.now)
     }
 
     private fun startNotCarriedOut(machine: Machine, start: StartTask) {
--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -26,8 +26,8 @@
     private val config get() = context.config
     private val now: Duration get() = context.now
     private val partitions = ZonePartitionDetector(context)
-    private val census = FleetCensus(context, cluster, partitions)
-    private val connectivity = LeaderConnectivity(context, cluster, overload, census)
+    private val contacts = FleetContactCounts(context, cluster, partitions)
+    private val connectivity = LeaderConnectivity(context, cluster, overload, contacts)
     private var probesLeft = 0
 
     /** How long a machine may be silent before it is given up. */
@@ -36,7 +36,7 @@
 
     /** Looks at the whole fleet. */
     fun tick() {
-        census.take(maxSilence)
+        contacts.update(maxSilence)
         // A new leader has all machines to probe at once, and has yet to warm up.
         probesLeft = MIN_PROBES + cluster.machines.size / MACHINES_PER_PROBE
         for (machine in cluster.machines.values.toList()) watch(machine)
@@ -86,14 +86,14 @@
      * machines are reached, or it is our own way out that is cut.
      */
     private fun isUnreachableAlone(machine: Machine): Boolean =
-        machine.reachability.isUnreachableFor(maxSilence, now) && census.reached > census.unreachable
+        machine.reachability.isUnreachableFor(maxSilence, now) && contacts.reachableCount > contacts.unreachableCount
 
     private fun isLost(machine: Machine, silence: Duration): Boolean {
         val isDelisted = isDelisted(machine)
         val limit = if (isDelisted && machine.isListed) config.heartbeatInterval * MIN_SILENCE_INTERVALS else maxSilence
         if (silence <= limit) return false
         // Silence for two leases is given up in any case: if most machines are really lost, waiting would never end.
-        if (!census.areMostOthersInContact() && silence <= config.lease * 2) return false
+        if (!contacts.isMajorityInContact() && silence <= config.lease * 2) return false
         return !mayBeElsewhere(machine, silence, isDelisted) || wereProbesUnanswered(machine)
     }
 
@@ -133,17 +133,17 @@
 
     private fun probe(machine: Machine) {
         if (probesLeft-- <= 0) return
-        machine.requests.pauseProbesUntil(now + probeInterval)
+        machine.requests.delayProbesUntil(now + probeInterval)
         context.act(Probe(machine.id, machine.addr))
     }
 
     /** While some machine does not answer, a few others are probed too: they tell whose fault it is. */
     private fun probeControls() {
-        if (census.unreachable == 0 || census.reached > census.unreachable) return
+        if (contacts.unreachableCount == 0 || contacts.reachableCount > contacts.unreachableCount) return
         cluster.machines.values
             .filter { isFitForControl(it) }
-            .sortedBy { it.reachability.lastReachedAt ?: Duration.ZERO }
-            .take(minOf(census.unreachable + 1, MAX_CONTROLS))
+            .sortedBy { it.reachability.lastReachableAt ?: Duration.ZERO }
+            .take(minOf(contacts.unreachableCount + 1, MAX_CONTROLS))
             .forEach(::probe)
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
@@ -39,11 +39,11 @@
             cluster.findOrAdd(heartbeat.machine) {
                 Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, now)
             }
-        machine.describedBy(heartbeat)
+        machine.updateDescription(heartbeat)
         if (!machine.reachability.hadContact) imageLocations.restore(machine)
         logNewIncarnation(machine, heartbeat)
         val wasTrusted = machine.isTrusted
-        machine.observed(heartbeat, source, context.token, context.electionToken, now)
+        machine.applyHeartbeat(heartbeat, source, context.token, context.electionToken, now)
         if (machine.isTrusted && !wasTrusted) context.requestRound()
         context.hooks.observer.machineObserved(heartbeat, source, machine.isTrusted, now)
         reconcileTasks(machine, heartbeat)
@@ -85,14 +85,14 @@
     /** The heartbeat shows this leader's token and not the task, and no start of it can still arrive. */
     private fun isProvedMissing(placement: Placement, machine: Machine, present: Set<TaskKey>): Boolean {
         if (placement.key in present || placement.stage == PlacementStage.PLANNED) return false
-        return placement.wasStartSent && !machine.requests.mayStillStart(placement.key, placement.attempt)
+        return placement.wasStartSent && !machine.requests.hasUnconfirmedStart(placement.key, placement.attempt)
     }
 
     private fun progressed(machine: Machine, placement: Placement, status: TaskStatus) {
         val job = placement.job
         val wasWithoutImage = placement.taskState == null || placement.taskState == TaskState.FETCHING
         if (status.state != TaskState.FETCHING && wasWithoutImage) {
-            machine.imageCache.used(job.spec.image, job.spec.imageGb, cluster.typeOf(machine)?.cacheGb ?: 0.0)
+            machine.imageCache.recordUse(job.spec.image, job.spec.imageGb, cluster.typeOf(machine)?.cacheGb ?: 0.0)
         }
         val beginsToRun = placement.observed(status.state, now)
         if (beginsToRun && job.spec.kind == JobKind.GANG && runsWhole(job)) job.gangStarted = true
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatAnswer.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatReplyCommands.kt
@@ -20,7 +20,7 @@
  * What a worker is told in the answer to its heartbeat, besides the commands that are sent to it: repeated stops, stops
  * of orphans, and which exited tasks it may forget.
  */
-class HeartbeatAnswer(private val context: SchedulingContext, private val cluster: ClusterState) {
+class HeartbeatReplyCommands(private val context: SchedulingContext, private val cluster: ClusterState) {
     /** The commands for the machine, from the tasks that its newest heartbeat showed. */
     fun commandsFor(machine: Machine): List<Command> {
         if (machine.taskStatuses.isEmpty()) return emptyList()
@@ -41,7 +41,7 @@
 
     private fun forget(machine: Machine, job: Job?, status: TaskStatus): ForgetTask? {
         // A start still on its way would start the task again after this.
-        if (machine.requests.mayStillStart(status.key, status.attempt)) return null
+        if (machine.requests.hasUnconfirmedStart(status.key, status.attempt)) return null
         val isDone = status.exit == ExitReason.DONE && job != null
         if (isDone && isResultNeeded(job, status.key.task)) return null
         val cause = if (isDone) ForgetCause.RECORDED else ForgetCause.NO_RESULT
--- a/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
@@ -13,7 +13,7 @@
     operator fun contains(image: String): Boolean = image in sizes
 
     /** A task has the image; what then exceeds the cache's [capacityGb] is evicted. */
-    fun used(image: String, gb: Double, capacityGb: Double) {
+    fun recordUse(image: String, gb: Double, capacityGb: Double) {
         sizes.remove(image)
         sizes[image] = gb
         var total = sizes.values.sum()
--- a/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
@@ -21,7 +21,7 @@
     private var nextPart = 0
 
     /** Takes over what an earlier leader left. */
-    fun remember(images: ImagesByMachine) {
+    fun loadStored(images: ImagesByMachine) {
         remembered = images
         for ((part, entries) in images.entries.groupBy { partOf(it.key) }) {
             storedParts[part] = entries.associate { it.key to it.value }
@@ -31,7 +31,7 @@
     /** Gives a machine that is heard for the first time the images that it had for an earlier leader. */
     fun restore(machine: Machine) {
         val cacheGb = cluster.typeOf(machine)?.cacheGb ?: 0.0
-        remembered[machine.id]?.forEach { (image, gb) -> machine.imageCache.used(image, gb, cacheGb) }
+        remembered[machine.id]?.forEach { (image, gb) -> machine.imageCache.recordUse(image, gb, cacheGb) }
     }
 
     /** Stores the next part that has changed, now and then. */
--- a/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
+++ b/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
@@ -15,7 +15,7 @@
     private val context: SchedulingContext,
     private val cluster: ClusterState,
     private val overload: OverloadMonitor,
-    private val census: FleetCensus,
+    private val contacts: FleetContactCounts,
 ) {
     private val now: Duration get() = context.now
     private var hasResigned = false
@@ -50,7 +50,7 @@
     }
 
     private fun reachesNobody(silence: Duration): Boolean {
-        if (census.unreachable < MIN_MACHINES || census.reached > 0) return false
+        if (contacts.unreachableCount < MIN_MACHINES || contacts.reachableCount > 0) return false
         val lost = cluster.machines.values.count { it.reachability.isUnreachableFor(silence, now) }
         return lost >= MIN_MACHINES
     }
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -108,7 +108,7 @@
     }
 
     /** Takes over what a newer heartbeat says of the machine itself. */
-    fun describedBy(heartbeat: Heartbeat) {
+    fun updateDescription(heartbeat: Heartbeat) {
         type = heartbeat.type
         zone = heartbeat.zone
         spot = heartbeat.spot
@@ -124,7 +124,7 @@
      * heartbeat shows what is there, but not what will not be. A worker that began anew has forgotten the token, so it
      * is this heartbeat's that counts, not the highest that the machine ever showed.
      */
-    fun observed(
+    fun applyHeartbeat(
         heartbeat: Heartbeat,
         source: HeartbeatSource,
         leaderToken: Long,
@@ -132,11 +132,11 @@
         now: Duration,
     ) {
         val isNewIncarnation = heartbeat.incarnation > incarnation
-        requests.dropVoidStarts(heartbeat.token, heartbeat.incarnation, isNewIncarnation)
+        requests.dropInvalidStarts(heartbeat.token, heartbeat.incarnation, isNewIncarnation)
         incarnation = heartbeat.incarnation
         sequence = heartbeat.sequence
         // It has learnt a token since: something of ours has reached it.
-        if (heartbeat.token > token && heartbeat.token >= leaderToken) reachability.reached(now)
+        if (heartbeat.token > token && heartbeat.token >= leaderToken) reachability.recordReachable(now)
         token = maxOf(token, heartbeat.token)
         reachability.recordContact(source, now)
         preemptionNotice = heartbeat.preemptionNotice
@@ -145,7 +145,7 @@
     }
 
     /** The cloud listed it. */
-    fun listed(entry: ListedMachine) {
+    fun applyListEntry(entry: ListedMachine) {
         if (type.isEmpty()) {
             type = entry.type
             zone = entry.zone
@@ -160,25 +160,25 @@
     }
 
     /** The cloud's list lacks it. */
-    fun missingInList(now: Duration) {
+    fun markUnlisted(now: Duration) {
         if (unlistedSince == null) unlistedSince = now
     }
 
     /** Gives the machine up for good: it is never used again. */
-    fun giveUp(cause: DeletionCause) {
+    fun markForDeletion(cause: DeletionCause) {
         deletionCause = cause
         requests.clearPending()
     }
 
     /** The cloud is asked to delete it. */
-    fun deletionSent() {
+    fun markDeletionSent() {
         isDeletionSent = true
     }
 
     /** The cloud did not delete it; it is asked again at [retryAt]. */
-    fun deletionFailed(retryAt: Duration) {
+    fun retryDeletionAt(retryAt: Duration) {
         isDeletionSent = false
-        requests.pauseUntil(retryAt)
+        requests.delayRequestsUntil(retryAt)
     }
 
     /**
@@ -206,7 +206,7 @@
     }
 
     /** What is free of its capacity. */
-    fun available(type: MachineType): Resources = type.capacity - workload.used()
+    fun available(type: MachineType): Resources = type.capacity - workload.usedResources()
 
     /** Whether the image is in its cache. */
     fun hasImage(image: String): Boolean = image in imageCache
--- a/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
@@ -21,7 +21,7 @@
             "delete-machine machine=${machine.id} reason=${cause.label} tasks=${machine.placements.size} " +
                 "last-heard=$lastContactAt now=${context.now}"
         }
-        machine.giveUp(cause)
+        machine.markForDeletion(cause)
         enqueue(machine, cause)
     }
 
@@ -32,7 +32,7 @@
     }
 
     private fun enqueue(machine: Machine, cause: DeletionCause) {
-        machine.deletionSent()
+        machine.markDeletionSent()
         waiting[machine.id] = cause
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/MachineRequests.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineRequests.kt
@@ -66,23 +66,23 @@
     private fun Command.isFor(key: TaskKey, attempt: Long) = this.key == key && this.attempt == attempt
 
     /** A request is sent. */
-    fun sent(now: Duration) {
+    fun requestSent(now: Duration) {
         sentAt = now
         isInFlight = true
     }
 
     /** The request's outcome is known. */
-    fun ended() {
+    fun requestEnded() {
         isInFlight = false
     }
 
     /** Sends no request before [time]. */
-    fun pauseUntil(time: Duration) {
+    fun delayRequestsUntil(time: Duration) {
         nextRequestAt = time
     }
 
     /** Sends no probe before [time]. */
-    fun pauseProbesUntil(time: Duration) {
+    fun delayProbesUntil(time: Duration) {
         nextProbeAt = time
     }
 
@@ -97,14 +97,15 @@
     }
 
     /** The worker refuses what was sent to an earlier incarnation or with a lower token. */
-    fun dropVoidStarts(token: Long, incarnation: Long, isNewIncarnation: Boolean) {
+    fun dropInvalidStarts(token: Long, incarnation: Long, isNewIncarnation: Boolean) {
         if (isNewIncarnation) starts.removeIf { it.incarnation < incarnation }
         starts.removeIf { it.token < token }
     }
 
     /** Whether a start of this attempt may still arrive. */
-    fun mayStillStart(key: TaskKey, attempt: Long): Boolean = starts.any { it.key == key && it.attempt == attempt }
+    fun hasUnconfirmedStart(key: TaskKey, attempt: Long): Boolean =
+        starts.any { it.key == key && it.attempt == attempt }
 
     /** Whether a start of any attempt of the job may still arrive. */
-    fun mayStillStart(job: String): Boolean = starts.any { it.key.job == job }
+    fun hasUnconfirmedStart(job: String): Boolean = starts.any { it.key.job == job }
 }
--- a/src/main/kotlin/glenspool/core/cluster/MachineWorkload.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineWorkload.kt
@@ -30,7 +30,7 @@
     val taskCount: Int get() = placed.size + orphanTasks.size
 
     /** Adds a placement; an older one of the same task gives way. */
-    fun place(placement: Placement) {
+    fun addPlacement(placement: Placement) {
         val replaced = placed.put(placement.key, placement)
         if (replaced != null) countReplica(replaced, -1)
         countReplica(placement, +1)
@@ -38,7 +38,7 @@
     }
 
     /** Removes the placement if it is still here. */
-    fun unplace(placement: Placement) {
+    fun removePlacement(placement: Placement) {
         if (placed[placement.key] !== placement) return
         placed.remove(placement.key)
         countReplica(placement, -1)
@@ -64,7 +64,7 @@
     }
 
     /** What placements and orphans take; summed anew after each change, so that rounding errors can't add up. */
-    fun used(): Resources = cachedUse ?: sum().also { cachedUse = it }
+    fun usedResources(): Resources = cachedUse ?: sum().also { cachedUse = it }
 
     private fun sum(): Resources {
         var sum = Resources.ZERO
--- a/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
@@ -62,7 +62,7 @@
     /** The attempt is proved to be off its machine. [exit]: why it ended, if that is known. */
     fun attemptEnded(placement: Placement, machine: Machine, exit: ExitReason?) {
         val job = placement.job
-        cluster.unplace(placement)
+        cluster.removePlacement(placement)
         job.storeLater(now)
         context.requestRound()
         // A broken gang begins again where its image is, not somewhere else because small work was quicker.
--- a/src/main/kotlin/glenspool/core/cluster/Reachability.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Reachability.kt
@@ -25,7 +25,7 @@
         private set
 
     /** When a request was last answered. */
-    var lastReachedAt: Duration? = null
+    var lastReachableAt: Duration? = null
         private set
 
     val hadContact: Boolean get() = lastContactAt != null
@@ -40,7 +40,7 @@
     fun sentHeartbeatWithin(span: Duration, now: Duration): Boolean = lastHeartbeatAt.isWithin(span, now)
 
     /** Whether a request was answered within [span]. */
-    fun wasReachedWithin(span: Duration, now: Duration): Boolean = lastReachedAt.isWithin(span, now)
+    fun wasReachableWithin(span: Duration, now: Duration): Boolean = lastReachableAt.isWithin(span, now)
 
     /** Whether requests have gone without an answer for more than [span]. */
     fun isUnreachableFor(span: Duration, now: Duration): Boolean =
@@ -58,18 +58,18 @@
     }
 
     /** A request was answered. */
-    fun reached(now: Duration) {
-        lastReachedAt = now
+    fun recordReachable(now: Duration) {
+        lastReachableAt = now
         unreachableSince = null
     }
 
     /** A request that was sent at [since] had no answer. */
-    fun unanswered(since: Duration) {
+    fun recordNoResponse(since: Duration) {
         if (unreachableSince == null) unreachableSince = since
     }
 
     /** Time in which this process could hear nothing is not held against the machine. */
-    fun shift(gap: Duration, now: Duration) {
+    fun excludeGap(gap: Duration, now: Duration) {
         lastContactAt = lastContactAt?.let { minOf(now, it + gap) }
         lastHeartbeatAt = lastHeartbeatAt?.let { minOf(now, it + gap) }
         unreachableSince = unreachableSince?.let { minOf(now, it + gap) }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
@@ -111,7 +111,7 @@
         for (placement in job.placements.values.toList()) {
             // No start of a placement that is neither stored nor being stored can be on its way.
             if (placement.stage == PlacementStage.PLANNED && !job.storeState.isWriteInFlight) {
-                cluster.unplace(placement)
+                cluster.removePlacement(placement)
             } else {
                 commands.stop(placement, StopCause.CANCELLED, Duration.ZERO)
             }
@@ -126,7 +126,7 @@
         job.finish()
         job.placements.values
             .toList()
-            .forEach(cluster::unplace)
+            .forEach(cluster::removePlacement)
         context.requestRound()
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -30,7 +30,7 @@
         if (job.isCancelled && !job.storeState.isWriteInFlight) {
             job.placements.values
                 .filter { it.stage == PlacementStage.PLANNED }
-                .forEach(cluster::unplace)
+                .forEach(cluster::removePlacement)
         }
         if (job.spec.kind == JobKind.GANG && !job.isCancelled && job.placements.isNotEmpty()) superviseGang(job)
         for (placement in job.placements.values.toList()) supervise(placement)
@@ -42,7 +42,7 @@
         val machine = cluster.machines[placement.machine] ?: return
         if (isStoppedBeforeStart(placement, machine)) {
             // No heartbeat would ever show that it ended.
-            cluster.unplace(placement)
+            cluster.removePlacement(placement)
             placement.job.storeLater(now)
             return
         }
@@ -55,7 +55,7 @@
         val isStopped = placement.stopCause != null && placement.stage == PlacementStage.STORED
         return isStopped &&
             !placement.wasStartSent &&
-            !machine.requests.mayStillStart(placement.key, placement.attempt)
+            !machine.requests.hasUnconfirmedStart(placement.key, placement.attempt)
     }
 
     private fun retryStart(placement: Placement, machine: Machine) {
@@ -113,7 +113,7 @@
         val isStopping = placements.any { it.stopCause != null }
         if (isWhole && !isStopping) return startDeferred(placements)
         // Placements that were only reserved are given up at once: no start was ever sent.
-        placements.filter { it.isDeferred && !it.wasStartSent }.forEach(cluster::unplace)
+        placements.filter { it.isDeferred && !it.wasStartSent }.forEach(cluster::removePlacement)
         val hasStarted = gang.gangStarted || placements.any { it.taskState.isRunning }
         // Before the start, fetches under way are let through: stopping them would throw the image away, and the
         // next attempt would run into the same waiting time for ever.
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordSplitting.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordSplitting.kt
@@ -65,6 +65,6 @@
     private fun dropUnstored(job: Job) {
         job.placements.values
             .filter { it.stage == PlacementStage.PLANNED && it.part != PlacementParts.RECORD }
-            .forEach(cluster::unplace)
+            .forEach(cluster::removePlacement)
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
@@ -170,7 +170,7 @@
 
     private fun placementStored(placement: Placement) {
         if (placement.job.isCancelled) {
-            cluster.unplace(placement)
+            cluster.removePlacement(placement)
             return
         }
         placement.stored()
--- a/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
@@ -87,7 +87,7 @@
     override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
         val placement = Placement(job, task, attempt ?: job.newAttempt(), machine.id, now)
         placement.requires(job.storeSoon())
-        cluster.place(placement, machine, splitting.isAllowed)
+        cluster.addPlacement(placement, machine, splitting.isAllowed)
         context.log {
             "place task=$placement class=${job.spec.jobClass} machine=${machine.id} " +
                 "cached=${machine.hasImage(job.spec.image)} waited=${now - job.knownSince}"
@@ -126,5 +126,5 @@
  */
 internal fun hasReasonToAvoid(job: Job, machine: Machine): Boolean {
     val hasFailedThere = machine.id in job.failedOn && job.failedOn.size < MAX_AVOIDED_MACHINES
-    return hasFailedThere || machine.requests.mayStillStart(job.spec.id)
+    return hasFailedThere || machine.requests.hasUnconfirmedStart(job.spec.id)
 }
--- a/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
@@ -84,7 +84,7 @@
         gate.countDown()
         runExchange(a.exchange, member)
         assertEquals(Cancellation("run-1", Duration.ZERO, 7), learnedByOther.poll(10, TimeUnit.SECONDS))
-        assertTrue(b.known.knows("run-1"))
+        assertTrue(b.known.contains("run-1"))
         assertTrue(a.exchange.awaitConfirmable("run-1"))
     }
 
@@ -127,7 +127,7 @@
         a.exchange.storeChanged(stored("run-1"))
         runExchange(a.exchange, member)
         assertTrue(a.exchange.awaitConfirmable("run-1"))
-        a.known.storeRead(now)
+        a.known.recordStoreRead(now)
         now = 20.seconds
         // Nor is anything known of what it confirms.
         assertEquals(Duration.ZERO, a.known.completeUpTo())
--- a/src/test/kotlin/glenspool/core/DeletionBatchingTest.kt
+++ b/src/test/kotlin/glenspool/core/DeletionBatchingTest.kt
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `there is a pause between two deletion calls, and no machine is left out for it`() {
+    fun `deletion calls are sent at a minimum interval, and no machine is skipped`() {
         val running = busy(8)
         assertEquals(setOf("m1"), list(running.keys, failed = setOf("m1")).deletedMachines())
         val withinPause = list(running.keys, failed = setOf("m1", "m2"))
--- a/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
+++ b/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
@@ -9,7 +9,7 @@
 /** Which silent or unreachable machines are taken for failed, and when. */
 class FailureDetectionTest : SchedulerTestBase() {
     @Test
-    fun `silence of the whole fleet is taken for our own failure, and no machine is deleted soon`() {
+    fun `silence of the whole fleet is treated as the leader's own fault, and no machine is deleted early`() {
         busy(4)
         assertTrue(wait(25.seconds).none { it is DeleteMachines })
         // But not for ever: if the machines are really lost, nobody else would replace them.
@@ -17,7 +17,7 @@
     }
 
     @Test
-    fun `one silent machine among many is deleted, and its tasks wait for the proof of that`() {
+    fun `one silent machine among many is deleted, and its tasks move only after the confirmed deletion`() {
         val running = busy(4)
         val lostTask = running.getValue("m1").key
         val actions = ArrayList<Action>()
--- a/src/test/kotlin/glenspool/core/HeartbeatCostTest.kt
+++ b/src/test/kotlin/glenspool/core/HeartbeatCostTest.kt
@@ -7,7 +7,7 @@
 /** A heartbeat that says nothing new must not cost more with more machines and jobs, by counts of what is looked at. */
 class HeartbeatCostTest {
     /** The work of a hundred heartbeats that say nothing new. */
-    private fun workOfHeartbeats(machines: Int, jobs: Int): Long {
+    private fun measureHeartbeatWork(machines: Int, jobs: Int): Long {
         val fleet = LargeFleet()
         fleet.fill(machines, jobs)
         val counters = fleet.core.workCounters
@@ -20,15 +20,15 @@
 
     @Test
     fun `a heartbeat costs the same on a hundred machines and on two thousand`() {
-        val small = workOfHeartbeats(100, 100)
-        val large = workOfHeartbeats(2000, 1000)
+        val small = measureHeartbeatWork(100, 100)
+        val large = measureHeartbeatWork(2000, 1000)
         assertTrue(large <= small + 100, "$small with 100 machines, $large with 2,000")
     }
 
     @Test
     fun `a heartbeat costs the same on a hundred machines and on four thousand`() {
-        val small = workOfHeartbeats(100, 100)
-        val large = workOfHeartbeats(4000, 2000)
+        val small = measureHeartbeatWork(100, 100)
+        val large = measureHeartbeatWork(4000, 2000)
         assertTrue(large <= small + 100, "$small with 100 machines, $large with 4,000")
     }
 }
--- a/src/test/kotlin/glenspool/core/LeaderIsolationTest.kt
+++ b/src/test/kotlin/glenspool/core/LeaderIsolationTest.kt
@@ -9,14 +9,14 @@
 /** A leader that is cut off from its workers resigns in time, and no other leader does. */
 class LeaderIsolationTest : SchedulerTestBase() {
     @Test
-    fun `a leader that no worker reaches resigns before the workers' leases expire`() {
+    fun `a leader that receives no heartbeats resigns before the workers' leases expire`() {
         busy(4)
         val silent = wait(core.config.lease / 2)
         assertEquals(1, silent.count { it is Resign })
     }
 
     @Test
-    fun `a leader whose own lease was unsure for a while judges no machine by that time`() {
+    fun `time in which the leader's own lease was uncertain does not count as silence of machines`() {
         val running = busy(4)
         // Its lease is unsure for 12 s; calls still end meanwhile, so the core's own time goes on.
         repeat(12) {
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `a leader that receives heartbeats of some workers stays`() {
+    fun `a leader that receives heartbeats from some workers does not resign`() {
         val running = busy(4)
         repeat(10) {
             assertTrue(wait(2.seconds).none { it is Resign })
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -22,17 +22,17 @@
     }
 
     @Test
-    fun `silent machines are deleted when the process keeps up`() {
+    fun `silent machines are deleted when the process is not overloaded`() {
         assertEquals(setOf(LOST), deletedDuring(200.milliseconds, 16.seconds))
     }
 
     @Test
-    fun `silence alone proves nothing while the process is behind`() {
+    fun `silent machines are not deleted while the process is overloaded`() {
         assertEquals(emptySet<String>(), deletedDuring(1.seconds, 16.seconds))
     }
 
     @Test
-    fun `a machine's heartbeat may be in the backlog, whose length is taken off its silence`() {
+    fun `the backlog, which may hold a machine's heartbeat, is subtracted from the machine's silence`() {
         val running = busy(10)
         val lastContactAt = now
         val others = running - LOST
@@ -52,7 +52,7 @@
     }
 
     @Test
-    fun `an unanswered probe counts only when the process keeps up, and then a lost machine is deleted`() {
+    fun `an unanswered probe counts only without overload, and then a lost machine is deleted`() {
         val running = busy(10)
         step { backlogMeasured(2.seconds) }
         step { probeEnded(LOST, null) }
@@ -64,7 +64,7 @@
     }
 
     @Test
-    fun `a machine that stays silent for a lease is deleted however far the process is behind`() {
+    fun `a machine that stays silent for a lease is deleted even while the process is overloaded`() {
         val running = busy(10)
         val actions = ArrayList<Action>()
         repeat(30) {
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `a leader that is behind does not take itself for isolated`() {
+    fun `an overloaded leader does not resign for lack of heartbeats`() {
         busy(10)
         val actions = ArrayList<Action>()
         repeat(20) {
--- a/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `a machine whose heartbeats stop gets no more work, however well it answers probes`() {
+    fun `a machine whose heartbeats stop gets no more work, even if it answers probes`() {
         started(2)
         wait(6.seconds)
         heartbeatReply("m1")
--- a/src/test/kotlin/glenspool/core/PacedStartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PacedStartsTest.kt
@@ -36,7 +36,7 @@
     }
 
     @Test
-    fun `the highest priority goes first, then the earliest deadline, and nothing is sent twice`() {
+    fun `starts are sent by highest priority, then earliest deadline, and none is sent twice`() {
         started(4)
         submitAndPlace("idle", Priority.IDLE, 50)
         submitAndPlace("later", Priority.STANDARD, 90)
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -52,7 +52,7 @@
         override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
             val placement = Placement(job, task, attempt ?: 1, machine.id, Duration.ZERO)
             job.place(placement, maySplit = false)
-            machine.workload.place(placement)
+            machine.workload.addPlacement(placement)
             placed.add(PlacedTask(job, task, machine))
         }
 
@@ -86,7 +86,7 @@
             val type = if (random.nextInt(3) == 0) "lean" else "big"
             val zone = if (random.nextBoolean()) "a" else "b"
             val machine = Machine(id, type, zone, random.nextBoolean(), Duration.ZERO)
-            if (random.nextBoolean()) machine.imageCache.used("i${random.nextInt(3)}", 1.0, 100.0)
+            if (random.nextBoolean()) machine.imageCache.recordUse("i${random.nextInt(3)}", 1.0, 100.0)
             return machine
         }
 
@@ -173,7 +173,7 @@
     @Test
     fun `a machine that caches the image is preferred to a larger or emptier one`() {
         val warm = bigMachine("warm")
-        warm.imageCache.used("img", 2.0, 100.0)
+        warm.imageCache.recordUse("img", 2.0, 100.0)
         val view = viewOf(bigMachine("empty"), warm)
         view.place(newJob(job("o", tasks = 1, image = "x")), 0, warm, null)
         val job = newJob(job("a"))
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -15,9 +15,9 @@
 
 /** A stored placement whose task is missing on its machine is used again, if the machine's own heartbeats arrive. */
 class RestoreInPlaceTest : SchedulerTestBase(config(), RESTORING) {
-    private val restart = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
+    private val restoringStart = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
 
-    private fun submitPlaced() {
+    private fun submitWithStoredPlacement() {
         step { machineTypesKnown(listOf(bigType)) }
         submit(job("a"), listOf(StoredPlacement(0, 3, "m1")), last = 3)
     }
@@ -26,22 +26,22 @@
 
     @Test
     fun `a missing task is started on its machine under the same attempt, and nothing is stored`() {
-        submitPlaced()
+        submitWithStoredPlacement()
         val actions = heartbeatActions("m1") + wait(2.seconds)
-        assertEquals(listOf(restart) to 0, actions.starts() to actions.transactions())
+        assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactions())
     }
 
     @Test
     fun `a task missing in a probe's answer is restored if a heartbeat came before, under an earlier leader's token`() {
-        submitPlaced()
+        submitWithStoredPlacement()
         say(heartbeat("m1", token = TOKEN - 1))
         val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
-        assertEquals(listOf(restart) to 0, actions.starts() to actions.transactions())
+        assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactions())
     }
 
     @Test
     fun `nothing is started on a machine that only answers probes`() {
-        submitPlaced()
+        submitWithStoredPlacement()
         val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
         assertEquals(0, actions.starts().size)
         assertEquals(emptyMap<Int, Any>(), scheduledJob("a").placements)
--- a/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a duplicate heartbeat is no sign of life, not even with the newest sequence number`() {
+    fun `a duplicate heartbeat does not count as contact, not even with the newest sequence number`() {
         started()
         val last = heartbeat("m1")
         say(last)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `a machine whose sequence goes back within an incarnation is not believed, and is deleted`() {
+    fun `a machine whose sequence number decreases within an incarnation is ignored, and deleted`() {
         val running = busy(4)
         val restarted = running.keys.first()
         val others = running - restarted
--- a/src/test/kotlin/glenspool/core/StartFencingTest.kt
+++ b/src/test/kotlin/glenspool/core/StartFencingTest.kt
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `absence in a heartbeat without this leader's fencing token proves nothing`() {
+    fun `a task missing in a heartbeat without this leader's fencing token keeps its placement`() {
         // An earlier leader's start may still be in flight while the worker would accept it.
         step { machineTypesKnown(listOf(bigType)) }
         submit(job("a"), listOf(StoredPlacement(0, 1, "m1")), last = 1)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `an unanswered start is void only under a higher fencing token`() {
+    fun `an unanswered start is invalidated only by a higher fencing token`() {
         val request = commanded()
         now += 3.seconds
         unanswered(request)
@@ -84,7 +84,7 @@
     }
 
     @Test
-    fun `a start that was never sent does not keep a cancelled job`() {
+    fun `a start that was never sent does not delay the end of a cancelled job`() {
         val request = commanded()
         unanswered(request, CommandOutcome.NOT_SENT)
         cancel("a")
@@ -92,7 +92,7 @@
     }
 
     @Test
-    fun `a worker that lost its fencing token proves nothing gone, whatever its sequence number`() {
+    fun `a heartbeat without the lost fencing token removes no placement, whatever its sequence number`() {
         // It restarted: commands of an earlier leader that are still in flight would be executed again.
         executed(commanded(), runningTask("a", 0, 1))
         say(heartbeat("m1", token = 0))
--- a/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
+++ b/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
@@ -12,7 +12,7 @@
         running.keys.filter { it.startsWith("z") }.toSet()
 
     @Test
-    fun `a zone that is cut off for a while keeps its machines and tasks`() {
+    fun `a zone that is partitioned for a while keeps its machines and tasks`() {
         val running = busy(6, others = 6)
         val zone = machinesOfOtherZone(running)
         assertEquals(emptySet<String>(), live(48.seconds, running - zone, zone).deletedMachines())
@@ -25,7 +25,7 @@
     }
 
     @Test
-    fun `a zone that does not return is deleted`() {
+    fun `the machines of a zone that stays partitioned are deleted`() {
         val running = busy(6, others = 6)
         val zone = machinesOfOtherZone(running)
         assertEquals(zone, live(100.seconds, running - zone, zone).deletedMachines())
--- a/src/test/kotlin/glenspool/simulation/CancellationNode.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationNode.kt
@@ -99,7 +99,7 @@
         storeReadAt = simulation.now
         readJobs.addAll(all.map { it.job })
         all.forEach { cancellations.add(it) }
-        cancellations.storeRead(askedAt)
+        cancellations.recordStoreRead(askedAt)
     }
 
     private fun exchangePeriodically(other: CancellationNode, started: Int) {
@@ -133,9 +133,9 @@
         if (sender != process || simulation.chance(simulation.loss) || simulation.now < peersCutUntil) return
         if (other.isOldVersion && other.isUp) cancellations.markUnsupported(other.name)
         if (answer == null) return
-        cancellations.replied(other.name, answer, askedAt)
+        cancellations.applyReply(other.name, answer, askedAt)
         // As a controller does: what a message had no room for goes at once.
-        if (cancellations.lacks(other.name)) send(other)
+        if (cancellations.needsUpdate(other.name)) send(other)
     }
 
     /** The answer to another node; null if this one is down or knows no such messages. */
@@ -144,7 +144,7 @@
         return cancellations.reply(from.name, update)?.update
     }
 
-    internal fun knows(job: String): Boolean = if (isOldVersion) job in readJobs else cancellations.knows(job)
+    internal fun knows(job: String): Boolean = if (isOldVersion) job in readJobs else cancellations.contains(job)
 
     /** Whether the node, which knows no leader for the worker, renews its lease. */
     internal fun renewsLease(worker: LeaseHolder): Boolean {
--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -91,7 +91,7 @@
         val complete = node.cancellations.completeUpTo() ?: return
         for ((job, confirmedAt) in confirmed) {
             if (now - confirmedAt > settings.cancellationDeadline * 2) continue
-            if (node.clockAt(confirmedAt) >= complete || node.cancellations.knows(job)) continue
+            if (node.clockAt(confirmedAt) >= complete || node.cancellations.contains(job)) continue
             violations +=
                 "$now ${node.name} does not know $job, confirmed at $confirmedAt, and claims all up to $complete"
         }
