--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -69,7 +69,7 @@
     }
 
     /** Removes cancelled work whose deadline has passed although this node can't lead at the moment. */
-    fun endOverdueWork(overdue: OverdueMachine) =
+    fun removeOverdueWork(overdue: OverdueMachine) =
         run(probePool, onNotDone = { log.debug("overdue machine {} not checked", overdue.machine) }) {
             if (cancelledWork.deleteUnlessWorkGone(overdue)) post(Event.DeletionEnded(listOf(overdue.machine), true))
         }
--- a/src/main/kotlin/glenspool/controller/CacheFreshness.kt
+++ b/src/main/kotlin/glenspool/controller/CacheFreshness.kt
@@ -10,7 +10,7 @@
     fun isFresh(): Boolean = cache.age().let { it != null && it < FRESH }
 
     /** Whether the key-value store is slow or out of reach: the cache is refreshed every second while it answers. */
-    fun isStale(): Boolean = cache.age().let { it == null || it > STALE }
+    fun isRefreshOverdue(): Boolean = cache.age().let { it == null || it > STALE }
 
     private companion object {
         val FRESH: Duration = 6500.milliseconds
--- a/src/main/kotlin/glenspool/controller/CloudWatch.kt
+++ b/src/main/kotlin/glenspool/controller/CloudPoller.kt
@@ -20,7 +20,7 @@
  * Reads the cloud's list of machines and its machine types while this node leads, and stores the types for nodes that
  * have just started.
  */
-class CloudWatch(
+class CloudPoller(
     listLag: Duration,
     private val cloud: CloudClient,
     private val store: KeyValueStoreClient,
@@ -82,7 +82,7 @@
     }
 
     private companion object {
-        val log = loggerOf(CloudWatch::class.java)
+        val log = loggerOf(CloudPoller::class.java)
         val TYPES_PERIOD: Duration = 30.seconds
         val FOLLOWER_PAUSE: Duration = 200.milliseconds
     }
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -30,7 +30,7 @@
     /** How long a heartbeat may have waited before this node read it. */
     intakeLag: () -> Duration,
     /** Null: recovery is not managed. */
-    private val recoveries: RecoveryManager? = null,
+    private val recoveryManager: RecoveryManager? = null,
 ) {
     private val queue = LinkedBlockingQueue<Event>(QUEUE_CAPACITY)
     private val clock = TimeSource.Monotonic.markNow()
@@ -41,12 +41,12 @@
             clock = clock,
             leadership = leadership,
             features = features,
-            changes = StoreChangeApplier(cache),
+            changeApplier = StoreChangeApplier(cache),
             actions = actions,
-            summary = OrderSummary(),
+            orderSummary = OrderSummary(),
             backlog = { maxOf(pendingHeartbeats.backlog(), intakeLag()) },
             knownTypes = knownTypes,
-            recoveries = recoveries,
+            recoveryManager = recoveryManager,
         )
 
     /** Confined to the core thread; null: this node does not lead. */
@@ -69,7 +69,7 @@
     }
 
     /** See [HeartbeatIntake.accept]. */
-    fun heartbeat(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit) = intake.accept(heartbeat, answer)
+    fun acceptHeartbeat(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit) = intake.accept(heartbeat, answer)
 
     /** The service thread that answers heartbeats which the core did not reach in time. */
     fun expireHeartbeats() {
@@ -104,8 +104,8 @@
         when (event) {
             is Event.LeaderElected -> beginTerm(event.term)
             is Event.LeadershipLost -> endTerm()
-            is Event.StoreChanged -> step { event.changes.forEach { context.changes.apply(this, it) } }
-            is Event.CancellationsLearned ->
+            is Event.StoreChanged -> step { event.changes.forEach { context.changeApplier.apply(this, it) } }
+            is Event.CancellationsReceived ->
                 step { event.cancellations.forEach { jobCancelled(it.job, it.version, it.at) } }
             is Event.HeartbeatReceived -> answer(event.pending)
             is Event.CommandsEnded ->
@@ -120,7 +120,7 @@
             is Event.StoreEnded -> activeIn(event.term)?.step { storeEnded(event.outcome) }
             is Event.FencingTokenAdvanced -> step { fencingTokenAdvanced(event.token) }
             is Event.StoreRead -> active?.storeRead(event.sent)
-            is Event.StartJudged -> activeIn(event.term)?.startJudged(event.kind)
+            is Event.StartKindDetermined -> activeIn(event.term)?.startKindDetermined(event.kind)
             is Event.RecoveryOrdered -> activeIn(event.term)?.recoveryOrdered(event.verb)
             is Event.FinalStatesRead -> activeIn(event.term)?.step { finalStatesRead(event.jobs, event.states) }
         }
@@ -154,8 +154,8 @@
 
     private fun beginTerm(term: Term) {
         val now = clock.elapsedNow()
-        val recovery = recoveries?.begin(term, now)
-        val hooks = recovery?.hooks ?: recoveries?.hooksWithoutRecovery ?: SchedulerHooks()
+        val recovery = recoveryManager?.begin(term, now)
+        val hooks = recovery?.hooks ?: recoveryManager?.hooksWithoutRecovery ?: SchedulerHooks()
         val begun = LeadershipTerm(term, Scheduler(config, term.token, now, hooks), recovery, context)
         active = begun
         orderCounts = begun.orderCounts
--- a/src/main/kotlin/glenspool/controller/Event.kt
+++ b/src/main/kotlin/glenspool/controller/Event.kt
@@ -27,7 +27,7 @@
     data class StoreChanged(val changes: List<StoreWire.Change>) : Event
 
     /** Cancellations learned from another controller; the key-value store may not have reported them to this one. */
-    data class CancellationsLearned(val cancellations: List<Cancellation>) : Event
+    data class CancellationsReceived(val cancellations: List<Cancellation>) : Event
 
     /** A worker's heartbeat was accepted and waits for the core's answer. */
     data class HeartbeatReceived(val pending: PendingHeartbeat) : Event
@@ -68,7 +68,7 @@
     data class StoreRead(val sent: ComparableTimeMark) : Event
 
     /** The other controllers' answers show how the term began. */
-    data class StartJudged(val term: Term, val kind: StartKind) : Event
+    data class StartKindDetermined(val term: Term, val kind: StartKind) : Event
 
     /** An operator's order to the recovery; it is stored already. */
     data class RecoveryOrdered(val term: Term, val verb: RecoveryVerb) : Event
--- a/src/main/kotlin/glenspool/controller/LeaderDirectory.kt
+++ b/src/main/kotlin/glenspool/controller/LeaderDirectory.kt
@@ -9,7 +9,7 @@
 ) {
     /** The node that workers should send their heartbeats to; null if no other one is known to lead. */
     fun otherLeader(): String? {
-        if (!freshness.isStale()) return recordedOther()
+        if (!freshness.isRefreshOverdue()) return recordedOther()
         val statuses = monitor.statuses
         val named = statuses.firstOrNull { it.leading }?.node ?: statuses.firstOrNull { it.fresh }?.leader
         if (named != null) return named.takeIf { it != node }
--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -26,10 +26,10 @@
     private val boot: String,
     private val client: KeyValueStoreClient,
     private val cache: StoreCache,
-    private val elected: (Term) -> Unit,
-    private val deposed: () -> Unit,
+    private val onElected: (Term) -> Unit,
+    private val onDeposed: () -> Unit,
     /** What an election with this token stores besides, in its own transaction. */
-    private val storedWithElection: (token: Long) -> List<Put> = { emptyList() },
+    private val electionPuts: (token: Long) -> List<Put> = { emptyList() },
     /** Whether this process may lead at all. */
     private val mayLead: () -> Boolean = { true },
 ) {
@@ -69,7 +69,7 @@
         if (term == null) return
         log.info("leadership ended reason={}", reason)
         term = null
-        deposed()
+        onDeposed()
     }
 
     /** Steps down and ends the lease, so that another node can begin at once; this one does not stand for [backoff]. */
@@ -145,7 +145,7 @@
             listOf(
                 Put(Keys.LEAD, LeadershipWire.encode(node, boot, token), lease),
                 Put(Keys.TERM, LeadershipWire.encodeCounter(token)),
-            ) + storedWithElection(token)
+            ) + electionPuts(token)
         return when (val result = client.transact(candidacy.conditions, puts)) {
             is StoreResult.Ok -> beginTerm(Term(token, result.value, lease), sent)
             else -> {
@@ -166,7 +166,7 @@
         validUntil = sent + VALID
         term = won
         log.info("elected token={} revision={}", won.token, won.recordVersion)
-        elected(won)
+        onElected(won)
         return RENEW_EVERY
     }
 
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -34,7 +34,7 @@
         step {
             membersChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
             context.knownTypes()?.let { machineTypesKnown(it) }
-            context.changes.loadAll(this)
+            context.changeApplier.loadAll(this)
             // Only now are the jobs known whose records an earlier leader has split.
             updateSplitting()
         }
@@ -67,20 +67,20 @@
             tick()
         }
         tickRecovery(backlog)
-        context.summary.logIfDue(scheduler)
+        context.orderSummary.logIfDue(scheduler)
     }
 
     private fun hasLease() = context.leadership.current() == term
 
     private fun pause() {
         if (pausedSince == null) pausedSince = context.clock.elapsedNow()
-        scheduler.overdueMachines(context.clock.elapsedNow()).forEach(context.actions::endOverdueWork)
+        scheduler.overdueMachines(context.clock.elapsedNow()).forEach(context.actions::removeOverdueWork)
     }
 
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
         val notices = engine.tick(context.clock.elapsedNow(), isBehind = backlog >= BEHIND)
-        if (notices.isNotEmpty()) context.recoveries?.handleNotices(notices)
+        if (notices.isNotEmpty()) context.recoveryManager?.handleNotices(notices)
     }
 
     private fun Scheduler.updateSplitting() {
@@ -103,7 +103,7 @@
     }
 
     /** The other controllers' answers show how the term began. */
-    fun startJudged(kind: StartKind) {
+    fun startKindDetermined(kind: StartKind) {
         recovery?.startJudged(kind)
     }
 
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -36,7 +36,7 @@
     /** Null: a cold start is recovered from as at any failover. */
     recoveryPolicy: RecoveryPolicy? = null,
     /** Ends the process at once. */
-    private val fatal: () -> Unit,
+    private val onFatalError: () -> Unit,
 ) : NodeState,
     AutoCloseable {
     private val clock = TimeSource.Monotonic.markNow()
@@ -62,14 +62,14 @@
         }
     private val freshness = CacheFreshness(cache)
     private val exchange: CancellationExchange =
-        CancellationExchange(settings.node, cancellations, peers, ::uptime, freshness::isStale) {
-            loop.post(Event.CancellationsLearned(it))
+        CancellationExchange(settings.node, cancellations, peers, ::uptime, freshness::isRefreshOverdue) {
+            loop.post(Event.CancellationsReceived(it))
         }
     private val leadership: Leadership =
         Leadership(
             settings.node, boot, store, cache, ::elected,
-            deposed = { loop.post(Event.LeadershipLost) },
-            storedWithElection = { token -> recovery?.electionPuts(token).orEmpty() },
+            onDeposed = { loop.post(Event.LeadershipLost) },
+            electionPuts = { token -> recovery?.electionPuts(token).orEmpty() },
             mayLead = { !fenced() },
         )
     private val monitor =
@@ -81,7 +81,7 @@
             val identity = ProcessIdentity(settings.node, boot, registry.of(build))
             RolloutManager(
                 identity, members, registry, policy, store, cache, leadership, peers, health,
-                ::isServing, ::uptime, fatal,
+                ::isServing, ::uptime, onFatalError,
             )
         }
     private val recovery: RecoveryManager? =
@@ -94,15 +94,15 @@
     private val features: FeaturePermits = rollout?.gate ?: UnmanagedFeatures { monitor.mayUseSealedRecords }
 
     private val writer = StoreWriter(storeLimits, store, cache, leadership, features, ::storeEnded)
-    private val cloudWatch =
-        CloudWatch(settings.cloudLimits.listLag, cloud, store, cache, leadership) { loop.post(it) }
+    private val cloudPoller =
+        CloudPoller(settings.cloudLimits.listLag, cloud, store, cache, leadership) { loop.post(it) }
     private val actions =
         ActionExecutor(leadership, store, cloud, workers, writer, settings.workers.lease) { loop.post(it) }
     private val loop: CoreLoop =
         CoreLoop(
-            config, cache, leadership, actions, features, cloudWatch::knownTypes,
-            intakeLag = { ports.lag() },
-            recoveries = recovery,
+            config, cache, leadership, actions, features, cloudPoller::knownTypes,
+            intakeLag = { ports.intakeLag() },
+            recoveryManager = recovery,
         )
     private val recoveryOperations = RecoveryOperations(settings.node, leadership, recovery) { loop.orderCounts }
     private val cancelledWork =
@@ -114,12 +114,13 @@
     private val users =
         UserRouter(
             UserApi(
-                settings, store, cache, peers, ::isolated, features, exchange::awaitConfirmable, cloudWatch::knownTypes,
+                settings, store, cache, peers, ::isolated, features, exchange::awaitConfirmable,
+                cloudPoller::knownTypes,
             ),
             rollout?.gate,
             health,
         )
-    private val workerApi = WorkerApi(settings, this, loop::heartbeat)
+    private val workerApi = WorkerApi(settings, this, loop::acceptHeartbeat)
     private val ownStatus = OwnPeerStatus(settings.node, leadership, freshness, rollout, recovery)
     private val internalRouter =
         InternalRouter(
@@ -127,8 +128,8 @@
             OperatorServer.forRecovery(recoveryOperations::answer),
             rollout?.let { OperatorServer.forRollout(it::answer) },
         )
-    private val ports: NodePorts = NodePorts(settings, users, workerApi, internalRouter, fatal)
-    private val threads = ServiceThreads(fatal)
+    private val ports: NodePorts = NodePorts(settings, users, workerApi, internalRouter, onFatalError)
+    private val threads = ServiceThreads(onFatalError)
 
     /** Opens the ports and starts all service threads. */
     fun start() {
@@ -142,7 +143,7 @@
         threads.start("store-sync") { cache.serveSyncs() }
         threads.start("leadership") { leadership.run() }
         threads.start("core") { loop.run() }
-        threads.start("cloud") { cloudWatch.run() }
+        threads.start("cloud") { cloudPoller.run() }
         threads.start("store-writer") { writer.run() }
         threads.start("peer-monitor") { monitor.run() }
         threads.start("garbage-collector") {
--- a/src/main/kotlin/glenspool/controller/NodePorts.kt
+++ b/src/main/kotlin/glenspool/controller/NodePorts.kt
@@ -13,7 +13,7 @@
     private val workers: AsyncHandler,
     private val internal: HttpHandler,
     /** A listener's thread can't go on. */
-    private val fatal: () -> Unit,
+    private val onFatalError: () -> Unit,
 ) : AutoCloseable {
     /** Null: not open yet. */
     @Volatile
@@ -24,12 +24,13 @@
     fun open() {
         val apiThreads = minOf(MAX_API_THREADS, settings.maxSockets / 3)
         val direct = ApiRouter(workers, users)::directHandler
-        apiListener = HttpListener(settings.apiAddr, "api", apiThreads, direct, fatal, users)
-        internalListener = HttpListener(settings.internalAddr, "peer", INTERNAL_THREADS, { null }, fatal, internal)
+        apiListener = HttpListener(settings.apiAddr, "api", apiThreads, direct, onFatalError, users)
+        internalListener =
+            HttpListener(settings.internalAddr, "peer", INTERNAL_THREADS, { null }, onFatalError, internal)
     }
 
     /** How long a heartbeat may have waited before this node read it. */
-    fun lag(): Duration = apiListener?.lag() ?: Duration.ZERO
+    fun intakeLag(): Duration = apiListener?.lag() ?: Duration.ZERO
 
     override fun close() {
         apiListener?.close()
--- a/src/main/kotlin/glenspool/controller/PeerMonitor.kt
+++ b/src/main/kotlin/glenspool/controller/PeerMonitor.kt
@@ -42,12 +42,12 @@
      * Whether this node has lost the key-value store and every other controller, though users and workers may still
      * reach it. Another node may lead then, and no request that arrives here can be decided here.
      */
-    fun isIsolated(): Boolean = hasLostPeers && freshness.isStale()
+    fun isIsolated(): Boolean = hasLostPeers && freshness.isRefreshOverdue()
 
     /** The service thread. */
     fun run() {
         while (true) {
-            if (freshness.isStale()) askForLeader() else storeAnswers()
+            if (freshness.isRefreshOverdue()) askForLeader() else storeAnswers()
             Thread.sleep(PERIOD.inWholeMilliseconds)
         }
     }
--- a/src/main/kotlin/glenspool/controller/RecordStore.kt
+++ b/src/main/kotlin/glenspool/controller/RecordStore.kt
@@ -24,13 +24,13 @@
     }
 
     /**
-     * Stores the record if its own version is still [version] and the leadership is still [term]'s; [deposed] is called
-     * if the store shows that it is not.
+     * Stores the record if its own version is still [version] and the leadership is still [term]'s; [onDeposed] is
+     * called if the store shows that it is not.
      */
-    fun replaceInTerm(term: Term, put: Put, version: Long, deposed: () -> Unit = {}): StoreResult<Long> {
+    fun replaceInTerm(term: Term, put: Put, version: Long, onDeposed: () -> Unit = {}): StoreResult<Long> {
         val result = store.transact(mapOf(Keys.LEAD to term.recordVersion, put.key to version), listOf(put))
         if (result !is StoreResult.Ok) log.info("record {} not stored: {}", put.key, result)
-        if (result is StoreResult.Conflict && Keys.LEAD in result.keys) deposed()
+        if (result is StoreResult.Conflict && Keys.LEAD in result.keys) onDeposed()
         refresh()
         return result
     }
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -154,7 +154,7 @@
         val members = answers + unasked(memberCount - answers.size)
         // The election has opened this term's own record, which says nothing about how the term began.
         val kind = StartClassifier.classify(recovery.term.token, firstWitnessed, members, StoredRecovery.Absent)
-        if (kind != StartKind.UNKNOWN) post(Event.StartJudged(recovery.term, kind))
+        if (kind != StartKind.UNKNOWN) post(Event.StartKindDetermined(recovery.term, kind))
     }
 
     /** What this node would show of the present term's recovery; null if it does not lead. */
--- a/src/main/kotlin/glenspool/controller/ServiceThreads.kt
+++ b/src/main/kotlin/glenspool/controller/ServiceThreads.kt
@@ -4,8 +4,12 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A node's long-lived service threads. [fatal] ends the process at once; [pause]: before a failed one is restarted. */
-class ServiceThreads(private val fatal: () -> Unit, private val pause: Duration = 500.milliseconds) : AutoCloseable {
+/**
+ * A node's long-lived service threads. [onFatalError] ends the process at once; [restartDelay]: before a failed one is
+ * restarted.
+ */
+class ServiceThreads(private val onFatalError: () -> Unit, private val restartDelay: Duration = 500.milliseconds) :
+    AutoCloseable {
     private val threads = ArrayList<Thread>()
 
     /** A service thread that runs until it is interrupted: whenever [body] returns or fails it is run again. */
@@ -31,7 +35,7 @@
             if (e is InterruptedException) throw e
             // A thread that died would leave the node half alive: the failure is logged and the thread goes on.
             log.error("service thread {} failed", name, e)
-            Thread.sleep(pause.inWholeMilliseconds)
+            Thread.sleep(restartDelay.inWholeMilliseconds)
         }
     }
 
@@ -46,7 +50,7 @@
             try {
                 log.error("service thread {} ended by an error", name, e)
             } finally {
-                fatal()
+                onFatalError()
             }
         }
     }
--- a/src/main/kotlin/glenspool/controller/StoreWriter.kt
+++ b/src/main/kotlin/glenspool/controller/StoreWriter.kt
@@ -17,14 +17,14 @@
 import java.util.concurrent.ArrayBlockingQueue
 import kotlin.time.Duration.Companion.seconds
 
-/** Stores the core's changes, one transaction at a time, and calls [ended] with each outcome. */
+/** Stores the core's changes, one transaction at a time, and calls [onEnded] with each outcome. */
 class StoreWriter(
     private val limits: StoreLimits,
     private val store: KeyValueStoreClient,
     private val cache: StoreCache,
     private val leadership: Leadership,
     private val features: FeaturePermits,
-    private val ended: (StoreOutcome, Term) -> Unit,
+    private val onEnded: (StoreOutcome, Term) -> Unit,
 ) {
     private class Write(val term: Term, val changes: StoreChanges)
 
@@ -38,7 +38,7 @@
         while (!Thread.currentThread().isInterrupted) {
             val write = writes.take()
             val isLeading = leadership.current() == write.term
-            ended(if (isLeading) store(write.term, write.changes) else NOTHING_STORED, write.term)
+            onEnded(if (isLeading) store(write.term, write.changes) else NOTHING_STORED, write.term)
         }
     }
 
--- a/src/main/kotlin/glenspool/controller/TermContext.kt
+++ b/src/main/kotlin/glenspool/controller/TermContext.kt
@@ -11,13 +11,13 @@
     val clock: TimeSource.Monotonic.ValueTimeMark,
     val leadership: Leadership,
     val features: FeaturePermits,
-    val changes: StoreChangeApplier,
+    val changeApplier: StoreChangeApplier,
     val actions: ActionExecutor,
-    val summary: OrderSummary,
+    val orderSummary: OrderSummary,
     /** How far the core is behind with heartbeats. */
     val backlog: () -> Duration,
     /** The machine types as last read or stored; null: none are known yet. */
     val knownTypes: () -> List<MachineType>?,
     /** Null: recovery is not managed. */
-    val recoveries: RecoveryManager?,
+    val recoveryManager: RecoveryManager?,
 )
--- a/src/main/kotlin/glenspool/controller/Transaction.kt
+++ b/src/main/kotlin/glenspool/controller/Transaction.kt
@@ -14,13 +14,17 @@
 
 /**
  * Turns the core's writes into one transaction that holds only under the leadership record's version [recordVersion]
- * and under [guards].
+ * and under [extraConditions].
  */
-fun transactionOf(recordVersion: Long, store: StoreChanges, guards: Map<String, Long> = emptyMap()): Transaction {
+fun transactionOf(
+    recordVersion: Long,
+    store: StoreChanges,
+    extraConditions: Map<String, Long> = emptyMap(),
+): Transaction {
     val builder = TransactionBuilder()
     // A deposed leader's writes fail on this however late they arrive.
     builder.conditions[Keys.LEAD] = recordVersion
-    builder.conditions.putAll(guards)
+    builder.conditions.putAll(extraConditions)
     for (write in store.writes) {
         // Nor may an older write of this same leader, arriving late, undo a newer one.
         builder.conditions[Keys.job(write.id)] = write.version
--- a/src/test/kotlin/glenspool/controller/GuardedWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
@@ -37,7 +37,7 @@
 /**
  * A leader's writes and its election while levels are managed, over loopback against a stand-in for the state service.
  */
-class GuardedWritesTest {
+class FeatureLevelWritesTest {
     private val state = InMemoryStore()
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
     private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
@@ -67,14 +67,14 @@
         assertTrue(cache.sync(2.seconds))
     }
 
-    private val split =
+    private val splitRecord =
         JobRecord(
             job("a", tasks = 9), Duration.ZERO, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
             placementParts = mapOf(0 to listOf(StoredPlacement(2, 3, "i-2"))),
         )
 
     /** Stores [record] over the job's present one; null: no outcome within five seconds. */
-    private fun save(term: Term, record: JobRecord): StoreOutcome? {
+    private fun writeRecord(term: Term, record: JobRecord): StoreOutcome? {
         val version = state.get(Keys.job("a"))?.version ?: 0L
         assertTrue(cache.sync(2.seconds))
         val parts = record.placementParts.mapValues { 1L }
@@ -83,26 +83,26 @@
         return outcomes.poll(5, TimeUnit.SECONDS)
     }
 
-    private fun term() = checkNotNull(elected.poll(5, TimeUnit.SECONDS)) { "not elected" }
+    private fun awaitElection() = checkNotNull(elected.poll(5, TimeUnit.SECONDS)) { "not elected" }
 
     @Test
-    fun `a record is split only under a permit, and one that is split already may be rewritten`() {
-        val term = term()
-        assertEquals(StoreOutcome.Refused(emptySet()), save(term, split))
+    fun `a record is split only under a permit, and an already split record may be rewritten without one`() {
+        val term = awaitElection()
+        assertEquals(StoreOutcome.Refused(emptySet()), writeRecord(term, splitRecord))
         assertNull(state.get(Keys.job("a")))
-        assertTrue(save(term, split.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
+        assertTrue(writeRecord(term, splitRecord.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
         storeLevel(1, LevelStage.ACTIVE)
-        assertTrue(save(term, split) is StoreOutcome.Stored)
+        assertTrue(writeRecord(term, splitRecord) is StoreOutcome.Stored)
         storeLevel(1, LevelStage.LEAVING)
-        assertTrue(save(term, split.copy(lastAttempt = 4)) is StoreOutcome.Stored)
+        assertTrue(writeRecord(term, splitRecord.copy(lastAttempt = 4)) is StoreOutcome.Stored)
         assertTrue(RecordWire.isSealed(state.entries.getValue(Keys.job("a")).value))
-        assertTrue(save(term, split.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
-        assertEquals(StoreOutcome.Refused(emptySet()), save(term, split))
+        assertTrue(writeRecord(term, splitRecord.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
+        assertEquals(StoreOutcome.Refused(emptySet()), writeRecord(term, splitRecord))
     }
 
     @Test
-    fun `a level that is left just before the write refuses it`() {
-        val term = term()
+    fun `a write is refused if its level changes to LEAVING just before the transaction`() {
+        val term = awaitElection()
         storeLevel(1, LevelStage.ACTIVE)
         state.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("a") }) {
@@ -111,13 +111,13 @@
                 state.transact(emptyMap(), listOf(Put(Keys.LEVEL, record)), emptyList())
             }
         }
-        assertEquals(StoreOutcome.Refused(setOf(Keys.LEVEL)), save(term, split))
+        assertEquals(StoreOutcome.Refused(setOf(Keys.LEVEL)), writeRecord(term, splitRecord))
         assertNull(state.get(Keys.job("a")))
     }
 
     @Test
-    fun `a process that can't read the active level is not elected, even if it is alone`() {
-        term()
+    fun `a process that can't read the active level is not elected, even as the only candidate`() {
+        awaitElection()
         val lease = checkNotNull(state.entries[Keys.LEAD]?.lease)
         storeLevel(2, LevelStage.ACTIVE)
         leadership.resign("fenced", Duration.ZERO)
@@ -125,7 +125,7 @@
         assertNull(elected.poll(1200, TimeUnit.MILLISECONDS))
         assertNull(state.get(Keys.LEAD))
         storeLevel(1, LevelStage.ACTIVE)
-        term()
+        awaitElection()
     }
 
     private companion object {
--- a/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
+++ b/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
@@ -25,28 +25,28 @@
     }
 
     /** Stores a leadership record and returns its version. */
-    private fun lead(): Long {
+    private fun storeLeadershipRecord(): Long {
         put(Keys.LEAD)
         return store.revision
     }
 
-    private fun accept(id: String) {
+    private fun storeJobRecord(id: String) {
         val record = JobRecord(job(id), Duration.ZERO, 0, BitSet(), emptyList())
         put(Keys.job(id), RecordWire.encode(record))
     }
 
     @Test
-    fun `only what has had no record in two passes is removed, a little at a time`() {
-        val recordVersion = lead()
+    fun `removes only keys that had no job record in two passes, a limited number per pass`() {
+        val recordVersion = storeLeadershipRecord()
         for (n in 0..4) put(Keys.chunk("over", n))
         put(Keys.placementPart("live", 0))
-        accept("live")
+        storeJobRecord("live")
         collector.collect(recordVersion)
         assertEquals(5, store.withPrefix(Keys.CHUNK).size)
         put(Keys.descriptionPart("coming", 0))
         collector.collect(recordVersion)
         assertEquals(2, store.withPrefix(Keys.CHUNK).size)
-        accept("coming")
+        storeJobRecord("coming")
         repeat(3) { collector.collect(recordVersion) }
         val expected =
             setOf(
@@ -61,7 +61,7 @@
 
     @Test
     fun `a deposed leader removes nothing`() {
-        val recordVersion = lead()
+        val recordVersion = storeLeadershipRecord()
         put(Keys.descriptionPart("over", 0))
         put(Keys.LEAD)
         repeat(3) { collector.collect(recordVersion) }
--- a/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
+++ b/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
@@ -12,7 +12,7 @@
     private val threads = ServiceThreads({ fatalCalls.incrementAndGet() }, Duration.ZERO)
 
     @Test
-    fun `a service thread that can't go on ends the process`() {
+    fun `an unrecoverable error in a service thread ends the process`() {
         threads.start("broken") { throw NoClassDefFoundError("as when a class can't be loaded") }
         // Joined, not waited for: a thread that only died would be seen, too.
         threads.join()
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `a service thread that fails is run again, and one that is interrupted ends`() {
+    fun `a service thread that fails is restarted, and one that is interrupted ends`() {
         val begun = CountDownLatch(3)
         threads.start("failing") {
             begun.countDown()
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `a service thread that is to run once is over when it returns or fails`() {
+    fun `a service thread that runs once ends when its body returns or fails`() {
         val runs = AtomicInteger()
         threads.startOnce("returning") { runs.incrementAndGet() }
         threads.startOnce("failing") {
--- a/src/test/kotlin/glenspool/controller/TransactionTest.kt
+++ b/src/test/kotlin/glenspool/controller/TransactionTest.kt
@@ -22,7 +22,7 @@
     private val store = InMemoryStore()
 
     /** Stores a leadership record and returns its version. */
-    private fun lead(): Long {
+    private fun storeLeadershipRecord(): Long {
         store.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("token" to 1L), store.newLease())), emptyList())
         return store.revision
     }
@@ -30,7 +30,7 @@
     private fun record(lastAttempt: Long) = JobRecord(job("a"), Duration.ZERO, lastAttempt, BitSet(), emptyList())
 
     /** Stores the job's record and returns its version. */
-    private fun submitted(record: JobRecord = record(0)): Long {
+    private fun storeJobRecord(record: JobRecord = record(0)): Long {
         store.transact(emptyMap(), listOf(Put(Keys.job("a"), RecordWire.encode(record))), emptyList())
         return store.revision
     }
@@ -48,19 +48,19 @@
     private fun storedRecord() = JobRecordReader(store).read("a", store.entries.getValue(Keys.job("a")).value)
 
     @Test
-    fun `a deposed leader's transaction changes nothing, however late it comes`() {
-        val oldRecordVersion = lead()
-        val version = submitted()
+    fun `a deposed leader's transaction changes nothing, however late it arrives`() {
+        val oldRecordVersion = storeLeadershipRecord()
+        val version = storeJobRecord()
         val late = transaction(oldRecordVersion, update(version, lastAttempt = 1, requiresUncancelled = true))
-        lead()
+        storeLeadershipRecord()
         assertEquals(listOf(Keys.LEAD), apply(late))
         assertEquals(0L, storedRecord().lastAttempt)
     }
 
     @Test
     fun `a late transaction of the same leader does not undo a newer one`() {
-        val recordVersion = lead()
-        val version = submitted()
+        val recordVersion = storeLeadershipRecord()
+        val version = storeJobRecord()
         val late = transaction(recordVersion, update(version, lastAttempt = 1))
         val newer = transaction(recordVersion, update(version, lastAttempt = 2))
         assertNull(apply(newer))
@@ -69,9 +69,9 @@
     }
 
     @Test
-    fun `no placement is stored and no job is done once it is cancelled`() {
-        val recordVersion = lead()
-        val version = submitted()
+    fun `once a job is cancelled, neither a placement nor the state DONE can be stored`() {
+        val recordVersion = storeLeadershipRecord()
+        val version = storeJobRecord()
         store.transact(emptyMap(), listOf(Put(Keys.cancel("a"), mapOf("at" to 0L))), emptyList())
         val cancelVersion = store.revision
         val placement = transaction(recordVersion, update(version, lastAttempt = 1, requiresUncancelled = true))
@@ -84,12 +84,12 @@
     }
 
     @Test
-    fun `the done bits of a large job come back from their chunks`() {
-        val recordVersion = lead()
+    fun `the done bits of a large job are read back from its chunks`() {
+        val recordVersion = storeLeadershipRecord()
         val large = JobRecord(job("a", tasks = 20_000), Duration.ZERO, 0, BitSet(), emptyList())
         val done = BitSet()
         listOf(3, 9_000, 19_999).forEach(done::set)
-        val version = submitted(large)
+        val version = storeJobRecord(large)
         val write =
             UpdateJobRecord("a", version, large.copy(lastAttempt = 5, done = done), listOf(0, 1, 2), 1, false)
         assertNull(apply(transaction(recordVersion, write)))
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -20,7 +20,7 @@
 /** What a node runs while it follows, so that it does not lead cold. */
 class WarmUpTest {
     @Test
-    fun `the simulated fleet exercises a leader's code, and nothing piles up in it`() {
+    fun `the simulated fleet starts tasks and finishes jobs, and its number of open jobs stays bounded`() {
         val fleet = WarmUpFleet(config())
         repeat(240) { fleet.runTurn() }
         assertTrue(fleet.started > 300, "${fleet.started} started")
@@ -29,43 +29,44 @@
     }
 
     @Test
-    fun `a team without room for anything does no harm`() {
+    fun `a team whose quota fits no task starts nothing and causes no failure`() {
         val fleet = WarmUpFleet(config(listOf(Team("t0", 0.0, 0.0, 0.1, 0.1))))
         repeat(240) { fleet.runTurn() }
         assertEquals(0, fleet.started)
     }
 
     @Test
-    fun `the node sends itself heartbeats, and stops for good as soon as it leads`() {
+    fun `the warm-up sends heartbeats to its own node and ends when the node leads`() {
         val heartbeats = AtomicInteger()
         HttpListener(InetSocketAddress("127.0.0.1", 0), "itself", 4) { request ->
             heartbeats.incrementAndGet()
             WarmUp.answer(request)
-        }.use { itself ->
+        }.use { listener ->
             var leadershipChecks = 0
             // Checked before each turn and in each pause.
-            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, { 0 }) { leadershipChecks++ >= 6 }.run()
+            WarmUp(config(), "127.0.0.1:${listener.port}", Duration.ZERO, { 0 }) { leadershipChecks++ >= 6 }.run()
             assertEquals(6, heartbeats.get())
         }
     }
 
     @Test
-    fun `it does nothing while many workers send heartbeats`() {
+    fun `the warm-up pauses while many workers send heartbeats`() {
         val heartbeats = AtomicInteger()
         HttpListener(InetSocketAddress("127.0.0.1", 0), "itself", 4) { request ->
             heartbeats.incrementAndGet()
             WarmUp.answer(request)
-        }.use { itself ->
+        }.use { listener ->
             var answered = 0L
             var leadershipChecks = 0
-            val busy = { (answered + 1000).also { answered = it } }
-            WarmUp(config(), "127.0.0.1:${itself.port}", Duration.ZERO, busy) { leadershipChecks++ >= 2 }.run()
+            val manyHeartbeats = { (answered + 1000).also { answered = it } }
+            WarmUp(config(), "127.0.0.1:${listener.port}", Duration.ZERO, manyHeartbeats) { leadershipChecks++ >= 2 }
+                .run()
             assertEquals(2, heartbeats.get())
         }
     }
 
     @Test
-    fun `the answer to a simulated heartbeat carries no commands and no token but its own`() {
+    fun `the answer to a simulated heartbeat has no commands and repeats its token`() {
         val fleet = WarmUpFleet(config())
         fleet.runTurn()
         val body = Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastHeartbeat))))
