--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -30,9 +30,9 @@
 import kotlin.time.Duration
 
 /**
- * Hands the core's actions to the adapters, each on a thread of a pool, and posts how they ended. Nothing that a rule
- * depends on is sent while the leadership is not certain. [resignBackoff]: for how long a node that resigns does not
- * stand for election again.
+ * Carries out the core's actions through the adapters, each on a pool thread, and posts their outcomes. No request
+ * on which a rule depends is sent while the leadership is uncertain. [resignBackoff]: for how long a node that resigns
+ * does not stand for election again.
  */
 class ActionExecutor(
     private val leadership: Leadership,
@@ -45,14 +45,14 @@
 ) : AutoCloseable {
     private val cancelledWork = CancelledWorkRemover(cloud, workers)
 
-    /** A machine that does not answer holds a thread for seconds, and tens of them may be lost at once. */
-    private val callPool = CallPool("call", MAX_CALLS, QUEUED_CALLS)
+    /** Has many threads: an unreachable machine blocks one for seconds, and tens of machines may be lost together. */
+    private val callPool = CallPool("call", MAX_CALL_THREADS, MAX_QUEUED_CALLS)
 
-    /** Probes of silent machines are slow by nature: they must not delay commands to machines that answer. */
-    private val probePool = CallPool("probe", PROBES, QUEUED_CALLS)
-    private val cloudPool = CallPool("cloud-call", CLOUD_CALLS, QUEUED_CLOUD_CALLS)
+    /** Separate from [callPool], since slow probes of silent machines must not delay commands to reachable machines. */
+    private val probePool = CallPool("probe", MAX_PROBE_THREADS, MAX_QUEUED_CALLS)
+    private val cloudPool = CallPool("cloud-call", MAX_CLOUD_CALL_THREADS, MAX_QUEUED_CLOUD_CALLS)
 
-    /** Has the action carried out by a thread of a pool; how it ended comes back as an event. */
+    /** Carries out the action on a pool thread; its outcome is posted as an event. */
     fun perform(action: Action, term: Term) {
         when (action) {
             is SendCommands -> sendCommands(action, term)
@@ -68,25 +68,25 @@
         }
     }
 
-    /** Removes cancelled work whose deadline has passed although this node can't lead at the moment. */
+    /** Removes cancelled work whose deadline has passed, even though this node can't act as leader at the moment. */
     fun removeOverdueWork(overdue: OverdueMachine) =
-        run(probePool, onNotDone = { log.debug("overdue machine {} not checked", overdue.machine) }) {
+        run(probePool, onFailure = { log.debug("machine {} with overdue work was not checked", overdue.machine) }) {
             if (cancelledWork.deleteUnlessWorkGone(overdue)) post(Event.DeletionEnded(listOf(overdue.machine), true))
         }
 
-    private fun leads(term: Term) = leadership.current() == term
+    private fun isLeading(term: Term) = leadership.current() == term
 
     private fun sendCommands(action: SendCommands, term: Term) =
-        run(callPool, onNotDone = { post(Event.CommandsEnded(action, CommandOutcome.NOT_TRIED, null, term)) }) {
-            if (leads(term)) {
+        run(callPool, onFailure = { post(Event.CommandsEnded(action, CommandOutcome.NOT_TRIED, null, term)) }) {
+            if (isLeading(term)) {
                 val (outcome, heartbeat) = workers.command(action)
-                commandsEnded(action, outcome, heartbeat, term)
+                postCommandsEnded(action, outcome, heartbeat, term)
             } else {
-                commandsEnded(action, CommandOutcome.NOT_TRIED, null, term)
+                postCommandsEnded(action, CommandOutcome.NOT_TRIED, null, term)
             }
         }
 
-    private fun commandsEnded(sent: SendCommands, outcome: CommandOutcome, heartbeat: Heartbeat?, term: Term) {
+    private fun postCommandsEnded(sent: SendCommands, outcome: CommandOutcome, heartbeat: Heartbeat?, term: Term) {
         if (log.isDebugEnabled) {
             log.debug("direct machine={} commands={} outcome={}", sent.machine, sent.commands, outcome)
         }
@@ -94,13 +94,13 @@
     }
 
     private fun probe(action: Probe) =
-        run(probePool, onNotDone = { post(Event.ProbeEnded(action.machine, null, wasSent = false)) }) {
+        run(probePool, onFailure = { post(Event.ProbeEnded(action.machine, null, wasSent = false)) }) {
             post(Event.ProbeEnded(action.machine, workers.probe(action.addr), wasSent = true))
         }
 
     private fun scaleOut(action: ScaleOut, term: Term) =
-        run(cloudPool, onNotDone = { post(Event.ScaleOutEnded(action, ScaleOutOutcome.Unknown)) }) {
-            val outcome = if (leads(term)) cloud.rent(action) else ScaleOutOutcome.Unknown
+        run(cloudPool, onFailure = { post(Event.ScaleOutEnded(action, ScaleOutOutcome.Unknown)) }) {
+            val outcome = if (isLeading(term)) cloud.rent(action) else ScaleOutOutcome.Unknown
             log.info(
                 "scale-out request={} type={} zone={} spot={} count={} outcome={}",
                 action.request, action.type, action.zone, action.spot, action.count, outcome,
@@ -109,39 +109,39 @@
         }
 
     private fun deleteMachines(action: DeleteMachines, term: Term) =
-        run(cloudPool, onNotDone = { post(Event.DeletionEnded(action.machines, false)) }) {
-            val isDeleted = leads(term) && cloud.delete(action.machines)
+        run(cloudPool, onFailure = { post(Event.DeletionEnded(action.machines, false)) }) {
+            val isDeleted = isLeading(term) && cloud.delete(action.machines)
             log.info("delete machines={} ok={}", action.machines, isDeleted)
             post(Event.DeletionEnded(action.machines, isDeleted))
         }
 
     private fun advanceToken() =
-        run(callPool, onNotDone = { post(Event.FencingTokenAdvanced(null)) }) {
+        run(callPool, onFailure = { post(Event.FencingTokenAdvanced(null)) }) {
             val token = leadership.advanceToken()
             log.info("fencing token advanced to={}", token)
             post(Event.FencingTokenAdvanced(token))
         }
 
     private fun storeImageLocations(action: StoreImageLocations, term: Term) =
-        run(callPool, onNotDone = { log.debug("image locations not stored") }) {
+        run(callPool, onFailure = { log.debug("image locations not stored: the request was not started or failed") }) {
             val put = Put(Keys.images(action.part), ImagesWire.encode(action.images))
             val result = store.transact(mapOf(Keys.LEAD to term.recordVersion), listOf(put))
             if (result !is StoreResult.Ok) log.debug("image locations not stored: {}", result)
         }
 
     private fun readFinalStates(action: ReadFinalStates, term: Term) =
-        run(callPool, onNotDone = { post(Event.FinalStatesRead(action.jobs, emptyMap(), term)) }) {
-            post(Event.FinalStatesRead(action.jobs, finalStates(action.jobs), term))
+        run(callPool, onFailure = { post(Event.FinalStatesRead(action.jobs, emptyMap(), term)) }) {
+            post(Event.FinalStatesRead(action.jobs, fetchFinalStates(action.jobs), term))
         }
 
-    /** The final states that the key-value store returns; a final state never changes. */
-    private fun finalStates(jobs: List<String>): Map<String, FinalState> {
+    /** Returns the final states of [jobs], as far as the key-value store returns them; a final state never changes. */
+    private fun fetchFinalStates(jobs: List<String>): Map<String, FinalState> {
         val found = HashMap<String, FinalState>()
         for (id in jobs) {
             when (val result = store.get(Keys.final(id))) {
                 is StoreResult.Ok -> found[id] = FinalWire.end(result.value.value)
                 is StoreResult.Missing -> log.info("no final state stored for job {}", id)
-                // The next would fare no better.
+                // This request failed, and the next ones would most likely fail too.
                 else -> return found
             }
         }
@@ -149,24 +149,24 @@
     }
 
     private fun resign(action: Resign) =
-        run(callPool, onNotDone = { log.warn("could not resign") }) {
+        run(callPool, onFailure = { log.warn("resignation from the leadership was not completed") }) {
             leadership.resign(action.reason, resignBackoff)
         }
 
-    /** Runs [call] on [pool]; [onNotDone] is called if the pool is full or the call failed. */
-    private fun run(pool: CallPool, onNotDone: () -> Unit, call: () -> Unit) {
+    /** Runs [call] on [pool]. Calls [onFailure] if the pool is full or the call throws an exception. */
+    private fun run(pool: CallPool, onFailure: () -> Unit, call: () -> Unit) {
         val isAccepted =
             pool.run {
                 try {
                     call()
                 } catch (e: Exception) {
-                    log.error("call failed", e)
-                    onNotDone()
+                    log.error("call to a worker, the cloud or the key-value store failed with an exception", e)
+                    onFailure()
                 }
             }
         if (isAccepted) return
-        log.warn("call pool full")
-        onNotDone()
+        log.warn("call to a worker, the cloud or the key-value store was not started: its call pool is full")
+        onFailure()
     }
 
     override fun close() {
@@ -175,14 +175,14 @@
 
     private companion object {
         val log = loggerOf(ActionExecutor::class.java)
-        const val MAX_CALLS = 120
+        const val MAX_CALL_THREADS = 120
 
-        /** A probe of a lost machine holds a thread until it times out, and hundreds may be lost at once. */
-        const val PROBES = 64
+        /** A probe of a lost machine blocks a thread until it times out, and hundreds may be lost together. */
+        const val MAX_PROBE_THREADS = 64
 
-        /** A command to each machine of a large fleet may wait its turn. */
-        const val QUEUED_CALLS = 10_000
-        const val CLOUD_CALLS = 3
-        const val QUEUED_CLOUD_CALLS = 200
+        /** Enough to queue one command for each machine of a large fleet. */
+        const val MAX_QUEUED_CALLS = 10_000
+        const val MAX_CLOUD_CALL_THREADS = 3
+        const val MAX_QUEUED_CLOUD_CALLS = 200
     }
 }
--- a/src/main/kotlin/glenspool/controller/BootId.kt
+++ b/src/main/kotlin/glenspool/controller/BootId.kt
@@ -4,8 +4,9 @@
 import java.util.concurrent.ThreadLocalRandom
 
 /**
- * Identifies this process: differs from that of any earlier process on this host, however soon it is back, since the
- * start's time is part of it. It is no secret; a secure generator would cost a tenth of the start-up.
+ * Returns an identifier for this process. It differs from that of any earlier process on this host, however quickly the
+ * process was restarted, because it contains the start time. It need not be secret, and a secure random generator would
+ * take a tenth of the start-up time.
  */
 internal fun newBootId(): String {
     val random = ThreadLocalRandom.current().nextLong()
--- a/src/main/kotlin/glenspool/controller/Clients.kt
+++ b/src/main/kotlin/glenspool/controller/Clients.kt
@@ -9,14 +9,17 @@
 import glenspool.worker.WorkerClient
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A node's clients of everything that it calls. */
+/** A node's clients for all services that it calls. */
 internal class Clients(settings: Settings) {
     private val http = HttpCaller(CONNECT_TIMEOUT)
 
     val store = KeyValueStoreClient(settings.state.hostPort(), http)
     val cloud = CloudClient(settings.cloud.hostPort(), http, settings.cloudLimits.rps)
 
-    /** A machine gets a command rarely: connections kept open would take half of the sockets of a large fleet. */
+    /**
+     * Keeps no connections open, since a machine rarely receives a command, and open connections to a large fleet would
+     * take half of the sockets.
+     */
     val workers = WorkerClient(HttpCaller(CONNECT_TIMEOUT, keepOpen = false))
     val peers = PeerClient(settings.members)
 
--- a/src/main/kotlin/glenspool/controller/CloudPoller.kt
+++ b/src/main/kotlin/glenspool/controller/CloudPoller.kt
@@ -28,13 +28,13 @@
     private val leadership: Leadership,
     private val post: (Event) -> Unit,
 ) {
-    private val listPeriod = maxOf(1.seconds, listLag / 3)
+    private val listInterval = maxOf(1.seconds, listLag / 3)
     private var typesReadAt: TimeMark? = null
 
     @Volatile
     private var types: List<MachineType>? = null
 
-    /** The machine types last read from the cloud or, before that, the stored ones; null: none are known yet. */
+    /** Returns the machine types last read from the cloud or, before that, the stored ones; null if none are known. */
     fun knownTypes(): List<MachineType>? = types ?: storedTypes()?.also { types = it }
 
     private fun storedTypes(): List<MachineType>? {
@@ -42,22 +42,22 @@
         return try {
             CloudWire.decodeTypes(item.value)
         } catch (e: MalformedMessage) {
-            log.error("stored machine types are not readable", e)
+            log.error("stored machine types could not be decoded and are ignored", e)
             null
         }
     }
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             val term = leadership.current()
             if (term == null) {
-                Thread.sleep(FOLLOWER_PAUSE.inWholeMilliseconds)
+                Thread.sleep(FOLLOWER_CHECK_INTERVAL.inWholeMilliseconds)
                 continue
             }
-            if (typesReadAt.let { it == null || it.elapsedNow() > TYPES_PERIOD }) readTypes(term)
+            if (typesReadAt.let { it == null || it.elapsedNow() > TYPES_READ_INTERVAL }) readTypes(term)
             cloud.listMachines()?.let { post(Event.MachinesListed(it)) }
-            Thread.sleep(listPeriod.inWholeMilliseconds)
+            Thread.sleep(listInterval.inWholeMilliseconds)
         }
     }
 
@@ -67,23 +67,23 @@
         val read = CloudWire.decodeTypes(raw)
         types = read
         post(Event.MachineTypesRead(read))
-        // The last known types are stored, so that a node can judge submissions while the cloud does not answer.
+        // The last known types are stored, so that a node can validate submissions while the cloud does not answer.
         val stored = cache.get(Keys.TYPES)
-        if (stored != null && isSameOffer(CloudWire.decodeTypes(stored.value), read)) return
+        if (stored != null && hasSameTypes(CloudWire.decodeTypes(stored.value), read)) return
         val conditions = mapOf(Keys.LEAD to term.recordVersion, Keys.TYPES to (stored?.version ?: 0L))
         val result = store.transact(conditions, listOf(Put(Keys.TYPES, raw)))
         if (result !is StoreResult.Ok) log.info("machine types not stored: {}", result)
     }
 
-    /** Prices and the like may differ. */
-    private fun isSameOffer(stored: List<MachineType>, read: List<MachineType>): Boolean {
+    /** Whether both lists have the same types with the same capacities; prices and other values may differ. */
+    private fun hasSameTypes(stored: List<MachineType>, read: List<MachineType>): Boolean {
         if (stored.size != read.size) return false
         return stored.zip(read).all { (before, now) -> before.name == now.name && before.capacity == now.capacity }
     }
 
     private companion object {
         val log = loggerOf(CloudPoller::class.java)
-        val TYPES_PERIOD: Duration = 30.seconds
-        val FOLLOWER_PAUSE: Duration = 200.milliseconds
+        val TYPES_READ_INTERVAL: Duration = 30.seconds
+        val FOLLOWER_CHECK_INTERVAL: Duration = 200.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -17,22 +17,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.TimeSource
 
-/** The core thread's event loop: takes events from one queue and dispatches them to the present [LeadershipTerm]. */
+/** The core thread's event loop: takes events from one queue and dispatches them to the current [LeadershipTerm]. */
 class CoreLoop(
-    /** The deployment as schedulers see it. */
+    /** The configuration of the scheduler in every term. */
     private val config: SchedulerConfig,
     cache: StoreCache,
     private val leadership: Leadership,
     actions: ActionExecutor,
     features: FeaturePermits,
-    /** The machine types as last read or stored; null: none are known yet. */
+    /** Returns the machine types last read or stored; null if none are known yet. */
     knownTypes: () -> List<MachineType>?,
-    /** How long a heartbeat may have waited before this node read it. */
+    /** Returns how long received heartbeats may have waited before this node read them. */
     intakeLag: () -> Duration,
-    /** Null: recovery is not managed. */
+    /** Null if recovery is not managed. */
     private val recoveryManager: RecoveryManager? = null,
 ) {
-    private val queue = LinkedBlockingQueue<Event>(QUEUE_CAPACITY)
+    private val queue = LinkedBlockingQueue<Event>(MAX_QUEUED_EVENTS)
     private val clock = TimeSource.Monotonic.markNow()
     private val pendingHeartbeats = PendingHeartbeats(clock::elapsedNow)
     private val intake = HeartbeatIntake(pendingHeartbeats, leadership::current) { post(Event.HeartbeatReceived(it)) }
@@ -49,10 +49,10 @@
             recoveryManager = recoveryManager,
         )
 
-    /** Confined to the core thread; null: this node does not lead. */
-    private var active: LeadershipTerm? = null
+    /** Null while this node does not lead. Confined to the core thread. */
+    private var activeTerm: LeadershipTerm? = null
 
-    /** What the present term's leader has ordered so far; null if this node does not lead. */
+    /** Counts of the orders that this node has issued in the current term; null if it does not lead. */
     @Volatile
     var orderCounts: OrderCounts? = null
         private set
@@ -60,9 +60,9 @@
     /** Queues an event for the core thread; never blocks. */
     fun post(event: Event) {
         if (queue.offer(event)) return
-        // A full queue means that the core is far behind. Waiting here would block the store watch, and losing an event
-        // could lose evidence: the leadership is given up instead, and rebuilt from what is stored.
-        log.error("event queue full")
+        // A full queue means that the core is overloaded. Waiting here would block the store watch, and dropping single
+        // events could lose evidence. The node steps down instead, and its next term starts from the stored state.
+        log.error("event queue of the core is full; dropping its events and stepping down")
         queue.clear()
         pendingHeartbeats.drop()
         leadership.stepDown("event queue full")
@@ -71,31 +71,33 @@
     /** See [HeartbeatIntake.accept]. */
     fun acceptHeartbeat(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit) = intake.accept(heartbeat, answer)
 
-    /** The service thread that answers heartbeats which the core did not reach in time. */
+    /** The body of the service thread that answers heartbeats which the core did not process in time. */
     fun expireHeartbeats() {
         while (true) {
-            Thread.sleep(EXPIRY_PERIOD.inWholeMilliseconds)
+            Thread.sleep(EXPIRY_CHECK_INTERVAL.inWholeMilliseconds)
             pendingHeartbeats.expire()
         }
     }
 
-    /** The core thread. */
+    /** The body of the core thread. */
     fun run() {
         var nextTick = clock.elapsedNow()
         while (!Thread.currentThread().isInterrupted) {
-            val wait = (nextTick - clock.elapsedNow()).inWholeMilliseconds.coerceIn(0, TICK.inWholeMilliseconds)
+            val wait =
+                (nextTick - clock.elapsedNow()).inWholeMilliseconds.coerceIn(0, TICK_INTERVAL.inWholeMilliseconds)
             val event = queue.poll(wait, TimeUnit.MILLISECONDS)
             try {
                 if (event != null) dispatch(event)
                 if (clock.elapsedNow() >= nextTick) {
-                    active?.tick()
-                    nextTick = clock.elapsedNow() + TICK
+                    activeTerm?.tick()
+                    nextTick = clock.elapsedNow() + TICK_INTERVAL
                 }
             } catch (e: RuntimeException) {
-                // Half a step leaves a state that nothing may be concluded from: it is rebuilt from what is stored.
-                log.error("core failed", e)
-                active = null
-                leadership.stepDown("the core failed")
+                // An incomplete step may leave an inconsistent state, which must not be used any more. The next term
+                // starts from the stored state.
+                log.error("core thread failed to process an event or a tick; stepping down", e)
+                activeTerm = null
+                leadership.stepDown("the core thread failed")
             }
         }
     }
@@ -109,7 +111,7 @@
                 step { event.cancellations.forEach { jobCancelled(it.job, it.version, it.at) } }
             is Event.HeartbeatReceived -> answer(event.pending)
             is Event.CommandsEnded ->
-                activeIn(event.term)?.step {
+                activeTermIf(event.term)?.step {
                     commandsEnded(event.sent.machine, event.sent, event.outcome, event.heartbeat)
                 }
             is Event.ProbeEnded -> step { probeEnded(event.machine, event.heartbeat, event.wasSent) }
@@ -117,20 +119,20 @@
             is Event.MachineTypesRead -> step { machineTypesKnown(event.types) }
             is Event.ScaleOutEnded -> step { scaleOutEnded(event) }
             is Event.DeletionEnded -> step { deletionEnded(event.machines, event.isDeleted) }
-            is Event.StoreEnded -> activeIn(event.term)?.step { storeEnded(event.outcome) }
+            is Event.StoreEnded -> activeTermIf(event.term)?.step { storeEnded(event.outcome) }
             is Event.FencingTokenAdvanced -> step { fencingTokenAdvanced(event.token) }
-            is Event.StoreRead -> active?.storeRead(event.sent)
-            is Event.StartKindDetermined -> activeIn(event.term)?.startKindDetermined(event.kind)
-            is Event.RecoveryOrdered -> activeIn(event.term)?.recoveryOrdered(event.verb)
-            is Event.FinalStatesRead -> activeIn(event.term)?.step { finalStatesRead(event.jobs, event.states) }
+            is Event.StoreRead -> activeTerm?.storeRead(event.sent)
+            is Event.StartKindDetermined -> activeTermIf(event.term)?.startKindDetermined(event.kind)
+            is Event.RecoveryOrdered -> activeTermIf(event.term)?.recoveryOrdered(event.verb)
+            is Event.FinalStatesRead -> activeTermIf(event.term)?.step { finalStatesRead(event.jobs, event.states) }
         }
     }
 
-    /** An earlier term's call says nothing of this term. */
-    private fun activeIn(term: Term): LeadershipTerm? = active?.takeIf { it.term == term }
+    /** Returns the active term if it is [term]: the outcome of an earlier term's call is of no use to a later one. */
+    private fun activeTermIf(term: Term): LeadershipTerm? = activeTerm?.takeIf { it.term == term }
 
     private fun step(event: Scheduler.() -> Unit) {
-        active?.step(event)
+        activeTerm?.step(event)
     }
 
     private fun Scheduler.scaleOutEnded(event: Event.ScaleOutEnded) {
@@ -145,9 +147,9 @@
         pendingHeartbeats.dequeue(pending)
         var commands: WorkerCommands? = null
         try {
-            commands = active?.answer(pending)
+            commands = activeTerm?.answer(pending)
         } finally {
-            // Also after a failed step: nobody else would answer it any more.
+            // The heartbeat is answered after a failed step as well, since nothing else would answer it.
             pending.complete(commands)
         }
     }
@@ -156,22 +158,22 @@
         val now = clock.elapsedNow()
         val recovery = recoveryManager?.begin(term, now)
         val hooks = recovery?.hooks ?: recoveryManager?.hooksWithoutRecovery ?: SchedulerHooks()
-        val begun = LeadershipTerm(term, Scheduler(config, term.token, now, hooks), recovery, context)
-        active = begun
-        orderCounts = begun.orderCounts
-        begun.start()
+        val newTerm = LeadershipTerm(term, Scheduler(config, term.token, now, hooks), recovery, context)
+        activeTerm = newTerm
+        orderCounts = newTerm.orderCounts
+        newTerm.start()
         intake.readyTerm = term
     }
 
     private fun endTerm() {
-        active = null
+        activeTerm = null
         orderCounts = null
     }
 
     private companion object {
         val log = loggerOf(CoreLoop::class.java)
-        const val QUEUE_CAPACITY = 20_000
-        val EXPIRY_PERIOD: Duration = 250.milliseconds
-        val TICK: Duration = 250.milliseconds
+        const val MAX_QUEUED_EVENTS = 20_000
+        val EXPIRY_CHECK_INTERVAL: Duration = 250.milliseconds
+        val TICK_INTERVAL: Duration = 250.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
+++ b/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
@@ -6,8 +6,8 @@
 import glenspool.reconcile.RecoverySetting
 
 /**
- * The deployment that [settings] describe, as schedulers see it. [logsDetails]: whether each placement and stop
- * is logged.
+ * Returns the scheduler's configuration for the deployment that [settings] describe. [logsDetails]: whether each
+ * placement and stop is logged.
  */
 internal fun schedulerConfig(settings: Settings, tuning: Tuning, logsDetails: Boolean = false): SchedulerConfig {
     val workers = settings.workers
@@ -21,7 +21,7 @@
     )
 }
 
-/** What a recovery needs to know of the deployment. */
+/** Returns the parameters of the deployment that a recovery depends on. */
 internal fun recoverySetting(settings: Settings): RecoverySetting {
     val workers = settings.workers
     return RecoverySetting(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
--- a/src/main/kotlin/glenspool/controller/Event.kt
+++ b/src/main/kotlin/glenspool/controller/Event.kt
@@ -15,7 +15,7 @@
 import glenspool.wire.StoreWire
 import kotlin.time.ComparableTimeMark
 
-/** Everything that reaches the core thread, in the order in which it is queued. */
+/** An event for the core thread, which processes events in the order in which they are queued. */
 sealed interface Event {
     /** This node was elected, and [term] begins. */
     data class LeaderElected(val term: Term) : Event
@@ -26,13 +26,13 @@
     /** Changes of live keys, as the key-value store reported them. */
     data class StoreChanged(val changes: List<StoreWire.Change>) : Event
 
-    /** Cancellations learned from another controller; the key-value store may not have reported them to this one. */
+    /** Cancellations received from another controller; the key-value store may not have reported them to this one. */
     data class CancellationsReceived(val cancellations: List<Cancellation>) : Event
 
     /** A worker's heartbeat was accepted and waits for the core's answer. */
     data class HeartbeatReceived(val pending: PendingHeartbeat) : Event
 
-    /** A command call ended; [heartbeat] is what the worker answered with. */
+    /** A request that sent commands ended; [heartbeat] is the one in the worker's response, if any. */
     data class CommandsEnded(
         val sent: SendCommands,
         val outcome: CommandOutcome,
@@ -40,7 +40,7 @@
         val term: Term,
     ) : Event
 
-    /** A probe of a silent machine ended. [wasSent]: false if it was not even attempted. */
+    /** A probe of a silent machine ended. [wasSent] is false if it was not attempted. */
     data class ProbeEnded(val machine: String, val heartbeat: Heartbeat?, val wasSent: Boolean) : Event
 
     /** The cloud listed its machines. */
@@ -58,19 +58,19 @@
     /** A transaction of the term ended. */
     data class StoreEnded(val outcome: StoreOutcome, val term: Term) : Event
 
-    /** The fencing token was advanced to [token]; null: it was not, or perhaps not. */
+    /** The fencing token was advanced to [token]; null if it was not advanced or the outcome is unknown. */
     data class FencingTokenAdvanced(val token: Long?) : Event
 
     /**
-     * The store was read by a request sent at [sent]; all changes up to then were queued before. Posted only while a
-     * recovery is under way.
+     * The key-value store was read by a request sent at [sent]; all changes up to then were queued before this event.
+     * Posted only while a recovery is under way.
      */
     data class StoreRead(val sent: ComparableTimeMark) : Event
 
-    /** The other controllers' answers show how the term began. */
+    /** The other controllers' answers show with which kind of start the term began. */
     data class StartKindDetermined(val term: Term, val kind: StartKind) : Event
 
-    /** An operator's order to the recovery; it is stored already. */
+    /** An operator gave an order to the recovery, and the order has been stored. */
     data class RecoveryOrdered(val term: Term, val verb: RecoveryVerb) : Event
 
     /** Final states of [jobs] were read; [states] holds those that are known. */
--- a/src/main/kotlin/glenspool/controller/GarbageCollector.kt
+++ b/src/main/kotlin/glenspool/controller/GarbageCollector.kt
@@ -8,48 +8,48 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Removes what ended jobs, and submissions that were never accepted, left beside their records: every node reads the
- * live keys when it starts, so leftovers would make each start a little longer, for ever. There is no hurry, so it
- * takes one small transaction at a time.
+ * Removes keys without a job record, which remain from ended jobs and from submissions that were never accepted. Every
+ * node reads all live keys when it starts, so each remaining key would lengthen all later starts. The removal is not
+ * urgent, so each pass sends one small transaction.
  */
 class GarbageCollector(
-    private val live: LiveKeyReader,
+    private val liveKeys: LiveKeyReader,
     private val txnOps: Int,
     private val transact: (Map<String, Long>, List<Put>, List<String>) -> StoreResult<Long>,
 ) {
-    private var orphansBefore: Set<String> = emptySet()
+    private var previousCandidates: Set<String> = emptySet()
 
-    /** The service thread; [term]: this node's term, if it may act as leader now. */
+    /** The body of the service thread. [term] returns this node's term if it may act as leader now, otherwise null. */
     fun run(term: () -> Term?) {
         while (true) {
-            Thread.sleep(PERIOD.inWholeMilliseconds)
+            Thread.sleep(PASS_INTERVAL.inWholeMilliseconds)
             term()?.let { collect(it.recordVersion) }
         }
     }
 
     /**
-     * Runs one pass, on condition of the leadership record's version [recordVersion]. What was without a record in the
-     * last pass too is removed: the parts of a submission are stored before its record. A submission that is slower
-     * still is asked to come back, since its record is conditioned on its parts.
+     * Runs one pass, conditioned on the leadership record's version [recordVersion]. It removes only keys that had no
+     * job record in the previous pass either, because the parts of a submission are stored before its record. If a
+     * submission takes longer than that, its user is asked to retry, since its record is conditioned on its parts.
      */
     fun collect(recordVersion: Long) {
-        val orphans = live.atomically { orphans() }
-        val due = orphans.filter { it in orphansBefore }.take(txnOps)
-        orphansBefore = orphans.toHashSet()
+        val candidates = liveKeys.atomically { keysWithoutRecord() }
+        val due = candidates.filter { it in previousCandidates }.take(txnOps)
+        previousCandidates = candidates.toHashSet()
         if (due.isEmpty()) return
-        // A record that is stored meanwhile keeps its parts.
-        val conditions = due.map(::recordOf).distinct().associateWith { 0L } + (Keys.LEAD to recordVersion)
+        // If a record is stored in the meantime, its condition fails, and the record keeps its parts.
+        val conditions = due.map(::recordKeyOf).distinct().associateWith { 0L } + (Keys.LEAD to recordVersion)
         val result = transact(conditions, emptyList(), due)
         log.debug("garbage collected keys={} -> {}", due, result)
     }
 
-    private fun orphans(): List<String> =
+    private fun keysWithoutRecord(): List<String> =
         prefixes
-            .flatMap { live.withPrefix(it) }
+            .flatMap { liveKeys.withPrefix(it) }
             .map { it.key }
-            .filter { live.get(recordOf(it)) == null }
+            .filter { liveKeys.get(recordKeyOf(it)) == null }
 
-    private fun recordOf(key: String): String {
+    private fun recordKeyOf(key: String): String {
         val prefix = prefixes.first { key.startsWith(it) }
         return Keys.job(key.removePrefix(prefix).substringBeforeLast('/'))
     }
@@ -57,6 +57,6 @@
     private companion object {
         val log = loggerOf(GarbageCollector::class.java)
         val prefixes = listOf(Keys.CHUNK, Keys.PLACEMENT_PART, Keys.DESCRIPTION_PART)
-        val PERIOD = 20.seconds
+        val PASS_INTERVAL = 20.seconds
     }
 }
