--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -16,19 +16,19 @@
 import kotlin.time.TimeSource
 
 /**
- * Leader election. The leadership record lives on a lease; the counter of fencing tokens beside it only grows and
- * outlives every lease. A node counts its own time as leader from when the renewal was sent, less clock drift, so it
- * always stops before anyone else could begin.
+ * Leader election. The leadership record is bound to a store lease. The fencing token counter is stored without a
+ * lease, so it outlives every lease, and it only increases. A node measures the validity of its leadership from when it
+ * sent the lease renewal and subtracts clock drift, so it always stops acting as leader before another node can begin.
  */
 class Leadership(
     private val node: String,
-    /** Distinguishes this process from an earlier one on the same host, whose record may still be there. */
+    /** Distinguishes this process from an earlier one on the same host, whose leadership record may still be stored. */
     private val boot: String,
     private val client: KeyValueStoreClient,
     private val cache: StoreCache,
     private val onElected: (Term) -> Unit,
     private val onDeposed: () -> Unit,
-    /** What an election with this token stores besides, in its own transaction. */
+    /** Returns further records to store in the transaction of an election with this token. */
     private val electionPuts: (token: Long) -> List<Put> = { emptyList() },
     /** Whether this process may lead at all. */
     private val mayLead: () -> Boolean = { true },
@@ -41,22 +41,22 @@
     @Volatile
     private var validUntil: ComparableTimeMark = clock.markNow()
 
-    /** Until then this node does not stand for election; null: it has never resigned. */
+    /** The time until which this node does not stand for election; null if it has never resigned. */
     @Volatile
     private var backoffUntil: ComparableTimeMark? = null
 
-    /** The term, if this node may act as leader at this moment. */
+    /** Returns the term if this node may act as leader at this moment, otherwise null. */
     fun current(): Term? = term?.takeIf { validUntil.hasNotPassedNow() }
 
-    /** The leader as the stored record names it. */
+    /** Returns the leader named in the stored leadership record, or null if there is no record. */
     fun recordedLeader(): String? = cache.get(Keys.LEAD)?.let { LeadershipWire.node(it.value) }
 
-    /** The token with which the recorded leader was elected. */
+    /** Returns the token with which the recorded leader was elected, or null if there is no record. */
     fun recordedToken(): Long? = cache.get(Keys.LEAD)?.let { LeadershipWire.token(it.value) }
 
     private fun recordedBoot(): String? = cache.get(Keys.LEAD)?.let { LeadershipWire.boot(it.value) }
 
-    /** The service thread: renews the lease while this node leads, and stands for election while nobody does. */
+    /** The body of the service thread: renews the lease while this node leads, and stands for election if none does. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             val pause = if (term != null) renewOrStepDown() else tryElect()
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Stops acting as leader at once, because another node leads or may lead. */
+    /** Stops acting as leader immediately, because another node leads or may lead. */
     fun stepDown(reason: String) {
         if (term == null) return
         log.info("leadership ended reason={}", reason)
@@ -72,34 +72,37 @@
         onDeposed()
     }
 
-    /** Steps down and ends the lease, so that another node can begin at once; this one does not stand for [backoff]. */
+    /**
+     * Steps down and ends the lease, so that another node can be elected immediately. This node does not stand for
+     * election for [backoff].
+     */
     fun resign(reason: String, backoff: Duration) {
-        val resigned = term ?: return
+        val endedTerm = term ?: return
         backoffUntil = clock.markNow() + backoff
         stepDown(reason)
-        client.endLease(resigned.lease)
+        client.endLease(endedTerm.lease)
     }
 
-    /** Returns the pause until the next renewal or election; so does [tryElect]. */
+    /** Like [tryElect], returns the delay until the next renewal or election attempt. */
     private fun renewOrStepDown(): Duration {
-        val renewed = term ?: return Duration.ZERO
-        if (isReplaced(renewed)) {
-            stepDown("another holder is recorded")
+        val ledTerm = term ?: return Duration.ZERO
+        if (isReplaced(ledTerm)) {
+            stepDown("another leader is recorded")
             return Duration.ZERO
         }
-        val sent = clock.markNow()
-        return when (val result = client.renew(renewed.lease)) {
+        val sentAt = clock.markNow()
+        return when (val result = client.renew(ledTerm.lease)) {
             is StoreResult.Ok -> {
-                validUntil = sent + VALID
-                RENEW_EVERY
+                validUntil = sentAt + VALIDITY
+                RENEWAL_INTERVAL
             }
             is StoreResult.Missing -> {
                 stepDown("lease lost")
                 Duration.ZERO
             }
             else -> {
-                log.debug("lease renewal failed: {}", result)
-                RETRY
+                log.debug("leadership lease renewal failed and will be retried: {}", result)
+                RETRY_DELAY
             }
         }
     }
@@ -109,37 +112,38 @@
         return isCacheRecent() && recorded.version > term.recordVersion
     }
 
-    private fun isCacheRecent() = cache.age().let { it != null && it < FRESH }
+    private fun isCacheRecent() = cache.age().let { it != null && it < MAX_CACHE_AGE }
 
-    /** The records that an election replaces, and the last token. */
+    /** The records that an election replaces, and the last fencing token. */
     private class Candidacy(val recorded: StoreWire.Item?, val counter: StoreWire.Item?, val lastToken: Long) {
         val conditions
             get() = mapOf(Keys.LEAD to (recorded?.version ?: 0L), Keys.TERM to (counter?.version ?: 0L))
     }
 
-    /** Null: somebody leads, or this node may not stand now. */
+    /** Returns null if a node leads, or if this node may not stand for election at the moment. */
     private fun candidacy(): Candidacy? {
         val age = cache.age()
-        if (age == null || age > FRESH) return null
+        if (age == null || age > MAX_CACHE_AGE) return null
         if (backoffUntil?.hasNotPassedNow() == true || !mayLead()) return null
         val recorded = cache.get(Keys.LEAD)
-        // Our own record from an earlier process: that process has ended, so the leadership is vacant. The record is
-        // never taken for ours, since it is replaced under its exact version.
-        val isLeftByEarlierProcess = recorded != null && recordedLeader() == node && recordedBoot() != boot
-        if (recorded != null && !isLeftByEarlierProcess) return null
+        // If the record was written by an earlier process of this node, that process has ended and the leadership is
+        // vacant. Its record can't be mistaken for this process's own, because the election replaces it on condition of
+        // its exact version.
+        val isFromEarlierProcess = recorded != null && recordedLeader() == node && recordedBoot() != boot
+        if (recorded != null && !isFromEarlierProcess) return null
         val counter = cache.get(Keys.TERM)
         return try {
             Candidacy(recorded, counter, counter?.let { LeadershipWire.decodeCounter(it.value) } ?: 0L)
         } catch (e: MalformedMessage) {
-            log.error("token counter is not readable", e)
+            log.error("stored fencing token counter could not be decoded; not standing for election", e)
             null
         }
     }
 
     private fun tryElect(): Duration {
-        val candidacy = candidacy() ?: return IDLE
-        val sent = clock.markNow()
-        val lease = (client.newLease(TTL) as? StoreResult.Ok)?.value ?: return IDLE
+        val candidacy = candidacy() ?: return ELECTION_CHECK_INTERVAL
+        val sentAt = clock.markNow()
+        val lease = (client.newLease(LEASE_DURATION) as? StoreResult.Ok)?.value ?: return ELECTION_CHECK_INTERVAL
         val token = candidacy.lastToken + 1
         val puts =
             listOf(
@@ -147,41 +151,44 @@
                 Put(Keys.TERM, LeadershipWire.encodeCounter(token)),
             ) + electionPuts(token)
         return when (val result = client.transact(candidacy.conditions, puts)) {
-            is StoreResult.Ok -> beginTerm(Term(token, result.value, lease), sent)
+            is StoreResult.Ok -> beginTerm(Term(token, result.value, lease), sentAt)
             else -> {
                 log.info("election lost: {}", result)
                 cache.sync(SYNC_TIMEOUT)
-                RETRY
+                RETRY_DELAY
             }
         }
     }
 
-    private fun beginTerm(won: Term, sent: ComparableTimeMark): Duration {
-        if (!readBack(won.recordVersion, sent) || recordedBoot() != boot) return Duration.ZERO
+    private fun beginTerm(newTerm: Term, sentAt: ComparableTimeMark): Duration {
+        if (!awaitElectionInCache(newTerm.recordVersion, sentAt) || recordedBoot() != boot) return Duration.ZERO
         if (!mayLead()) {
-            // A level was activated while this process was being elected.
-            client.endLease(won.lease)
-            return IDLE
+            // For example, a level that this process can't read was activated during the election.
+            client.endLease(newTerm.lease)
+            return ELECTION_CHECK_INTERVAL
         }
-        validUntil = sent + VALID
-        term = won
-        log.info("elected token={} revision={}", won.token, won.recordVersion)
-        onElected(won)
-        return RENEW_EVERY
+        validUntil = sentAt + VALIDITY
+        term = newTerm
+        log.info("elected token={} revision={}", newTerm.token, newTerm.recordVersion)
+        onElected(newTerm)
+        return RENEWAL_INTERVAL
     }
 
-    /** Nothing may be decided from a cache older than the election. False: the store could not be read in time. */
-    private fun readBack(revision: Long, sent: ComparableTimeMark): Boolean {
+    /**
+     * Waits until the cache includes the election, since no decision may be based on an older state. Returns false if
+     * the store could not be read in time.
+     */
+    private fun awaitElectionInCache(revision: Long, sentAt: ComparableTimeMark): Boolean {
         while (!cache.sync(SYNC_TIMEOUT) || cache.get(Keys.LEAD)?.version.let { it == null || it < revision }) {
-            if (sent.elapsedNow() > VALID) {
-                log.warn("elected, but the state could not be read in time")
+            if (sentAt.elapsedNow() > VALIDITY) {
+                log.warn("election won, but the stored state could not be read in time; not acting as leader")
                 return false
             }
         }
         return true
     }
 
-    /** Advances the fencing token within the term. Returns the new one; null: it was not, or perhaps not, advanced. */
+    /** Advances the fencing token within the term. Returns the new token; null if it may not have been advanced. */
     fun advanceToken(): Long? {
         val leading = current() ?: return null
         val counter = cache.get(Keys.TERM) ?: return null
@@ -198,16 +205,16 @@
 
     private companion object {
         val log = loggerOf(Leadership::class.java)
-        val TTL = 3.seconds
+        val LEASE_DURATION = 3.seconds
 
-        /** The lease less what clocks may drift in it and a margin for a stalled process. */
-        val VALID = TTL * 0.999 - 400.milliseconds
-        val RENEW_EVERY = 700.milliseconds
-        val RETRY = 300.milliseconds
-        val IDLE = 200.milliseconds
+        /** The lease duration less the clock drift possible in that time and a margin for a stalled process. */
+        val VALIDITY = LEASE_DURATION * 0.999 - 400.milliseconds
+        val RENEWAL_INTERVAL = 700.milliseconds
+        val RETRY_DELAY = 300.milliseconds
+        val ELECTION_CHECK_INTERVAL = 200.milliseconds
         val SYNC_TIMEOUT = 1.seconds
 
         /** With an older cache this node neither stands for election nor concludes that it was replaced. */
-        val FRESH = 7.seconds
+        val MAX_CACHE_AGE = 7.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -26,33 +26,33 @@
 ) {
     private var pausedSince: Duration? = null
 
-    /** What the leader has ordered in this term; any thread may read it. */
+    /** Counts of the orders issued in this term; any thread may read them. */
     val orderCounts: OrderCounts get() = scheduler.orderCounts
 
-    /** Loads everything that is stored; until it has returned, no heartbeat must reach this term. */
+    /** Loads the stored state. No heartbeat may be passed to this term before this function has returned. */
     fun start() {
         step {
             membersChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
             context.knownTypes()?.let { machineTypesKnown(it) }
             context.changeApplier.loadAll(this)
-            // Only now are the jobs known whose records an earlier leader has split.
+            // Which jobs have records that an earlier leader has split is known only after the load.
             updateSplitting()
         }
         log.info("term started token={} jobs={}", term.token, scheduler.jobs.size)
     }
 
     /**
-     * Steps the scheduler with [event] and has its actions carried out. Without a valid lease no clock event is given;
-     * outcomes of calls still have to arrive, or the scheduler would wait for them for ever.
+     * Passes [event] to the scheduler and carries out the resulting actions. Without a valid lease the scheduler gets
+     * no clock event, but it still gets the outcomes of calls, since it would otherwise wait for them indefinitely.
      */
     fun step(event: Scheduler.() -> Unit) {
         scheduler.step(context.clock.elapsedNow(), wallClock(), event).forEach { context.actions.perform(it, term) }
     }
 
     /**
-     * Ticks the scheduler and the recovery, or pauses both while the lease is uncertain: cut off from the key-value
-     * store, another node may lead by now, and conclusions from an outdated state, or from machines that obey another
-     * leader, are worth nothing.
+     * Ticks the scheduler and the recovery, or pauses both while the lease is uncertain. When this node can't reach the
+     * key-value store, another node may already lead, and conclusions from an outdated state or from machines that obey
+     * another leader would be invalid.
      */
     fun tick() {
         if (!hasLease()) return pause()
@@ -79,7 +79,7 @@
 
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
-        val notices = engine.tick(context.clock.elapsedNow(), isBehind = backlog >= BEHIND)
+        val notices = engine.tick(context.clock.elapsedNow(), isBehind = backlog >= OVERLOAD_BACKLOG)
         if (notices.isNotEmpty()) context.recoveryManager?.handleNotices(notices)
     }
 
@@ -88,26 +88,26 @@
         splittingForbidden(context.features.permit(FeatureRegistry.SEALED_RECORDS) == null)
     }
 
-    /** The commands for the worker that sent the heartbeat; null: this node may not answer as leader. */
+    /** Returns the commands for the worker that sent the heartbeat; null if this node may not answer as leader. */
     fun answer(pending: PendingHeartbeat): WorkerCommands? {
-        // A worker that has seen a higher token: either ours is being advanced, or another node leads.
+        // If the worker has seen a higher token, either this node's token is being advanced or another node leads.
         if (!hasLease() || pending.heartbeat.token > scheduler.token) return null
         var commands: List<Command> = emptyList()
         step { commands = heartbeatReceived(pending.heartbeat) }
         return WorkerCommands(scheduler.token, commands)
     }
 
-    /** The store was read by a request sent at [sent]. */
+    /** Notifies the recovery that the key-value store was read by a request sent at [sent]. */
     fun storeRead(sent: ComparableTimeMark) {
         recovery?.stateRead(context.clock.elapsedNow() - sent.elapsedNow())
     }
 
-    /** The other controllers' answers show how the term began. */
+    /** Notifies the recovery of the kind of start that the other controllers' answers show. */
     fun startKindDetermined(kind: StartKind) {
         recovery?.startJudged(kind)
     }
 
-    /** Carries out an operator's stored order. */
+    /** Carries out an operator's stored order to the recovery. */
     fun recoveryOrdered(verb: RecoveryVerb) {
         val engine = recovery ?: return
         when (verb) {
@@ -121,7 +121,7 @@
     private companion object {
         val log = loggerOf(LeadershipTerm::class.java)
 
-        /** With a larger backlog the core counts as behind. */
-        val BEHIND: Duration = 50.milliseconds
+        /** With this heartbeat backlog or a larger one the core counts as overloaded. */
+        val OVERLOAD_BACKLOG: Duration = 50.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -29,13 +29,13 @@
 class Node(
     private val settings: Settings,
     tuning: Tuning,
-    /** Null: levels of stored forms are not managed. */
+    /** Null if levels of stored forms are not managed. */
     rolloutPolicy: RolloutPolicy? = null,
     registry: FeatureRegistry = FeatureRegistry.CURRENT,
     build: String = "development",
-    /** Null: a cold start is recovered from as at any failover. */
+    /** Null if a cold start is handled like any failover. */
     recoveryPolicy: RecoveryPolicy? = null,
-    /** Ends the process at once. */
+    /** Ends the process immediately. */
     private val onFatalError: () -> Unit,
 ) : NodeState,
     AutoCloseable {
@@ -52,7 +52,7 @@
     private val workers = clients.workers
     private val peers = clients.peers
 
-    /** Kept for a multiple of the time in which they have to take effect. */
+    /** Cancellations are kept for a multiple of the time within which they have to take effect. */
     override val cancellations =
         Cancellations(boot, members, settings.workers.cancellationDeadline * 4, ::uptime, ::wallClock)
     private val cache: StoreCache =
@@ -181,13 +181,13 @@
 
     private fun isServing(): Boolean = freshness.isFresh() && !isolated()
 
-    /** This node's answer to an operator about the rollout. Levels must be managed. */
+    /** Returns this node's answer to an operator about the rollout. Levels must be managed. */
     fun rolloutAnswer(request: RolloutRequest): RolloutReply {
         val manager = checkNotNull(rollout) { "levels are not managed" }
         return manager.answer(request)
     }
 
-    /** This node's answer to an operator about its orders and its recovery. */
+    /** Returns this node's answer to an operator about its orders and its recovery. */
     fun recoveryAnswer(request: RecoveryRequest): RecoveryReply = recoveryOperations.answer(request)
 
     override fun fenced(): Boolean = rollout?.gate?.fence() != null
--- a/src/main/kotlin/glenspool/controller/NodePorts.kt
+++ b/src/main/kotlin/glenspool/controller/NodePorts.kt
@@ -12,24 +12,27 @@
     private val users: HttpHandler,
     private val workers: AsyncHandler,
     private val internal: HttpHandler,
-    /** A listener's thread can't go on. */
+    /** Called when a listener's thread can't continue. */
     private val onFatalError: () -> Unit,
 ) : AutoCloseable {
-    /** Null: not open yet. */
+    /** Null until the port is open. */
     @Volatile
     private var apiListener: HttpListener? = null
     private var internalListener: HttpListener? = null
 
-    /** Requests are taken as soon as a port is open; until the state is read they are refused with a time to retry. */
+    /**
+     * Opens both ports. Requests are accepted as soon as a port is open; until the state has been read, they are
+     * rejected with a retry time.
+     */
     fun open() {
         val apiThreads = minOf(MAX_API_THREADS, settings.maxSockets / 3)
         val direct = ApiRouter(workers, users)::directHandler
         apiListener = HttpListener(settings.apiAddr, "api", apiThreads, direct, onFatalError, users)
         internalListener =
-            HttpListener(settings.internalAddr, "peer", INTERNAL_THREADS, { null }, onFatalError, internal)
+            HttpListener(settings.internalAddr, "peer", MAX_INTERNAL_THREADS, { null }, onFatalError, internal)
     }
 
-    /** How long a heartbeat may have waited before this node read it. */
+    /** Returns how long received heartbeats may have waited before this node read them. */
     fun intakeLag(): Duration = apiListener?.lag() ?: Duration.ZERO
 
     override fun close() {
@@ -40,7 +43,7 @@
     private companion object {
         const val MAX_API_THREADS = 256
 
-        /** A peer that stalls in the middle of a request holds one until the server's time limit: there are many. */
-        const val INTERNAL_THREADS = 24
+        /** Large, since a peer that stalls in the middle of a request blocks a thread until the server's timeout. */
+        const val MAX_INTERNAL_THREADS = 24
     }
 }
--- a/src/main/kotlin/glenspool/controller/OrderSummary.kt
+++ b/src/main/kotlin/glenspool/controller/OrderSummary.kt
@@ -6,12 +6,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Logs once a minute, across terms, what the leader has ordered in its term. Confined to the core thread. */
+/**
+ * Logs once a minute which orders the leader has issued in its term; the minute runs on when a new term begins.
+ * Confined to the core thread.
+ */
 internal class OrderSummary {
     private var loggedAt = Duration.ZERO
 
     fun logIfDue(scheduler: Scheduler) {
-        if (scheduler.now - loggedAt < INTERVAL) return
+        if (scheduler.now - loggedAt < LOG_INTERVAL) return
         loggedAt = scheduler.now
         val counts = scheduler.orderCounts.snapshot()
         if (counts.isNotEmpty()) log.info("orders token={} {}", scheduler.token, OrderCounts.describe(counts))
@@ -19,6 +22,6 @@
 
     private companion object {
         val log = loggerOf(OrderSummary::class.java)
-        val INTERVAL: Duration = 60.seconds
+        val LOG_INTERVAL: Duration = 60.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/RecordStore.kt
+++ b/src/main/kotlin/glenspool/controller/RecordStore.kt
@@ -9,14 +9,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Stores single records by compare-and-swap, each followed by a refresh of the store cache: however the transaction
- * ended, the next decision is made from what is stored by then.
+ * Stores single records by compare-and-swap. Each transaction is followed by a refresh of the store cache, so that the
+ * next decision is made from what is stored by then, whatever the outcome of the transaction was.
  */
 internal class RecordStore(private val store: KeyValueStoreClient, private val cache: StoreCache) {
-    /** Brings the cache to a state later than this call. False: the key-value store did not answer in time. */
+    /** Brings the cache to a state later than this call. Returns false if the store did not answer in time. */
     fun refresh(): Boolean = cache.sync(SYNC_TIMEOUT)
 
-    /** Stores the record if its own version is still [version], 0 if absent. */
+    /** Stores the record if its own version is still [version], which is 0 for an absent record. */
     fun replace(put: Put, version: Long): StoreResult<Long> {
         val result = store.transact(mapOf(put.key to version), listOf(put))
         refresh()
--- a/src/main/kotlin/glenspool/controller/ServiceThreads.kt
+++ b/src/main/kotlin/glenspool/controller/ServiceThreads.kt
@@ -5,24 +5,24 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A node's long-lived service threads. [onFatalError] ends the process at once; [restartDelay]: before a failed one is
- * restarted.
+ * A node's long-lived service threads. [onFatalError] ends the process immediately; [restartDelay] is the delay before
+ * the body of a failed thread is run again.
  */
 class ServiceThreads(private val onFatalError: () -> Unit, private val restartDelay: Duration = 500.milliseconds) :
     AutoCloseable {
     private val threads = ArrayList<Thread>()
 
-    /** A service thread that runs until it is interrupted: whenever [body] returns or fails it is run again. */
+    /** Starts a service thread that runs [body] again whenever it returns or fails, until the thread is interrupted. */
     fun start(name: String, body: () -> Unit) =
         launch(name) {
             while (!Thread.currentThread().isInterrupted) attempt(name, body)
         }
 
-    /** A service thread that is over when [body] has returned or failed once. */
+    /** Starts a service thread that ends when [body] has returned or failed once. */
     fun startOnce(name: String, body: () -> Unit) = launch(name) { attempt(name, body) }
 
     private fun launch(name: String, run: () -> Unit) {
-        val thread = Thread(null, { serve(name, run) }, name, STACK)
+        val thread = Thread(null, { serve(name, run) }, name, STACK_BYTES)
         thread.isDaemon = true
         thread.start()
         threads.add(thread)
@@ -33,7 +33,8 @@
             body()
         } catch (e: Exception) {
             if (e is InterruptedException) throw e
-            // A thread that died would leave the node half alive: the failure is logged and the thread goes on.
+            // If the thread ended, the node would run without one of its services. So the failure is logged, and the
+            // thread continues.
             log.error("service thread {} failed", name, e)
             Thread.sleep(restartDelay.inWholeMilliseconds)
         }
@@ -45,10 +46,11 @@
         } catch (e: InterruptedException) {
             log.debug("service thread {} stopped", name)
         } catch (e: Throwable) {
-            // Out of memory, or a class that can't be loaded: a leader whose core has died would renew its lease for
-            // ever and answer nobody. Another process takes over.
+            // The cause is a lack of memory, for example, or a class that can't be loaded. A leader whose core thread
+            // has ended would renew its lease indefinitely and answer no request. So the process ends, and another
+            // process becomes leader.
             try {
-                log.error("service thread {} ended by an error", name, e)
+                log.error("service thread {} ended by an unrecoverable error; ending the process", name, e)
             } finally {
                 onFatalError()
             }
@@ -63,8 +65,6 @@
 
     private companion object {
         val log = loggerOf(ServiceThreads::class.java)
-
-        /** In bytes. */
-        const val STACK = 256L * 1024
+        const val STACK_BYTES = 256L * 1024
     }
 }
--- a/src/main/kotlin/glenspool/controller/TermContext.kt
+++ b/src/main/kotlin/glenspool/controller/TermContext.kt
@@ -5,19 +5,19 @@
 import kotlin.time.Duration
 import kotlin.time.TimeSource
 
-/** What every term of this node's leadership works with. */
+/** The objects that all terms of this node's leadership share. */
 internal class TermContext(
-    /** The core's steady clock; the mark itself, since a function's result would be boxed at each step. */
+    /** The core's monotonic clock; the mark itself, since the result of a function would be boxed at each step. */
     val clock: TimeSource.Monotonic.ValueTimeMark,
     val leadership: Leadership,
     val features: FeaturePermits,
     val changeApplier: StoreChangeApplier,
     val actions: ActionExecutor,
     val orderSummary: OrderSummary,
-    /** How far the core is behind with heartbeats. */
+    /** Returns the duration of the core's heartbeat backlog. */
     val backlog: () -> Duration,
-    /** The machine types as last read or stored; null: none are known yet. */
+    /** Returns the machine types last read or stored; null if none are known yet. */
     val knownTypes: () -> List<MachineType>?,
-    /** Null: recovery is not managed. */
+    /** Null if recovery is not managed. */
     val recoveryManager: RecoveryManager?,
 )
