--- a/src/main/kotlin/glenspool/controller/StoreChangeApplier.kt
+++ b/src/main/kotlin/glenspool/controller/StoreChangeApplier.kt
@@ -10,13 +10,13 @@
 import glenspool.wire.StoreWire
 
 /**
- * Translates stored keys into the [Scheduler]'s events. Confined to the core thread, inside a scheduler step. A record
- * that cannot be read is logged and skipped.
+ * Translates stored keys into the [Scheduler]'s events. Used only on the core thread, inside a scheduler step. A record
+ * that can't be decoded is logged and skipped.
  */
 internal class StoreChangeApplier(private val cache: StoreCache) {
     private val records = JobRecordReader(cache)
 
-    /** Hands all stored image locations, jobs and cancellations to a new term's scheduler. */
+    /** Passes all stored image locations, jobs and cancellations to a new term's scheduler. */
     fun loadAll(scheduler: Scheduler) {
         scheduler.imageLocationsRead(imageLocations())
         cache.withPrefix(Keys.JOB).forEach { applyStored(scheduler, it) }
@@ -27,7 +27,7 @@
         apply(scheduler, StoreWire.Change(item.key, item.value, item.version))
     }
 
-    /** Applies one reported change; keys that the scheduler does not follow are ignored. */
+    /** Applies one reported change; keys that the scheduler does not use are ignored. */
     fun apply(scheduler: Scheduler, change: StoreWire.Change) {
         try {
             if (change.key.startsWith(Keys.JOB)) {
@@ -36,7 +36,7 @@
                 change.cancellation()?.let { scheduler.jobCancelled(it.job, it.version, it.at) }
             }
         } catch (e: MalformedMessage) {
-            log.error("stored record {} is not readable", change.key, e)
+            log.error("stored record {} could not be decoded and is skipped", change.key, e)
         }
     }
 
@@ -47,7 +47,7 @@
         when {
             value == null -> scheduler.jobRemoved(id)
             known == null -> scheduler.jobStored(records.read(id, value), change.version)
-            // This leader wrote the record itself: only its version can be new.
+            // This leader wrote the record of a known job itself, so only the version can be new.
             change.version > known.version -> known.version = change.version
         }
     }
@@ -61,7 +61,7 @@
         try {
             ImagesWire.decode(item.value)
         } catch (e: MalformedMessage) {
-            log.warn("stored image locations are not readable", e)
+            log.warn("one part of the stored image locations could not be decoded and is skipped", e)
             emptyMap()
         }
 
--- a/src/main/kotlin/glenspool/controller/StoreWriter.kt
+++ b/src/main/kotlin/glenspool/controller/StoreWriter.kt
@@ -28,12 +28,12 @@
 ) {
     private class Write(val term: Term, val changes: StoreChanges)
 
-    private val writes = ArrayBlockingQueue<Write>(QUEUE_CAPACITY)
+    private val writes = ArrayBlockingQueue<Write>(MAX_QUEUED_WRITES)
 
-    /** False: too many wait, and it will not be stored. */
+    /** Queues [changes] to be stored. Returns false, without storing them, if too many changes are queued already. */
     fun offer(term: Term, changes: StoreChanges): Boolean = writes.offer(Write(term, changes))
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             val write = writes.take()
@@ -43,17 +43,18 @@
     }
 
     private fun store(term: Term, changes: StoreChanges): StoreOutcome {
-        val guards = guards(changes) ?: return NOTHING_STORED
-        val transaction = transactionOf(term.recordVersion, changes, guards)
+        val conditions = sealedFormConditions(changes) ?: return NOTHING_STORED
+        val transaction = transactionOf(term.recordVersion, changes, conditions)
         val result = store.transact(transaction.conditions, transaction.puts, transaction.removes)
         if (log.isDebugEnabled) log.debug("store {} -> {}", changes.writes.map { it.id }, result)
         return when (result) {
             is StoreResult.Ok -> StoreOutcome.Stored(result.value)
-            is StoreResult.Conflict -> conflict(result)
-            is StoreResult.Refused -> if (result.status == BAD_REQUEST) tooLarge(term, changes) else NOTHING_STORED
+            is StoreResult.Conflict -> handleConflict(result)
+            is StoreResult.Refused ->
+                if (result.status == BAD_REQUEST_STATUS) handleTooLarge(term, changes) else NOTHING_STORED
             is StoreResult.Missing, is StoreResult.Unknown -> {
-                // It may have been applied, or may be later: the versions read now decide, and each write's
-                // condition on the job's version keeps a late one from undoing a newer.
+                // The transaction may have been applied, or may be applied later. The versions read now decide, and
+                // each write's condition on the job's version prevents a late write from undoing a newer one.
                 cache.sync(UNKNOWN_SYNC_TIMEOUT)
                 StoreOutcome.Unknown
             }
@@ -61,10 +62,11 @@
     }
 
     /**
-     * What writes in a sealed form are conditioned on besides. Without a permit only records that are stored so already
-     * may be rewritten in it; null if others are among them, which the core decided on while it was allowed.
+     * Returns the additional conditions of writes in the sealed form. Without a permit only records that are already
+     * stored in that form may be rewritten in it. Returns null if [changes] contain other sealed records, which the
+     * core decided to write while that was permitted.
      */
-    private fun guards(changes: StoreChanges): Map<String, Long>? {
+    private fun sealedFormConditions(changes: StoreChanges): Map<String, Long>? {
         val sealed = changes.writes.filterIsInstance<UpdateJobRecord>().filter { RecordWire.needsSealing(it.record) }
         if (sealed.isEmpty()) return emptyMap()
         features.permit(FeatureRegistry.SEALED_RECORDS)?.let { return it.conditions() }
@@ -76,7 +78,7 @@
         return RecordWire.isSealed(item.value)
     }
 
-    private fun conflict(conflict: StoreResult.Conflict): StoreOutcome {
+    private fun handleConflict(conflict: StoreResult.Conflict): StoreOutcome {
         if (Keys.LEAD in conflict.keys) {
             leadership.stepDown("a write was refused")
         } else {
@@ -87,10 +89,10 @@
     }
 
     /**
-     * The changes are larger than the key-value store takes by now. If they are one job's record, its description is
-     * stored in parts: their content never changes, so they may be written at any time and by anybody.
+     * Handles changes that are larger than the key-value store accepts by now. If they consist of one job's record, its
+     * description is stored in parts. The content of the parts never changes, so any node may write them at any time.
      */
-    private fun tooLarge(term: Term, changes: StoreChanges): StoreOutcome {
+    private fun handleTooLarge(term: Term, changes: StoreChanges): StoreOutcome {
         val update = changes.writes.singleOrNull() as? UpdateJobRecord
         val permit = features.permit(FeatureRegistry.SEALED_RECORDS)
         if (update == null || update.record.descriptionParts > 0 || permit == null) return StoreOutcome.TooLarge()
@@ -103,10 +105,10 @@
     private companion object {
         val log = loggerOf(StoreWriter::class.java)
 
-        /** No condition of a job's own failed. */
+        /** Nothing was stored, although no condition on a job's own keys failed. */
         val NOTHING_STORED = StoreOutcome.Refused(emptySet())
-        const val QUEUE_CAPACITY = 4
-        const val BAD_REQUEST = 400
+        const val MAX_QUEUED_WRITES = 4
+        const val BAD_REQUEST_STATUS = 400
         val UNKNOWN_SYNC_TIMEOUT = 2.seconds
         val CONFLICT_SYNC_TIMEOUT = 1.seconds
     }
--- a/src/main/kotlin/glenspool/controller/Transaction.kt
+++ b/src/main/kotlin/glenspool/controller/Transaction.kt
@@ -9,12 +9,15 @@
 import glenspool.wire.FinalWire
 import glenspool.wire.RecordWire
 
-/** A compare-and-swap of the key-value store: [conditions] are the versions that keys must have, 0 if absent. */
+/**
+ * A conditional transaction of the key-value store. [conditions] are the versions that keys must have; an absent key
+ * has the version 0.
+ */
 data class Transaction(val conditions: Map<String, Long>, val puts: List<Put>, val removes: List<String>)
 
 /**
- * Turns the core's writes into one transaction that holds only under the leadership record's version [recordVersion]
- * and under [extraConditions].
+ * Converts the core's writes into one transaction that is applied only if the leadership record's version is still
+ * [recordVersion] and [extraConditions] hold.
  */
 fun transactionOf(
     recordVersion: Long,
@@ -22,11 +25,11 @@
     extraConditions: Map<String, Long> = emptyMap(),
 ): Transaction {
     val builder = TransactionBuilder()
-    // A deposed leader's writes fail on this however late they arrive.
+    // Because of this condition a deposed leader's writes fail, however late they arrive.
     builder.conditions[Keys.LEAD] = recordVersion
     builder.conditions.putAll(extraConditions)
     for (write in store.writes) {
-        // Nor may an older write of this same leader, arriving late, undo a newer one.
+        // Because of this condition an older write of this same leader that arrives late can't undo a newer one.
         builder.conditions[Keys.job(write.id)] = write.version
         when (write) {
             is UpdateJobRecord -> builder.add(write)
@@ -57,7 +60,8 @@
     }
 
     fun add(final: StoreFinalState) {
-        // Done and cancelled exclude each other: a cancellation is stored only while no final state is.
+        // Done and cancelled exclude each other: this condition fails if a cancellation was stored in the meantime, and
+        // a cancellation is stored only while there is no final state.
         conditions[Keys.cancel(final.id)] = final.cancelVersion ?: 0
         puts.add(Put(Keys.final(final.id), FinalWire.encode(final.finalState, final.tasks, final.abortedBy)))
         removes.add(Keys.job(final.id))
--- a/src/main/kotlin/glenspool/controller/WarmUp.kt
+++ b/src/main/kotlin/glenspool/controller/WarmUp.kt
@@ -18,60 +18,64 @@
 import kotlin.time.TimeSource
 
 /**
- * Runs a leader's code on a simulated fleet while this node follows. Code that a process runs for the first time takes
- * many times as long as later, when it is compiled: a node that took over cold, with a twentieth of a core, was behind
- * with all its workers for more than ten seconds. The warm-up takes at most half of the time, in slices, waits while
- * many workers send heartbeats here, which warms as well, and ends for good when it has done enough or the node leads.
- * [addr]: this node's own address for [PATH].
+ * Runs a leader's code on a simulated fleet while this node is a follower. Code that a process runs for the first time
+ * takes many times as long as later, when it has been compiled. A node that was elected without a warm-up, with a
+ * twentieth of a processor core, had a backlog of heartbeats from all its workers for more than ten seconds. The
+ * warm-up runs in slices that take at most half of the time. It pauses while many workers send heartbeats to this node,
+ * which warm up the code as well, and ends after a fixed number of turns or when the node leads. [addr]: this node's
+ * own address, where it serves [PATH].
  */
 class WarmUp(
     private val config: SchedulerConfig,
     private val addr: String,
     private val initialDelay: Duration = INITIAL_DELAY,
-    /** How many heartbeats this node has answered so far. */
+    /** Returns the number of heartbeats that this node has answered so far. */
     private val answeredHeartbeats: () -> Long,
     private val isLeading: () -> Boolean,
 ) {
     private val http = HttpCaller(500.milliseconds)
 
-    /** The service thread; it is over when this returns. Nothing depends on it: on failure the node stays colder. */
+    /**
+     * The body of the service thread, which ends when this function returns. Nothing depends on the warm-up: if it
+     * fails, the node is only slower when it begins to lead.
+     */
     fun run() {
         Thread.sleep(initialDelay.inWholeMilliseconds)
-        val begun = TimeSource.Monotonic.markNow()
+        val startedAt = TimeSource.Monotonic.markNow()
         val fleet = WarmUpFleet(config)
         var isReachable = true
-        var worked = Duration.ZERO
-        repeat(TURNS) {
+        var workingTime = Duration.ZERO
+        repeat(TURN_COUNT) {
             if (isLeading()) return
-            val slice = TimeSource.Monotonic.markNow()
+            val sliceStart = TimeSource.Monotonic.markNow()
             fleet.runTurn()
             exerciseStoreFormats(fleet)
-            repeat(CALLS_A_TURN) { if (isReachable) isReachable = sendHeartbeat(fleet) }
-            worked += slice.elapsedNow()
-            // As long as the slice took, so that half of the processor is left for other requests.
-            pause(slice.elapsedNow().coerceIn(MIN_PAUSE, MAX_PAUSE))
+            repeat(HEARTBEATS_PER_TURN) { if (isReachable) isReachable = sendHeartbeat(fleet) }
+            workingTime += sliceStart.elapsedNow()
+            // The pause is as long as the slice took, so that half of the processor time remains for other requests.
+            pause(sliceStart.elapsedNow().coerceIn(MIN_PAUSE, MAX_PAUSE))
         }
-        log.info("warm-up finished after={} working={}", begun.elapsedNow(), worked)
+        log.info("warm-up finished after={} working={}", startedAt.elapsedNow(), workingTime)
     }
 
-    /** Pauses for [first], and on while many workers send heartbeats here. */
+    /** Pauses for [first], and then for as long as many workers send heartbeats to this node. */
     private fun pause(first: Duration) {
         var next = first
         while (!isLeading()) {
             val before = answeredHeartbeats()
             Thread.sleep(next.inWholeMilliseconds)
-            if (answeredHeartbeats() - before <= next.inWholeMilliseconds * BUSY_A_SECOND / 1000) return
+            if (answeredHeartbeats() - before <= next.inWholeMilliseconds * BUSY_HEARTBEATS_PER_SECOND / 1000) return
             next = 1.seconds
         }
     }
 
-    /** The code between the core and the key-value store. */
+    /** Runs the code between the core and the key-value store. */
     private fun exerciseStoreFormats(fleet: WarmUpFleet) {
         val changes = fleet.lastStore ?: return
         transactionOf(1, changes).puts.forEach { Cbor.decodeMap(Cbor.encode(it.value)) }
     }
 
-    /** Sends a heartbeat to this node itself. False: it was not answered. */
+    /** Sends a heartbeat to this node itself. Returns false if it was not answered. */
     private fun sendHeartbeat(fleet: WarmUpFleet): Boolean {
         val result = http.post(addr, PATH, WorkerWire.encode(fleet.lastHeartbeat), 2.seconds)
         return result is CallResult.Answer && result.status == Status.OK.code
@@ -80,13 +84,13 @@
     companion object {
         private val log = loggerOf(WarmUp::class.java)
 
-        /** The path on the internal port that takes the simulated heartbeats. */
+        /** The path on the internal port to which the simulated heartbeats are sent. */
         const val PATH = "/peer/warm-up"
-        private const val TURNS = 240
-        private const val CALLS_A_TURN = 2
+        private const val TURN_COUNT = 240
+        private const val HEARTBEATS_PER_TURN = 2
 
-        /** Above so many heartbeats a second the node counts as busy. */
-        private const val BUSY_A_SECOND = 20
+        /** With more heartbeats per second the node counts as busy, and the warm-up pauses. */
+        private const val BUSY_HEARTBEATS_PER_SECOND = 20
         private val INITIAL_DELAY: Duration = 3.seconds
         private val MIN_PAUSE: Duration = 50.milliseconds
         private val MAX_PAUSE: Duration = 2.seconds
--- a/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
@@ -35,11 +35,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A leader's writes and its election while levels are managed, over loopback against a stand-in for the state service.
+ * A leader's writes and its election while levels are managed, over loopback against a simulated key-value store.
  */
 class FeatureLevelWritesTest {
-    private val state = InMemoryStore()
-    private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
+    private val store = InMemoryStore()
+    private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, store::serve)
     private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val gate =
@@ -63,7 +63,7 @@
 
     private fun storeLevel(level: Int, stage: LevelStage) {
         val record = RolloutWire.encode(LevelRecord(level, "n", stage, 1, 5.milliseconds))
-        state.transact(emptyMap(), listOf(Put(Keys.LEVEL, record)), emptyList())
+        store.transact(emptyMap(), listOf(Put(Keys.LEVEL, record)), emptyList())
         assertTrue(cache.sync(2.seconds))
     }
 
@@ -73,9 +73,9 @@
             placementParts = mapOf(0 to listOf(StoredPlacement(2, 3, "i-2"))),
         )
 
-    /** Stores [record] over the job's present one; null: no outcome within five seconds. */
+    /** Replaces the job's stored record with [record]. Returns null if there is no outcome within five seconds. */
     private fun writeRecord(term: Term, record: JobRecord): StoreOutcome? {
-        val version = state.get(Keys.job("a"))?.version ?: 0L
+        val version = store.get(Keys.job("a"))?.version ?: 0L
         assertTrue(cache.sync(2.seconds))
         val parts = record.placementParts.mapValues { 1L }
         val update = UpdateJobRecord("a", version, record, emptyList(), 1, false, parts)
@@ -89,13 +89,13 @@
     fun `a record is split only under a permit, and an already split record may be rewritten without one`() {
         val term = awaitElection()
         assertEquals(StoreOutcome.Refused(emptySet()), writeRecord(term, splitRecord))
-        assertNull(state.get(Keys.job("a")))
+        assertNull(store.get(Keys.job("a")))
         assertTrue(writeRecord(term, splitRecord.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
         storeLevel(1, LevelStage.ACTIVE)
         assertTrue(writeRecord(term, splitRecord) is StoreOutcome.Stored)
         storeLevel(1, LevelStage.LEAVING)
         assertTrue(writeRecord(term, splitRecord.copy(lastAttempt = 4)) is StoreOutcome.Stored)
-        assertTrue(RecordWire.isSealed(state.entries.getValue(Keys.job("a")).value))
+        assertTrue(RecordWire.isSealed(store.entries.getValue(Keys.job("a")).value))
         assertTrue(writeRecord(term, splitRecord.copy(placementParts = emptyMap())) is StoreOutcome.Stored)
         assertEquals(StoreOutcome.Refused(emptySet()), writeRecord(term, splitRecord))
     }
@@ -104,26 +104,26 @@
     fun `a write is refused if its level changes to LEAVING just before the transaction`() {
         val term = awaitElection()
         storeLevel(1, LevelStage.ACTIVE)
-        state.beforeTransaction = { puts ->
+        store.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("a") }) {
-                state.beforeTransaction = {}
+                store.beforeTransaction = {}
                 val record = RolloutWire.encode(LevelRecord(1, "n", LevelStage.LEAVING, 1, 5.milliseconds))
-                state.transact(emptyMap(), listOf(Put(Keys.LEVEL, record)), emptyList())
+                store.transact(emptyMap(), listOf(Put(Keys.LEVEL, record)), emptyList())
             }
         }
         assertEquals(StoreOutcome.Refused(setOf(Keys.LEVEL)), writeRecord(term, splitRecord))
-        assertNull(state.get(Keys.job("a")))
+        assertNull(store.get(Keys.job("a")))
     }
 
     @Test
     fun `a process that can't read the active level is not elected, even as the only candidate`() {
         awaitElection()
-        val lease = checkNotNull(state.entries[Keys.LEAD]?.lease)
+        val lease = checkNotNull(store.entries[Keys.LEAD]?.lease)
         storeLevel(2, LevelStage.ACTIVE)
         leadership.resign("fenced", Duration.ZERO)
-        state.endLease(lease)
+        store.endLease(lease)
         assertNull(elected.poll(1200, TimeUnit.MILLISECONDS))
-        assertNull(state.get(Keys.LEAD))
+        assertNull(store.get(Keys.LEAD))
         storeLevel(1, LevelStage.ACTIVE)
         awaitElection()
     }
--- a/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
+++ b/src/test/kotlin/glenspool/controller/ServiceThreadsTest.kt
@@ -6,28 +6,28 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration
 
-/** A node must not live on with one of its service threads dead: least of all a leader without its core. */
+/** A node must not keep running after one of its service threads has ended, least of all a leader without its core. */
 class ServiceThreadsTest {
     private val fatalCalls = AtomicInteger()
     private val threads = ServiceThreads({ fatalCalls.incrementAndGet() }, Duration.ZERO)
 
     @Test
     fun `an unrecoverable error in a service thread ends the process`() {
-        threads.start("broken") { throw NoClassDefFoundError("as when a class can't be loaded") }
-        // Joined, not waited for: a thread that only died would be seen, too.
+        threads.start("broken") { throw NoClassDefFoundError("simulated class that can't be loaded") }
+        // Joins the thread instead of waiting for the call, so that a thread that ends without the call fails the test.
         threads.join()
         assertEquals(1, fatalCalls.get())
     }
 
     @Test
     fun `a service thread that fails is restarted, and one that is interrupted ends`() {
-        val begun = CountDownLatch(3)
+        val remainingRuns = CountDownLatch(3)
         threads.start("failing") {
-            begun.countDown()
-            check(begun.count == 0L) { "fails until it was begun three times" }
+            remainingRuns.countDown()
+            check(remainingRuns.count == 0L) { "simulated failure before the third run" }
             CountDownLatch(1).await()
         }
-        begun.await()
+        remainingRuns.await()
         threads.close()
         threads.join()
         assertEquals(0, fatalCalls.get())
@@ -39,7 +39,7 @@
         threads.startOnce("returning") { runs.incrementAndGet() }
         threads.startOnce("failing") {
             runs.incrementAndGet()
-            throw IllegalStateException("as a broken thread would")
+            throw IllegalStateException("simulated failure")
         }
         threads.join()
         assertEquals(2, runs.get())
--- a/src/test/kotlin/glenspool/controller/TransactionTest.kt
+++ b/src/test/kotlin/glenspool/controller/TransactionTest.kt
@@ -17,7 +17,7 @@
 import java.util.BitSet
 import kotlin.time.Duration
 
-/** What the transactions of a leader are conditioned on. */
+/** The conditions of a leader's transactions. */
 class TransactionTest {
     private val store = InMemoryStore()
 
@@ -41,7 +41,7 @@
     private fun transaction(recordVersion: Long, write: JobWrite) =
         transactionOf(recordVersion, StoreChanges(listOf(write)))
 
-    /** The keys whose conditions failed; null: the transaction was applied. */
+    /** Returns the keys whose conditions failed, or null if the transaction was applied. */
     private fun apply(transaction: Transaction) =
         store.transact(transaction.conditions, transaction.puts, transaction.removes)
 
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration
 
-/** What a node runs while it follows, so that it does not lead cold. */
+/** The warm-up, which runs a leader's code on a follower so that the code is compiled before an election. */
 class WarmUpTest {
     @Test
     fun `the simulated fleet starts tasks and finishes jobs, and its number of open jobs stays bounded`() {
@@ -43,7 +43,7 @@
             WarmUp.answer(request)
         }.use { listener ->
             var leadershipChecks = 0
-            // Checked before each turn and in each pause.
+            // Leadership is checked before each turn and in each pause.
             WarmUp(config(), "127.0.0.1:${listener.port}", Duration.ZERO, { 0 }) { leadershipChecks++ >= 6 }.run()
             assertEquals(6, heartbeats.get())
         }
