--- a/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
+++ b/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
@@ -6,39 +6,42 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Decides which workers' heartbeats wait for the core's commands. [term]: this node's term, if it may act as leader
- * now; [post]: hands a heartbeat to the core.
+ * Decides which workers' heartbeats wait for the core's commands.
+ *
+ * @param term this node's term; null if the node may not act as leader at present
+ * @param post queues a heartbeat for the core
  */
 class HeartbeatIntake(
     private val pending: PendingHeartbeats,
     private val term: () -> Term?,
     private val post: (PendingHeartbeat) -> Unit,
 ) {
-    /** The term for which the core has loaded all that is stored; null: none yet. */
+    /** The last term for which the core has loaded all stored state; null if there is none yet. */
     @Volatile
     var readyTerm: Term? = null
 
     /**
-     * [answer] gets null where there are no commands: this node does not lead, or its core is behind. The worker's
-     * lease is then kept like that of a node without a leader, and its next heartbeat carries the same status. It is
-     * called once, by any thread.
+     * Has the heartbeat answered with the core's commands. If this node does not lead or its core is overloaded, [answer]
+     * receives null. The worker's lease is then renewed as on a node that knows no leader, and the worker's next
+     * heartbeat carries the same status. [answer] is called once, on any thread.
      */
     fun accept(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit) {
         val current = term()
-        // A core that is still loading what is stored would hold all workers for longer than they wait.
+        // While the core is still loading the stored state, a queued heartbeat would wait for longer than its worker
+        // does.
         val isReady = current != null && current == readyTerm
         val added = if (isReady) pending.add(heartbeat, answer) else null
         if (added == null) return answer(null)
-        // Nor may workers wait behind a core that can't keep up; it takes their heartbeats in all the same, as signs of
-        // life.
+        // An overloaded core must not keep workers waiting either. It still processes their heartbeats, which show
+        // that the machines are alive.
         if (pending.oldestWait() >= OVERLOAD_WAIT_THRESHOLD) added.complete(null)
         post(added)
     }
 
     companion object {
         /**
-         * With a longer wait the core counts as unable to keep up. Well below the time for which workers wait: an
-         * answer that is sent now still has to reach the worker.
+         * The core counts as overloaded if the oldest heartbeat has waited for this long. The value is well below the
+         * time for which workers wait, because an answer sent at this point still has to reach the worker.
          */
         val OVERLOAD_WAIT_THRESHOLD: Duration = 1.seconds
     }
--- a/src/main/kotlin/glenspool/controller/InternalRouter.kt
+++ b/src/main/kotlin/glenspool/controller/InternalRouter.kt
@@ -6,11 +6,11 @@
 import org.http4k.core.Request
 import org.http4k.core.Response
 
-/** Routes the requests on the controllers' own port by their path. */
+/** Routes the requests on the controllers' internal port by their path. */
 internal class InternalRouter(
     private val peers: PeerServer,
     private val recovery: HttpHandler,
-    /** Null: levels are not managed. */
+    /** Null if levels are not managed. */
     private val rollout: HttpHandler?,
 ) : HttpHandler {
     override fun invoke(request: Request): Response {
--- a/src/main/kotlin/glenspool/controller/PendingHeartbeat.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeat.kt
@@ -6,24 +6,27 @@
 import kotlin.time.Duration
 
 /**
- * A worker's heartbeat that waits for the core. It is answered once, by whoever is first; the core takes it in even if
- * it was answered before, since it still shows that the machine is alive.
+ * A worker's heartbeat that waits for the core. It is answered once, by the first thread that calls [complete]. The
+ * core processes it even if it was answered before, since it still shows that the machine is alive.
  */
 class PendingHeartbeat internal constructor(
     val heartbeat: Heartbeat,
-    /** When it arrived, by the steady clock. */
+    /** When the heartbeat arrived, in monotonic time. */
     internal val arrivedAt: Duration,
     private val answer: (WorkerCommands?) -> Unit,
 ) {
     private val answered = AtomicBoolean()
 
-    /** Whether the core has taken it in. */
+    /** Whether the heartbeat no longer waits for the core. */
     @Volatile
     internal var isDequeued = false
 
     internal val isAnswered: Boolean get() = answered.get()
 
-    /** Null: this node has no commands to give. False: it was answered before. */
+    /**
+     * Answers the worker with [commands], which are null if this node has none to give. Returns false if the heartbeat
+     * was answered before.
+     */
     fun complete(commands: WorkerCommands?): Boolean {
         if (!answered.compareAndSet(false, true)) return false
         answer(commands)
--- a/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
+++ b/src/main/kotlin/glenspool/controller/PendingHeartbeats.kt
@@ -10,29 +10,31 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The heartbeats that wait for the core, bounded by count and by time. Beyond the count a heartbeat is refused here and
- * its worker's lease kept without the core; so is one that has waited so long that its worker would soon turn to
- * another node. [clock]: any steady time. Safe for several threads.
+ * The heartbeats that wait for the core, limited in number and in waiting time. A heartbeat above the limit is rejected
+ * and its worker's lease renewed without the core. The same is done for the worker of a heartbeat that has waited so
+ * long that the worker would soon switch to another node. Thread-safe.
+ *
+ * @param clock any monotonic time
  */
 class PendingHeartbeats(private val clock: () -> Duration) {
-    /** In the order in which they arrived. */
+    /** In order of arrival. */
     private val queue = ConcurrentLinkedQueue<PendingHeartbeat>()
     private val waiting = AtomicInteger()
 
-    /** Whether one was refused since the backlog was last asked for. */
-    private val hasRefused = AtomicBoolean()
+    /** Whether a heartbeat was rejected since the last call of [backlog]. */
+    private val hasRejected = AtomicBoolean()
 
-    /** Null: too many wait. */
+    /** Queues the heartbeat. Returns null if too many are waiting. */
     fun add(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit): PendingHeartbeat? {
         if (waiting.incrementAndGet() > MAX_WAITING_HEARTBEATS) {
             waiting.decrementAndGet()
-            hasRefused.set(true)
+            hasRejected.set(true)
             return null
         }
         return PendingHeartbeat(heartbeat, clock(), answer).also { queue.add(it) }
     }
 
-    /** The core takes [pending] in. */
+    /** Removes [pending] from the waiting heartbeats; to be called when the core begins to process it. */
     fun dequeue(pending: PendingHeartbeat) {
         if (pending.isDequeued) return
         pending.isDequeued = true
@@ -40,7 +42,7 @@
         while (queue.peek()?.isDequeued == true) queue.poll()
     }
 
-    /** Answers all without commands: the core will take none of them in any more. */
+    /** Removes all heartbeats and answers them without commands, since the core will not process any of them. */
     fun drop() {
         for (pending in queue) {
             dequeue(pending)
@@ -49,21 +51,24 @@
     }
 
     /**
-     * How far the core is behind: how long the oldest heartbeat has waited for it, or more if some were refused since
-     * the last call.
+     * How far the core is behind. This is the wait of the oldest heartbeat, and at least [ANSWER_TIMEOUT] if a
+     * heartbeat was rejected since the last call.
      */
-    fun backlog(): Duration = if (hasRefused.getAndSet(false)) maxOf(oldestWait(), ANSWER_TIMEOUT) else oldestWait()
+    fun backlog(): Duration = if (hasRejected.getAndSet(false)) maxOf(oldestWait(), ANSWER_TIMEOUT) else oldestWait()
 
-    /** How long the oldest heartbeat has waited for the core. */
+    /** How long the oldest heartbeat has waited for the core; zero if none waits. */
     fun oldestWait(): Duration = queue.firstOrNull { !it.isDequeued }?.let { clock() - it.arrivedAt } ?: Duration.ZERO
 
-    /** Answers those that have waited for too long, without commands. */
+    /** Answers the heartbeats that have waited for too long, without commands. They still wait for the core. */
     fun expire() {
         for (pending in queue) {
             if (pending.isDequeued || pending.isAnswered) continue
             if (clock() - pending.arrivedAt < ANSWER_TIMEOUT) return
             if (pending.complete(null)) {
-                log.warn("heartbeat of {} was not answered in time", pending.heartbeat.machine)
+                log.warn(
+                    "the core did not process the heartbeat of {} in time, answered without commands",
+                    pending.heartbeat.machine,
+                )
             }
         }
     }
@@ -71,10 +76,9 @@
     companion object {
         private val log = loggerOf(PendingHeartbeats::class.java)
 
-        /** How many heartbeats may wait at once. */
         const val MAX_WAITING_HEARTBEATS = 128
 
-        /** A worker waits 4 s for an answer; the rest is for the way to it and for timers that are late. */
+        /** Workers wait 4 s for an answer. The difference allows for network latency and late timers. */
         val ANSWER_TIMEOUT: Duration = 2500.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/UserRouter.kt
+++ b/src/main/kotlin/glenspool/controller/UserRouter.kt
@@ -13,11 +13,12 @@
 import org.http4k.core.then
 
 /**
- * Users' requests, received directly or relayed: behind the fence, and with refusals counted, where levels are managed.
+ * Handles users' requests, whether received directly or relayed by another node. If levels are managed, a fenced
+ * process refuses all of them, and refusals are counted.
  */
 internal class UserRouter(
     private val userApi: UserApi,
-    /** Null: levels are not managed. */
+    /** Null if levels are not managed. */
     private val gate: FeatureGate?,
     health: HealthCounters,
 ) : HttpHandler {
@@ -30,7 +31,7 @@
 
     override fun invoke(request: Request): Response = handler(request)
 
-    /** A request that another node relayed; a fenced process is as good as one without the key-value store. */
+    /** Answers a request that another node relayed. A fenced process answers as if it had lost the key-value store. */
     fun handleRelayed(request: RelayRequest): RelayAnswer =
         if (gate?.fence() != null) {
             RelayAnswer(Status.SERVICE_UNAVAILABLE.code, ByteArray(0), null)
--- a/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
+++ b/src/test/kotlin/glenspool/controller/HeartbeatIntakeTest.kt
@@ -7,9 +7,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Workers wait 4 s for an answer, and a leader that is starting or behind must not let that time go by. */
+/** Workers wait 4 s for an answer, so a leader that is starting or overloaded must answer them within that time. */
 class HeartbeatIntakeTest {
-    /** What [machine]'s worker was answered; null: without the core's commands. */
+    /** The answer to [machine]'s worker; [commands] is null if it was answered without the core. */
     private data class Answer(val machine: String, val commands: WorkerCommands?)
 
     private var now = Duration.ZERO
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `a heartbeat waits for the core only once the core has begun this node's term`() {
+    fun `heartbeats wait for the core only after it has loaded the state for this node's term`() {
         receive("follower")
         term = Term(3, 10, 1)
         receive("elected")
--- a/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
+++ b/src/test/kotlin/glenspool/controller/PendingHeartbeatsTest.kt
@@ -11,10 +11,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A core that is behind must cost no worker its lease: what waits is bounded by count and by time, and answered once.
+ * No worker may lose its lease because the core is overloaded. Waiting heartbeats are therefore limited in number and
+ * in waiting time, and each is answered once.
  */
 class PendingHeartbeatsTest {
-    /** What [machine]'s worker was answered; null: without the core's commands. */
+    /** The answer to [machine]'s worker; [commands] is null if it was answered without the core. */
     private data class Answer(val machine: String, val commands: WorkerCommands?)
 
     private var now = Duration.ZERO
@@ -27,7 +28,7 @@
         return heartbeats.add(heartbeat) { answers.add(Answer(machine, it)) }
     }
 
-    private fun take(pending: PendingHeartbeat) {
+    private fun process(pending: PendingHeartbeat) {
         heartbeats.dequeue(pending)
         pending.complete(commands)
     }
@@ -37,7 +38,7 @@
         val all = List(PendingHeartbeats.MAX_WAITING_HEARTBEATS) { add("m$it") }
         assertTrue(all.all { it != null })
         assertNull(add("too many"))
-        all.first()?.let { take(it) }
+        all.first()?.let { process(it) }
         assertNotNull(add("next"))
         assertNull(add("too many again"))
     }
@@ -65,7 +66,7 @@
         heartbeats.expire()
         assertEquals(listOf(Answer("first", null)), answers)
         assertEquals(PendingHeartbeats.ANSWER_TIMEOUT, heartbeats.backlog())
-        first?.let { take(it) }
+        first?.let { process(it) }
         assertEquals(Duration.ZERO, heartbeats.backlog())
         assertEquals(listOf(Answer("first", null)), answers)
     }
@@ -74,7 +75,7 @@
     fun `the backlog is the wait of the oldest heartbeat, and a rejection raises it once`() {
         assertEquals(Duration.ZERO, heartbeats.backlog())
         val all = List(PendingHeartbeats.MAX_WAITING_HEARTBEATS) { add("m$it").also { now += 1.milliseconds } }
-        all.first()?.let { take(it) }
+        all.first()?.let { process(it) }
         assertEquals((PendingHeartbeats.MAX_WAITING_HEARTBEATS - 1).milliseconds, heartbeats.backlog())
         add("fits")
         add("too many")
