--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -17,103 +17,110 @@
 import kotlin.time.TimeSource
 
 /**
- * Exchanges known cancellations with the other controllers: at once when there is a new one, and periodically. Safe for
- * several threads.
+ * Exchanges known cancellations with the other controllers, immediately after a new one and otherwise periodically.
+ * Thread-safe.
  */
 class CancellationExchange(
     private val node: String,
     private val cancellations: Cancellations,
     private val peers: PeerClient,
     private val uptime: () -> Duration,
-    /** Whether the key-value store does not keep this node up to date. */
-    private val isStale: () -> Boolean,
-    /** Gets the cancellations that another controller reported and this one did not know. */
-    private val learned: (List<Cancellation>) -> Unit,
+    /** Whether the key-value store does not keep this node up to date at present. */
+    private val isRefreshOverdue: () -> Boolean,
+    /** Called with the cancellations that another controller reported and this one did not know. */
+    private val onNewCancellations: (List<Cancellation>) -> Unit,
 ) {
     private val lock = ReentrantLock()
 
-    /** There is something to send. */
-    private val hasNews = lock.newCondition()
+    /** Signalled when there is something new to send. */
+    private val updateAvailable = lock.newCondition()
 
-    /** A member answered. Not the same condition: each answer would make the threads send again, for ever. */
-    private val wasAnswered = lock.newCondition()
+    /**
+     * Signalled when a member has answered. This is not the same condition as [updateAvailable], because each answer
+     * would then make the exchange threads send again, in an endless loop.
+     */
+    private val answerReceived = lock.newCondition()
 
-    /** The key-value store reported these changes. */
+    /** Adds the cancellations among the [changes] that the key-value store reported. */
     fun storeChanged(changes: List<StoreWire.Change>) {
         val newCount = changes.count(::addStored)
-        if (newCount > 0) lock.withLock { hasNews.signalAll() }
+        if (newCount > 0) lock.withLock { updateAvailable.signalAll() }
     }
 
     private fun addStored(change: StoreWire.Change): Boolean =
         try {
             change.cancellation()?.let(cancellations::add) ?: false
         } catch (e: MalformedMessage) {
-            log.error("stored record {} is not readable", change.key, e)
+            log.error("stored cancellation {} could not be decoded, not sent to other controllers", change.key, e)
             false
         }
 
-    /** The service thread that keeps one other controller up to date. */
+    /** The service thread that keeps the controller [member] up to date. */
     fun run(member: Member) {
         while (true) {
             if (!exchangeWith(member)) {
-                // Tried again after a pause, even if there is something to send.
-                Thread.sleep(RETRY.inWholeMilliseconds)
+                // Retried only after the delay, even if there is something new to send.
+                Thread.sleep(RETRY_INTERVAL.inWholeMilliseconds)
                 continue
             }
             lock.withLock {
                 if (!cancellations.needsUpdate(member.name)) {
-                    val pause = if (isStale()) RETRY else PERIOD
-                    hasNews.await(pause.inWholeMilliseconds, TimeUnit.MILLISECONDS)
+                    val interval = if (isRefreshOverdue()) RETRY_INTERVAL else EXCHANGE_INTERVAL
+                    updateAvailable.await(interval.inWholeMilliseconds, TimeUnit.MILLISECONDS)
                 }
             }
         }
     }
 
-    /** False: the member did not answer, or is of a version that does not know the exchange. */
+    /** Returns false if the member did not answer, or if its version does not support the exchange. */
     private fun exchangeWith(member: Member): Boolean {
-        val sent = uptime()
+        val sentAt = uptime()
         val update = cancellations.updateFor(member.name)
         return when (val result = peers.exchange(member, CancellationMessages.encode(node, update))) {
             is PeerClient.Exchange.Answered -> {
                 val answer = CancellationMessages.decode(result.message)
-                takeIn(cancellations.applyReply(member.name, answer, sent))
-                lock.withLock { wasAnswered.signalAll() }
+                processNew(cancellations.applyReply(member.name, answer, sentAt))
+                lock.withLock { answerReceived.signalAll() }
                 true
             }
             PeerClient.Exchange.Unsupported -> {
                 cancellations.markUnsupported(member.name)
-                lock.withLock { wasAnswered.signalAll() }
+                lock.withLock { answerReceived.signalAll() }
                 false
             }
             PeerClient.Exchange.None -> false
         }
     }
 
-    /** Takes in what another controller sent, and answers it; null if it is no member. */
+    /** Processes an update from another controller. Returns the answer; null if the sender is not a member. */
     fun answer(message: CancellationMessage): CancellationMessage? {
-        val (answer, fresh) =
+        val (answer, newCancellations) =
             cancellations.reply(message.node, CancellationMessages.decode(message)) ?: return null
-        takeIn(fresh)
+        processNew(newCancellations)
         return CancellationMessages.encode(node, answer)
     }
 
-    private fun takeIn(fresh: List<Cancellation>) {
-        if (fresh.isEmpty()) return
-        log.info("cancellations learned from another controller jobs={}", fresh.map { it.job })
-        learned(fresh)
-        // The others may not know them: the sender may end before it has reached all.
-        lock.withLock { hasNews.signalAll() }
+    private fun processNew(newCancellations: List<Cancellation>) {
+        if (newCancellations.isEmpty()) return
+        log.info("cancellations learned from another controller jobs={}", newCancellations.map { it.job })
+        onNewCancellations(newCancellations)
+        // Passed on to the other controllers, which may not know these cancellations: the sender may end before it has
+        // reached all of them.
+        lock.withLock { updateAvailable.signalAll() }
     }
 
-    /** Waits a moment until a user may get the answer that the job is cancelled; false: not yet. */
+    /**
+     * Waits until a user may be told that the job is cancelled, for [CONFIRMATION_TIMEOUT] at most. Returns false if
+     * the user must not be told yet.
+     */
     fun awaitConfirmable(job: String): Boolean {
-        val begun = TimeSource.Monotonic.markNow()
+        val startedAt = TimeSource.Monotonic.markNow()
         while (true) {
             lock.withLock {
                 if (cancellations.mayConfirm(job)) return true
-                val left = PATIENCE - begun.elapsedNow()
-                if (left <= Duration.ZERO) return false
-                wasAnswered.await(left.inWholeMilliseconds + 1, TimeUnit.MILLISECONDS)
+                val remaining = CONFIRMATION_TIMEOUT - startedAt.elapsedNow()
+                if (remaining <= Duration.ZERO) return false
+                answerReceived.await(remaining.inWholeMilliseconds + 1, TimeUnit.MILLISECONDS)
             }
         }
     }
@@ -121,11 +128,14 @@
     private companion object {
         val log = loggerOf(CancellationExchange::class.java)
 
-        /** While the key-value store reports to everybody, the exchange only has to show that the other one is up. */
-        val PERIOD = 2.seconds
-        val RETRY = 500.milliseconds
+        /**
+         * While the key-value store reports changes to all controllers, the exchange only has to show that the other
+         * controller is up.
+         */
+        val EXCHANGE_INTERVAL = 2.seconds
+        val RETRY_INTERVAL = 500.milliseconds
 
         /** How long a user's request waits for the other controllers. */
-        val PATIENCE = 600.milliseconds
+        val CONFIRMATION_TIMEOUT = 600.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/CancellationMessages.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationMessages.kt
@@ -6,9 +6,9 @@
 import glenspool.peer.CancellationMessage
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Translates between the messages that controllers exchange about cancellations and the core's terms. */
+/** Converts between the messages that controllers exchange about cancellations and the core's types. */
 internal object CancellationMessages {
-    /** [node]: the sender. */
+    /** Encodes an update that the controller [node] sends. */
     fun encode(node: String, update: CancellationUpdate) =
         CancellationMessage(
             node = node,
@@ -18,7 +18,7 @@
             base = update.base,
             upTo = update.upTo,
             whole = update.whole,
-            // Rounded to the safe side.
+            // Ages are rounded up, which is the safe side.
             completeAge = update.completeAge?.let { it.inWholeMilliseconds + 1 },
             contactAge = update.contactAge.inWholeMilliseconds + 1,
             acknowledgedBoot = update.acknowledgement?.boot,
--- a/src/main/kotlin/glenspool/controller/CancellationRecord.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationRecord.kt
@@ -6,8 +6,8 @@
 import glenspool.wire.StoreWire
 
 /**
- * The cancellation that the change stores; null if it stores none. Throws `MalformedMessage` for a record that is not
- * readable.
+ * The cancellation that the change stores; null if it stores none. Throws `MalformedMessage` for a record that can't be
+ * decoded.
  */
 internal fun StoreWire.Change.cancellation(): Cancellation? {
     val record = value ?: return null
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -19,9 +19,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * While no leader is known, every controller enforces the cancellation deadline on the machines where, by its store
- * cache, cancelled work was placed: it asks the machines, has the work stopped, and in the end deletes the machine.
- * None of this starts anything, so it needs no leadership; the next leader sees machines that are free or gone.
+ * Enforces the cancellation deadline while no leader is known. Every controller then probes the machines on which,
+ * according to its store cache, cancelled work was placed, stops the work that still runs there, and finally deletes
+ * the machines on which it could not be stopped. None of this starts anything, so it needs no leadership. The next
+ * leader finds these machines either free or deleted.
  */
 class CancelledWorkEnforcement(
     cancellationDeadline: Duration,
@@ -29,35 +30,35 @@
     private val cache: StoreCache,
     private val cloud: CloudClient,
     private val workers: WorkerClient,
-    private val isLed: () -> Boolean,
-    private val wall: () -> Duration,
+    private val hasLeader: () -> Boolean,
+    private val wallTime: () -> Duration,
 ) : AutoCloseable {
     private val tracker = CancelledWorkTracker(cancellationDeadline)
     private val remover = CancelledWorkRemover(cloud, workers)
     private val records = JobRecordReader(cache)
-    private val pool = CallPool("overdue", THREADS, QUEUED_CALLS)
+    private val pool = CallPool("overdue", CHECK_THREADS, MAX_QUEUED_CHECKS)
 
-    /** Machines that are being asked at the moment. */
+    /** Machines that are being checked at the moment. */
     private val inProgress = ConcurrentHashMap.newKeySet<String>()
 
     /** The service thread. */
     fun run() {
         while (true) {
-            Thread.sleep(PERIOD.inWholeMilliseconds)
-            if (!isLed()) enforce()
+            Thread.sleep(CHECK_INTERVAL.inWholeMilliseconds)
+            if (!hasLeader()) enforce()
         }
     }
 
     private fun enforce() {
-        val due = tracker.machinesToProbe(wall(), cancellations.all(), ::machinesOf)
-        if (due.isEmpty()) return
-        // Without the cloud a machine's address is not known here, nor can the machine be deleted: the next round asks
-        // again.
+        val suspects = tracker.machinesToProbe(wallTime(), cancellations.all(), ::machinesOf)
+        if (suspects.isEmpty()) return
+        // Without the cloud's list the machines' addresses are unknown, and without the cloud no machine can be
+        // deleted. The next round asks the cloud again.
         val addresses = cloud.listMachines()?.associate { it.id to it.addr }
-        log.info("cancelled work without a leader machines={} cloud={}", due.map { it.machine }, addresses != null)
+        log.info("cancelled work without a leader machines={} cloud={}", suspects.map { it.machine }, addresses != null)
         if (addresses == null) return
-        due.forEach { checkInBackground(it, addresses[it.machine].orEmpty()) }
-        deleteLate()
+        suspects.forEach { checkInBackground(it, addresses[it.machine].orEmpty()) }
+        deleteOverdue()
     }
 
     private fun checkInBackground(suspect: SuspectMachine, addr: String) {
@@ -73,12 +74,12 @@
         if (!isAccepted) inProgress.remove(suspect.machine)
     }
 
-    /** Asks the machine, and has the cancelled work that it still runs stopped. */
+    /** Probes the machine and stops the cancelled work that it still runs. */
     private fun checkMachine(suspect: SuspectMachine, addr: String) {
         val heartbeat = remover.probe(suspect.machine, addr)
         val stops = tracker.recordProbe(suspect, heartbeat)
         if (heartbeat == null || stops.isEmpty()) return
-        // With the worker's own token: it starts nothing, and a cancellation is for ever.
+        // The worker's own token is enough, because stops start nothing and a cancellation is never taken back.
         val commands = SendCommands(suspect.machine, addr, heartbeat.token, heartbeat.incarnation, stops)
         val (outcome, heartbeatAfter) = workers.command(commands)
         log.info(
@@ -88,8 +89,8 @@
         if (outcome == CommandOutcome.DONE) tracker.recordProbe(suspect, heartbeatAfter)
     }
 
-    private fun deleteLate() {
-        for (machines in tracker.overdueMachines(wall()).chunked(DeleteMachines.MAX_MACHINES)) {
+    private fun deleteOverdue() {
+        for (machines in tracker.overdueMachines(wallTime()).chunked(DeleteMachines.MAX_MACHINES)) {
             if (remover.delete(machines)) machines.forEach(tracker::recordDeletion)
         }
     }
@@ -100,7 +101,7 @@
             val record = cache.atomically { records.read(job, item.value) }
             (record.placements + record.placementParts.values.flatten()).map { it.machine }
         } catch (e: MalformedMessage) {
-            log.error("stored record of {} is not readable", job, e)
+            log.error("stored record of job {} could not be decoded, its machines are not checked", job, e)
             emptyList()
         }
     }
@@ -109,8 +110,8 @@
 
     private companion object {
         val log = loggerOf(CancelledWorkEnforcement::class.java)
-        val PERIOD = 1.seconds
-        const val THREADS = 16
-        const val QUEUED_CALLS = 10_000
+        val CHECK_INTERVAL = 1.seconds
+        const val CHECK_THREADS = 16
+        const val MAX_QUEUED_CHECKS = 10_000
     }
 }
--- a/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
@@ -8,24 +8,30 @@
 import glenspool.worker.WorkerClient
 
 /**
- * What a controller may do about cancelled work while it does not lead: ask the machine about it and, in the end,
- * delete the machine. Neither starts anything, so no leadership is needed. The calls block.
+ * Probes machines for cancelled work, and finally deletes them, for a controller that does not lead. Neither starts
+ * anything, so no leadership is needed. The calls block.
  */
 internal class CancelledWorkRemover(private val cloud: CloudClient, private val workers: WorkerClient) {
-    /** What [machine] answers at [addr]; null: no address is known, no answer, or another machine answered. */
+    /**
+     * Returns the heartbeat with which [machine] answers at [addr]; null if no address is known, nothing answers, or
+     * another machine answers.
+     */
     fun probe(machine: String, addr: String): Heartbeat? {
         if (addr.isEmpty()) return null
         return workers.probe(addr)?.takeIf { it.machine == machine }
     }
 
-    /** Deletes the machine unless it shows that the cancelled work is gone. True: the cloud confirmed the deletion. */
+    /**
+     * Deletes the machine unless its heartbeat shows that the cancelled work is gone. Returns whether the cloud
+     * confirmed the deletion.
+     */
     fun deleteUnlessWorkGone(overdue: OverdueMachine): Boolean {
         val heartbeat = probe(overdue.machine, overdue.addr)
         if (heartbeat != null && heartbeat.showsNoWorkOf(overdue.jobs)) return false
         return delete(listOf(overdue.machine))
     }
 
-    /** True: the cloud confirmed that the machines are gone. */
+    /** Returns whether the cloud confirmed that the machines are gone. */
     fun delete(machines: List<String>): Boolean {
         val isDeleted = cloud.delete(machines)
         log.info("delete machines={} reason=cancelled-work leading=false ok={}", machines, isDeleted)
--- a/src/main/kotlin/glenspool/controller/HealthCounters.kt
+++ b/src/main/kotlin/glenspool/controller/HealthCounters.kt
@@ -4,32 +4,33 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.LongAdder
 
-/** Counts the symptoms of trouble in this process since its start. Any thread may count. */
+/** Counts the events in this process since its start that indicate problems. Thread-safe. */
 class HealthCounters {
     private val failovers = LongAdder()
     private val expiredLeases = LongAdder()
     private val refusals = LongAdder()
     private val rejectedWrites = LongAdder()
 
-    /** The last incarnation seen of each machine. */
+    /** The last known incarnation of each machine. */
     private val incarnations = ConcurrentHashMap<String, Long>()
 
-    /** This node was elected. */
+    /** Counts that this node was elected. */
     fun countFailover() = failovers.increment()
 
-    /** A user's request was refused. */
+    /** Counts a refused request of a user. */
     fun countRefusal() = refusals.increment()
 
-    /** A leader's transaction was refused by the store. */
+    /** Counts a transaction of the leader that the store rejected. */
     fun countRejectedWrite() = rejectedWrites.increment()
 
     /**
-     * A worker begins a new incarnation when its lease has expired. The first heartbeat of a machine shows nothing.
+     * Counts an expired lease if the machine's incarnation has grown, since a worker begins a new incarnation when its
+     * lease has expired. The first heartbeat of a machine is no evidence of an expired lease.
      */
     fun recordIncarnation(machine: String, incarnation: Long) {
         if (incarnations.size >= MAX_MACHINES) incarnations.clear()
-        val before = incarnations.put(machine, incarnation)
-        if (before != null && incarnation > before) expiredLeases.increment()
+        val previous = incarnations.put(machine, incarnation)
+        if (previous != null && incarnation > previous) expiredLeases.increment()
     }
 
     /** All counts so far. */
--- a/src/main/kotlin/glenspool/controller/OwnPeerStatus.kt
+++ b/src/main/kotlin/glenspool/controller/OwnPeerStatus.kt
@@ -2,14 +2,14 @@
 
 import glenspool.peer.PeerStatus
 
-/** What this node answers the other controllers that ask for its status. */
+/** Builds the status with which this node answers the other controllers. */
 internal class OwnPeerStatus(
     private val node: String,
     private val leadership: Leadership,
     private val freshness: CacheFreshness,
-    /** Null: levels are not managed. */
+    /** Null if levels are not managed. */
     private val rollout: RolloutManager?,
-    /** Null: recovery is not managed. */
+    /** Null if recovery is not managed. */
     private val recovery: RecoveryManager?,
 ) {
     fun read() =
--- a/src/main/kotlin/glenspool/controller/PeerMonitor.kt
+++ b/src/main/kotlin/glenspool/controller/PeerMonitor.kt
@@ -9,72 +9,72 @@
 import kotlin.time.TimeSource
 
 /**
- * Asks the other controllers for their status while the key-value store does not answer this node, and otherwise,
- * where levels are not managed, which stored forms they read.
+ * Requests the other controllers' statuses. While the key-value store does not answer this node, they show which node
+ * leads. Otherwise, if levels are not managed, they show which stored forms the other controllers read.
  */
 internal class PeerMonitor(
     private val peers: PeerClient,
     private val memberCount: Int,
     private val freshness: CacheFreshness,
-    /** Whether this monitor has to find out that all controllers read sealed records. */
+    /** Whether this monitor has to check that all controllers read sealed records. */
     private val checksSealedRecords: Boolean,
 ) {
-    private var membersAskedAt = TimeSource.Monotonic.markNow() - MEMBERS_PERIOD
+    private var membersCheckedAt = TimeSource.Monotonic.markNow() - MEMBER_CHECK_INTERVAL
 
-    /** What the others answered last; empty while the key-value store answers. */
+    /** The last statuses of the other controllers; empty while the key-value store answers. */
     @Volatile
     var statuses: List<PeerStatus> = emptyList()
         private set
 
-    /** Whether all other controllers were asked last and none answered. */
+    /** Whether there are other controllers and none of them answered the last round of requests. */
     @Volatile
     private var hasLostPeers = false
 
     /**
-     * Whether sealed records may be written: every other controller was found to be of a version that reads them. It
-     * stays so: no controller is downgraded without an operator.
+     * Whether sealed records may be written, because every other controller was found to run a version that reads
+     * them. Never reset, since no controller is downgraded without an operator.
      */
     @Volatile
     var mayUseSealedRecords = memberCount == 0
         private set
 
     /**
-     * Whether this node has lost the key-value store and every other controller, though users and workers may still
-     * reach it. Another node may lead then, and no request that arrives here can be decided here.
+     * Whether this node has lost the key-value store and every other controller, although users and workers may still
+     * reach it. Another node may be the leader then, so this node can't decide any request that arrives here.
      */
     fun isIsolated(): Boolean = hasLostPeers && freshness.isRefreshOverdue()
 
     /** The service thread. */
     fun run() {
         while (true) {
-            if (freshness.isRefreshOverdue()) askForLeader() else storeAnswers()
-            Thread.sleep(PERIOD.inWholeMilliseconds)
+            if (freshness.isRefreshOverdue()) requestStatuses() else handleReachableStore()
+            Thread.sleep(POLL_INTERVAL.inWholeMilliseconds)
         }
     }
 
-    private fun askForLeader() {
+    private fun requestStatuses() {
         statuses = peers.statuses()
         hasLostPeers = statuses.isEmpty() && memberCount > 0
     }
 
-    private fun storeAnswers() {
+    private fun handleReachableStore() {
         statuses = emptyList()
         hasLostPeers = false
-        val isCheckOpen = checksSealedRecords && !mayUseSealedRecords
-        if (isCheckOpen && membersAskedAt.elapsedNow() >= MEMBERS_PERIOD) checkSealedRecords()
+        val isCheckPending = checksSealedRecords && !mayUseSealedRecords
+        if (isCheckPending && membersCheckedAt.elapsedNow() >= MEMBER_CHECK_INTERVAL) checkSealedRecords()
     }
 
     private fun checkSealedRecords() {
-        membersAskedAt = TimeSource.Monotonic.markNow()
+        membersCheckedAt = TimeSource.Monotonic.markNow()
         val answers = peers.statuses()
         if (answers.size < memberCount || answers.any { it.reads < PeerStatus.SEALED }) return
-        log.info("all controllers read sealed records")
+        log.info("all controllers read sealed records, which may be written from now on")
         mayUseSealedRecords = true
     }
 
     private companion object {
         val log = loggerOf(PeerMonitor::class.java)
-        val PERIOD: Duration = 500.milliseconds
-        val MEMBERS_PERIOD: Duration = 4.seconds
+        val POLL_INTERVAL: Duration = 500.milliseconds
+        val MEMBER_CHECK_INTERVAL: Duration = 4.seconds
     }
 }
--- a/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
+++ b/src/test/kotlin/glenspool/controller/CancellationExchangeTest.kt
@@ -26,32 +26,32 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Controllers that exchange cancellations over loopback. */
+/** Tests of controllers that exchange cancellations over loopback connections. */
 class CancellationExchangeTest {
     private var now = Duration.ZERO
-    private val learnedByOther = LinkedBlockingQueue<Cancellation>()
-    private val open = ArrayList<AutoCloseable>()
+    private val receivedByOther = LinkedBlockingQueue<Cancellation>()
+    private val openResources = ArrayList<AutoCloseable>()
 
     private inner class Controller(
         name: String,
         other: String,
         client: PeerClient,
-        learned: (List<Cancellation>) -> Unit = {},
+        onNewCancellations: (List<Cancellation>) -> Unit = {},
     ) {
-        val known = Cancellations("$name-1", listOf(other), 100.seconds, { now }) { now }
-        val exchange = CancellationExchange(name, known, client, { now }, { false }, learned)
+        val cancellations = Cancellations("$name-1", listOf(other), 100.seconds, { now }) { now }
+        val exchange = CancellationExchange(name, cancellations, client, { now }, { false }, onNewCancellations)
     }
 
     private fun member(port: Int) = Member("b", "here", InetSocketAddress("127.0.0.1", port))
 
-    /** The internal port of controller [name], which answers exchanges with [answer]. */
-    private fun serve(name: String, answer: (CancellationMessage) -> CancellationMessage?): HttpListener {
+    /** Opens the internal port of controller [name], which answers exchanges with [answer]. */
+    private fun openPort(name: String, answer: (CancellationMessage) -> CancellationMessage?): HttpListener {
         val status = PeerStatus(name, false, null, true)
         val server = PeerServer({ status }, answer) { RelayAnswer(500, ByteArray(0), null) }
-        return HttpListener(InetSocketAddress("127.0.0.1", 0), name, 4, server).also { open.add(it) }
+        return HttpListener(InetSocketAddress("127.0.0.1", 0), name, 4, server).also { openResources.add(it) }
     }
 
-    private fun stored(job: String) = listOf(StoreWire.Change(Keys.cancel(job), mapOf("at" to 0L), 7))
+    private fun storedCancellation(job: String) = listOf(StoreWire.Change(Keys.cancel(job), mapOf("at" to 0L), 7))
 
     private fun runExchange(exchange: CancellationExchange, member: Member) {
         val thread =
@@ -62,55 +62,57 @@
                     Thread.currentThread().interrupt()
                 }
             }
-        open.add(AutoCloseable { thread.interrupt() })
+        openResources.add(AutoCloseable { thread.interrupt() })
     }
 
     @AfterEach
-    fun close() = open.forEach { it.close() }
+    fun close() = openResources.forEach { it.close() }
 
     @Test
-    fun `another controller learns of a cancellation before the user is answered`() {
-        val b = Controller("b", "a", PeerClient(emptyList())) { learnedByOther.addAll(it) }
-        val gate = CountDownLatch(1)
+    fun `a cancellation is confirmed to the user only after the other controller has received it`() {
+        val b = Controller("b", "a", PeerClient(emptyList())) { receivedByOther.addAll(it) }
+        val answerAllowed = CountDownLatch(1)
         val server =
-            serve("b") { message ->
-                gate.await()
+            openPort("b") { message ->
+                answerAllowed.await()
                 b.exchange.answer(message)
             }
         val member = member(server.port)
         val a = Controller("a", "b", PeerClient(listOf(member)))
-        a.exchange.storeChanged(stored("run-1"))
+        a.exchange.storeChanged(storedCancellation("run-1"))
         assertFalse(a.exchange.awaitConfirmable("run-1"))
-        gate.countDown()
+        answerAllowed.countDown()
         runExchange(a.exchange, member)
-        assertEquals(Cancellation("run-1", Duration.ZERO, 7), learnedByOther.poll(10, TimeUnit.SECONDS))
-        assertTrue(b.known.contains("run-1"))
+        assertEquals(Cancellation("run-1", Duration.ZERO, 7), receivedByOther.poll(10, TimeUnit.SECONDS))
+        assertTrue(b.cancellations.contains("run-1"))
         assertTrue(a.exchange.awaitConfirmable("run-1"))
     }
 
     @Test
-    fun `exchange threads that were answered do not wake each other`() {
-        val asked = LinkedBlockingQueue<String>()
+    fun `an answered exchange does not wake the threads that exchange with other members`() {
+        val answeredBy = LinkedBlockingQueue<String>()
         val controllers = listOf("b", "c").associateWith { Controller(it, "a", PeerClient(emptyList())) }
         val members =
             controllers.map { (name, controller) ->
-                val server = serve(name) { message -> controller.exchange.answer(message).also { asked.add(name) } }
+                val server =
+                    openPort(name) { message -> controller.exchange.answer(message).also { answeredBy.add(name) } }
                 Member(name, "here", InetSocketAddress("127.0.0.1", server.port))
             }
-        val known = Cancellations("a-1", members.map { it.name }, 100.seconds, { now }) { now }
-        val a = CancellationExchange("a", known, PeerClient(members), { now }, { false }) {}
+        val cancellations = Cancellations("a-1", members.map { it.name }, 100.seconds, { now }) { now }
+        val a = CancellationExchange("a", cancellations, PeerClient(members), { now }, { false }) {}
         members.forEach { runExchange(a, it) }
-        a.storeChanged(stored("run-1"))
+        a.storeChanged(storedCancellation("run-1"))
         assertTrue(a.awaitConfirmable("run-1"))
-        // One round that found nothing new to tell, and one that told, at most; the next is due after two seconds.
-        val settled = generateSequence { asked.poll(400, TimeUnit.MILLISECONDS) }.take(20).count()
-        assertTrue(settled <= 6, "$settled exchanges")
+        // Each thread exchanges at most twice, once with nothing new to send and once with the cancellation. The next
+        // exchange is due after two seconds.
+        val exchangeCount = generateSequence { answeredBy.poll(400, TimeUnit.MILLISECONDS) }.take(20).count()
+        assertTrue(exchangeCount <= 6, "$exchangeCount exchanges")
     }
 
     @Test
     fun `confirmation waits for an unreachable controller until the isolation timeout`() {
         val a = Controller("a", "b", PeerClient(emptyList()))
-        a.exchange.storeChanged(stored("run-1"))
+        a.exchange.storeChanged(storedCancellation("run-1"))
         assertFalse(a.exchange.awaitConfirmable("run-1"))
         now = 14.seconds
         assertFalse(a.exchange.awaitConfirmable("run-1"))
@@ -121,15 +123,15 @@
     @Test
     fun `confirmation does not wait for a member whose version has no exchange`() {
         val server = HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4) { Response(Status.NOT_FOUND) }
-        open.add(server)
+        openResources.add(server)
         val member = member(server.port)
         val a = Controller("a", "b", PeerClient(listOf(member)))
-        a.exchange.storeChanged(stored("run-1"))
+        a.exchange.storeChanged(storedCancellation("run-1"))
         runExchange(a.exchange, member)
         assertTrue(a.exchange.awaitConfirmable("run-1"))
-        a.known.recordStoreRead(now)
+        a.cancellations.recordStoreRead(now)
         now = 20.seconds
-        // Nor is anything known of what it confirms.
-        assertEquals(Duration.ZERO, a.known.completeUpTo())
+        // An older version answers an unknown path with 404, so this controller does not learn what it confirms.
+        assertEquals(Duration.ZERO, a.cancellations.completeUpTo())
     }
 }
