--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -28,8 +28,9 @@
 import kotlin.time.TimeSource
 
 /**
- * Connects a term's [RecoveryEngine] with the key-value store, the other controllers and the operators. The engine
- * belongs to the core thread, which is reached by events; what is stored and asked is done here.
+ * Connects a term's [RecoveryEngine] with the key-value store, the other controllers and the operators. The engine is
+ * confined to the core thread, to which this class posts events. Records are stored and other controllers queried by
+ * this class, outside of the core thread.
  */
 class RecoveryManager(
     private val node: String,
@@ -45,72 +46,75 @@
 ) {
     private class TermRecovery(val term: Term, val engine: RecoveryEngine)
 
-    /** How the last election that this node stood for would begin its term. */
+    /** The term for which this node last stood for election, and how that term would begin. */
     private class Candidacy(val token: Long, val kind: StartKind)
 
     private val records = RecoveryRecords(cache, RecordStore(store, cache))
 
-    /** Guarded by its own lock, like [storeReadAt]. */
-    private val witness = ContinuityWitness(LEASE_REMAINDER)
+    /** Guarded by its own lock, which also guards [storeReadAt]. */
+    private val continuity = ContinuityWitness(STALE_LEASE_LIMIT)
     private var storeReadAt: Duration? = null
 
-    /** The first term that this process has lived through. */
+    /** The fencing token of the first term that this process has lived through; null if there is none yet. */
     @Volatile
-    private var firstWitnessed: Long? = null
+    private var firstObservedToken: Long? = null
 
     @Volatile
-    private var candidacy: Candidacy? = null
+    private var lastCandidacy: Candidacy? = null
 
     @Volatile
     private var current: TermRecovery? = null
 
-    /** The phase of the present term that is still to be stored. */
+    /** The present term's phase if it is still to be stored, otherwise null. */
     @Volatile
-    private var enteredPhase: RecoveryPhase? = null
-    private var membersAskedAt = Duration.ZERO
+    private var unstoredPhase: RecoveryPhase? = null
+    private var membersQueriedAt = Duration.ZERO
 
-    /** What a scheduler is given in a term in which nothing has to be recovered. */
+    /** The scheduler's hooks in a term in which nothing has to be recovered. */
     val hooksWithoutRecovery = SchedulerHooks(newWorkNeedsOwnHeartbeat = true)
 
-    /** What this process shows of itself to the others. */
-    fun ownContinuityEvidence() = PeerWitness(firstWitnessed)
+    /** The evidence of terms that this process has lived through, for the other controllers. */
+    fun ownContinuityEvidence() = PeerWitness(firstObservedToken)
 
-    /** The store was read by a request sent [sentAgo]; all changes up to then were handed to the core before. */
+    /**
+     * To be called when the store was read by a request that was sent [sentAgo] ago, after all changes up to then were
+     * passed to the core.
+     */
     fun storeRead(sentAgo: Duration) {
-        synchronized(witness) { observeLeader(uptime()) }
+        synchronized(continuity) { observeLeader(uptime()) }
         if (current?.engine?.awaitsStateRead == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
-        val last = storeReadAt
+        val lastReadAt = storeReadAt
         storeReadAt = now
-        if (last != null && now - last > READ_GAP) witness.readingInterrupted(now)
-        witness.stateRead(leadership.recordedToken(), now)
-        firstWitnessed = witness.firstToken
+        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuity.readingInterrupted(now)
+        continuity.stateRead(leadership.recordedToken(), now)
+        firstObservedToken = continuity.firstToken
     }
 
     /**
-     * What an election stores besides, so that no leader begins a recovery that a later one does not know of. Nothing
-     * where it is certain that this is an ordinary failover.
+     * Returns what the election with [token] stores in addition, so that no leader begins a recovery that a later
+     * leader does not know of. Empty if it is certain that nothing has to be recovered, as after an ordinary failover.
      */
     fun electionPuts(token: Long): List<Put> {
-        val kind = StartClassifier.classify(token, firstWitnessed, unasked(memberCount), records.read())
-        candidacy = Candidacy(token, kind)
+        val kind = StartClassifier.classify(token, firstObservedToken, unansweredMembers(memberCount), records.read())
+        lastCandidacy = Candidacy(token, kind)
         return if (kind.needsNoRecovery()) emptyList() else listOf(records.electionPut(token))
     }
 
     private fun StartKind.needsNoRecovery() = this == StartKind.TAKE_OVER || this == StartKind.FIRST
 
-    private fun unasked(members: Int) = List(members) { MemberWitness(answered = false, firstToken = null) }
+    private fun unansweredMembers(count: Int) = List(count) { MemberWitness(answered = false, firstToken = null) }
 
     /**
-     * A term begins; called by the core thread, with the core's time. Null: it is an ordinary start, and nothing has to
-     * be recovered.
+     * Begins a term; called on the core thread, with the core's time. Returns null if this is an ordinary start, so
+     * that nothing has to be recovered.
      */
     fun begin(term: Term, at: Duration): RecoveryEngine? {
         val record = records.readOrNull()?.takeIf { it.token == term.token }
-        val kind = candidacy?.takeIf { it.token == term.token }?.kind ?: StartKind.UNKNOWN
-        enteredPhase = null
+        val kind = lastCandidacy?.takeIf { it.token == term.token }?.kind ?: StartKind.UNKNOWN
+        unstoredPhase = null
         current = null
         if (kind.needsNoRecovery()) return null
         val engine = RecoveryEngine(policy, setting, term.token, at, kind, record)
@@ -119,10 +123,10 @@
         return engine
     }
 
-    /** The engine's notices of a tick; called by the core thread. */
+    /** Handles the engine's notices of a tick; called on the core thread. */
     fun handleNotices(notices: List<RecoveryNotice>) {
         for (notice in notices) {
-            if (notice is RecoveryNotice.PhaseEntered) enteredPhase = notice.state.phase
+            if (notice is RecoveryNotice.PhaseEntered) unstoredPhase = notice.state.phase
             RecoveryNoticeLog.log(notice, policy)
         }
     }
@@ -130,37 +134,36 @@
     /** The service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
-            currentRecovery()?.let { serve(it) }
-            Thread.sleep(PAUSE.inWholeMilliseconds)
+            currentRecovery()?.let { runRound(it) }
+            Thread.sleep(POLL_INTERVAL.inWholeMilliseconds)
         }
     }
 
     private fun currentRecovery(): TermRecovery? = current?.takeIf { it.term == leadership.current() }
 
-    private fun serve(recovery: TermRecovery) {
+    private fun runRound(recovery: TermRecovery) {
         val isStartUnknown = recovery.engine.isActive && recovery.engine.startKind == StartKind.UNKNOWN
-        if (isStartUnknown && uptime() - membersAskedAt >= ASK_PERIOD) askMembers(recovery)
-        val phase = enteredPhase ?: return
+        if (isStartUnknown && uptime() - membersQueriedAt >= MEMBER_QUERY_INTERVAL) queryMembers(recovery)
+        val phase = unstoredPhase ?: return
         val isStored = records.update(recovery.term) { it.copy(phase = phase) }
-        if (isStored && enteredPhase == phase) enteredPhase = null
+        if (isStored && unstoredPhase == phase) unstoredPhase = null
     }
 
-    private fun askMembers(recovery: TermRecovery) {
-        membersAskedAt = uptime()
-        // A controller that says nothing of this, since it does not manage recovery, is as good as one that can't be
-        // asked.
-        val witnesses = peers.statuses().mapNotNull { it.witness }
-        val answers = witnesses.map { MemberWitness(answered = true, firstToken = it.firstToken) }
-        val members = answers + unasked(memberCount - answers.size)
-        // The election has opened this term's own record, which says nothing about how the term began.
-        val kind = StartClassifier.classify(recovery.term.token, firstWitnessed, members, StoredRecovery.Absent)
+    private fun queryMembers(recovery: TermRecovery) {
+        membersQueriedAt = uptime()
+        // A controller that does not manage recovery gives no evidence, and counts like one that can't be asked.
+        val evidence = peers.statuses().mapNotNull { it.witness }
+        val answers = evidence.map { MemberWitness(answered = true, firstToken = it.firstToken) }
+        val members = answers + unansweredMembers(memberCount - answers.size)
+        // The stored record is left out, since this term's own election wrote it: it does not show how the term began.
+        val kind = StartClassifier.classify(recovery.term.token, firstObservedToken, members, StoredRecovery.Absent)
         if (kind != StartKind.UNKNOWN) post(Event.StartKindDetermined(recovery.term, kind))
     }
 
-    /** What this node would show of the present term's recovery; null if it does not lead. */
+    /** The present term's recovery at its last evaluation; null if there is none, or if this node does not lead. */
     fun snapshot(): RecoverySnapshot? = currentRecovery()?.engine?.snapshot
 
-    /** An operator's order; null if it was carried out, else why not. */
+    /** Applies an operator's order. Returns null if it was carried out, otherwise the reply that says why not. */
     fun applyOrder(request: RecoveryRequest): RecoveryReply? {
         val term = leadership.current() ?: return RecoveryReply(false, notLeaderMessage())
         val recovery = current?.takeIf { it.term == term }
@@ -174,32 +177,32 @@
                     RecoveryVerb.STATUS, RecoveryVerb.DIFFERENCES -> record
                 }
             }
-        if (!isStored) return RecoveryReply(false, "the order could not be stored", ORDER_RETRY_SECONDS)
+        if (!isStored) return RecoveryReply(false, "the order could not be stored", ORDER_RETRY_DELAY_SECONDS)
         log.info("recovery order accepted: {} by={}", request.verb, request.by)
         post(Event.RecoveryOrdered(recovery.term, request.verb))
         return null
     }
 
-    /** The answer to an operator who asks for something that only the leader can do. */
+    /** The answer to an operator's request that only the leader can handle. */
     fun notLeaderMessage(): String {
         val leader = leadership.recordedLeader()?.takeIf { it != node }
         return if (leader == null) "no leader is known; ask again in a moment" else "$node does not lead; ask $leader"
     }
 
-    /** The present term's recovery as operators are shown it; null if there is none. */
+    /** The present term's recovery as shown to operators; null if there is none. */
     fun status(): RecoveryStatus.Recovery? = snapshot()?.let { RecoveryReplies.recovery(it, policy) }
 
     private companion object {
         val log = loggerOf(RecoveryManager::class.java)
-        val PAUSE = 300.milliseconds
-        val ASK_PERIOD = 1.seconds
+        val POLL_INTERVAL = 300.milliseconds
+        val MEMBER_QUERY_INTERVAL = 1.seconds
 
-        /** A leader's lease lasts 3 s; within this time the rest of one has expired. */
-        val LEASE_REMAINDER = 4.seconds
+        /** A leader's lease lasts 3 s, so one that is not renewed any more has expired after this time. */
+        val STALE_LEASE_LIMIT = 4.seconds
 
-        /** The store cache is refreshed every second; a longer gap may be an outage. */
-        val READ_GAP = 2500.milliseconds
+        /** The store cache is refreshed every second, so a longer gap between reads may be an outage. */
+        val MAX_READ_GAP = 2500.milliseconds
 
-        const val ORDER_RETRY_SECONDS = 2
+        const val ORDER_RETRY_DELAY_SECONDS = 2
     }
 }
--- a/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
@@ -4,7 +4,7 @@
 import glenspool.reconcile.RecoveryNotice
 import glenspool.reconcile.RecoveryPolicy
 
-/** Logs what a recovery's engine reports. */
+/** Logs the notices of a recovery's engine. */
 internal object RecoveryNoticeLog {
     private val log = loggerOf(RecoveryManager::class.java)
 
--- a/src/main/kotlin/glenspool/controller/RecoveryOperations.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryOperations.kt
@@ -6,13 +6,13 @@
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
 
-/** Answers operators' questions and orders about the leader's orders and its recovery. */
+/** Answers operators' queries about the leader's orders and its recovery, and operators' orders to the recovery. */
 internal class RecoveryOperations(
     private val node: String,
     private val leadership: Leadership,
-    /** Null: recovery is not managed. */
+    /** Null if recovery is not managed. */
     private val recovery: RecoveryManager?,
-    /** What the present term's leader has ordered so far; null if this node does not lead. */
+    /** The numbers of orders given in the present term; null if this node does not lead. */
     private val orderCounts: () -> OrderCounts?,
 ) {
     fun answer(request: RecoveryRequest): RecoveryReply =
--- a/src/main/kotlin/glenspool/controller/RecoveryRecords.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryRecords.kt
@@ -12,9 +12,9 @@
 import glenspool.wire.MalformedMessage
 import glenspool.wire.RecoveryWire
 
-/** The stored record of the recovery: reads it from the store cache and changes it on behalf of a term. */
+/** Reads the stored record of the recovery from the store cache, and changes it on behalf of a term. */
 internal class RecoveryRecords(private val cache: StoreCache, private val records: RecordStore) {
-    /** The version last found unreadable: each is logged once. */
+    /** The last version of the record that could not be decoded, so that each such version is logged once. */
     @Volatile
     private var unreadableVersion: Long? = null
 
@@ -24,33 +24,39 @@
             StoredRecovery.Present(RecoveryWire.decode(item.value), item.version)
         } catch (e: MalformedMessage) {
             if (unreadableVersion != item.version) {
-                log.error("stored record {} is not readable, recovery begins anew: {}", Keys.RECOVERY, e.message)
+                log.error("stored record {} could not be decoded, recovery starts over: {}", Keys.RECOVERY, e.message)
             }
             unreadableVersion = item.version
             StoredRecovery.Unreadable(item.version, e.message ?: "malformed")
         }
     }
 
-    /** The stored record; null if there is none, or none that is readable. */
+    /** Returns the stored record; null if there is none, or if it can't be decoded. */
     fun readOrNull(): RecoveryRecord? = (read() as? StoredRecovery.Present)?.record
 
-    /** What an election with [token] stores: a recovery that an earlier term did not finish goes on under this one. */
+    /**
+     * Returns the record that an election with [token] stores. A recovery that an earlier term did not finish is
+     * continued in the new term.
+     */
     fun electionPut(token: Long): Put {
         val unfinished = readOrNull()?.takeIf { it.phase != RecoveryPhase.NORMAL }
-        val opened = unfinished?.copy(token = token, phase = RecoveryPhase.READING) ?: begun(token)
+        val opened = unfinished?.copy(token = token, phase = RecoveryPhase.READING) ?: newRecord(token)
         return Put(Keys.RECOVERY, RecoveryWire.encode(opened))
     }
 
-    /** Changes the record under the term's version and its own. False: it was not stored, or perhaps not. */
+    /**
+     * Changes the record on condition that the term's leadership record and the record itself still have the expected
+     * versions. Returns false if the change was not stored, or possibly not.
+     */
     @Synchronized
     fun update(term: Term, change: (RecoveryRecord) -> RecoveryRecord): Boolean {
-        val before = read()
-        val record = (before as? StoredRecovery.Present)?.record ?: begun(term.token)
+        val stored = read()
+        val record = (stored as? StoredRecovery.Present)?.record ?: newRecord(term.token)
         val put = Put(Keys.RECOVERY, RecoveryWire.encode(change(record).copy(token = term.token)))
-        return records.replaceInTerm(term, put, before.replaceableVersion()) is StoreResult.Ok
+        return records.replaceInTerm(term, put, stored.replaceableVersion()) is StoreResult.Ok
     }
 
-    private fun begun(token: Long) = RecoveryRecord(token, RecoveryPhase.READING, wallClock())
+    private fun newRecord(token: Long) = RecoveryRecord(token, RecoveryPhase.READING, wallClock())
 
     private fun StoredRecovery.replaceableVersion(): Long =
         when (this) {
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -14,9 +14,9 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Translates a recovery's state into the messages that operators' commands use. */
+/** Converts a recovery's state to the messages that operators' commands use. */
 internal object RecoveryReplies {
-    /** So many differences are listed by name at most, so that the answer stays small. */
+    /** The largest number of differences that an answer lists one by one, which limits its size. */
     const val MAX_LISTED_DIFFERENCES = 500
 
     private val listingOrder =
@@ -49,7 +49,7 @@
         )
     }
 
-    /** Why destructive orders are held; null if they are not. */
+    /** Says why destructive orders are held back; null if they are not. */
     fun breaker(state: BreakerState, policy: RecoveryPolicy): String? {
         if (!state.isOpen) return null
         return "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, " +
