--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -29,13 +29,18 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Who this process is among the controllers. */
+/**
+ * Identifies this process among the controllers.
+ *
+ * @property boot differs between any two processes
+ * @property levels the levels that this process reads
+ */
 data class ProcessIdentity(val node: String, val boot: String, val levels: BuildLevels)
 
 /**
- * Connects the [RolloutEngine] with the key-value store and the other controllers. While this node leads, it asks the
- * others for their evidence and stores what the engine decides, conditioned on its leadership and on the record that
- * the decision was made from.
+ * Connects the [RolloutEngine] with the key-value store and the other controllers. While this node leads, it queries
+ * the other controllers for evidence and stores what the engine decides, on condition that the node still leads and
+ * that the record on which the decision was based has not changed.
  */
 class RolloutManager(
     private val identity: ProcessIdentity,
@@ -54,14 +59,14 @@
 ) {
     private class TermEngine(val term: Term, val engine: RolloutEngine)
 
-    /** What the engine decided in one round, and whether the rollout is settled. */
+    /** What the engine decided in one round. [isSettled]: no hold is in force. */
     private class Decision(val actions: List<RolloutAction>, val isSettled: Boolean)
 
     private val allMembers = (members + identity.node).toSet()
     private val records = RolloutRecords(cache) { cache.age() != null }
     private val recordStore = RecordStore(store, cache)
 
-    /** Which forms may be written by this process, and whether it may serve. */
+    /** Decides which forms this process may write, and whether it may serve. */
     val gate = FeatureGate(identity.levels, records::level)
 
     private val operations =
@@ -69,11 +74,11 @@
             identity, registry, policy.mode, allMembers, records, recordStore, gate, leadership, ::overview,
         )
 
-    /** Guarded by this object's lock, since operators ask from other threads. */
+    /** Guarded by this object's lock, since operators' queries are answered on other threads. */
     private var current: TermEngine? = null
     private var reportedFence: Fence? = null
 
-    /** What this process shows of itself to the others. */
+    /** The levels and the health that this process reports to the other controllers. */
     fun ownLevels(): PeerLevels {
         val counts = health.counts()
         return PeerLevels(
@@ -83,33 +88,33 @@
         )
     }
 
-    /** The answer to an operator's question or order. */
+    /** Answers an operator's query or order. */
     fun answer(request: RolloutRequest): RolloutReply = operations.answer(request)
 
     /** The service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             reactToFence()
-            val pause = leadership.current()?.let(::lead) ?: endTerm()
-            Thread.sleep(pause.inWholeMilliseconds)
+            val interval = leadership.current()?.let(::lead) ?: endTerm()
+            Thread.sleep(interval.inWholeMilliseconds)
         }
     }
 
     private fun endTerm(): Duration {
         synchronized(this) { current = null }
-        return FOLLOWER_PAUSE
+        return FOLLOWER_INTERVAL
     }
 
-    /** One round of evidence and decisions; returns the pause until the next. */
+    /** Runs one round: collects evidence, decides and acts. Returns the time until the next round. */
     private fun lead(term: Term): Duration {
         val askedAt = uptime()
         val statuses = peers.statuses()
         val decision = synchronized(this) { decide(term, statuses, askedAt) }
         decision.actions.forEach { perform(it, term) }
         return if (decision.isSettled && decision.actions.isEmpty()) {
-            minOf(SETTLED_PAUSE, policy.evidenceAge / 2)
+            minOf(SETTLED_INTERVAL, policy.evidenceAge / 2)
         } else {
-            minOf(ACTIVE_PAUSE, policy.evidenceAge / 4)
+            minOf(ACTIVE_INTERVAL, policy.evidenceAge / 4)
         }
     }
 
@@ -124,7 +129,7 @@
 
     private fun engineOf(term: Term): RolloutEngine {
         current?.takeIf { it.term == term }?.let { return it.engine }
-        // Evidence belongs to a term: what an earlier leader saw is out of date.
+        // Each term gets a new engine, since evidence that an earlier leader collected is out of date.
         return RolloutEngine(registry, policy, allMembers, uptime()).also { current = TermEngine(term, it) }
     }
 
@@ -136,7 +141,7 @@
     private fun report(status: PeerStatus): MemberReport {
         val levels = status.levels
         if (levels == null) {
-            // A build that knows nothing of levels says which stored forms it reads, or nothing at all.
+            // A build without levels reports which stored forms it reads, or not even that.
             val assumed = BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.reads)
             return MemberReport(status.node, null, assumed, status.fresh)
         }
@@ -173,15 +178,15 @@
         if (fence == reportedFence) return
         reportedFence = fence
         if (fence == null) {
-            log.info("this process may serve again")
+            log.info("this process is no longer fenced and may lead and serve again")
             return
         }
-        log.error("this process must not serve: {}", fence)
+        log.error("this process is fenced and must neither lead nor serve: {}", fence)
         leadership.resign("fenced", FENCED_BACKOFF)
         if (policy.fenced == FencedReaction.EXIT) exit()
     }
 
-    /** The leader's own view; null on another node, which has only what is stored. */
+    /** The rollout as the leader sees it; null if this node does not lead and so has only the stored records. */
     private fun overview(): RolloutOverview? {
         val term = leadership.current() ?: return null
         return synchronized(this) { current?.takeIf { it.term == term }?.engine?.overview(input(term)) }
@@ -191,12 +196,12 @@
         val log = loggerOf(RolloutManager::class.java)
         const val UNMANAGED_BUILD = "without levels"
 
-        /** How often members are asked while the rollout still has steps to take. */
-        val ACTIVE_PAUSE = 2.seconds
+        /** How often members are queried while the rollout still has steps to take. */
+        val ACTIVE_INTERVAL = 2.seconds
 
-        /** And while it has none. */
-        val SETTLED_PAUSE = 10.seconds
-        val FOLLOWER_PAUSE = 500.milliseconds
+        /** How often members are queried while the rollout has no steps to take. */
+        val SETTLED_INTERVAL = 10.seconds
+        val FOLLOWER_INTERVAL = 500.milliseconds
         val FENCED_BACKOFF = 60.seconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/RolloutOperations.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutOperations.kt
@@ -20,7 +20,7 @@
 import glenspool.state.wallClock
 import glenspool.wire.RolloutWire
 
-/** Answers operators' questions and orders about the rollout. Any node takes orders; the leader carries them out. */
+/** Answers operators' queries and orders for the rollout. Any node accepts orders; the leader carries them out. */
 internal class RolloutOperations(
     private val identity: ProcessIdentity,
     private val registry: FeatureRegistry,
@@ -30,7 +30,7 @@
     private val recordStore: RecordStore,
     private val gate: FeatureGate,
     private val leadership: Leadership,
-    /** The leader's own view; null on another node. */
+    /** The rollout as the leader sees it; null if this node does not lead. */
     private val overview: () -> RolloutOverview?,
 ) {
     private val orderRule = OrderRule(registry, allMembers)
@@ -43,15 +43,18 @@
                 return refused(e.message)
             }
         gate.fence()?.let { return refused("this controller takes no orders: $it") }
-        repeat(ORDER_TRIES) {
+        repeat(MAX_ORDER_ATTEMPTS) {
             tryOrder(order, request.by)?.let { return it }
         }
-        return outOfReach()
+        return storeUnreachable()
     }
 
-    /** One attempt to store the order; null: something else was stored meanwhile, and it may be tried again. */
+    /**
+     * Tries once to store the order. Returns null if another record was stored meanwhile, in which case the order may
+     * be tried again.
+     */
     private fun tryOrder(order: OperatorRequest, by: String?): RolloutReply? {
-        if (!recordStore.refresh()) return outOfReach()
+        if (!recordStore.refresh()) return storeUnreachable()
         val stored = records.orders()
         val version = stored.replaceableVersion() ?: return refused("the stored orders can't be read by this build")
         val before = stored.valueOrNull() ?: OperatorOrders()
@@ -68,7 +71,7 @@
 
     private fun store(orders: OperatorOrders, version: Long): Boolean {
         val result = recordStore.replace(Put(Keys.ROLLOUT_ORDERS, RolloutWire.encode(orders)), version)
-        // An answer that was lost: what is stored tells whether it was carried out.
+        // If the store's response was lost, the stored record shows whether the transaction was carried out.
         return result is StoreResult.Ok || records.orders().valueOrNull() == orders
     }
 
@@ -76,7 +79,8 @@
 
     private fun refused(reason: String?) = RolloutReply(false, reason, status = status())
 
-    private fun outOfReach() = RolloutReply(false, "the state service is out of reach", ORDER_RETRY_SECONDS, status())
+    private fun storeUnreachable() =
+        RolloutReply(false, "the state service is out of reach", ORDER_RETRY_DELAY_SECONDS, status())
 
     private fun status() =
         RolloutReplies.status(
@@ -85,7 +89,7 @@
 
     private companion object {
         val log = loggerOf(RolloutOperations::class.java)
-        const val ORDER_TRIES = 3
-        const val ORDER_RETRY_SECONDS = 2
+        const val MAX_ORDER_ATTEMPTS = 3
+        const val ORDER_RETRY_DELAY_SECONDS = 2
     }
 }
--- a/src/main/kotlin/glenspool/controller/RolloutReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutReplies.kt
@@ -18,12 +18,12 @@
 import glenspool.rollout.valueOrNull
 import glenspool.state.RolloutRecords
 
-/** Translates between the messages that operators' commands use and the terms of the rollout. */
+/** Converts between the messages that operators' commands use and the rollout's types. */
 internal object RolloutReplies {
-    /** The request lacks what its verb needs. */
+    /** Thrown if a request lacks a value that its verb needs. */
     class IncompleteRequest(message: String) : Exception(message)
 
-    /** Null: it is a question. Throws [IncompleteRequest]. */
+    /** Returns the order that the request contains; null if it is a query. Throws [IncompleteRequest]. */
     fun orderOf(request: RolloutRequest): OperatorRequest? =
         when (request.verb) {
             RolloutVerb.STATUS -> null
@@ -39,7 +39,11 @@
 
     private fun memberOf(request: RolloutRequest) = request.member ?: throw IncompleteRequest("a member is needed")
 
-    /** [overview]: the leader's own view; null on another node, which shows what is stored. */
+    /**
+     * Builds the status that operators are shown.
+     *
+     * @param overview the rollout as the leader sees it; null on other nodes, which show the stored state instead
+     */
     fun status(
         identity: ProcessIdentity,
         leader: String?,
@@ -100,7 +104,7 @@
             view.restarts,
         )
 
-    /** A member as the leader stored it; a node that does not lead knows no more of it. */
+    /** Describes a member as the leader stored it, which is all that a node that does not lead knows about it. */
     private fun storedMember(seen: MemberSeen) =
         RolloutStatus.Member(
             seen.member,
