--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -79,7 +79,7 @@
         val heartbeat = remover.probe(suspect.machine, addr)
         val stops = tracker.recordProbe(suspect, heartbeat)
         if (heartbeat == null || stops.isEmpty()) return
-        // The worker's own token is enough, because stops start nothing and a cancellation is never taken back.
+        // The worker's own token is enough, because stops start nothing and a cancellation is never revoked.
         val commands = SendCommands(suspect.machine, addr, heartbeat.token, heartbeat.incarnation, stops)
         val (outcome, heartbeatAfter) = workers.command(commands)
         log.info(
--- a/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkRemover.kt
@@ -8,8 +8,8 @@
 import glenspool.worker.WorkerClient
 
 /**
- * Probes machines for cancelled work, and finally deletes them, for a controller that does not lead. Neither starts
- * anything, so no leadership is needed. The calls block.
+ * Probes machines for cancelled work, and finally deletes them, for a controller that does not lead. Neither request
+ * starts anything, so no leadership is needed. The calls block.
  */
 internal class CancelledWorkRemover(private val cloud: CloudClient, private val workers: WorkerClient) {
     /**
