--- a/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Scales the fleet out for waiting work and in again when nothing is expected to need it. */
+/** Rents machines for waiting work, and returns machines that no work is expected to need. */
 class Autoscaler(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -20,27 +20,27 @@
     private val headroom = ServiceHeadroom(context, cluster)
     private val scaleOut = ScaleOutPlanner(context, cluster, deadlines, requests)
     private val scaleIn = ScaleInPolicy(context, cluster, deleter)
-    private var plannedAt = Duration.ZERO - LONG_AGO
+    private var plannedAt = Duration.ZERO - INITIAL_PLAN_AGE
 
-    /** A job's tasks may be placed from now on. */
+    /** Called when the tasks of a job may be placed from now on. */
     fun jobArrived(job: Job) = headroom.jobArrived(job)
 
-    /** The cloud has answered with [rented] machines. */
+    /** Called when the cloud has answered the request; it has rented [rented] machines. */
     fun scaleOutAnswered(request: ScaleOut, rented: Int) = requests.answered(request, rented)
 
-    /** The cloud has not answered. */
-    fun scaleOutUnanswered(request: ScaleOut) = requests.noAnswer(request)
+    /** Called when there was no response from the cloud. */
+    fun scaleOutUnanswered(request: ScaleOut) = requests.notAnswered(request)
 
-    /** Repeats requests that had no answer. */
+    /** Repeats requests that got no response, after a retry delay. */
     fun tick() = requests.retry()
 
-    /** Plans anew, at a limited rate. */
+    /** Plans which machines to rent and to return, at most once per [PLAN_INTERVAL]. */
     fun plan() {
         if (context.now - plannedAt < PLAN_INTERVAL) return
         plannedAt = context.now
         val waiting =
             cluster.jobs.values
-                .filter { it.waitingCount() > 0 && it.failedOn.size < MAX_FAILURES }
+                .filter { it.waitingCount() > 0 && it.failedOn.size < MAX_FAILED_MACHINES }
                 .sortedWith(compareByDescending<Job> { it.effectivePriority }.thenBy { it.waitingSince })
         val slots = headroom.measure()
         requests.request(scaleOut.plan(waiting, slots))
@@ -49,9 +49,11 @@
 
     private companion object {
         val PLAN_INTERVAL = 1.seconds
-        val LONG_AGO = 100.seconds
 
-        /** A job that failed on so many machines is at fault itself: none is rented for it. */
-        const val MAX_FAILURES = 3
+        /** The age of a fictitious last plan at the start, so that the first plan is made without delay. */
+        val INITIAL_PLAN_AGE = 100.seconds
+
+        /** No machine is rented for a job that failed on this many machines, because the fault lies with the job. */
+        const val MAX_FAILED_MACHINES = 3
     }
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/PackingPlan.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/PackingPlan.kt
@@ -7,45 +7,45 @@
 /** A kind of machine that the cloud offers: a type in a zone, spot or ordinary. */
 data class MachineOffer(val type: String, val zone: String, val spot: Boolean)
 
-/** A machine of a packing plan. [cause]: why it is to be rented; null if it is on its way already. */
+/** A machine of a packing plan. [cause] is the reason for renting it, or null for an upcoming machine. */
 class PlannedMachine(val offer: MachineOffer, available: Resources, val cause: ScaleOutCause?) {
-    /** What no planned task takes of it. */
+    /** The resources that are not allocated to a planned task. */
     var available: Resources = available
         private set
 
-    /** Puts a task on it. */
+    /** Allocates the resources that a task requests. */
     fun allocate(request: Resources) {
         available -= request
     }
 }
 
 /**
- * Bin packing of waiting tasks onto machines that are on their way or wanted. [machinesInZone]: the machines that there
- * are already, by zone.
+ * Bin packing of waiting tasks onto upcoming machines and machines to rent. Upcoming machines have been rented or
+ * requested, but are not ready for work yet. [machinesInZone] is the number of existing machines by zone.
  */
 class PackingPlan(private val machinesInZone: Map<String, Int>) {
     private val planned = ArrayList<PlannedMachine>()
-    private val wantedInZone = HashMap<String, Int>()
+    private val machinesToRentInZone = HashMap<String, Int>()
 
     val machines: List<PlannedMachine> get() = planned
 
     /** Machines that are to be rented. */
     val machinesToRent: List<PlannedMachine> get() = planned.filter { it.cause != null }
 
-    /** Adds a machine that is on its way, or is to be rented. */
+    /** Adds an upcoming machine or a machine to rent. */
     fun add(machine: PlannedMachine) {
         planned.add(machine)
-        if (machine.cause != null) wantedInZone.merge(machine.offer.zone, 1, Int::plus)
+        if (machine.cause != null) machinesToRentInZone.merge(machine.offer.zone, 1, Int::plus)
     }
 
-    /** How many machines the zone has, with those to be rented. */
-    fun machinesIn(zone: String): Int = (machinesInZone[zone] ?: 0) + (wantedInZone[zone] ?: 0)
+    /** The number of machines in the zone, including those to be rented. */
+    fun machinesIn(zone: String): Int = (machinesInZone[zone] ?: 0) + (machinesToRentInZone[zone] ?: 0)
 }
 
 /**
- * Packs one job's tasks, one after another. What is available only shrinks, so a machine that did not take one task
- * takes none after it. [onlyZone]: where all tasks have to be; [capacityInZone]: how many tasks of a spread job each
- * zone may still take; null where there is no such bound.
+ * Packs the tasks of one job, one after another. Available resources only shrink, so a machine that could not take one
+ * task cannot take any later one and is skipped from then on. [onlyZone] is the zone in which all tasks have to be, and
+ * [capacityInZone] is how many tasks of a spread job each zone may still take; null means that there is no such limit.
  */
 class PackingCursor(
     val spec: JobSpec,
@@ -54,13 +54,13 @@
 ) {
     private var position = 0
 
-    /** Whether a task may be in the zone. */
+    /** Whether a task may be placed in the zone. */
     fun admits(zone: String): Boolean {
         val isRightZone = onlyZone == null || onlyZone == zone
         return isRightZone && (capacityInZone == null || capacityInZone.getOrDefault(zone, 0) > 0)
     }
 
-    /** Puts the next task on a machine of the plan. False: none takes it. */
+    /** Packs the next task onto a machine of the plan. Returns false if no machine can take it. */
     fun pack(plan: PackingPlan): Boolean {
         while (position < plan.machines.size) {
             val machine = plan.machines[position]
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Returns machines that nothing is expected to need: surplus ones are cordoned, empty ones are given back. */
+/** Returns machines that no work is expected to need: cordons surplus machines, and returns empty ones to the cloud. */
 class ScaleInPolicy(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -18,76 +18,80 @@
 ) {
     private val now: Duration get() = context.now
 
-    /** Since when the fleet has had more than a cushion of free capacity. */
+    /** Since when the fleet has had more free capacity than the reserve; null if it has not. */
     private var surplusSince: Duration? = null
 
-    /** [waiting]: jobs with tasks to be placed. */
+    /** Cordons surplus machines and returns idle ones. [waiting] are the jobs with tasks to be placed. */
     fun apply(waiting: List<Job>, headroom: ServiceHeadroom.Slots) {
         cordonSurplus(waiting, headroom)
-        returnIdle(headroom)
+        returnIdleMachines(headroom)
     }
 
     /**
-     * Machines are kept busy a little each, so none would ever become empty by itself: when the fleet has had more than
-     * a cushion of free capacity for a while, the dearest machine with only short work gets no more of it.
+     * Cordons the most expensive machines that run only short work, so that they get no more of it, when the fleet has
+     * had more free capacity than the reserve for some time. Otherwise no machine would ever become empty, because the
+     * work is spread so that each machine is a little busy.
      */
     private fun cordonSurplus(waiting: List<Job>, headroom: ServiceHeadroom.Slots) {
         val active = cluster.machines.values.filter { isUsable(it) && !it.isCordoned }
-        // What waits is load too. In a large fleet something always waits, and most of it for a moment only.
+        // Waiting work counts as load instead of preventing a surplus altogether, because in a large fleet some work is
+        // always waiting, most of it only for a moment.
         val load = active.sumOf { loadOf(it) } + waiting.sumOf { loadOf(it) }
-        // Waiting work takes machines back that were about to be returned.
+        // If waiting work needs more than the active machines, cordoned machines are used again and not returned.
         if (load > active.size) cluster.machines.values.forEach { it.isCordoned = false }
-        if (active.size - load <= 1.0 + active.size * CUSHION) {
+        if (active.size - load <= 1.0 + active.size * FREE_RESERVE_SHARE) {
             surplusSince = null
             return
         }
         val since = surplusSince ?: now.also { surplusSince = now }
-        if (now - since >= SURPLUS_WAIT) cordon(active, headroom)
+        if (now - since >= MIN_SURPLUS_DURATION) cordon(active, headroom)
     }
 
     private fun isUsable(machine: Machine): Boolean =
         machine.isTrusted && !machine.isLeaving && machine.type in cluster.types
 
-    /** As many at a time as the fleet is large, so that a large one shrinks as fast as a small one. */
+    /**
+     * Cordons a number of machines in proportion to the fleet, so that a large fleet shrinks as fast as a small one.
+     */
     private fun cordon(active: List<Machine>, headroom: ServiceHeadroom.Slots) {
-        var left = maxOf(1, active.size / ACTIVE_PER_CORDONED)
+        var remaining = maxOf(1, active.size / ACTIVE_PER_CORDONED)
         val candidates =
             active
                 .filter { hasOnlyShortWork(it) }
                 .sortedWith(compareByDescending<Machine> { priceOf(it) }.thenBy { loadOf(it) })
         for (machine in candidates) {
-            if (left == 0) return
+            if (remaining == 0) return
             if (!headroom.tryRelease(machine)) continue
             machine.isCordoned = true
-            surplusSince = now - SURPLUS_WAIT + CORDON_INTERVAL
-            left--
+            surplusSince = now - MIN_SURPLUS_DURATION + CORDON_INTERVAL
+            remaining--
         }
     }
 
     private fun hasOnlyShortWork(machine: Machine): Boolean =
         machine.placements.values.all { it.job.spec.kind == JobKind.ARRAY } && machine.orphans.isEmpty()
 
-    /** How much of the machine is in use, by its fullest resource. */
+    /** The share of the machine that is in use, by its most used resource. */
     private fun loadOf(machine: Machine): Double =
         cluster.typeOf(machine)?.let { machine.workload.usedResources().dominantShareOf(it.capacity) } ?: 0.0
 
-    /** How many machines of the commonest type the waiting tasks would fill. */
+    /** How many machines of the most common type the job's waiting tasks would fill. */
     private fun loadOf(job: Job): Double {
         val type = cluster.commonType ?: return 0.0
         val tasks = minOf(job.waitingCount(), cluster.quotas.remaining(job))
         return tasks * job.resourceRequest.dominantShareOf(type.capacity)
     }
 
-    private fun returnIdle(headroom: ServiceHeadroom.Slots) {
+    private fun returnIdleMachines(headroom: ServiceHeadroom.Slots) {
         val idle = idleMachines()
         if (idle.isEmpty()) return
         val imageGb = meanImageGb()
-        var left = maxOf(1, idle.size / IDLE_PER_RETURNED)
+        var remaining = maxOf(1, idle.size / IDLE_PER_RETURNED)
         for (machine in idle.sortedByDescending { priceOf(it) }) {
-            if (left == 0) return
+            if (remaining == 0) return
             if (!mayBeReturned(machine, imageGb, headroom)) continue
             deleter.delete(machine, DeletionCause.NOT_NEEDED)
-            left--
+            remaining--
         }
     }
 
@@ -111,7 +115,7 @@
         return now - since >= maxIdleTime(machine, imageGb) && headroom.tryRelease(machine)
     }
 
-    /** Keeping an empty machine is worth as long as getting another one ready would take. */
+    /** How long keeping an empty machine is worthwhile, given the time it would take to get another one ready. */
     private fun maxIdleTime(machine: Machine, imageGb: Double): Duration {
         val idleReturn = context.config.tuning.idleReturn
         val type = cluster.typeOf(machine) ?: return idleReturn
@@ -124,16 +128,20 @@
     }
 
     private companion object {
-        /** The share of the fleet that may be free before it counts as surplus, and for how long. */
-        const val CUSHION = 0.08
-        val SURPLUS_WAIT = 10.seconds
+        /** The share of the fleet that may be free before the free capacity counts as a surplus. */
+        const val FREE_RESERVE_SHARE = 0.08
 
-        /** The time between machines that are cordoned one after another. */
+        /** How long a surplus must have lasted before machines are cordoned. */
+        val MIN_SURPLUS_DURATION = 10.seconds
+
+        /** The time between one cordoning of machines and the next. */
         val CORDON_INTERVAL = 2.seconds
 
-        /** One machine in so many is cordoned, or returned, at a time. */
+        /** At a time, one in this many active machines is cordoned, and one in this many idle machines is returned. */
         const val ACTIVE_PER_CORDONED = 40
         const val IDLE_PER_RETURNED = 4
+
+        /** The share of the time for getting a machine ready by which an empty machine is kept longer. */
         const val READY_TIME_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Packs waiting work onto machines that are on their way, and plans further machines for what does not fit. */
+/** Packs waiting work onto upcoming machines, and plans to rent further machines for work that does not fit. */
 class ScaleOutPlanner(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -26,7 +26,7 @@
         val price: Double get() = if (offer.spot) type.spotPrice else type.price
     }
 
-    /** A plan for [waiting] jobs, which are in the order in which they are to be served. */
+    /** Returns a plan for [waiting] jobs, which are in the order in which they are to be served. */
     fun plan(waiting: List<Job>, headroom: ServiceHeadroom.Slots): PackingPlan {
         val plan =
             PackingPlan(
@@ -34,18 +34,18 @@
                     .groupingBy { it.zone }
                     .eachCount(),
             )
-        addMachinesOnTheirWay(plan)
+        addUpcomingMachines(plan)
         val (arrays, others) = waiting.partition { it.spec.kind == JobKind.ARRAY }
-        for (job in others) packWhole(job, plan)
+        for (job in others) packAllTasks(job, plan)
         packHeadroom(plan, headroom)
         ArrayBacklog(plan, arrays).pack()
         return plan
     }
 
-    private fun addMachinesOnTheirWay(plan: PackingPlan) {
+    private fun addUpcomingMachines(plan: PackingPlan) {
         for (machine in cluster.machines.values) {
             val type = cluster.typeOf(machine) ?: continue
-            if (!isOnItsWay(machine)) continue
+            if (!isUpcoming(machine)) continue
             val offer = MachineOffer(machine.type, machine.zone, machine.spot)
             plan.add(PlannedMachine(offer, machine.available(type), null))
         }
@@ -56,23 +56,26 @@
         }
     }
 
-    /** A machine that was heard and then no more, or that nothing reaches, is not on its way. */
-    private fun isOnItsWay(machine: Machine): Boolean {
-        val isLost = machine.reachability.isUnreachable || machine.isSilent(context)
-        return !machine.isDeleting && !machine.hasFailed && !machine.isTrusted && !isLost
+    /**
+     * Whether the machine is expected to become ready for work. A machine that was in contact and is silent now, or
+     * that is unreachable, is not.
+     */
+    private fun isUpcoming(machine: Machine): Boolean {
+        val isOutOfContact = machine.reachability.isUnreachable || machine.isSilent(context)
+        return !machine.isDeleting && !machine.hasFailed && !machine.isTrusted && !isOutOfContact
     }
 
-    /** Services and gangs get machines as soon as there are none for them. */
-    private fun packWhole(job: Job, plan: PackingPlan) {
+    /** Packs the tasks of a service or gang, for which machines are rented as soon as there are none to take them. */
+    private fun packAllTasks(job: Job, plan: PackingPlan) {
         val quota = cluster.quotas.remaining(job)
         if (job.spec.kind == JobKind.GANG && quota < job.waitingCount()) return
         val cursor = PackingCursor(job.spec, zoneFor(job, plan), capacityInZones(job))
-        repeat(minOf(job.waitingCount(), quota, MAX_TASKS_PER_JOB)) {
+        repeat(minOf(job.waitingCount(), quota, MAX_PLANNED_TASKS_PER_JOB)) {
             if (!packOrRent(cursor, plan, ScaleOutCause.WAITING_WORK)) return
         }
     }
 
-    /** A job whose tasks have to be in one zone gets the one where most machines are on their way. */
+    /** Returns the zone of the plan with the most machines, for a job whose tasks have to be in one zone; else null. */
     private fun zoneFor(job: Job, plan: PackingPlan): String? {
         if (!job.spec.sameZone) return null
         return plan.machines
@@ -83,16 +86,16 @@
     }
 
     /**
-     * A machine in a zone that has its share of a spread job already would be of no use to it, however often one is
-     * rented.
+     * Returns how many tasks of a spread job each zone may still take, or null for other jobs. Without this limit,
+     * machines would be rented again and again in a zone that already has its share of the job and cannot use them.
      */
     private fun capacityInZones(job: Job): MutableMap<String, Int>? {
         if (!job.spec.spread) return null
-        val left = context.config.zones.associateWithTo(HashMap()) { job.spec.maxTasksPerZone }
+        val capacity = context.config.zones.associateWithTo(HashMap()) { job.spec.maxTasksPerZone }
         for (placement in job.placements.values) {
-            cluster.zoneOf(placement.machine)?.let { left.merge(it, -1, Int::plus) }
+            cluster.zoneOf(placement.machine)?.let { capacity.merge(it, -1, Int::plus) }
         }
-        return left
+        return capacity
     }
 
     private fun packHeadroom(plan: PackingPlan, headroom: ServiceHeadroom.Slots) {
@@ -105,12 +108,15 @@
 
     private fun packOrRent(cursor: PackingCursor, plan: PackingPlan, cause: ScaleOutCause): Boolean {
         if (cursor.pack(plan)) return true
-        plan.add(cheapestFor(cursor, plan, cause) ?: return false)
+        plan.add(cheapestMachineFor(cursor, plan, cause) ?: return false)
         return cursor.pack(plan)
     }
 
-    /** The cheapest machine for the task that is not known to be refused, in the zone with fewest machines. */
-    private fun cheapestFor(
+    /**
+     * Returns the cheapest machine for the task among the offers that the cloud has not refused recently. Of equally
+     * cheap machines, one in the zone with the fewest machines is chosen.
+     */
+    private fun cheapestMachineFor(
         cursor: PackingCursor,
         plan: PackingPlan,
         cause: ScaleOutCause,
@@ -127,7 +133,7 @@
 
     private fun offersFor(cursor: PackingCursor, onlySpot: Boolean): List<PricedOffer> {
         val spec = cursor.spec
-        val kinds =
+        val spotOptions =
             when {
                 !spec.spot -> if (onlySpot) emptyList() else listOf(false)
                 onlySpot -> listOf(true)
@@ -138,7 +144,7 @@
             if (!isTypeFor(spec, type)) continue
             for (zone in type.zones.ifEmpty { context.config.zones }) {
                 if (spec.zone != null && spec.zone != zone || !cursor.admits(zone)) continue
-                kinds.mapTo(offers) { spot -> PricedOffer(MachineOffer(type.name, zone, spot), type) }
+                spotOptions.mapTo(offers) { spot -> PricedOffer(MachineOffer(type.name, zone, spot), type) }
             }
         }
         return offers.filterNot { requests.isRefused(it.offer) }
@@ -150,111 +156,115 @@
     }
 
     /**
-     * Arrays run through their placements one after another, so they need new machines only when the backlog would take
-     * too long to drain: sooner for cheap spot machines than for ordinary ones.
+     * The backlog of arrays. The tasks of an array run one after another in its placements, so it needs new machines
+     * only if the backlog would take too long to drain. The limit is lower for cheap spot machines than for ordinary
+     * ones.
      */
     private inner class ArrayBacklog(private val plan: PackingPlan, private val jobs: List<Job>) {
-        /** The run time of tasks that no machine is planned for. */
-        private var work = Duration.ZERO
+        /** The total run time of the tasks for which no machine is planned. */
+        private var unplannedRunTime = Duration.ZERO
 
-        /** How many tasks run at the same time. */
-        private var slots = runningArrayTasks() + slotsOnTheirWay()
+        /** How many array tasks can run at the same time, including those on upcoming and planned machines. */
+        private var slots = runningArrayTasks() + slotsOnPlannedMachines()
 
         private fun runningArrayTasks() =
             cluster.jobs.values.sumOf { job ->
                 if (job.spec.kind == JobKind.ARRAY) job.placements.size else 0
             }
 
-        private fun slotsOnTheirWay(): Int {
+        private fun slotsOnPlannedMachines(): Int {
             val request = jobs.firstOrNull()?.resourceRequest ?: return 0
             return plan.machines.sumOf { request.countIn(it.available) }
         }
 
         fun pack() {
-            for (job in jobs) if (now - job.knownSince >= ARRAY_DELAY) pack(job)
+            for (job in jobs) if (now - job.knownSince >= ARRAY_SCALE_OUT_DELAY) pack(job)
         }
 
         private fun pack(job: Job) {
             val cursor = PackingCursor(job.spec)
-            val patience = patienceOf(job)
-            var isStuck = isStuck(job)
-            repeat(minOf(job.waitingCount(), cluster.quotas.remaining(job), MAX_TASKS_PER_JOB)) {
+            val limits = drainTimeLimits(job)
+            var isStarved = isStarved(job)
+            repeat(minOf(job.waitingCount(), cluster.quotas.remaining(job), MAX_PLANNED_TASKS_PER_JOB)) {
                 if (cursor.pack(plan)) return@repeat
-                val runTime = maxOf(job.spec.estimatedDuration, MIN_RUN_TIME)
-                work += runTime
-                val machine = machineFor(cursor, patience, isStuck) ?: return@repeat
+                val runTime = maxOf(job.spec.estimatedDuration, MIN_TASK_RUN_TIME)
+                unplannedRunTime += runTime
+                val machine = machineFor(cursor, limits, isStarved) ?: return@repeat
                 plan.add(machine)
-                isStuck = false
+                isStarved = false
                 slots += job.resourceRequest.countIn(machine.available)
                 cursor.pack(plan)
-                work -= runTime
+                unplannedRunTime -= runTime
             }
         }
 
-        /** Slots that drain are those of other work; where none is of use to this job, waiting for them has no end. */
-        private fun isStuck(job: Job): Boolean {
+        /**
+         * Whether the job would wait indefinitely without a new machine. The backlog drains through the slots of other
+         * work, and a job that can use none of these would never be placed.
+         */
+        private fun isStarved(job: Job): Boolean {
             if (job.placements.isNotEmpty()) return false
-            return now - job.knownSince > deadlines.waitBound(job) || fitsNowhere(job.spec)
+            return now - job.knownSince > deadlines.waitBound(job) || fitsNoMachine(job.spec)
         }
 
-        private fun patienceOf(job: Job): Patience {
+        private fun drainTimeLimits(job: Job): DrainTimeLimits {
             val slack = deadlines.slack(job)
             val leadTime = leadTime(job.spec)
-            val forSpot = maxOf(leadTime * SPOT_LEAD_SHARE, slack * SPOT_SLACK_SHARE) * spotDiscount(job.spec)
-            return Patience(forSpot, maxOf(leadTime * ORDINARY_LEAD_SHARE, slack * ORDINARY_SLACK_SHARE))
+            val spotLimit = maxOf(leadTime * SPOT_LEAD_TIME_SHARE, slack * SPOT_SLACK_SHARE) * spotPriceRatio(job.spec)
+            return DrainTimeLimits(spotLimit, maxOf(leadTime * ORDINARY_LEAD_TIME_SHARE, slack * ORDINARY_SLACK_SHARE))
         }
 
-        private fun machineFor(cursor: PackingCursor, patience: Patience, isStuck: Boolean): PlannedMachine? {
+        private fun machineFor(cursor: PackingCursor, limits: DrainTimeLimits, isStarved: Boolean): PlannedMachine? {
             val mayUseSpot = cursor.spec.spot
-            val drainTime = work / maxOf(slots, 1)
-            val shortest = if (mayUseSpot) patience.forSpot else minOf(patience.forSpot, patience.forOrdinary)
-            if (drainTime <= shortest && !isStuck) return null
-            cheapestFor(cursor, plan, ScaleOutCause.BACKLOG, onlySpot = mayUseSpot)?.let { return it }
-            val mayBeOrdinary = drainTime > patience.forOrdinary || isStuck
-            return if (mayBeOrdinary) cheapestFor(cursor, plan, ScaleOutCause.BACKLOG) else null
+            val drainTime = unplannedRunTime / maxOf(slots, 1)
+            val shortestLimit = if (mayUseSpot) limits.spotLimit else minOf(limits.spotLimit, limits.ordinaryLimit)
+            if (drainTime <= shortestLimit && !isStarved) return null
+            cheapestMachineFor(cursor, plan, ScaleOutCause.BACKLOG, onlySpot = mayUseSpot)?.let { return it }
+            val mayBeOrdinary = drainTime > limits.ordinaryLimit || isStarved
+            return if (mayBeOrdinary) cheapestMachineFor(cursor, plan, ScaleOutCause.BACKLOG) else null
         }
     }
 
-    /** How long a backlog may take to drain before machines are rented for it. */
-    private class Patience(val forSpot: Duration, val forOrdinary: Duration)
+    /** The times that a backlog may take to drain before spot or ordinary machines are rented for it. */
+    private class DrainTimeLimits(val spotLimit: Duration, val ordinaryLimit: Duration)
 
-    /** Whether no machine of the fleet could ever take the task, however empty. */
-    private fun fitsNowhere(spec: JobSpec): Boolean =
+    /** Whether no machine of the fleet could take the task even if it were empty. */
+    private fun fitsNoMachine(spec: JobSpec): Boolean =
         cluster.machines.values.none { machine ->
             val type = cluster.typeOf(machine)
-            val stays = !machine.isLeaving && !machine.isCordoned
-            stays && isAllowed(spec, machine) && type != null && spec.resourceRequest.fitsIn(type.capacity)
+            val remainsInUse = !machine.isLeaving && !machine.isCordoned
+            remainsInUse && isAllowed(spec, machine) && type != null && spec.resourceRequest.fitsIn(type.capacity)
         }
 
-    /** What a spot machine costs of an ordinary one's price: the cheaper, the sooner it is worth renting. */
-    private fun spotDiscount(spec: JobSpec): Double {
+    /** The price of a spot machine as a share of the ordinary price: the lower, the sooner renting is worthwhile. */
+    private fun spotPriceRatio(spec: JobSpec): Double {
         if (!spec.spot) return 1.0
         val type = cluster.firstTypeFor(spec) ?: return 1.0
         return (type.spotPrice / type.price.coerceAtLeast(MIN_PRICE)).coerceIn(0.0, 1.0)
     }
 
-    /** From the scale-out request until a task runs. */
+    /** The time from a scale-out request until a task runs on the new machine. */
     private fun leadTime(spec: JobSpec): Duration {
-        val type = cluster.firstTypeFor(spec) ?: return UNKNOWN_LEAD_TIME
-        return type.boot * BOOT_MARGIN + type.fetchTime(spec.imageGb)
+        val type = cluster.firstTypeFor(spec) ?: return DEFAULT_LEAD_TIME
+        return type.boot * BOOT_TIME_FACTOR + type.fetchTime(spec.imageGb)
     }
 
     private companion object {
-        const val MAX_TASKS_PER_JOB = 400
+        const val MAX_PLANNED_TASKS_PER_JOB = 400
 
-        /** An array that has just come may fit onto the fleet at once. */
-        val ARRAY_DELAY = 2.seconds
-        val MIN_RUN_TIME = 2.seconds
-        val UNKNOWN_LEAD_TIME = 60.seconds
-        const val BOOT_MARGIN = 1.1
+        /** The delay before machines are rented for a new array, because it may fit onto the fleet immediately. */
+        val ARRAY_SCALE_OUT_DELAY = 2.seconds
+        val MIN_TASK_RUN_TIME = 2.seconds
+        val DEFAULT_LEAD_TIME = 60.seconds
+        const val BOOT_TIME_FACTOR = 1.1
 
-        /** Keeps shares of a price finite. */
+        /** A lower bound for the price that a share is computed of, so that the share is finite. */
         const val MIN_PRICE = 1e-9
 
-        /** A backlog may take these shares of the lead time of a machine, and of the slack of its job. */
-        const val SPOT_LEAD_SHARE = 0.5
+        /** The shares of a machine's lead time and of its job's slack that a backlog may take to drain. */
+        const val SPOT_LEAD_TIME_SHARE = 0.5
         const val SPOT_SLACK_SHARE = 0.25
-        const val ORDINARY_LEAD_SHARE = 1.5
+        const val ORDINARY_LEAD_TIME_SHARE = 1.5
         const val ORDINARY_SLACK_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutRequests.kt
@@ -6,17 +6,17 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Requests for machines that the cloud has not answered yet, and what it refused. */
+/** Scale-out requests that the cloud has not answered yet, and machine offers that it refused. */
 class ScaleOutRequests(private val context: SchedulingContext) {
     private val open = LinkedHashMap<String, ScaleOut>()
     private val retryAt = HashMap<String, Duration>()
     private val refusedUntil = HashMap<MachineOffer, Duration>()
-    private var lastNumber = 0
+    private var lastRequestNumber = 0
 
     /** Requests that have not been answered. */
     val unanswered: Collection<ScaleOut> get() = open.values
 
-    /** The cloud has answered with [rented] machines. */
+    /** Called when the cloud has answered. If it rented fewer machines than requested, the offer counts as refused. */
     fun answered(request: ScaleOut, rented: Int) {
         open.remove(request.request)
         retryAt.remove(request.request)
@@ -26,12 +26,12 @@
         }
     }
 
-    /** There was no answer: the request is repeated. */
-    fun noAnswer(request: ScaleOut) {
-        retryAt[request.request] = context.now + RETRY
+    /** Called when there was no response. The request is repeated after a retry delay. */
+    fun notAnswered(request: ScaleOut) {
+        retryAt[request.request] = context.now + RETRY_DELAY
     }
 
-    /** Repeats requests; under the same name the cloud rents nothing twice. */
+    /** Repeats requests that are due. The cloud rents machines only once for requests with the same name. */
     fun retry() {
         for ((name, time) in retryAt.entries.toList()) {
             if (context.now < time) continue
@@ -40,13 +40,13 @@
         }
     }
 
-    /** Whether such machines were refused a short while ago. */
+    /** Whether the cloud refused this offer recently. */
     fun isRefused(offer: MachineOffer): Boolean = refusedUntil[offer].let { it != null && it > context.now }
 
-    /** Requests the machines that the plan wants. */
+    /** Requests the machines that the plan contains as machines to rent. */
     fun request(plan: PackingPlan) {
         for ((offer, machines) in plan.machinesToRent.groupBy { it.offer }) {
-            if (open.size >= MAX_OPEN) return
+            if (open.size >= MAX_OPEN_REQUESTS) return
             request(offer, machines)
         }
     }
@@ -54,14 +54,14 @@
     private fun request(offer: MachineOffer, machines: List<PlannedMachine>) {
         val causes =
             machines
-                .take(MAX_MACHINES)
+                .take(MAX_MACHINES_PER_REQUEST)
                 .mapNotNull { it.cause }
                 .takeWhile { context.hooks.gate.admits(ProposedOrder(it)) }
                 .groupingBy { it }
                 .eachCount()
         if (causes.isEmpty()) return
-        // The token is this term's alone, so nobody ever uses the name again.
-        val name = "r-${context.token}-${++lastNumber}"
+        // The fencing token belongs to this term alone, so no controller ever uses the name again.
+        val name = "r-${context.token}-${++lastRequestNumber}"
         val request = ScaleOut(name, offer.type, offer.zone, offer.spot, causes)
         open[name] = request
         causes.forEach { (cause, count) -> context.orderCounts.add(cause, count) }
@@ -69,9 +69,10 @@
     }
 
     private companion object {
-        /** Machines in one request, and requests at the same time. */
-        const val MAX_MACHINES = 50
-        const val MAX_OPEN = 12
-        val RETRY = 2.seconds
+        const val MAX_MACHINES_PER_REQUEST = 50
+
+        /** The number of requests at the same time. */
+        const val MAX_OPEN_REQUESTS = 12
+        val RETRY_DELAY = 2.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
@@ -13,57 +13,60 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Spare capacity for critical services that are likely to come while another machine could be got ready. */
+/** Spare capacity for critical services that are likely to arrive in the time it takes to get another machine ready. */
 class ServiceHeadroom(private val context: SchedulingContext, private val cluster: ClusterState) {
     private val now: Duration get() = context.now
 
     private class Arrival(val at: Duration, val tasks: Int)
 
-    /** The recent arrivals of a job class; [spec]: the first job of it. */
+    /** The recent arrivals of a job class. [spec] describes the first job of the class, which arrived at [since]. */
     class ArrivalRate(val spec: JobSpec, val since: Duration) {
         private val recent = ArrayDeque<Arrival>()
 
-        /** Jobs with [tasks] tasks arrived. */
+        /** Records the arrival of a job with [tasks] tasks. */
         fun add(at: Duration, tasks: Int) {
             recent.addLast(Arrival(at, tasks))
-            while (recent.size > MAX_ARRIVALS) recent.removeFirst()
+            while (recent.size > MAX_RECENT_ARRIVALS) recent.removeFirst()
         }
 
-        /** Tasks a second. What came with the first job of all, as at a failover, says nothing of the rate. */
+        /**
+         * Returns the number of tasks that arrive per second. Tasks that arrived shortly after the first job are left
+         * out: after a failover all known jobs arrive together, which says nothing about the rate.
+         */
         fun tasksPerSecond(now: Duration): Double {
-            val window = maxOf(now - since, MIN_WINDOW)
+            val window = maxOf(now - since, MIN_RATE_WINDOW)
             val tasks =
                 recent
-                    .filter { now - it.at < window && now - it.at < MAX_WINDOW && it.at > since + FIRST_MOMENTS }
+                    .filter { now - it.at < window && now - it.at < MAX_RATE_WINDOW && it.at > since + IGNORED_PERIOD }
                     .sumOf { it.tasks }
-            return tasks / (minOf(window, MAX_WINDOW) / 1.seconds)
+            return tasks / (minOf(window, MAX_RATE_WINDOW) / 1.seconds)
         }
     }
 
     private val arrivalRates = HashMap<String, ArrivalRate>()
 
-    /** A job's tasks may be placed from now on. */
+    /** Records a critical service whose tasks may be placed from now on; other jobs are ignored. */
     fun jobArrived(job: Job) {
         if (job.spec.kind != JobKind.SERVICE || job.effectivePriority != Priority.CRITICAL) return
         arrivalRates.getOrPut(job.spec.jobClass) { ArrivalRate(job.spec, now) }.add(now, job.spec.tasks)
     }
 
-    /** What is needed and what there is, counted once for a plan. */
+    /** Counts the needed and the available slots, once for each plan. */
     fun measure(): Slots = Slots(arrivalRates.values.toList())
 
-    /** The spare slots of each class on the machines, kept up as machines are given up. */
+    /** The spare slots of each job class on the machines, updated as machines are cordoned or returned. */
     inner class Slots(val rates: List<ArrivalRate>) {
-        private val needed = rates.associateWith { neededFor(it) }
+        private val needed = rates.associateWith { neededSlots(it) }
         private val available = HashMap<ArrivalRate, Int>()
 
         init {
             for (rate in rates) available[rate] = cluster.machines.values.sumOf { slotsOn(it, rate.spec) }
         }
 
-        /** How many slots more the class needs than there are. */
+        /** How many more slots the class needs than are available. */
         fun missingSlots(rate: ArrivalRate): Int = needed.getValue(rate) - available.getValue(rate)
 
-        /** Takes the machine's slots out of the count if enough remain. */
+        /** Removes the machine's slots from the count if enough remain, and returns whether they were removed. */
         fun tryRelease(machine: Machine): Boolean {
             val lost = rates.associateWith { slotsOn(machine, it.spec) }
             val isNeeded =
@@ -77,11 +80,11 @@
         }
     }
 
-    /** How many tasks of the class are likely to arrive while another machine could be got ready. */
-    private fun neededFor(rate: ArrivalRate): Int {
+    /** How many tasks of the class are likely to arrive in the time it takes to get another machine ready. */
+    private fun neededSlots(rate: ArrivalRate): Int {
         val perSecond = rate.tasksPerSecond(now)
         val type = cluster.firstTypeFor(rate.spec) ?: return 0
-        val leadTime = type.boot * BOOT_MARGIN + type.fetchTime(rate.spec.imageGb) + LEAD_TIME_MARGIN
+        val leadTime = type.boot * BOOT_TIME_FACTOR + type.fetchTime(rate.spec.imageGb) + LEAD_TIME_MARGIN
         val mean = perSecond * (leadTime / 1.seconds) * context.config.tuning.headroom
         return ceil(mean + sqrt(mean)).toInt().coerceAtLeast(1)
     }
@@ -89,7 +92,7 @@
     private fun slotsOn(machine: Machine, spec: JobSpec): Int {
         if (!isAvailable(machine) || !isAllowed(spec, machine)) return 0
         val type = cluster.typeOf(machine) ?: return 0
-        // What lower work takes can be freed at once, so it counts as spare.
+        // Resources used by lower-priority work can be freed immediately, so they count as available.
         var available = machine.available(type)
         for (placement in machine.placements.values) {
             if (mayBePreempted(placement.job)) available += placement.job.resourceRequest
@@ -105,11 +108,11 @@
     private fun mayBePreempted(job: Job) = job.effectivePriority < Priority.URGENT && job.spec.kind == JobKind.ARRAY
 
     private companion object {
-        const val MAX_ARRIVALS = 200
-        val MIN_WINDOW = 60.seconds
-        val MAX_WINDOW = 300.seconds
-        val FIRST_MOMENTS = 5.seconds
-        const val BOOT_MARGIN = 1.2
+        const val MAX_RECENT_ARRIVALS = 200
+        val MIN_RATE_WINDOW = 60.seconds
+        val MAX_RATE_WINDOW = 300.seconds
+        val IGNORED_PERIOD = 5.seconds
+        const val BOOT_TIME_FACTOR = 1.2
         val LEAD_TIME_MARGIN = 5.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
+++ b/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
@@ -11,13 +11,13 @@
 class DeadlinePolicy(private val context: SchedulingContext, private val cluster: ClusterState) {
     private val config get() = context.config
 
-    /** For each job class the times within which tasks should start. */
+    /** For each job class with a wait objective, the time within which a task should start. */
     private val maxWaits: Map<String, Duration> =
         config.objectives
             .filter { it.kind == Objective.WAIT && it.jobClass != null }
             .associate { it.jobClass.orEmpty() to (it.within ?: Duration.INFINITE) }
 
-    /** For each job class the times within which jobs should be done, shortest first. */
+    /** For each job class with objectives for finished jobs, the times within which jobs should be done, sorted. */
     private val maxDurations: Map<String, List<Duration>> =
         config.objectives
             .filter { it.kind == Objective.FINISHED && it.jobClass != null && it.within != null }
@@ -30,58 +30,69 @@
         return cluster.commonType?.fetchTime(imageGb) ?: (imageGb / DEFAULT_FETCH_GB_PER_S).seconds
     }
 
-    /** Whether the objective for the job's class can be met only where its image is cached. */
+    /** Whether the wait objective of the job's class can be met only on a machine that has the image in its cache. */
     fun requiresCachedImage(job: Job): Boolean {
         val maxWait = maxWaits[job.spec.jobClass] ?: return false
         return fetchTime(job) > maxWait
     }
 
     /**
-     * The latest time at which the job's next task should start to meet the first objective that it still can; jobs
-     * that can meet none come last. Work that is late anyway must not make other work late. But nothing waits for ever:
-     * a job that has waited past the bound goes before all others of its priority, oldest first, however large it is
-     * and however much small work keeps arriving.
+     * Returns the latest time at which the job's next task should start, so that the job meets the first objective that
+     * can still be met. A job that can meet no objective is ordered after all others, because work that is late in any
+     * case must not delay other work. To prevent starvation, a job that has waited longer than [waitBound] is ordered
+     * before all others of its priority, oldest first, regardless of its size and of how much small work keeps
+     * arriving.
      */
     fun latestStart(job: Job): Duration {
         val waitingSince = job.waitingSince
-        if (context.wallTime - waitingSince > waitBound(job)) return waitingSince - FAR
-        // A deadline follows from an estimate that is often wrong: such a job is never written off.
+        if (context.wallTime - waitingSince > waitBound(job)) return waitingSince - ORDERING_OFFSET
+        // Whether a deadline can still be met follows from an estimate that is often wrong. A job with a deadline is
+        // therefore never ordered after all others.
         job.dueBy?.let { return latestStart(job, it) }
-        val runTime = job.spec.estimatedDuration * ESTIMATE_MARGIN
-        for (maxDuration in maxDurations[job.spec.jobClass] ?: listOf(DEFAULT_WAIT + runTime)) {
+        val runTime = job.spec.estimatedDuration * OBJECTIVE_DURATION_FACTOR
+        for (maxDuration in maxDurations[job.spec.jobClass] ?: listOf(DEFAULT_MAX_WAIT + runTime)) {
             val latest = waitingSince + maxDuration - runTime
             if (latest >= context.wallTime) return latest
         }
-        return waitingSince + FAR
+        return waitingSince + ORDERING_OFFSET
     }
 
-    /** When the job has to start to be done by then; estimates are often too short. */
-    fun latestStart(job: Job, dueBy: Duration): Duration = dueBy - job.spec.estimatedDuration * DEADLINE_MARGIN
+    /**
+     * Returns the time at which the job has to start to be done by [dueBy]. The estimated duration is multiplied by a
+     * factor, because estimates are often too short.
+     */
+    fun latestStart(job: Job, dueBy: Duration): Duration = dueBy - job.spec.estimatedDuration * DEADLINE_DURATION_FACTOR
 
-    /** After this time without progress a job goes before all others of its priority. */
+    /**
+     * The time without progress after which a job is ordered before all others of its priority. It is doubled for a job
+     * that has started.
+     */
     fun waitBound(job: Job): Duration = config.tuning.waitBound * (if (job.hasStarted) 2 else 1)
 
-    /** How long the job may wait for its placements and still meet the first objective that it can meet at all. */
+    /**
+     * Returns how long the job may wait for its placements and still meet its deadline or, if it has none, the first
+     * objective that it can meet at all.
+     */
     fun slack(job: Job): Duration {
         val spec = job.spec
         job.dueBy?.let { return maxOf(Duration.ZERO, it - job.waitingSince - spec.estimatedDuration) }
-        val runTime = spec.estimatedDuration * ESTIMATE_MARGIN
+        val runTime = spec.estimatedDuration * OBJECTIVE_DURATION_FACTOR
         return maxDurations[spec.jobClass]
             .orEmpty()
             .map { it - runTime }
-            .firstOrNull { it >= Duration.ZERO } ?: DEFAULT_WAIT
+            .firstOrNull { it >= Duration.ZERO } ?: DEFAULT_MAX_WAIT
     }
 
     private companion object {
-        /** How much longer than estimated a task may run, for objectives and for deadlines. */
-        const val ESTIMATE_MARGIN = 1.15
-        const val DEADLINE_MARGIN = 1.3
+        /** How many times its estimated duration a task is assumed to run, for objectives and for deadlines. */
+        const val OBJECTIVE_DURATION_FACTOR = 1.15
+        const val DEADLINE_DURATION_FACTOR = 1.3
 
         /** Jobs of classes without an objective should start within this time. */
-        val DEFAULT_WAIT = 60.seconds
+        val DEFAULT_MAX_WAIT = 60.seconds
 
-        /** Further away than any objective or deadline. */
-        val FAR = 3600.seconds
+        /** Longer than any objective or deadline: orders a job before or after all others of its priority. */
+        val ORDERING_OFFSET = 3600.seconds
         const val DEFAULT_FETCH_GB_PER_S = 1.0
     }
 }
--- a/src/main/kotlin/glenspool/core/placement/GangPlanner.kt
+++ b/src/main/kotlin/glenspool/core/placement/GangPlanner.kt
@@ -5,15 +5,19 @@
 import glenspool.core.lifecycle.Job
 import glenspool.core.model.Resources
 
-/** Places gangs: whole or not at all, by a plan that is made first. */
+/** Places each gang completely or not at all: all its tasks are planned before the first one is placed. */
 class GangPlanner(private val view: PlacementView, private val resources: RoundResources) {
     private class PlannedTask(val task: Int, val machine: Machine)
 
-    /** Places the gang. False: the machines of this round do not hold it. */
+    /**
+     * Places the gang if possible. Returns false if machines should be reserved for it, because the machines of this
+     * round cannot hold it or its last attempt still has placements.
+     */
     fun place(gang: Job): Boolean {
         if (gang.placements.isNotEmpty()) return false
         val tasks = gang.waitingTasks(gang.spec.tasks)
-        // Some of its tasks are still somewhere, or quota or record have no space: reserving machines would not help.
+        // Reserving machines does not help while some of the gang's tasks may still be on a machine, or while the quota
+        // or the stored record has no space for its tasks.
         if (tasks.size < gang.spec.tasks - gang.done.cardinality() || tasks.isEmpty()) return true
         if (view.remainingQuota(gang) < tasks.size || view.recordCapacity(gang) < tasks.size) return true
         val plan = bestPlan(gang, tasks) ?: return false
@@ -26,30 +30,33 @@
         return true
     }
 
-    /** The plan with the fewest images to fetch, of those for each zone if all tasks have to be in one. */
+    /**
+     * Returns the plan with the fewest images to fetch, or null if there is none. If all tasks have to be in the same
+     * zone, the plans for the different zones are compared.
+     */
     private fun bestPlan(gang: Job, tasks: List<Int>): List<PlannedTask>? {
         val zones: List<String?> =
             if (gang.spec.sameZone) resources.machines.map { it.zone }.distinct() else listOf(null)
         return zones
-            .mapNotNull { planIn(it, gang, tasks) }
+            .mapNotNull { planInZone(it, gang, tasks) }
             .minByOrNull { plan -> plan.count { !it.machine.hasImage(gang.spec.image) } }
     }
 
-    private fun planIn(zone: String?, gang: Job, tasks: List<Int>): List<PlannedTask>? {
+    private fun planInZone(zone: String?, gang: Job, tasks: List<Int>): List<PlannedTask>? {
         val fitting = resources.machines.filter { isFitting(it, zone, gang) }
         if (fitting.sumOf { gang.resourceRequest.countIn(resources.freeOn(it)) } < tasks.size) return null
         val tasksInZone = HashMap<String, Int>()
         val plan = ArrayList<PlannedTask>()
-        val left = ArrayDeque(tasks)
+        val remainingTasks = ArrayDeque(tasks)
         for (machine in fitting.sortedWith(byPreference(gang))) {
             var available: Resources = resources.freeOn(machine)
-            while (left.isNotEmpty() && gang.resourceRequest.fitsIn(available)) {
+            while (remainingTasks.isNotEmpty() && gang.resourceRequest.fitsIn(available)) {
                 if ((tasksInZone[machine.zone] ?: 0) >= gang.spec.maxTasksPerZone) break
-                plan.add(PlannedTask(left.removeFirst(), machine))
+                plan.add(PlannedTask(remainingTasks.removeFirst(), machine))
                 tasksInZone.merge(machine.zone, 1, Int::plus)
                 available -= gang.resourceRequest
             }
-            if (left.isEmpty()) return plan
+            if (remainingTasks.isEmpty()) return plan
         }
         return null
     }
@@ -60,7 +67,7 @@
         return isInZone && isAllowed(gang.spec, machine) && !view.isAvoided(gang, machine)
     }
 
-    /** The fastest type, then cached images, then what it costs, then fast machines with many free GPUs. */
+    /** Prefers the fastest machine type, then cached images, then low cost, then fast machines, then many free GPUs. */
     private fun byPreference(gang: Job): Comparator<Machine> {
         val fastest = view.fastestType(gang.spec.jobClass)
         return compareBy<Machine> { if (it.type == fastest) 0 else 1 }
@@ -70,16 +77,19 @@
             .thenByDescending { resources.freeOn(it).gpus }
     }
 
-    /** Keeps machines that the gang could use from lower work in this round, so that they become free for it. */
+    /**
+     * Reserves machines that the gang could use, so that no lower-priority work is placed on them in this round and
+     * they become free for the gang.
+     */
     fun reserveMachines(gang: Job) {
         val usable = resources.allMachines.filter { mayBeReserved(it, gang) }
         val zone = if (gang.spec.sameZone) mostCommonZone(usable) else null
-        var wanted = gang.waitingCount()
+        var remaining = gang.waitingCount()
         for (machine in usable.sortedBy { it.workload.taskCount }) {
-            if (wanted <= 0) return
+            if (remaining <= 0) return
             if (zone != null && machine.zone != zone) continue
             resources.reserve(machine)
-            wanted -= gang.resourceRequest.countIn(capacityOf(machine))
+            remaining -= gang.resourceRequest.countIn(capacityOf(machine))
         }
     }
 
--- a/src/main/kotlin/glenspool/core/placement/MachineScorer.kt
+++ b/src/main/kotlin/glenspool/core/placement/MachineScorer.kt
@@ -5,28 +5,28 @@
 import glenspool.core.model.JobKind
 import java.util.PriorityQueue
 
-/** How well a machine suits a job; the lower the score, the better. */
+/** Scores how well a machine suits a job; a lower score is better. */
 class MachineScorer(private val view: PlacementView) {
-    /** The fastest type counts most, then the image, then price and spread. */
+    /** The machine type has the largest weight, then the machine's slowness, the image, the cost and the spread. */
     fun score(job: Job, machine: Machine): Int {
         view.workCounters.placementScores++
         var score = typeScore(job, machine) + imageScore(job, machine)
-        score += view.costPenalty(job, machine) * DEAR_MACHINE
+        score += view.costPenalty(job, machine) * COST_PENALTY_WEIGHT
         score += spreadScore(job, machine)
-        if (machine.health.slowness > SLOW) score += SLOW_MACHINE
+        if (machine.health.slowness > SLOWNESS_THRESHOLD) score += SLOW_MACHINE_PENALTY
         return score
     }
 
     private fun typeScore(job: Job, machine: Machine): Int {
         val fastest = view.fastestType(job.spec.jobClass)
-        return if (fastest == null || machine.type == fastest) 0 else SLOWER_TYPE
+        return if (fastest == null || machine.type == fastest) 0 else SLOWER_TYPE_PENALTY
     }
 
     private fun imageScore(job: Job, machine: Machine): Int =
         when {
             machine.hasImage(job.spec.image) -> 0
-            machine.willHaveImage(job.spec.image) -> IMAGE_ON_ITS_WAY
-            else -> NO_IMAGE
+            machine.willHaveImage(job.spec.image) -> IMAGE_FETCHING_PENALTY
+            else -> NO_IMAGE_PENALTY
         }
 
     private fun spreadScore(job: Job, machine: Machine): Int {
@@ -34,31 +34,34 @@
         val ownReplicas = if (isService) machine.placements.values.count { it.job === job } else 0
         return ownReplicas +
             when {
-                // Spread out, such services leave resources and their images on many machines for those to come.
-                isService && view.requiresCachedImage(job) -> machine.workload.serviceReplicas * OTHER_REPLICA
-                // An empty machine is worth most whole: to a gang, or returned.
-                machine.workload.taskCount == 0 || machine.isCordoned -> EMPTY_MACHINE
+                // Spreading such services leaves free resources on many machines that have the image in their cache,
+                // for services that arrive later.
+                isService && view.requiresCachedImage(job) -> machine.workload.serviceReplicas * OTHER_REPLICA_PENALTY
+                // Machines that are empty, or cordoned in order to become empty, are avoided: an empty machine is worth
+                // most to a gang, or when it is returned to the cloud.
+                machine.workload.taskCount == 0 || machine.isCordoned -> EMPTY_MACHINE_PENALTY
                 else -> 0
             }
     }
 
     private companion object {
-        const val SLOWER_TYPE = 1000
-        const val SLOW_MACHINE = 400
-        const val NO_IMAGE = 100
-        const val DEAR_MACHINE = 60
-        const val IMAGE_ON_ITS_WAY = 50
-        const val EMPTY_MACHINE = 20
-        const val OTHER_REPLICA = 5
+        const val SLOWER_TYPE_PENALTY = 1000
+        const val SLOW_MACHINE_PENALTY = 400
+        const val NO_IMAGE_PENALTY = 100
+        const val COST_PENALTY_WEIGHT = 60
+        const val IMAGE_FETCHING_PENALTY = 50
+        const val EMPTY_MACHINE_PENALTY = 20
+        const val OTHER_REPLICA_PENALTY = 5
 
-        /** Tasks run so many times as long as usual on a slow machine. */
-        const val SLOW = 1.5
+        /** A machine is slow if its tasks run more than this many times as long as usual. */
+        const val SLOWNESS_THRESHOLD = 1.5
     }
 }
 
 /**
- * The scores of machines for one job, best first. A machine that changed is entered anew and its old entries are passed
- * over, so that a draw need not look at every machine. [isUsable]: whether a machine may take a task of the job now.
+ * A priority queue with the scores of machines for one job, best first. A changed machine is added again, and entries
+ * with an outdated score are discarded when they reach the head, so that finding the best score does not require
+ * scoring every machine. [isUsable] returns whether a machine may take a task of the job now.
  */
 class MachineScores(
     private val job: Job,
@@ -74,12 +77,12 @@
         machines.forEach(::update)
     }
 
-    /** The machine suits the job differently now. */
+    /** Adds the current score of a machine after a change that may have affected it. */
     fun update(machine: Machine) {
         if (isUsable(machine)) queue.add(Entry(scorer.score(job, machine), machine))
     }
 
-    /** The best score of a usable machine. */
+    /** Returns the best score of a usable machine, or [Int.MAX_VALUE] if there is none. */
     fun bestScore(): Int {
         while (true) {
             val top = queue.peek() ?: return Int.MAX_VALUE
--- a/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
@@ -9,19 +9,24 @@
 import glenspool.core.model.Resources
 import kotlin.time.Duration
 
-/** The bottleneck resource of a task, see docs/design.md: GPU if it asks for one, else memory or CPU by share. */
-fun bottleneck(request: Resources, common: MachineType?, factor: Double): Resource {
+/**
+ * Returns the bottleneck resource of a task, see docs/design.md: the GPU if the task requests one. Otherwise it is
+ * memory if the requested share of a [commonType] machine's memory exceeds [memoryFactor] times the share of its CPUs,
+ * else CPU.
+ */
+fun bottleneck(request: Resources, commonType: MachineType?, memoryFactor: Double): Resource {
     if (request.gpus > 0.0) return Resource.GPU
-    if (common == null) return Resource.CPU
-    val memoryShare = request.memoryGb / common.capacity.memoryGb
-    val cpuShare = request.cpus / common.capacity.cpus
-    return if (memoryShare > factor * cpuShare) Resource.MEMORY else Resource.CPU
+    if (commonType == null) return Resource.CPU
+    val memoryShare = request.memoryGb / commonType.capacity.memoryGb
+    val cpuShare = request.cpus / commonType.capacity.cpus
+    return if (memoryShare > memoryFactor * cpuShare) Resource.MEMORY else Resource.CPU
 }
 
 /**
- * One round of placement. Priorities are served from the top; within one, gangs are placed whole first, then machine
- * queues per resource are drawn from in turn, each largest capacity, then most free resources first, and each machine
- * takes a waiting task that is bound by that resource.
+ * One round of placement. Priorities are served from the highest to the lowest. Within a priority, gangs are placed
+ * first, each completely or not at all. Then [TaskMatcher] matches the other tasks with machines: there is a queue of
+ * machines for each resource, with the largest capacity, then the most free resources first. The queues are polled in
+ * turn, and each polled machine takes a waiting task whose bottleneck is that resource.
  */
 class PlacementRound(private val view: PlacementView, machines: List<Machine>, private val jobs: List<Job>) {
     private val resources = RoundResources(view, machines, jobs)
@@ -30,20 +35,20 @@
 
     private class OrderedJob(val job: Job, val exceedsGuarantee: Boolean, val latestStart: Duration)
 
-    /** Gangs that could not be placed and are [overdue] get machines reserved for them. */
-    fun run(overdue: (Job) -> Boolean) {
+    /** Runs the round. Machines are reserved for a gang that could not be placed and [isOverdue]. */
+    fun run(isOverdue: (Job) -> Boolean) {
         for (priority in Priority.entries.asReversed()) {
             val ordered = ordered(jobs.filter { it.effectivePriority == priority })
             if (ordered.isEmpty()) continue
             val (gangJobs, others) = ordered.partition { it.spec.kind == JobKind.GANG }
             for (gang in gangJobs) {
-                if (!gangs.place(gang) && overdue(gang)) gangs.reserveMachines(gang)
+                if (!gangs.place(gang) && isOverdue(gang)) gangs.reserveMachines(gang)
             }
             tasks.match(others)
         }
     }
 
-    /** Work within its team's guarantee goes first, then by when it should start. */
+    /** Orders work within its team's guarantee first, then by the latest time at which it should start. */
     private fun ordered(jobs: List<Job>): List<Job> =
         jobs
             .map { OrderedJob(it, !view.isWithinGuarantee(it), view.latestStart(it)) }
--- a/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
@@ -15,7 +15,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Runs placement rounds when something has changed, and makes the placements that they decide on. */
+/** Runs placement rounds when the state has changed or the round period is over, and creates their placements. */
 class PlacementScheduler(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -27,20 +27,21 @@
 ) : PlacementView {
     private val config get() = context.config
     private val now: Duration get() = context.now
-    private var lastRoundAt = context.startedAt - LONG_AGO
+    private var lastRoundAt = context.startedAt - INITIAL_ROUND_AGE
 
     override val types: Map<String, MachineType> get() = cluster.types
     override val commonType: MachineType? get() = cluster.commonType
     override val resourceFactor: Double get() = config.tuning.resourceFactor
     override val workCounters: WorkCounters get() = context.workCounters
 
-    /** The time between rounds for what matching machines and tasks may take: the longer, the larger the fleet is. */
-    private val minInterval: Duration get() = maxOf(MIN_INTERVAL, INTERVAL_PER_MACHINE * cluster.machines.size)
+    /** The shortest time between rounds. It grows with the fleet, as does the time for matching machines and tasks. */
+    private val minRoundInterval: Duration
+        get() = maxOf(MIN_ROUND_INTERVAL, ROUND_INTERVAL_PER_MACHINE * cluster.machines.size)
 
-    /** Runs a round if one is due. Whether it was run. */
+    /** Runs a round if one is due, and returns whether it was run. */
     fun runIfDue(): Boolean {
         val sinceLast = now - lastRoundAt
-        val isDue = context.isRoundRequested && sinceLast >= minInterval || sinceLast >= config.tuning.roundPeriod
+        val isDue = context.isRoundRequested && sinceLast >= minRoundInterval || sinceLast >= config.tuning.roundPeriod
         if (!isDue) return false
         lastRoundAt = now
         context.beginRound()
@@ -53,7 +54,7 @@
     private fun runRound() {
         val waiting = cluster.jobs.values.filter { mayBePlaced(it) }
         if (waiting.isEmpty()) return
-        val ready = cluster.machines.values.filter { isFitForNewWork(it) }
+        val ready = cluster.machines.values.filter { isReadyForNewWork(it) }
         if (ready.isEmpty()) return
         preemptor.freeMachinesWithImage(waiting, ready)
         val jobs = waiting.filterNot { preemptor.isWaitingForImage(it, ready) }
@@ -66,8 +67,10 @@
         return job.hasWaitingTask()
     }
 
-    /** See also [glenspool.core.SchedulerHooks.newWorkNeedsOwnHeartbeat]. */
-    private fun isFitForNewWork(machine: Machine): Boolean {
+    /**
+     * Whether tasks may be placed on the machine, see also [glenspool.core.SchedulerHooks.newWorkNeedsOwnHeartbeat].
+     */
+    private fun isReadyForNewWork(machine: Machine): Boolean {
         val freshness = config.heartbeatFreshness
         if (!machine.isReady(now, freshness) || machine.type !in types) return false
         val needsOwnHeartbeat = context.hooks.newWorkNeedsOwnHeartbeat
@@ -111,18 +114,20 @@
     override fun costPenalty(job: Job, machine: Machine): Int = if (job.spec.spot && !machine.spot) 1 else 0
 
     private companion object {
-        val MIN_INTERVAL = 30.milliseconds
-        val INTERVAL_PER_MACHINE = 200.microseconds
-        val LONG_AGO = 1000.seconds
+        val MIN_ROUND_INTERVAL = 30.milliseconds
+        val ROUND_INTERVAL_PER_MACHINE = 200.microseconds
+
+        /** The age of a fictitious last round at the start, so that the first round is due immediately. */
+        val INITIAL_ROUND_AGE = 1000.seconds
     }
 }
 
-/** A job that failed on as many machines is at fault itself: it avoids none of them any more. */
+/** A job that failed on this many machines avoids none of them any more, because the fault lies with the job itself. */
 private const val MAX_AVOIDED_MACHINES = 4
 
 /**
- * Whether the job avoids the machine because it failed there, or because a start of it may still arrive there late:
- * another attempt would only meet that one.
+ * Whether the job avoids the machine, because it failed there or because a start of one of its tasks may still arrive
+ * there late. In the second case, another attempt on this machine would only collide with the late one.
  */
 internal fun hasReasonToAvoid(job: Job, machine: Machine): Boolean {
     val hasFailedThere = machine.id in job.failedOn && job.failedOn.size < MAX_AVOIDED_MACHINES
--- a/src/main/kotlin/glenspool/core/placement/PlacementView.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementView.kt
@@ -6,12 +6,12 @@
 import glenspool.core.model.MachineType
 import kotlin.time.Duration
 
-/** What a placement round may look at, and the one thing it does: [place]. */
+/** The state that a placement round reads, and the operations by which it places tasks. */
 interface PlacementView {
     val types: Map<String, MachineType>
     val commonType: MachineType?
 
-    /** How far a memory request must outweigh the CPU request for the task to be bound by memory. */
+    /** By which factor a task's share of memory must exceed its share of CPUs for memory to be its bottleneck. */
     val resourceFactor: Double
     val workCounters: WorkCounters
 
@@ -24,30 +24,33 @@
     /** Whether the job's team stays within its guarantee with one more task of the job. */
     fun isWithinGuarantee(job: Job): Boolean
 
-    /** Whether the job's objective can be met only where its image is cached. */
+    /** Whether the job's objective can be met only on a machine that has the image in its cache. */
     fun requiresCachedImage(job: Job): Boolean
 
     /** The fastest machine type for the class, null if that is not known. */
     fun fastestType(jobClass: String): String?
 
-    /** Places a task of the job on the machine; [attempt]: of a gang, null for a new one. */
+    /** Places a task of the job on the machine. [attempt] is the attempt of a gang; null for a new attempt. */
     fun place(job: Job, task: Int, machine: Machine, attempt: Long?)
 
-    /** The attempt that all tasks of a gang share. */
+    /** Begins a new attempt, which all tasks of the gang share, and returns its number. */
     fun newGangAttempt(gang: Job): Long
 
-    /** All tasks of the gang have their placements. */
+    /** Called when all tasks of the gang have been placed. */
     fun gangPlaced(gang: Job)
 
-    /** A time that orders jobs of the same priority: who should start first. */
+    /** The time that orders jobs of the same priority: the job with the earliest time should start first. */
     fun latestStart(job: Job): Duration
 
-    /** How many tasks of the job may be placed at once, so that what is stored of it stays within a value's limit. */
+    /** How many more tasks of the job may be placed so that its stored values stay within the size limit. */
     fun recordCapacity(job: Job): Int
 
-    /** Whether the job avoids this machine, because it failed there or must not have it now. */
+    /** Whether the job avoids this machine, because it failed there or must not use it now. */
     fun isAvoided(job: Job, machine: Machine): Boolean
 
-    /** Extra cost of using the machine for this job, 0 is best: keeps work that may use spot machines off dear ones. */
+    /**
+     * The penalty for the cost of using the machine for this job; 0 is best. It keeps work that may use spot machines
+     * off more expensive machines.
+     */
     fun costPenalty(job: Job, machine: Machine): Int
 }
--- a/src/main/kotlin/glenspool/core/placement/Preemptor.kt
+++ b/src/main/kotlin/glenspool/core/placement/Preemptor.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Preemption: lower work is stopped for waiting jobs of higher priority. Gangs are never stopped for others. */
+/** Stops lower-priority work for waiting jobs of higher priority. Gangs are never preempted. */
 class Preemptor(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -26,7 +26,7 @@
 ) {
     private val now: Duration get() = context.now
 
-    /** What jobs of one call were promised of each machine, so that resources that are being freed count once. */
+    /** Resources of each machine that jobs claimed in one call, so that resources that are being freed count once. */
     private class Claims {
         private val claimed = HashMap<Machine, Resources>()
 
@@ -39,11 +39,12 @@
         }
     }
 
-    private class Candidate(val machine: Machine, val cost: Duration)
+    private class Candidate(val machine: Machine, val lostTime: Duration)
 
     /**
-     * Urgent work whose image is cached only where lower work fills the machine: that work is stopped at once, and the
-     * job waits the moment that takes, since a fetch elsewhere would take far longer.
+     * Preempts work for urgent jobs whose image is cached only on machines that are full of lower-priority work. That
+     * work is stopped immediately, and the job waits until the resources are free, because fetching the image on
+     * another machine would take much longer.
      */
     fun freeMachinesWithImage(waiting: List<Job>, ready: List<Machine>) {
         for (job in waiting) {
@@ -53,48 +54,54 @@
 
     private fun mayWaitForImage(job: Job): Boolean {
         if (job.effectivePriority < Priority.URGENT || job.resourcesExpectedBy != null) return false
-        return !isLeaving(job) && deadlines.fetchTime(job) >= patienceOf(job) * 2
+        return !hasTasksOfLastAttempt(job) && deadlines.fetchTime(job) >= imageWaitTimeout(job) * 2
     }
 
-    private fun patienceOf(job: Job): Duration {
+    private fun imageWaitTimeout(job: Job): Duration {
         val isCritical = job.effectivePriority == Priority.CRITICAL
-        return if (isCritical) PATIENCE else PATIENCE_WITH_CHECKPOINT
+        return if (isCritical) IMAGE_WAIT_TIMEOUT else IMAGE_WAIT_TIMEOUT_WITH_CHECKPOINT
     }
 
     private fun freeMachinesWithImage(job: Job, ready: List<Machine>) {
         val wanted = minOf(job.waitingCount(), cluster.quotas.remaining(job))
         if (wanted <= 0 || job.isGang && wanted < job.waitingCount()) return
         val usable = ready.filter { it.hasImage(job.spec.image) && isUsable(job, it) }
-        if (countAvailable(job, usable) >= minimumAtOnce(job)) return
-        if (job.isGang && !mayHoldWhole(job, usable, wanted)) return
-        if (stopOn(usable, job, wanted)) job.resourcesExpectedBy = now + patienceOf(job)
+        if (countAvailable(job, usable) >= minTasksToPlace(job)) return
+        if (job.isGang && !canHoldGang(job, usable, wanted)) return
+        if (preemptOn(usable, job, wanted)) job.resourcesExpectedBy = now + imageWaitTimeout(job)
     }
 
-    /** Frees resources for [wanted] tasks, on machines with few of the job's tasks first. Whether any were freed. */
-    private fun stopOn(machines: List<Machine>, job: Job, wanted: Int): Boolean {
+    /**
+     * Frees resources for [wanted] tasks, on machines with few of the job's tasks first. Returns whether resources were
+     * freed for any task.
+     */
+    private fun preemptOn(machines: List<Machine>, job: Job, wanted: Int): Boolean {
         val claims = Claims()
-        var left = wanted
+        var remaining = wanted
         for (machine in machines.sortedBy { candidate -> candidate.placements.values.count { it.job === job } }) {
-            if (left <= 0) break
-            val freed = freeOn(machine, job, claims, if (job.isGang) left else 1)
-            left -= freed
-            // Or the next round would give the resources to the very work that was stopped.
+            if (remaining <= 0) break
+            val freed = freeResourcesOn(machine, job, claims, if (job.isGang) remaining else 1)
+            remaining -= freed
+            // Without the reservation, the next round would give the resources to the same work that was stopped.
             if (job.isGang && freed > 0) machine.reserve(job, now)
         }
         return !claims.isEmpty
     }
 
-    private fun mayHoldWhole(gang: Job, machines: List<Machine>, tasks: Int): Boolean {
+    private fun canHoldGang(gang: Job, machines: List<Machine>, tasks: Int): Boolean {
         if (gang.spec.sameZone && machines.distinctBy { it.zone }.size > 1) return false
-        return machines.sumOf { countIfPreempted(it, gang) } >= tasks
+        return machines.sumOf { countAfterPreemption(it, gang) } >= tasks
     }
 
     private val Job.isGang: Boolean get() = spec.kind == JobKind.GANG
 
-    /** Some of the gang's last attempt is still on its machines: until all of it is gone no resources are of use. */
-    private fun isLeaving(job: Job) = job.isGang && job.placements.isNotEmpty()
+    /**
+     * Whether tasks of the gang's last attempt are still on their machines. Until all of them are gone, the gang cannot
+     * use any resources.
+     */
+    private fun hasTasksOfLastAttempt(job: Job) = job.isGang && job.placements.isNotEmpty()
 
-    private fun minimumAtOnce(job: Job) = if (job.isGang) job.waitingCount() else 1
+    private fun minTasksToPlace(job: Job) = if (job.isGang) job.waitingCount() else 1
 
     /** How many tasks of the job the machines have free resources for. */
     private fun countAvailable(job: Job, machines: List<Machine>): Int =
@@ -105,12 +112,12 @@
 
     private fun availableOn(machine: Machine): Resources? = cluster.typeOf(machine)?.let { machine.available(it) }
 
-    /** The same if lower work was stopped. */
-    private fun countIfPreempted(machine: Machine, job: Job): Int {
+    /** How many tasks of the job the machine would have resources for if all lower-priority work were preempted. */
+    private fun countAfterPreemption(machine: Machine, job: Job): Int {
         var available = availableOn(machine) ?: return 0
         for (placement in machine.placements.values) {
-            val isLeaving = placement.stopCause != null
-            if (isLeaving || mayBePreempted(placement, job)) available += placement.job.resourceRequest
+            val isStopping = placement.stopCause != null
+            if (isStopping || mayBePreempted(placement, job)) available += placement.job.resourceRequest
         }
         return job.resourceRequest.countIn(available)
     }
@@ -120,70 +127,80 @@
         return placement.job.effectivePriority < by.effectivePriority && !placement.job.isGang
     }
 
-    /** Whether resources are being freed for the job on machines with its image, so that it must not go elsewhere. */
+    /**
+     * Whether resources are being freed for the job on machines with its image, so that it must not be placed on other
+     * machines.
+     */
     fun isWaitingForImage(job: Job, ready: List<Machine>): Boolean {
         val until = job.resourcesExpectedBy ?: return false
         if (now >= until) return false
         val usable = ready.filter { it.hasImage(job.spec.image) && isUsable(job, it) }
-        return countAvailable(job, usable) < minimumAtOnce(job)
+        return countAvailable(job, usable) < minTasksToPlace(job)
     }
 
-    /** Stops lower work where a waiting job of higher priority needs its resources, least lost work first. */
+    /** Stops lower-priority work whose resources waiting jobs need, starting with the work that loses least. */
     fun preempt(ready: List<Machine>) {
         val waiting =
             cluster.jobs.values
                 .filter { mayPreempt(it) }
                 .sortedWith(byPriority)
         if (waiting.isEmpty()) return
-        val candidates = ready.filter { isWorthLooking(it, waiting) }
+        val candidates = ready.filter { mayProvideResources(it, waiting) }
         val claims = Claims()
         for (job in waiting) preemptFor(job, candidates, claims)
     }
 
     private fun mayPreempt(job: Job): Boolean {
-        if (job.isCancelled || job.effectivePriority < Priority.URGENT || isLeaving(job)) return false
+        if (job.isCancelled || job.effectivePriority < Priority.URGENT || hasTasksOfLastAttempt(job)) return false
         return job.hasWaitingTask() && job.retryAfter.let { it == null || now >= it }
     }
 
-    /** Something could be stopped, or is being stopped, or is free: most of a large fleet drops out here. */
-    private fun isWorthLooking(machine: Machine, waiting: List<Job>): Boolean {
-        val top = waiting.first().effectivePriority
+    /**
+     * Whether the machine has tasks that could be stopped or are being stopped, or enough free resources. This excludes
+     * most machines of a large fleet.
+     */
+    private fun mayProvideResources(machine: Machine, waiting: List<Job>): Boolean {
+        val highestPriority = waiting.first().effectivePriority
         val available = availableOn(machine)
-        val mayBecomeFree = machine.placements.values.any { it.stopCause != null || it.job.effectivePriority < top }
+        val mayBecomeFree =
+            machine.placements.values.any { it.stopCause != null || it.job.effectivePriority < highestPriority }
         return mayBecomeFree || available != null && waiting.any { it.resourceRequest.fitsIn(available) }
     }
 
     private fun preemptFor(job: Job, candidates: List<Machine>, claims: Claims) {
         val quota = cluster.quotas.remaining(job)
         if (job.isGang && quota < job.waitingCount()) return
-        var left = minOf(job.waitingCount(), quota)
+        var remaining = minOf(job.waitingCount(), quota)
         val usable = candidates.filter { isUsable(job, it) }
         val (withImage, withoutImage) = usable.partition { it.hasImage(job.spec.image) }
         val ordered = withImage + withoutImage
-        val machines = if (job.isGang) machinesForGang(job, ordered, left) ?: return else ordered
+        val machines = if (job.isGang) machinesForGang(job, ordered, remaining) ?: return else ordered
         for (machine in machines) {
-            if (left <= 0) break
-            val freed = freeOn(machine, job, claims, left)
-            left -= freed
+            if (remaining <= 0) break
+            val freed = freeResourcesOn(machine, job, claims, remaining)
+            remaining -= freed
             if (job.isGang && freed > 0) machine.reserve(job, now)
         }
     }
 
-    /** Null: the gang would not be whole even if all lower work was stopped, so none is stopped for it. */
+    /**
+     * Returns the machines on which to free resources for the gang, or null if the gang could not be placed completely
+     * even if all lower-priority work were preempted; in that case none is preempted for it.
+     */
     private fun machinesForGang(gang: Job, usable: List<Machine>, tasks: Int): List<Machine>? {
         val zones = if (gang.spec.sameZone) usable.groupBy { it.zone }.values else listOf(usable)
-        val best = zones.maxByOrNull { zone -> zone.sumOf { countIfPreempted(it, gang) } } ?: return null
-        if (best.sumOf { countIfPreempted(it, gang) } < tasks) return null
-        // What was stopped for it before comes first, so that no more is stopped than it needs; then where least is
-        // lost.
+        val best = zones.maxByOrNull { zone -> zone.sumOf { countAfterPreemption(it, gang) } } ?: return null
+        if (best.sumOf { countAfterPreemption(it, gang) } < tasks) return null
+        // Machines where work was already stopped for the gang come first, so that no more is stopped than it needs.
+        // The others follow in the order of lost machine time, least first.
         return best
-            .map { Candidate(it, if (it.isReservedFor(gang)) Duration.ZERO else costOf(it, gang)) }
-            .sortedBy { it.cost }
+            .map { Candidate(it, if (it.isReservedFor(gang)) Duration.ZERO else lostMachineTime(it, gang)) }
+            .sortedBy { it.lostTime }
             .map { it.machine }
     }
 
-    /** Machine time that is lost if the gang has the machine: its own fetch, and the work that makes way. */
-    private fun costOf(machine: Machine, gang: Job): Duration {
+    /** The machine time lost if the gang uses the machine: its image fetch and the mean work lost per victim. */
+    private fun lostMachineTime(machine: Machine, gang: Job): Duration {
         val fetch = if (machine.hasImage(gang.spec.image)) Duration.ZERO else deadlines.fetchTime(gang)
         val preempted = machine.placements.values.filter { mayBePreempted(it, gang) }
         if (preempted.isEmpty()) return fetch
@@ -200,11 +217,14 @@
         return !machine.isReservedAgainst(job, now) && isZoneAllowed(job, machine.zone, cluster::zoneOf)
     }
 
-    /** Frees resources for up to [wanted] tasks on the machine; how many will have them, with what is free now. */
-    private fun freeOn(machine: Machine, job: Job, claims: Claims, wanted: Int): Int {
+    /**
+     * Frees resources for up to [wanted] tasks on the machine. Returns the number of tasks that will have resources,
+     * including those for which resources are free now.
+     */
+    private fun freeResourcesOn(machine: Machine, job: Job, claims: Claims, wanted: Int): Int {
         var available = (availableOn(machine) ?: return 0) - claims.on(machine)
         for (placement in machine.placements.values) {
-            if (placement.isLeavingForOthers) available += placement.job.resourceRequest
+            if (placement.freesResourcesForOthers) available += placement.job.resourceRequest
         }
         val victims = ArrayDeque(victimsOn(machine, job))
         var count = 0
@@ -219,11 +239,17 @@
         return count
     }
 
-    /** What a broken gang leaves is needed by its next attempt. */
-    private val Placement.isLeavingForOthers: Boolean
+    /**
+     * Whether the task is being stopped and its resources may be used by other jobs. The resources of a broken gang are
+     * needed by its next attempt.
+     */
+    private val Placement.freesResourcesForOthers: Boolean
         get() = stopCause != null && stopCause != StopCause.GANG_BROKEN
 
-    /** Lowest priority first, then what may start latest, then what loses least. */
+    /**
+     * Returns the tasks that may be preempted for the job: lowest priority first, then those that may start latest,
+     * then those that lose the least work.
+     */
     private fun victimsOn(machine: Machine, job: Job): List<Placement> =
         machine.placements.values
             .filter { mayBePreempted(it, job) }
@@ -233,7 +259,10 @@
                     .thenBy { lostWork(it) },
             )
 
-    /** Takes as many of [victims] as the job needs beside what is [available]; null: all together are not enough. */
+    /**
+     * Removes from [victims] as many tasks as the job needs in addition to the [available] resources. Returns null if
+     * all of them together are not enough.
+     */
     private fun chooseVictims(job: Job, available: Resources, victims: ArrayDeque<Placement>): List<Placement>? {
         val chosen = ArrayList<Placement>()
         var resources = available
@@ -254,10 +283,12 @@
     private companion object {
         val byPriority: Comparator<Job> = compareByDescending<Job> { it.effectivePriority }.thenBy { it.waitingSince }
 
-        /** How long a service waits for a machine with its image; a stopped task's exit is reported in far less. */
-        val PATIENCE = 600.milliseconds
+        /**
+         * How long a critical job waits for a machine with its image. Exits of stopped tasks are reported far earlier.
+         */
+        val IMAGE_WAIT_TIMEOUT = 600.milliseconds
 
-        /** The same where the lower work writes a checkpoint first. */
-        val PATIENCE_WITH_CHECKPOINT = 7.seconds
+        /** How long an urgent job waits, for which the preempted work writes a checkpoint before it exits. */
+        val IMAGE_WAIT_TIMEOUT_WITH_CHECKPOINT = 7.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/placement/RoundResources.kt
+++ b/src/main/kotlin/glenspool/core/placement/RoundResources.kt
@@ -4,9 +4,9 @@
 import glenspool.core.lifecycle.Job
 import glenspool.core.model.Resources
 
-/** What is free on the machines of a placement round, kept up as tasks are placed. */
+/** The free resources of the machines in a placement round, updated as tasks are placed. */
 class RoundResources(view: PlacementView, machines: List<Machine>, jobs: List<Job>) {
-    /** All that are ready, also those that are full now: one may be reserved for a gang as it becomes free. */
+    /** All ready machines, including full ones: they may be reserved for a gang until they become free. */
     val allMachines: List<Machine> = machines.filter { it.type in view.types }
     private val free = LinkedHashMap<Machine, Resources>()
     private val reserved = HashSet<Machine>()
@@ -16,7 +16,8 @@
     val machines: Set<Machine> get() = free.keys
 
     init {
-        // A full machine takes no part: with the smallest waiting task in mind, most of a busy fleet drops out here.
+        // Machines without enough resources for the smallest request of any waiting job are left out. In a busy fleet
+        // these are most of the machines.
         val smallest =
             Resources(
                 cpus = jobs.minOfOrNull { it.resourceRequest.cpus } ?: 0.0,
@@ -29,25 +30,26 @@
         }
     }
 
-    /** What is free on one of [machines]. */
+    /** Returns the free resources of one of [machines]. */
     fun freeOn(machine: Machine): Resources = free.getValue(machine)
 
-    /** Whether the machine is kept for a gang in this round. */
+    /** Whether the machine is reserved for a gang in this round. */
     fun isReserved(machine: Machine): Boolean = machine in reserved
 
-    /** Keeps the machine from lower work in this round. */
+    /** Reserves the machine for a gang, so that no lower-priority work is placed on it in this round. */
     fun reserve(machine: Machine) {
         reserved.add(machine)
     }
 
-    /** A task of the job was placed on the machine. */
+    /** Subtracts the resources of a task that was placed on the machine, and calls the listeners. */
     fun allocate(machine: Machine, job: Job) {
         free[machine] = freeOn(machine) - job.resourceRequest
-        // Its image is on its way there now, and the machine is no longer empty: that may suit others better.
+        // The task's image is being fetched by the machine now, and the machine is no longer empty, so it may suit
+        // other jobs better than before.
         for (listener in listeners) listener(machine)
     }
 
-    /** [listener] is told of each machine that a task was placed on. */
+    /** Adds a [listener] that is called with each machine on which a task is placed. */
     fun onTaskPlaced(listener: (Machine) -> Unit) {
         listeners.add(listener)
     }
--- a/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -9,8 +9,8 @@
 import glenspool.core.model.Resources
 
 /**
- * Matches single tasks with machines: queues of machines per resource are drawn from in turn, and each machine takes a
- * waiting task that is bound by that resource.
+ * Matches single tasks with machines. There is a queue of machines for each resource. The queues are polled in turn,
+ * and each polled machine takes a waiting task whose bottleneck is that resource.
  */
 class TaskMatcher(private val view: PlacementView, private val resources: RoundResources) {
     private val scores = HashMap<Job, MachineScores>()
@@ -20,17 +20,17 @@
         resources.onTaskPlaced { machine -> scores.values.forEach { it.update(machine) } }
     }
 
-    /** Places tasks of [jobs], which are of one priority and in the order in which they should start. */
+    /** Places tasks of [jobs], which have the same priority and are in the order in which they should start. */
     fun match(jobs: List<Job>) {
         if (jobs.isEmpty()) return
         val byResource = jobs.groupBy { bottleneck(it.resourceRequest, view.commonType, view.resourceFactor) }
         for (preferredOnly in listOf(true, false)) {
             val waiting = byResource.mapValues { (_, bound) -> bound.filterTo(ArrayList()) { it.waitingCount() > 0 } }
-            drawInTurn(waiting, preferredOnly)
+            pollQueuesInTurn(waiting, preferredOnly)
         }
     }
 
-    private fun drawInTurn(waiting: Map<Resource, MutableList<Job>>, preferredOnly: Boolean) {
+    private fun pollQueuesInTurn(waiting: Map<Resource, MutableList<Job>>, preferredOnly: Boolean) {
         val queues =
             Resource.entries.associateWith { resource ->
                 if (waiting[resource].isNullOrEmpty()) ArrayDeque() else ArrayDeque(machinesBy(resource))
@@ -45,23 +45,23 @@
                     continue
                 }
                 val wasPlaced = placeOne(machine, jobs, preferredOnly)
-                if (wasPlaced && hasAny(machine, resource)) queue.addLast(machine)
+                if (wasPlaced && hasFree(machine, resource)) queue.addLast(machine)
             }
         }
     }
 
-    /** Machines that have some of the resource, largest capacity, then most free, first. */
+    /** Returns the machines with some of the resource free: largest capacity, then most free resources first. */
     private fun machinesBy(resource: Resource): List<Machine> {
         val byCapacity = compareByDescending<Machine> { view.types.getValue(it.type).capacity.of(resource) }
         return resources.machines
-            .filter { !resources.isReserved(it) && hasAny(it, resource) }
+            .filter { !resources.isReserved(it) && hasFree(it, resource) }
             .sortedWith(byCapacity.thenByDescending { resources.freeOn(it).of(resource) })
     }
 
-    private fun hasAny(machine: Machine, resource: Resource) =
+    private fun hasFree(machine: Machine, resource: Resource) =
         resources.freeOn(machine).of(resource) > Resources.EPSILON
 
-    /** Gives the machine one task. */
+    /** Places one task on the machine. Returns false if none of the jobs has a task for it. */
     private fun placeOne(machine: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Boolean {
         val job = chooseJob(machine, jobs, preferredOnly) ?: return false
         view.place(job, job.waitingTasks(1).first(), machine, null)
@@ -70,18 +70,19 @@
     }
 
     /**
-     * In the first pass only a job that no other machine suits better; in the second, of the jobs next in order, one
-     * whose image is here goes first, since each needless fetch keeps resources from work.
+     * Chooses a job for the machine, or returns null if there is none. In the first pass ([preferredOnly]), only a job
+     * that no other machine suits better is chosen. In the second pass, a job whose image is in the machine's cache is
+     * preferred among the next jobs in order, because each unnecessary fetch occupies resources without doing work.
      */
     private fun chooseJob(machine: Machine, jobs: MutableList<Job>, preferredOnly: Boolean): Job? {
         val available = resources.freeOn(machine)
         var firstFitting: Job? = null
-        var passedOver = 0
+        var skippedJobs = 0
         val remaining = jobs.iterator()
         while (remaining.hasNext()) {
             val job = remaining.next()
             if (!mayBePlaced(job)) {
-                // What no machine can do for the job now, no later draw of this round can.
+                // A job that no machine may take now cannot be placed later in this round either.
                 remaining.remove()
                 continue
             }
@@ -92,7 +93,7 @@
             }
             if (machine.hasImage(job.spec.image)) return job
             if (firstFitting == null) firstFitting = job
-            if (++passedOver >= MAX_PASSED_OVER) break
+            if (++skippedJobs >= MAX_SKIPPED_JOBS) break
         }
         return firstFitting
     }
@@ -108,7 +109,7 @@
         return isZoneAllowed(job, machine.zone, view::zoneOf)
     }
 
-    /** A cordoned machine takes no short work. */
+    /** Whether the machine is closed to the job: a cordoned machine takes no short work, that is, no arrays. */
     private fun isClosedTo(job: Job, machine: Machine) = machine.isCordoned && job.spec.kind == JobKind.ARRAY
 
     /** Whether no other machine suits the job better. */
@@ -127,7 +128,7 @@
     }
 
     private companion object {
-        /** So many jobs without their image here may be passed over for one that has it. */
-        const val MAX_PASSED_OVER = 6
+        /** How many jobs without their image on the machine may be skipped for one that has its image there. */
+        const val MAX_SKIPPED_JOBS = 6
     }
 }
--- a/src/main/kotlin/glenspool/core/placement/TeamQuotas.kt
+++ b/src/main/kotlin/glenspool/core/placement/TeamQuotas.kt
@@ -4,12 +4,12 @@
 import glenspool.core.model.Resources
 import glenspool.core.model.Team
 
-/** What teams use of their quotas. Every task counts from before its start is sent until it is proved gone. */
+/** Resources that teams use of their quotas. A task counts from before its start is sent until it is proved gone. */
 class TeamQuotas(teams: List<Team>) {
     private val teams = teams.associateBy { it.name }
     private val usage = HashMap<String, Resources>()
 
-    /** Counts what one task of the job takes for its team, or no longer: [sign] is +1 or -1. */
+    /** Adds the resources of one task of the job to its team's usage, or subtracts them: [sign] is +1 or -1. */
     fun charge(job: Job, sign: Int) {
         usage.merge(job.spec.team, job.resourceRequest * sign) { used, change -> used + change }
     }
