--- a/src/test/kotlin/glenspool/core/GangSchedulingTest.kt
+++ b/src/test/kotlin/glenspool/core/GangSchedulingTest.kt
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** Gangs start together: capacity is kept for them, and lower priorities are preempted only where that helps. */
+/** Gangs start together: resources are reserved for them, and lower priorities are preempted only where that helps. */
 class GangSchedulingTest : SchedulerTestBase() {
     private fun gang(id: String) = job(id, JobKind.GANG, 2, wholeMachine, priority = Priority.URGENT)
 
-    private fun small(tasks: Int) = job("small", tasks = tasks, resourceRequest = wholeMachine)
+    private fun smallJob(tasks: Int) = job("small", tasks = tasks, resourceRequest = wholeMachine)
 
     @Test
     fun `a gang's image fetches go on when a waiting task of the gang times out`() {
-        // Stopping them would throw the image away, and the next attempt would meet the same wait for ever.
+        // Stopping the fetches would discard the image, and every later attempt would run into the same timeout.
         started(2)
         submit(gang("g"))
         val requests = placeAndStore()
@@ -30,24 +30,24 @@
             val state = if (request.machine == "m1") TaskState.WAITING else TaskState.FETCHING
             executed(request, task("g", start.key.task, start.attempt, state))
         }
-        val gaveUp = starts.getValue("m1")
-        val exited = exitedTask("g", gaveUp.key.task, gaveUp.attempt, ExitReason.GANG_INCOMPLETE)
-        val afterGivingUp = heartbeatActions("m1", exited) + wait(3.seconds)
-        assertTrue(afterGivingUp.stops().isEmpty())
-        val other = starts.getValue("m2")
-        val fetched = task("g", other.key.task, other.attempt, TaskState.WAITING)
-        val afterFetch = heartbeatActions("m2", fetched) + wait(1.seconds)
-        assertEquals(listOf(other.key), afterFetch.stops().map { it.key }.distinct())
+        val timedOutStart = starts.getValue("m1")
+        val exited = exitedTask("g", timedOutStart.key.task, timedOutStart.attempt, ExitReason.GANG_INCOMPLETE)
+        val actionsAfterTimeout = heartbeatActions("m1", exited) + wait(3.seconds)
+        assertTrue(actionsAfterTimeout.stops().isEmpty())
+        val fetchingStart = starts.getValue("m2")
+        val fetchedTask = task("g", fetchingStart.key.task, fetchingStart.attempt, TaskState.WAITING)
+        val actionsAfterFetch = heartbeatActions("m2", fetchedTask) + wait(1.seconds)
+        assertEquals(listOf(fetchingStart.key), actionsAfterFetch.stops().map { it.key }.distinct())
     }
 
     @Test
     fun `resources freed by preemption for a gang are not given to other tasks`() {
         started(2)
-        val running = placeAndRun(small(2))
+        val running = placeAndRun(smallJob(2))
         submit(job("more", tasks = 8, resourceRequest = wholeMachine))
         submit(gang("gang"))
         assertEquals(2, wait(1.seconds).stops().size)
-        // One machine is free before the other: it must wait for the gang, not take another small task.
+        // One machine becomes free before the other. It has to stay free for the gang and get no other small task.
         val (first, firstTask) = running.entries.first()
         heartbeatReply(first, firstTask.exited(ExitReason.STOPPED))
         wait(2.seconds)
@@ -63,29 +63,30 @@
         started(2)
         val gang = placeAndRun(gang("gang"))
         heartbeatReply("m3")
-        val small = placeAndRun(small(1))
-        // One task of the gang is gone and its spot machine about to be reclaimed; the other still runs for a while.
-        val (lost, remaining) = gang.keys.toList()
-        val broken = gang.getValue(lost).exited(ExitReason.GANG_BROKEN)
-        val (_, atNotice) = say(heartbeat(lost, listOf(broken)).copy(preemptionNotice = 10.seconds))
-        val running = small + (remaining to gang.getValue(remaining))
-        val stops = (atNotice + live(4.seconds, running, emptySet())).stops()
-        assertTrue(stops.none { it.key.job == "small" }, "the capacity is of no use yet: $stops")
+        val small = placeAndRun(smallJob(1))
+        // One task of the gang is gone, and the cloud is about to reclaim its spot machine. The other task still runs
+        // for a while.
+        val (lostMachine, remainingMachine) = gang.keys.toList()
+        val broken = gang.getValue(lostMachine).exited(ExitReason.GANG_BROKEN)
+        val (_, actionsAtNotice) = say(heartbeat(lostMachine, listOf(broken)).copy(preemptionNotice = 10.seconds))
+        val running = small + (remainingMachine to gang.getValue(remainingMachine))
+        val stops = (actionsAtNotice + live(4.seconds, running, emptySet())).stops()
+        assertTrue(stops.none { it.key.job == "small" }, "preempted for resources that cannot be used yet: $stops")
     }
 
     @Test
     fun `the machines of a broken gang are reserved for its next attempt`() {
         started(2)
         val gang = placeAndRun(gang("gang"))
-        submit(small(4))
+        submit(smallJob(4))
         val (first, second) = gang.keys.toList()
 
         fun reportBroken(machine: String) =
             heartbeatReply(machine, gang.getValue(machine).exited(ExitReason.GANG_BROKEN))
         reportBroken(first)
-        val meanwhile = wait(2.seconds)
-        assertTrue(knownMachine(first).placements.isEmpty(), "small work took the capacity")
-        assertTrue(meanwhile.stops().none { it.key.job == "small" })
+        val actions = wait(2.seconds)
+        assertTrue(knownMachine(first).placements.isEmpty(), "a small task was placed on a machine of the gang")
+        assertTrue(actions.stops().none { it.key.job == "small" })
         reportBroken(second)
         wait(2.seconds)
         val attempts = scheduledJob("gang").placements.values.map { it.attempt }
--- a/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
@@ -18,7 +18,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Placing and storing on a thousand machines and more, by counts of what is looked at and stored. */
+/** The cost of placements on a thousand machines and more, measured by the numbers of scores and stored changes. */
 class LargeFleetPlacementTest {
     private val fleet = LargeFleet()
     private val core = fleet.core
@@ -83,7 +83,7 @@
         assertTrue(changes < (ended + started) * 0.4, summary)
     }
 
-    /** Every task that runs on the machine is done; how many these are. */
+    /** Finishes every task that runs on the machine, and returns how many these are. */
     private fun finishTasks(machine: String): Int {
         val tasks = fleet.tasksByMachine.getValue(machine)
         val running = tasks.filterValues { it.exit == null }
@@ -105,7 +105,7 @@
         core.step(fleet.now, fleet.now) {
             jobStored(JobRecord(service, now, 0, BitSet(), emptyList()), fleet.nextRevision())
         }
-        // One transaction was in flight; the next begins with what somebody waits for.
+        // One transaction was in flight. The next one has to begin with the change that somebody is waiting for.
         val actions =
             core.step(fleet.now, fleet.now) { storeEnded(StoreOutcome.Stored(fleet.nextRevision())) }
         val changes = actions.filterIsInstance<StoreChanges>().single()
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -23,7 +23,7 @@
 import java.util.Random
 import kotlin.time.Duration
 
-/** Rounds on random fleets against a slow plain model, which looks at every task, machine and rule in turn. */
+/** Compares rounds on random fleets with a slow, simple model, which checks every task, machine and rule in turn. */
 class PlacementRoundModelTest {
     private class PlacedTask(val job: Job, val task: Int, val machine: Machine) {
         val team get() = job.spec.team
@@ -69,7 +69,7 @@
         override fun costPenalty(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
     }
 
-    /** A placement round on a random fleet with random jobs; it has run. */
+    /** A placement round on a random fleet with random jobs. The constructor runs the round. */
     private class RandomRound(seed: Long) {
         private val random = Random(seed)
         val view = StubPlacementView(mapOf("t1" to 4, "t2" to 9))
@@ -107,7 +107,7 @@
         }
     }
 
-    /** The rules for one more task of the job on the machine, said as plainly as possible. */
+    /** Whether the rules allow one more task of the job on the machine, in the simplest possible form. */
     private fun isLegal(view: StubPlacementView, job: Job, machine: Machine, placed: List<PlacedTask>): Boolean {
         val spec = job.spec
         val zones = placed.filter { it.job === job }.map { it.machine.zone }
@@ -144,10 +144,10 @@
     private fun assertNoPlacementMissed(view: StubPlacementView, job: Job, context: String) {
         if (job.spec.kind == JobKind.GANG) {
             val placed = job.placements.size
-            assertTrue(placed == 0 || placed == job.spec.tasks, "$context: half a gang")
+            assertTrue(placed == 0 || placed == job.spec.tasks, "$context: gang placed incompletely")
         } else if (job.waitingCount() > 0) {
             val missed = view.machines.firstOrNull { isLegal(view, job, it, view.placed) }
-            assertEquals(null, missed?.id, "$context: ${job.spec} could run")
+            assertEquals(null, missed?.id, "$context: ${job.spec} could have been placed")
         }
     }
 
--- a/src/test/kotlin/glenspool/core/ScaleOutTest.kt
+++ b/src/test/kotlin/glenspool/core/ScaleOutTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** Work that no machine of the fleet will ever take gets one. */
+/** A machine is rented for work that no machine of the fleet will ever take. */
 class ScaleOutTest : SchedulerTestBase() {
     @Test
     fun `a machine is rented for an array that fits no machine, however short its run time`() {
@@ -23,8 +23,8 @@
     @Test
     fun `a machine is rented for an array that waits behind a service that never ends`() {
         started()
-        val all = Resources(16.0, 4.0, 64.0)
-        val running = placeAndRun(job("s", JobKind.SERVICE, resourceRequest = all, priority = Priority.CRITICAL))
+        val fullMachine = Resources(16.0, 4.0, 64.0)
+        val running = placeAndRun(job("s", JobKind.SERVICE, resourceRequest = fullMachine, priority = Priority.CRITICAL))
         submit(job("a"))
         assertEquals(emptyList<ScaleOut>(), live(90.seconds, running, emptySet()).scaleOuts())
         assertEquals(listOf(1), live(20.seconds, running, emptySet()).scaleOuts().map { it.count })
@@ -33,7 +33,7 @@
     @Test
     fun `a spread service whose zone is full gets a machine in another zone`() {
         started(1, others = 1)
-        // Zone a has its share of the service, and the machine in zone b is full.
+        // Zone a already has its share of the service, and the machine in zone b is full.
         val full =
             job(
                 "full", resourceRequest = Resources(15.0, 4.0, 60.0), zone = "b", priority = Priority.CRITICAL,
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -18,19 +18,20 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A full fleet that can't grow, a stream of small work that would fill it for ever, and one largest job of each kind.
+ * Simulates a full fleet that cannot grow, with a stream of small jobs that would keep it full forever. The largest job
+ * of each kind has to start nevertheless.
  */
 class StarvationTest {
-    private val machines = 6
+    private val machineCount = 6
 
-    /** A minute of small work, then the largest jobs and five minutes more of it. */
+    /** Runs small jobs for a minute, then submits the [largest] jobs, and runs small jobs for five more minutes. */
     private fun simulateWithSmallWork(
         largest: List<JobSpec>,
         objectives: List<Objective> = emptyList(),
     ): ClusterSimulation {
         val settings = config(objectives = objectives)
-        val simulation = ClusterSimulation(7, settings, listOf(bigType), FaultRates(), maxMachines = machines)
-        repeat(machines) { simulation.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
+        val simulation = ClusterSimulation(7, settings, listOf(bigType), FaultRates(), maxMachines = machineCount)
+        repeat(machineCount) { simulation.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
         simulation.elect()
         var smallJobs = 0
 
@@ -48,16 +49,19 @@
         for (job in largest) {
             val startedAt = simulation.firstStart[job.id]
             val waited = startedAt?.minus(submittedAt)
-            val message = "${job.id} began after $waited: ${simulation.describe(job.id)}"
+            val message = "${job.id} started after $waited: ${simulation.describe(job.id)}"
             assertTrue(waited != null && waited < 4.minutes, message)
         }
-        // The stream goes on meanwhile: nothing is gained by stopping everything else.
+        // Small jobs have to start in the meantime as well: nothing is gained by stopping all other work.
         val startedSmallJobs = simulation.firstStart.keys.count { it.startsWith("small-") }
-        assertTrue(startedSmallJobs > smallJobs / 3, "${simulation.firstStart.size} of $smallJobs began")
+        assertTrue(startedSmallJobs > smallJobs / 3, "${simulation.firstStart.size} of $smallJobs started")
         return simulation
     }
 
-    /** More work than the fleet can do: each takes a third of a machine for longer than a third of the pause. */
+    /**
+     * Small jobs are more work than the fleet can do: each task takes a third of a machine for longer than a third of
+     * the time between two jobs.
+     */
     private fun smallJob(number: Int) =
         job(
             "small-$number", tasks = 6, priority = Priority.STANDARD, estimatedDuration = 14.seconds,
@@ -77,7 +81,7 @@
 
     @Test
     fun `a gang that needs the whole fleet starts while small jobs of the same priority arrive`() {
-        val gang = job("large", JobKind.GANG, machines, Resources(14.0, 4.0, 50.0), priority = Priority.STANDARD)
+        val gang = job("large", JobKind.GANG, machineCount, Resources(14.0, 4.0, 50.0), priority = Priority.STANDARD)
         simulateWithSmallWork(listOf(gang))
     }
 
@@ -85,7 +89,7 @@
     fun `the largest gang and service start while small jobs of lower priority arrive`() {
         val gang =
             job(
-                "large-gang", JobKind.GANG, machines - 2, Resources(14.0, 4.0, 50.0), priority = Priority.URGENT,
+                "large-gang", JobKind.GANG, machineCount - 2, Resources(14.0, 4.0, 50.0), priority = Priority.URGENT,
                 estimatedDuration = 40.seconds,
             )
         val service =
