--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
@@ -87,7 +87,7 @@
 
     /**
      * Returns how many tasks of a spread job each zone may still take, or null for other jobs. Without this limit,
-     * machines would be rented again and again in a zone that already has its share of the job and cannot use them.
+     * machines would be rented again and again in a zone that already has its share of the job, which cannot use them.
      */
     private fun capacityInZones(job: Job): MutableMap<String, Int>? {
         if (!job.spec.spread) return null
--- a/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
+++ b/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
@@ -17,7 +17,7 @@
             .filter { it.kind == Objective.WAIT && it.jobClass != null }
             .associate { it.jobClass.orEmpty() to (it.within ?: Duration.INFINITE) }
 
-    /** For each job class with objectives for finished jobs, the times within which jobs should be done, sorted. */
+    /** For each job class, the times within which jobs should be finished by its objectives, shortest first. */
     private val maxDurations: Map<String, List<Duration>> =
         config.objectives
             .filter { it.kind == Objective.FINISHED && it.jobClass != null && it.within != null }
--- a/src/test/kotlin/glenspool/core/ScaleOutTest.kt
+++ b/src/test/kotlin/glenspool/core/ScaleOutTest.kt
@@ -24,7 +24,8 @@
     fun `a machine is rented for an array that waits behind a service that never ends`() {
         started()
         val fullMachine = Resources(16.0, 4.0, 64.0)
-        val running = placeAndRun(job("s", JobKind.SERVICE, resourceRequest = fullMachine, priority = Priority.CRITICAL))
+        val running =
+            placeAndRun(job("s", JobKind.SERVICE, resourceRequest = fullMachine, priority = Priority.CRITICAL))
         submit(job("a"))
         assertEquals(emptyList<ScaleOut>(), live(90.seconds, running, emptySet()).scaleOuts())
         assertEquals(listOf(1), live(20.seconds, running, emptySet()).scaleOuts().map { it.count })
