--- a/src/main/kotlin/glenspool/core/cluster/CancellationUpdate.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancellationUpdate.kt
@@ -2,33 +2,39 @@
 
 import kotlin.time.Duration
 
-/** A stored cancellation. [at]: when it was stored, by the time of day; [version]: of its key. */
+/**
+ * A stored cancellation. [at] is the wall-clock time at which it was stored, [version] the version of its key in the
+ * key-value store.
+ */
 data class Cancellation(val job: String, val at: Duration, val version: Long)
 
 /**
- * Which of a process's cancellations another one has: those up to [upTo] in the order in which process [boot] learnt
- * them.
+ * Acknowledges the cancellations of the process with boot ID [boot] up to number [upTo], in the order in which that
+ * process learned of them.
  */
 data class Acknowledgement(val boot: String, val upTo: Long)
 
-/** What one controller sends another. All spans count back from the moment at which it was made. */
+/**
+ * The message in which a controller sends its cancellations to another one. All ages are relative to the moment at
+ * which the message was created.
+ */
 data class CancellationUpdate(
-    /** The sending process; a controller that is back is another one. */
+    /** Boot ID of the sending process; a restarted controller has another one. */
     val boot: String,
     val uptime: Duration,
-    /** Those that the sender learnt after [base], up to [upTo]. */
+    /** The cancellations that the sender learned of after number [base], up to number [upTo]. */
     val entries: List<Cancellation>,
     val base: Long,
     val upTo: Long,
-    /** Whether the sender knows no more than that. */
+    /** Whether the sender knows no cancellation after number [upTo]. */
     val whole: Boolean,
-    /** How long ago the moment is up to which the sender knows all confirmed cancellations; null: it can't say. */
+    /** Age of the moment up to which the sender knows all confirmed cancellations; null if there is no such moment. */
     val completeAge: Duration?,
-    /** How long ago the sender sent the last message that the receiver has answered. */
+    /** Age of the last message of the sender that the receiver has answered. */
     val contactAge: Duration,
-    /** What the sender has of the receiver's. */
+    /** Which of the receiver's cancellations the sender has. */
     val acknowledgement: Acknowledgement?,
 )
 
-/** The answer to another controller's update, and what this one has learnt from it. */
-data class CancellationReply(val update: CancellationUpdate, val learnt: List<Cancellation>)
+/** The reply to another controller's update, and the cancellations that this controller learned from the update. */
+data class CancellationReply(val update: CancellationUpdate, val learned: List<Cancellation>)
--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -5,71 +5,76 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The cancellations that a controller knows, and up to which moment it knows *every* one that a user was told of. No
- * controller may keep a worker's lease beyond the time by which one that it may not know of has to have taken effect;
- * so the moment is moved on only by evidence, and only by such as was asked for after it:
+ * The cancellations that a controller knows, and the moment up to which it knows *every* cancellation that was
+ * confirmed to a user. No controller may renew a worker's lease beyond the time by which a cancellation that it may not
+ * know must have taken effect. The moment is therefore advanced only by evidence that was requested after it:
  *
- * - The key-value store was read: every confirmed cancellation is stored.
- * - A controller was asked and sent all it knows. That holds for what this process of it confirmed, and for what
- *   earlier ones did, as far as the moment had come when that process began.
- * - A controller confirms nothing that this one does not know, until it has not reached this one for
- *   [ISOLATION_TIMEOUT]. It says how long ago it did. So a controller that ends, or a network partition, does not stop
- *   the moment at once, and an outage in which nobody can confirm anything never does.
+ * - A read of the key-value store, since every confirmed cancellation is stored.
+ * - A controller's reply with all cancellations that it knows. The reply covers what the replying process confirmed. It
+ *   also covers what earlier processes of that controller confirmed, if the moment had already reached the start of the
+ *   replying process.
+ * - The time since a controller's last contact with this one, which its messages state. A controller confirms no
+ *   cancellation that this one does not know before it has been without contact for [ISOLATION_TIMEOUT]. So the end of
+ *   a controller or a network partition does not stop the moment immediately, and an outage in which no controller can
+ *   confirm anything never stops it.
  *
- * [boot] names this process; [keep]: how long a cancellation is kept; [now]: the steady clock, counted from the start
- * of the process; [wallTime]: the time of day. Any thread may call it.
+ * [boot] is the boot ID of this process, [retention] the time for which a cancellation is kept, [now] the monotonic
+ * clock, counted from the start of the process, and [wallTime] the time of day. Thread-safe.
  */
 class Cancellations(
     private val boot: String,
     members: Collection<String>,
-    private val keep: Duration,
+    private val retention: Duration,
     private val now: () -> Duration,
     private val wallTime: () -> Duration,
 ) {
-    /** [order]: its number in the order in which this process learnt them. */
-    private class Known(val cancellation: Cancellation, val order: Long)
+    /** A known cancellation; [order] is its number in the order in which this process learned of them. */
+    private class KnownCancellation(val cancellation: Cancellation, val order: Long)
 
-    /** What is known of another controller. */
+    /** The state of the exchange with another controller. */
     private class Member(start: Duration) {
-        /** Up to which moment everything is known that the member, in any of its processes, confirmed. */
+        /** The moment up to which all cancellations that any process of the member confirmed are known. */
         var coveredUpTo: Duration? = null
 
         /**
-         * When the last message was sent that the member answered; at first this process's start, which is on the safe
-         * side.
+         * When the last message that the member answered was sent. The initial value is the start of this process,
+         * which is conservative.
          */
         var contactedAt = start
 
-        /** The number of the last cancellation that the member has of ours. */
+        /** The number of this process's last cancellation that the member has. */
         var acknowledged = 0L
 
-        /** What we have of the member's. */
+        /** Which of the member's cancellations this process has. */
         var acknowledgement: Acknowledgement? = null
 
-        /** It answers, but is of a version that does not exchange cancellations. */
+        /** Whether the member answers, but runs a version that does not exchange cancellations. */
         var isUnsupported = false
     }
 
     private val start = now()
-    private val known = LinkedHashMap<String, Known>()
+    private val known = LinkedHashMap<String, KnownCancellation>()
     private val members = members.associateWith { Member(start) }
     private var lastOrder = 0L
 
-    /** Up to which moment everything is known that earlier processes of this node confirmed. */
+    /** The moment up to which all cancellations that earlier processes of this node confirmed are known. */
     private var ownCoveredUpTo: Duration? = null
 
-    /** False: it is known already. */
+    /** Adds a cancellation and returns true, or returns false if it is already known or past the retention time. */
     @Synchronized
     fun add(cancellation: Cancellation): Boolean {
         if (cancellation.job in known || isExpired(cancellation)) return false
         removeExpired()
-        known[cancellation.job] = Known(cancellation, ++lastOrder)
+        known[cancellation.job] = KnownCancellation(cancellation, ++lastOrder)
         return true
     }
 
-    private fun isExpired(cancellation: Cancellation) = wallTime() - cancellation.at > keep
+    private fun isExpired(cancellation: Cancellation) = wallTime() - cancellation.at > retention
 
-    /** They are in about the order in which they were stored; one that stays a little longer does no harm. */
+    /**
+     * Removes expired cancellations, starting with the oldest. They are only roughly in the order in which they were
+     * stored, so an expired one may stay a little longer, which does no harm.
+     */
     private fun removeExpired() {
         val oldestFirst = known.values.iterator()
         while (oldestFirst.hasNext() && isExpired(oldestFirst.next().cancellation)) oldestFirst.remove()
@@ -79,13 +84,13 @@
     @Synchronized
     fun contains(job: String): Boolean = job in known
 
-    /** All that are known, oldest first. */
+    /** All known cancellations, oldest first. */
     @Synchronized
     fun all(): List<Cancellation> = known.values.map { it.cancellation }
 
-    /** The key-value store answered a read of the present state that was sent at [sent]. */
+    /** Records that the key-value store answered a read of its current state, which was sent at [sentAt]. */
     @Synchronized
-    fun recordStoreRead(sent: Duration) = coverAll(sent)
+    fun recordStoreRead(sentAt: Duration) = coverAll(sentAt)
 
     private fun coverAll(upTo: Duration) {
         ownCoveredUpTo = later(ownCoveredUpTo, upTo)
@@ -95,31 +100,34 @@
     private fun later(known: Duration?, moment: Duration) = if (known == null || moment > known) moment else known
 
     /**
-     * The moment up to which this controller knows every confirmed cancellation; null: it can't say. It may lie ahead:
-     * until then nobody confirms one that this controller does not know.
+     * The moment up to which this controller knows every confirmed cancellation; null if there is no such moment. It
+     * may lie in the future, since until then no controller confirms a cancellation that this one does not know.
      */
     @Synchronized
     fun completeUpTo(): Duration? {
         val own = ownCoveredUpTo ?: return null
-        // What this process confirms it knows; earlier ones ended before it began.
+        // This process knows what it confirmed itself, and earlier processes of this node ended before it started.
         var moment = if (own >= start) Duration.INFINITE else own
         for (member in members.values) moment = minOf(moment, member.coveredUpTo ?: return null)
         return moment
     }
 
-    /** What has to be sent to [name] now. */
+    /** The update to send to the controller [name] now. */
     @Synchronized
     fun updateFor(name: String): CancellationUpdate {
         val member = members.getValue(name)
         return updateAfter(member, member.acknowledged)
     }
 
-    /** Applies what [name] sends by itself, and answers it. Null: it is no member. */
+    /**
+     * Applies an update that the controller [name] sent unrequested, and returns the reply to it; null if [name] is not
+     * a member.
+     */
     @Synchronized
     fun reply(name: String, update: CancellationUpdate): CancellationReply? {
         val member = members[name] ?: return null
-        val learnt = apply(member, update)
-        return CancellationReply(updateAfter(member, acknowledgedBy(update)), learnt)
+        val learned = apply(member, update)
+        return CancellationReply(updateAfter(member, acknowledgedBy(update)), learned)
     }
 
     /** The number of the last cancellation of this process that the sender has. */
@@ -137,7 +145,7 @@
             base = base,
             upTo = if (isWhole) lastOrder else sent.last().order,
             whole = isWhole,
-            // A moment that lies ahead holds for this controller alone.
+            // A moment in the future is valid only for this controller, so the age is not negative.
             completeAge = completeUpTo()?.let { maxOf(Duration.ZERO, now() - it) },
             contactAge = now() - member.contactedAt,
             acknowledgement = member.acknowledgement,
@@ -145,65 +153,68 @@
     }
 
     /**
-     * Entries are true whenever they come; nothing else in a message that nobody asked for counts, since it may be
-     * minutes old.
+     * Adds the entries of an update, which are valid at any time, and acknowledges them. Nothing else in an unrequested
+     * message may be used, since the message may be minutes old.
      */
     private fun apply(member: Member, update: CancellationUpdate): List<Cancellation> {
-        val learnt = update.entries.filter { add(it) }
+        val learned = update.entries.filter { add(it) }
         val before = member.acknowledgement?.takeIf { it.boot == update.boot }?.upTo ?: 0L
         if (update.base <= before) member.acknowledgement = Acknowledgement(update.boot, maxOf(before, update.upTo))
-        return learnt
+        return learned
     }
 
-    /** [name] answered with [update] what was sent to it at [asked]. What was not known before is returned. */
+    /**
+     * Applies [update], with which the controller [name] replied to a message sent at [sentAt]. Returns the
+     * cancellations that were not known before.
+     */
     @Synchronized
-    fun applyReply(name: String, update: CancellationUpdate, asked: Duration): List<Cancellation> {
+    fun applyReply(name: String, update: CancellationUpdate, sentAt: Duration): List<Cancellation> {
         val member = members.getValue(name)
         member.isUnsupported = false
-        member.contactedAt = asked
+        member.contactedAt = sentAt
         member.acknowledged = acknowledgedBy(update)
-        val learnt = apply(member, update)
-        if (hasEverything(member, update)) cover(member, update, asked)
-        return learnt
+        val learned = apply(member, update)
+        if (hasAllEntries(member, update)) cover(member, update, sentAt)
+        return learned
     }
 
-    private fun hasEverything(member: Member, update: CancellationUpdate): Boolean {
+    private fun hasAllEntries(member: Member, update: CancellationUpdate): Boolean {
         val acknowledgement = member.acknowledgement ?: return false
         return update.whole && acknowledgement.boot == update.boot && acknowledgement.upTo >= update.upTo
     }
 
-    private fun cover(member: Member, update: CancellationUpdate, asked: Duration) {
-        update.completeAge?.let { coverAll(asked - it * (1 + DRIFT)) }
-        // It began at this moment at the latest, and its earlier processes had ended.
-        val began = now() - update.uptime * (1 - DRIFT)
+    private fun cover(member: Member, update: CancellationUpdate, sentAt: Duration) {
+        update.completeAge?.let { coverAll(sentAt - it * (1 + DRIFT_ALLOWANCE)) }
+        // The member's process started at this moment at the latest, and its earlier processes had ended by then.
+        val startedBy = now() - update.uptime * (1 - DRIFT_ALLOWANCE)
         val coveredUpTo = member.coveredUpTo
-        if (coveredUpTo == null || coveredUpTo < began) return
-        val lastContact = asked - update.contactAge * (1 + DRIFT)
-        val nothingConfirmedUntil = lastContact + ISOLATION_TIMEOUT * (1 - DRIFT) - MARGIN
-        member.coveredUpTo = later(coveredUpTo, maxOf(asked, nothingConfirmedUntil))
+        if (coveredUpTo == null || coveredUpTo < startedBy) return
+        val lastContact = sentAt - update.contactAge * (1 + DRIFT_ALLOWANCE)
+        val nothingConfirmedUntil = lastContact + ISOLATION_TIMEOUT * (1 - DRIFT_ALLOWANCE) - COVERAGE_MARGIN
+        member.coveredUpTo = later(coveredUpTo, maxOf(sentAt, nothingConfirmedUntil))
     }
 
     /**
-     * [name] is of a version that does not exchange cancellations; it can't be waited for, and nothing is known of what
-     * it confirms.
+     * Records that the controller [name] runs a version that does not exchange cancellations. Confirmations can't wait
+     * for it, and it is not known which cancellations it confirms.
      */
     @Synchronized
     fun markUnsupported(name: String) {
         members.getValue(name).isUnsupported = true
     }
 
-    /** Whether [name] lacks something that this controller knows. */
+    /** Whether the controller [name] lacks a cancellation that this one knows. */
     @Synchronized
     fun needsUpdate(name: String): Boolean =
         members.getValue(name).let { !it.isUnsupported && it.acknowledged < lastOrder }
 
     /**
-     * Whether a user may be told that the job is cancelled: every other controller knows it, or has had
-     * [ISOLATION_TIMEOUT] to find out that it hears nothing.
+     * Whether the cancellation of the job may be confirmed to a user. Every other controller must know it, or must have
+     * been without contact for [ISOLATION_TIMEOUT], in which it detects its isolation.
      */
     @Synchronized
     fun mayConfirm(job: String): Boolean {
-        // One that was stored so long ago that it is not kept any more was sent to all that could receive it.
+        // A cancellation past its retention time was sent to every controller that could receive it.
         val order = known[job]?.order ?: return true
         return members.values.all { member ->
             val isIsolated = now() - member.contactedAt >= ISOLATION_TIMEOUT
@@ -212,12 +223,12 @@
     }
 
     companion object {
-        /** Longer than a controller takes to be back, so that one that ends and returns leaves nothing unknown. */
+        /** Longer than a controller takes to restart, so that a restart leaves no confirmed cancellation unknown. */
         val ISOLATION_TIMEOUT = 15.seconds
-        private val MARGIN = 50.milliseconds
+        private val COVERAGE_MARGIN = 50.milliseconds
 
-        /** Twice what two clocks may drift apart. */
-        private const val DRIFT = 0.001
+        /** Twice the relative drift that two clocks may have. */
+        private const val DRIFT_ALLOWANCE = 0.001
 
         /** The largest number of cancellations in one message. */
         private const val MAX_ENTRIES = 400
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWorkDeadline.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkDeadline.kt
@@ -4,30 +4,31 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A machine from which cancelled [jobs] should be gone by now. */
+/** A machine on which no task of the cancelled [jobs] should be left by now. */
 data class OverdueMachine(val machine: String, val addr: String, val jobs: Set<String>)
 
-/** Watches that cancelled work is off the machines within the time that users were promised. */
+/** Detects machines on which cancelled work has not ended in time for the deadline that was promised to users. */
 class CancelledWorkDeadline(private val context: SchedulingContext, private val cluster: ClusterState) {
-    private val namedAt = HashMap<String, Duration>()
+    private val reportedAt = HashMap<String, Duration>()
     private val deadline: Duration get() = context.config.cancellationDeadline
 
     /**
-     * Whether a task of a cancelled job is still on the machine, or one whose job is over and whose origin nobody
-     * remembers, although stopping it takes a moment. A new leader gets that moment before it judges.
+     * Whether the machine has to be deleted because of cancelled work: a task of a cancelled job is still on it, or an
+     * orphan whose job may be over and of whose origin there is no record, for longer than a stop takes. A new leader
+     * first waits for [STOP_GRACE_PERIOD], so that its own stops can be executed, except shortly before the deadline.
      */
     fun isExceeded(machine: Machine): Boolean {
-        val hadTimeToStop = context.now - context.startedAt > TIME_TO_STOP
+        val hadTimeToStop = context.now - context.startedAt > STOP_GRACE_PERIOD
         val orphanedSince = machine.workload.orphanedSince
-        val isOrphanLate = orphanedSince != null && context.now - orphanedSince > deadline * GIVE_UP_SHARE
-        if (hadTimeToStop && isOrphanLate) return true
+        val isOrphanOverdue = orphanedSince != null && context.now - orphanedSince > deadline * DELETION_SHARE
+        if (hadTimeToStop && isOrphanOverdue) return true
         val elapsed = context.now - (cancelledSince(machine) ?: return false)
-        return hadTimeToStop && elapsed > deadline * GIVE_UP_SHARE || elapsed > deadline * LAST_MOMENT_SHARE
+        return hadTimeToStop && elapsed > deadline * DELETION_SHARE || elapsed > deadline * LATEST_DELETION_SHARE
     }
 
-    /** When the first of the jobs was cancelled that have something on the machine. */
+    /** The earliest cancellation of a job with a placement or an orphan on the machine; null if there is none. */
     private fun cancelledSince(machine: Machine): Duration? {
-        // Asked of every machine at every tick: it makes no lists.
+        // Called for every machine at every tick, so it creates no lists.
         var earliest: Duration? = null
         for (placement in machine.placements.values) {
             placement.job.cancelledAt?.let { earliest = minOf(earliest ?: it, it) }
@@ -39,23 +40,23 @@
     }
 
     /**
-     * Machines whose cancelled work must be gone at [at], as far as this node knows, for a time in which nobody can
-     * lead. Each is named again after a while.
+     * Machines whose cancelled work must be gone at [at], as far as this node knows. Used while no controller can lead.
+     * A machine is reported again after [REPORT_INTERVAL].
      */
     fun overdueMachines(at: Duration): List<OverdueMachine> {
-        val overdue = cluster.machines.values.filter { isOverdue(it, at) && !wasNamed(it, at) }
-        overdue.forEach { namedAt[it.id] = at }
+        val overdue = cluster.machines.values.filter { isOverdue(it, at) && !wasReportedRecently(it, at) }
+        overdue.forEach { reportedAt[it.id] = at }
         return overdue.map { OverdueMachine(it.id, it.addr, cancelledJobsOn(it)) }
     }
 
     private fun isOverdue(machine: Machine, at: Duration): Boolean {
         val since = cancelledSince(machine)
-        return !machine.isDeleting && since != null && at - since > deadline * LAST_MOMENT_SHARE
+        return !machine.isDeleting && since != null && at - since > deadline * LATEST_DELETION_SHARE
     }
 
-    private fun wasNamed(machine: Machine, at: Duration) =
-        namedAt[machine.id].let {
-            it != null && at - it < NAME_AGAIN
+    private fun wasReportedRecently(machine: Machine, at: Duration) =
+        reportedAt[machine.id].let {
+            it != null && at - it < REPORT_INTERVAL
         }
 
     private fun cancelledJobsOn(machine: Machine): Set<String> {
@@ -64,14 +65,14 @@
     }
 
     private companion object {
-        /** The share of the deadline after which the leader gives the machine up. */
-        const val GIVE_UP_SHARE = 0.6
+        /** The share of the deadline after which the leader deletes the machine. */
+        const val DELETION_SHARE = 0.6
 
-        /** The share after which there is no more time for anything else. */
-        const val LAST_MOMENT_SHARE = 0.8
-        val NAME_AGAIN = 3.seconds
+        /** The share of the deadline after which there is no time left for anything but deleting the machine. */
+        const val LATEST_DELETION_SHARE = 0.8
+        val REPORT_INTERVAL = 3.seconds
 
-        /** What a new leader needs to have its stops carried out before it judges. */
-        val TIME_TO_STOP = 6.seconds
+        /** The time that workers need to execute the stops of a new leader, before it may delete their machines. */
+        val STOP_GRACE_PERIOD = 6.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkTracker.kt
@@ -6,22 +6,22 @@
 import glenspool.core.model.TaskState
 import kotlin.time.Duration
 
-/** A machine on which [jobs] were placed, all cancelled by now; [since]: when the first of them was. */
+/** A machine on which the cancelled [jobs] were placed; [since] is the time of the earliest cancellation. */
 data class SuspectMachine(val machine: String, val jobs: Set<String>, val since: Duration)
 
 /**
- * Cancelled work while nobody leads: which machines have to be probed for it, and which are too late for that. Times
- * are of the day. Any thread may call it.
+ * Tracks cancelled work while there is no leader: which machines have to be probed for it, and for which it is too late
+ * for that, so that they have to be deleted. All times are wall-clock times. Thread-safe.
  */
 class CancelledWorkTracker(private val cancellationDeadline: Duration) {
-    /** Jobs that a machine was seen to be rid of. */
+    /** The cancelled jobs that were found to have no tasks left on a machine, by machine. */
     private val clearedJobs = HashMap<String, HashSet<String>>()
     private var suspects: Map<String, SuspectMachine> = emptyMap()
 
-    /** Machines that were probed, or could not be, since they are suspects. */
+    /** Machines for which a probe was attempted since they became suspects, whether it was answered or not. */
     private val probedMachines = HashSet<String>()
 
-    /** The machines to be probed at [now]. [machinesOf]: where the job was placed, as far as is known. */
+    /** The machines to probe at [now]. [machinesOf] returns the machines on which a job was placed, as far as known. */
     @Synchronized
     fun machinesToProbe(
         now: Duration,
@@ -44,20 +44,26 @@
         return suspects.values.toList()
     }
 
-    /** Before, answers to heartbeats stop the work. Long after the deadline it is too late in any case. */
+    /**
+     * Whether machines are probed for a job that was cancelled [elapsed] ago. Earlier, the replies to heartbeats stop
+     * its work; long after the deadline, it is too late in any case.
+     */
     private fun isDue(elapsed: Duration): Boolean =
-        elapsed >= cancellationDeadline * PROBE_SHARE && elapsed <= cancellationDeadline * FORGET_FACTOR
+        elapsed >= cancellationDeadline * PROBE_SHARE && elapsed <= cancellationDeadline * MAX_AGE_DEADLINES
 
     private fun isCleared(machine: String, job: String) = clearedJobs[machine]?.contains(job) == true
 
-    /** The machine's answer to a probe, null if there was none. What has to be stopped there is returned. */
+    /**
+     * Records a probe of the machine, with the heartbeat in its reply or null if there was no reply. Returns the stops
+     * for the cancelled tasks that still run there.
+     */
     @Synchronized
     fun recordProbe(suspect: SuspectMachine, heartbeat: Heartbeat?): List<StopTask> {
         probedMachines.add(suspect.machine)
         if (heartbeat == null) return emptyList()
-        val left = heartbeat.tasks.filter { it.state != TaskState.EXITED && it.key.job in suspect.jobs }
-        clear(suspect.machine, suspect.jobs - left.map { it.key.job }.toSet())
-        return left.map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
+        val remaining = heartbeat.tasks.filter { it.state != TaskState.EXITED && it.key.job in suspect.jobs }
+        clear(suspect.machine, suspect.jobs - remaining.map { it.key.job }.toSet())
+        return remaining.map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
     }
 
     private fun clear(machine: String, jobs: Set<String>) {
@@ -65,19 +71,19 @@
     }
 
     /**
-     * Machines that have to be deleted at [now]: they were probed, and what is on them was neither seen to be gone nor
+     * The machines to delete at [now]. Each was probed, and its cancelled work was neither found to be gone nor to be
      * stopped.
      */
     @Synchronized
     fun overdueMachines(now: Duration): List<String> = suspects.values.filter { isOverdue(it, now) }.map { it.machine }
 
     private fun isOverdue(suspect: SuspectMachine, now: Duration): Boolean {
-        val isLate = now - suspect.since > cancellationDeadline * DELETE_SHARE
+        val isLate = now - suspect.since > cancellationDeadline * DELETION_SHARE
         val isClear = clearedJobs[suspect.machine]?.containsAll(suspect.jobs) == true
         return suspect.machine in probedMachines && isLate && !isClear
     }
 
-    /** The machine is gone, with all that was on it. */
+    /** Records that the machine was deleted, with all tasks on it. */
     @Synchronized
     fun recordDeletion(machine: String) = clear(machine, suspects[machine]?.jobs.orEmpty())
 
@@ -85,10 +91,13 @@
         /** The share of the deadline after which machines are probed. */
         const val PROBE_SHARE = 0.4
 
-        /** The share after which they are deleted: the cloud may take seconds, and calls may have to be repeated. */
-        const val DELETE_SHARE = 0.75
+        /**
+         * The share of the deadline after which machines are deleted. The remaining time is needed because the cloud
+         * may take seconds, and calls may have to be repeated.
+         */
+        const val DELETION_SHARE = 0.75
 
-        /** After so many deadlines a cancellation is not looked at any more. */
-        const val FORGET_FACTOR = 2
+        /** Cancellations older than this many deadlines are ignored. */
+        const val MAX_AGE_DEADLINES = 2
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
@@ -10,8 +10,8 @@
 import glenspool.core.placement.TeamQuotas
 
 /**
- * What is true of the cluster: machines, jobs whose tasks may run, placements, and what teams use. A placement, its
- * machine's load and its team's usage change together or not at all, so all of them change here.
+ * The leader's state of the cluster: machines, jobs whose tasks may run, placements, and the usage of teams. A
+ * placement, its machine's load and its team's usage change together or not at all, so all of them are changed here.
  */
 class ClusterState(private val context: SchedulingContext) {
     private val knownMachines = LinkedHashMap<String, Machine>()
@@ -20,20 +20,20 @@
 
     val machines: Map<String, Machine> get() = knownMachines
 
-    /** Jobs whose tasks may run. Those that wait for dependencies are not among them. */
+    /** Jobs whose tasks may run; jobs that wait for dependencies are not included. */
     val jobs: Map<String, Job> get() = runnableJobs
 
     val quotas = TeamQuotas(context.config.teams)
 
-    /** Machine types by name, as the cloud offers them. */
+    /** The machine types that the cloud offers, by name. */
     var types: Map<String, MachineType> = emptyMap()
         private set
 
-    /** The type that most machines are of. */
+    /** The most frequent type among the machines. */
     var commonType: MachineType? = null
         private set
 
-    /** The cloud's machine types were read. */
+    /** Replaces the machine types with [list], as read from the cloud. */
     fun updateTypes(list: List<MachineType>) {
         types = list.associateBy { it.name }
         updateCommonType()
@@ -44,7 +44,7 @@
         commonType = types.values.maxWithOrNull(compareBy<MachineType> { counts[it.name] ?: 0 }.thenBy { it.name })
     }
 
-    /** The type of the machine, if the cloud offers it. */
+    /** The type of the machine; null if the cloud does not offer it. */
     fun typeOf(machine: Machine): MachineType? = types[machine.type]
 
     /** The first type whose machines are large enough for a task of the job; null if there is none. */
@@ -54,19 +54,22 @@
     /** The zone of the machine, null if it is not known. */
     fun zoneOf(machine: String): String? = machines[machine]?.zone?.ifEmpty { null }
 
-    /** The machine, which is added if it is not known. */
+    /** Returns the machine, which is created and added if it is not known. */
     fun findOrAdd(id: String, create: () -> Machine): Machine = knownMachines.getOrPut(id, create)
 
-    /** The cloud has confirmed that the machine is gone, with all that was on it. */
+    /** Removes a machine that is gone, with all tasks on it, as the cloud has confirmed. */
     fun removeMachine(machine: Machine) {
         deletedMachines.add(machine.id)
         knownMachines.remove(machine.id)
     }
 
-    /** Whether the cloud has confirmed that the machine is gone; late messages must not bring it back. */
+    /** Whether the cloud has confirmed that the machine is gone; late messages must not add it again. */
     fun wasDeleted(machine: String): Boolean = machine in deletedMachines
 
-    /** Applies the cloud's whole list, which lags. Machines that have failed since the last list are returned. */
+    /**
+     * Applies the cloud's complete list of machines, which lags behind. Returns the machines that have failed since the
+     * last list.
+     */
     fun applyList(list: List<ListedMachine>): List<Machine> {
         val listedIds = HashSet<String>()
         val failed = ArrayList<Machine>()
@@ -93,15 +96,15 @@
     /** Removes a job that has its final state. */
     fun removeJob(id: String): Job? = runnableJobs.remove(id)
 
-    /** Adds a new placement; [maySplit]: whether it may be stored apart from the job's record. */
+    /** Adds a new placement; [maySplit] tells whether it may be stored apart from the job's record. */
     fun addPlacement(placement: Placement, machine: Machine, maySplit: Boolean) {
         placement.job.place(placement, maySplit)
         attach(placement, machine)
     }
 
     /**
-     * Adds a placement that an earlier leader has stored, in the given part of the job's record. Its task may have been
-     * started: the placement stands until a heartbeat or the machine's deletion proves that the task is gone.
+     * Adds a placement that an earlier leader stored in the given [part] of the job's record. Its task may have been
+     * started, so the placement is kept until a heartbeat or the machine's deletion proves that the task is gone.
      */
     fun restore(placement: Placement, part: Int) {
         placement.job.restore(placement, part)
@@ -114,7 +117,7 @@
         quotas.charge(placement.job, +1)
     }
 
-    /** Removes a placement: nothing of it is left anywhere, or will be. */
+    /** Removes a placement whose task is not on its machine and can no longer be started there. */
     fun removePlacement(placement: Placement) {
         val job = placement.job
         if (job.placementOf(placement.task) !== placement) return
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -18,7 +18,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Commands on their way to machines: one request to a machine at a time; only machines with commands are looked at. */
+/**
+ * Queues the commands for machines and sends them, with one request to a machine at a time. Only machines with queued
+ * commands are scanned.
+ */
 class CommandQueue(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -28,16 +31,16 @@
     private val machinesWithCommands = LinkedHashSet<Machine>()
     private val machinesWithUnconfirmedStarts = LinkedHashSet<Machine>()
 
-    /** Whether starts had to wait at the last [flush]: the most urgent go first then. */
-    private var wereStartsHeld = false
+    /** Whether the last [flush] deferred starts; the next one then sends the most urgent starts first. */
+    private var hasDeferredStarts = false
 
-    /** Lets a command wait for the next request to the machine. */
+    /** Queues a command for the next request to the machine. */
     fun add(machine: Machine, command: Command) {
         machine.requests.add(command)
         machinesWithCommands.add(machine)
     }
 
-    /** Stops a task. A cancellation overrides any other cause; otherwise the first one stands. */
+    /** Stops a task. A cancellation overrides any other cause; otherwise the first cause is kept. */
     fun stop(placement: Placement, cause: StopCause, grace: Duration) {
         val overrides = cause == StopCause.CANCELLED && placement.stopCause != StopCause.CANCELLED
         if (placement.stopCause != null && !overrides) return
@@ -49,23 +52,23 @@
         placement.stopSent(context.now)
     }
 
-    /** Sends what may be sent now. */
+    /** Sends the queued commands that may be sent now. */
     fun flush() {
         if (machinesWithCommands.isEmpty()) return
         val machines =
-            if (wereStartsHeld) machinesWithCommands.sortedWith(byUrgency) else machinesWithCommands.toList()
-        wereStartsHeld = false
+            if (hasDeferredStarts) machinesWithCommands.sortedWith(byUrgency) else machinesWithCommands.toList()
+        hasDeferredStarts = false
         for (machine in machines) {
             context.workCounters.commandScans++
             if (machine.requests.pendingCommands.isEmpty() || machine.isDeleting) {
                 machinesWithCommands.remove(machine)
-            } else if (mayBeSent(machine)) {
+            } else if (canSendTo(machine)) {
                 sendPending(machine)
             }
         }
     }
 
-    private fun mayBeSent(machine: Machine): Boolean {
+    private fun canSendTo(machine: Machine): Boolean {
         val requests = machine.requests
         val isAddressed = machine.addr.isNotEmpty() && machine.isTrusted
         return !requests.isInFlight && isAddressed && context.now >= requests.nextRequestAt
@@ -73,16 +76,19 @@
 
     private fun sendPending(machine: Machine) {
         val commands = takeCommands(machine)
-        // What is held back goes out as soon as it may.
+        // Deferred commands stay queued and are sent as soon as they are admitted.
         if (machine.requests.pendingCommands.isEmpty()) {
             machinesWithCommands.remove(machine)
         } else {
-            wereStartsHeld = true
+            hasDeferredStarts = true
         }
         if (commands.isNotEmpty()) send(machine, commands)
     }
 
-    /** By the most urgent job that waits for a start there: highest priority, then the one that has to start first. */
+    /**
+     * Orders machines by the most urgent job with a queued start there: the highest priority first, then the job that
+     * has to start earliest.
+     */
     private val byUrgency =
         compareByDescending<Machine> { machine ->
             jobsWithPendingStarts(machine).maxOfOrNull { it.effectivePriority }
@@ -93,15 +99,18 @@
             .filterIsInstance<StartTask>()
             .mapNotNull { cluster.jobs[it.key.job] }
 
-    /** The machine's commands that are still wanted and may be sent now; starts that have to wait stay with it. */
+    /**
+     * Empties the machine's queue and returns the commands that are still wanted and may be sent now; starts that are
+     * not admitted stay queued.
+     */
     private fun takeCommands(machine: Machine): List<Command> {
         val wanted = withoutRepeats(machine.requests.pendingCommands.filter { isStillWanted(machine, it) })
-        val (admitted, held) =
+        val (admitted, deferred) =
             wanted.partition { command ->
                 command !is StartTask ||
                     context.hooks.gate.admits(ProposedOrder(command.cause, machine.id, command.key))
             }
-        machine.requests.replacePending(held)
+        machine.requests.replacePending(deferred)
         admitted.filterIsInstance<StartTask>().forEach { startSent(machine, it) }
         return admitted
     }
@@ -130,42 +139,42 @@
         machine.placements[start.key]?.startSent(context.now)
     }
 
-    /** Sends commands at once; with none, the request tells the worker the leader's token. */
+    /** Sends commands immediately; a request without commands passes the leader's token to the worker. */
     fun send(machine: Machine, commands: List<Command>) {
         machine.requests.requestSent(context.now)
         context.countOrders(commands)
         context.act(SendCommands(machine.id, machine.addr, context.token, machine.incarnation, commands))
     }
 
-    /** A request to the machine has ended. */
+    /** Applies the outcome of a request to the machine. */
     fun requestEnded(machine: Machine, request: SendCommands, outcome: CommandOutcome) {
         val requests = machine.requests
         requests.requestEnded()
         when (outcome) {
             CommandOutcome.DONE, CommandOutcome.REFUSED -> machine.reachability.recordReachable(context.now)
-            CommandOutcome.NOT_SENT, CommandOutcome.UNKNOWN -> noteNoAnswer(machine)
+            CommandOutcome.NOT_SENT, CommandOutcome.UNKNOWN -> recordNoResponse(machine)
             CommandOutcome.NOT_TRIED -> Unit
         }
         if (outcome == CommandOutcome.UNKNOWN) {
-            requests.delayRequestsUntil(context.now + PAUSE_AFTER_NO_ANSWER)
+            requests.delayRequestsUntil(context.now + NO_RESPONSE_RETRY_DELAY)
             return
         }
         requests.confirmLastRequest(request.token, request.incarnation)
         if (outcome == CommandOutcome.DONE) return
-        requests.delayRequestsUntil(context.now + PAUSE_AFTER_REFUSAL)
-        request.commands.filterIsInstance<StartTask>().forEach { startNotCarriedOut(machine, it) }
+        requests.delayRequestsUntil(context.now + FAILURE_RETRY_DELAY)
+        request.commands.filterIsInstance<StartTask>().forEach { markStartNotExecuted(machine, it) }
     }
 
-    private fun noteNoAnswer(machine: Machine) {
+    private fun recordNoResponse(machine: Machine) {
         if (!overload.isOverloaded) machine.reachability.recordNoResponse(machine.requests.sentAt ?: context.now)
     }
 
-    private fun startNotCarriedOut(machine: Machine, start: StartTask) {
+    private fun markStartNotExecuted(machine: Machine, start: StartTask) {
         val placement = machine.placements[start.key] ?: return
         if (placement.attempt == start.attempt && placement.stage == PlacementStage.STORED) placement.startNotSent()
     }
 
-    /** Whether a start has been without an answer for so long that the fencing token should be advanced. */
+    /** Whether a start was unconfirmed for longer than [START_TIMEOUT], so the fencing token should be advanced. */
     fun hasStaleStart(): Boolean {
         val remaining = machinesWithUnconfirmedStarts.iterator()
         while (remaining.hasNext()) {
@@ -182,7 +191,7 @@
 
     private companion object {
         val START_TIMEOUT = 1.seconds
-        val PAUSE_AFTER_NO_ANSWER = 1.seconds
-        val PAUSE_AFTER_REFUSAL = 500.milliseconds
+        val NO_RESPONSE_RETRY_DELAY = 1.seconds
+        val FAILURE_RETRY_DELAY = 500.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -12,8 +12,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Gives up machines that can't be heard or reached. A machine is only ever given up by deletion: neither silence nor
- * time proves what is on it.
+ * Deletes machines that are silent or unreachable. A machine is declared lost only by deleting it, since neither
+ * silence nor elapsed time proves which tasks are on it.
  */
 class FailureDetector(
     private val context: SchedulingContext,
@@ -28,92 +28,97 @@
     private val partitions = ZonePartitionDetector(context)
     private val contacts = FleetContactCounts(context, cluster, partitions)
     private val connectivity = LeaderConnectivity(context, cluster, overload, contacts)
-    private var probesLeft = 0
+    private var remainingProbes = 0
 
-    /** How long a machine may be silent before it is given up. */
+    /** How long a machine may be silent before it is declared lost. */
     private val maxSilence: Duration
         get() = maxOf(config.lease * config.tuning.silenceShare, config.heartbeatInterval * MIN_SILENCE_INTERVALS)
 
-    /** Looks at the whole fleet. */
+    /** Checks all machines. */
     fun tick() {
         contacts.update(maxSilence)
-        // A new leader has all machines to probe at once, and has yet to warm up.
-        probesLeft = MIN_PROBES + cluster.machines.size / MACHINES_PER_PROBE
-        for (machine in cluster.machines.values.toList()) watch(machine)
-        probeControls()
+        // Limited, because a new leader would have to probe all machines at the same time, and is not warmed up yet.
+        remainingProbes = MIN_PROBES + cluster.machines.size / MACHINES_PER_PROBE
+        for (machine in cluster.machines.values.toList()) checkMachine(machine)
+        probeForComparison()
         connectivity.check(maxSilence)
     }
 
-    private fun watch(machine: Machine) {
+    private fun checkMachine(machine: Machine) {
         if (machine.isDeleting) return deleter.retry(machine)
-        if (machine.isBooting && !machine.reachability.hadContact) return watchBoot(machine)
+        if (machine.isBooting && !machine.reachability.hadContact) return checkBoot(machine)
         if (machine.preemptionNotice != null) {
             if (machine.workload.taskCount == 0 && machine.isTrusted) {
                 return deleter.delete(machine, DeletionCause.NOTICE)
             }
-            evictGracefully(machine)
+            stopBeforePreemption(machine)
         }
         val silence = silenceOf(machine)
         probeIfSilent(machine, silence)
-        causeToGiveUp(machine, silence)?.let { deleter.delete(machine, it) }
+        deletionCauseFor(machine, silence)?.let { deleter.delete(machine, it) }
     }
 
-    /** For how long nothing was heard of the machine, without what this process has yet to take in. */
+    /** How long the machine has been silent, less the backlog of this process, which may hold its heartbeat. */
     private fun silenceOf(machine: Machine): Duration {
         val since = machine.reachability.lastContactAt ?: maxOf(machine.firstSeen, context.startedAt)
         return now - since - overload.backlog
     }
 
-    private fun watchBoot(machine: Machine) {
-        val usualBoot = cluster.typeOf(machine)?.boot ?: UNKNOWN_BOOT
+    private fun checkBoot(machine: Machine) {
+        val usualBoot = cluster.typeOf(machine)?.boot ?: DEFAULT_BOOT_TIME
         val age = maxOf(machine.age, now - machine.firstSeen)
         val maxAge = usualBoot * config.tuning.bootPatience + config.listLag * 2
         if (age > maxAge) deleter.delete(machine, DeletionCause.NEVER_CAME_UP)
     }
 
-    private fun causeToGiveUp(machine: Machine, silence: Duration): DeletionCause? =
+    private fun deletionCauseFor(machine: Machine, silence: Duration): DeletionCause? =
         when {
-            // Cancelled work on a machine that does not carry out our commands must be gone in time, heard or not.
+            // Cancelled work must end in time on a machine that executes no commands, even if it is in contact.
             cancelledWork.isExceeded(machine) -> DeletionCause.CANCELLED_WORK
             partitions.isPartitioned(machine.zone) -> null
-            isUnreachableAlone(machine) -> DeletionCause.UNREACHABLE
+            isUnreachableWhileOthersRespond(machine) -> DeletionCause.UNREACHABLE
             isLost(machine, silence) -> DeletionCause.SILENT
             else -> null
         }
 
     /**
-     * Its heartbeats come in, but nothing reaches it: its tasks die with its lease, again and again. Only while other
-     * machines are reached, or it is our own way out that is cut.
+     * Whether no request reaches the machine, even if its heartbeats arrive, so that its tasks end with its lease again
+     * and again. Returns true only while more machines are reachable than unreachable; otherwise the outgoing
+     * connections of this node are at fault.
      */
-    private fun isUnreachableAlone(machine: Machine): Boolean =
+    private fun isUnreachableWhileOthersRespond(machine: Machine): Boolean =
         machine.reachability.isUnreachableFor(maxSilence, now) && contacts.reachableCount > contacts.unreachableCount
 
     private fun isLost(machine: Machine, silence: Duration): Boolean {
         val isDelisted = isDelisted(machine)
         val limit = if (isDelisted && machine.isListed) config.heartbeatInterval * MIN_SILENCE_INTERVALS else maxSilence
         if (silence <= limit) return false
-        // Silence for two leases is given up in any case: if most machines are really lost, waiting would never end.
+        // After two leases of silence a machine is lost in any case. If most machines are really lost, the wait for
+        // contact with the majority would otherwise never end.
         if (!contacts.isMajorityInContact() && silence <= config.lease * 2) return false
-        return !mayBeElsewhere(machine, silence, isDelisted) || wereProbesUnanswered(machine)
+        return !mayUseOtherControllers(machine, silence, isDelisted) || areProbesUnanswered(machine)
     }
 
     /**
-     * A worker may need most of its lease to find a new leader, or one that was too slow to answer it: each dead
-     * controller costs it a time-out. Until then only probes without an answer show that the machine itself is lost.
+     * Whether the worker may be sending its heartbeats to other controllers. It may need most of its lease to find a
+     * new leader, or a leader that was too slow to answer it, since each failed controller costs it a timeout. Until
+     * then only unanswered probes show that the machine itself is lost.
      */
-    private fun mayBeElsewhere(machine: Machine, silence: Duration, isDelisted: Boolean): Boolean {
-        val mayHaveTurnedAway = !machine.reachability.hadContact || overload.isOverloaded
-        return mayHaveTurnedAway && silence <= config.lease && !isDelisted
+    private fun mayUseOtherControllers(machine: Machine, silence: Duration, isDelisted: Boolean): Boolean {
+        val mayHaveSwitched = !machine.reachability.hadContact || overload.isOverloaded
+        return mayHaveSwitched && silence <= config.lease && !isDelisted
     }
 
-    private fun wereProbesUnanswered(machine: Machine): Boolean {
+    /** Whether requests have been unanswered for longer than the interval between two probes. */
+    private fun areProbesUnanswered(machine: Machine): Boolean {
         val since = machine.reachability.unreachableSince ?: return false
         return now - since >= probeInterval + SECOND_PROBE_MARGIN
     }
 
     /**
-     * Missing from lists for longer than they lag. A new leader knows such a machine from a stored placement only and
-     * has no address to probe it at: the last leader deleted it, or it died, and its work would wait for a whole lease.
+     * Whether the machine has been missing in the cloud's lists for longer than they lag. A new leader knows such a
+     * machine only from a stored placement and has no address to probe it. The previous leader deleted the machine, or
+     * it failed; without this check its work would wait for a whole lease.
      */
     private fun isDelisted(machine: Machine): Boolean {
         val since = machine.unlistedSince ?: return false
@@ -122,39 +127,45 @@
 
     private val probeInterval: Duration get() = maxOf(MIN_PROBE_INTERVAL, config.heartbeatInterval)
 
-    /** Where a worker has not found a new leader, the leader probes; lost machines must not be waited for longest. */
+    /**
+     * Probes the machine if it is silent or unreachable. The leader thus contacts workers that have not found it yet,
+     * and does not have to wait longest for the machines that are lost.
+     */
     private fun probeIfSilent(machine: Machine, silence: Duration) {
         val reachability = machine.reachability
         val interval = config.heartbeatInterval
-        val patience = if (reachability.hadContact) interval * LATE_INTERVALS + LATE_MARGIN else interval
-        val isDue = silence > patience || reachability.isUnreachable
+        val timeout = if (reachability.hadContact) interval * LATE_INTERVALS + LATE_MARGIN else interval
+        val isDue = silence > timeout || reachability.isUnreachable
         if (isDue && machine.addr.isNotEmpty() && now >= machine.requests.nextProbeAt) probe(machine)
     }
 
     private fun probe(machine: Machine) {
-        if (probesLeft-- <= 0) return
+        if (remainingProbes-- <= 0) return
         machine.requests.delayProbesUntil(now + probeInterval)
         context.act(Probe(machine.id, machine.addr))
     }
 
-    /** While some machine does not answer, a few others are probed too: they tell whose fault it is. */
-    private fun probeControls() {
+    /**
+     * Probes a few other machines while some machine is unreachable, to find out whether the fault is on the side of
+     * that machine or of this node.
+     */
+    private fun probeForComparison() {
         if (contacts.unreachableCount == 0 || contacts.reachableCount > contacts.unreachableCount) return
         cluster.machines.values
-            .filter { isFitForControl(it) }
+            .filter { isFitForComparison(it) }
             .sortedBy { it.reachability.lastReachableAt ?: Duration.ZERO }
-            .take(minOf(contacts.unreachableCount + 1, MAX_CONTROLS))
+            .take(minOf(contacts.unreachableCount + 1, MAX_COMPARISON_PROBES))
             .forEach(::probe)
     }
 
-    private fun isFitForControl(machine: Machine): Boolean {
+    private fun isFitForComparison(machine: Machine): Boolean {
         val reachability = machine.reachability
         if (reachability.isUnreachable || !reachability.hadContact) return false
         return !machine.isDeleting && machine.addr.isNotEmpty() && now >= machine.requests.nextProbeAt
     }
 
-    /** The cloud preempts the machine: what can checkpoint, or has not begun, is stopped in time. */
-    private fun evictGracefully(machine: Machine) {
+    /** Stops the tasks on a machine with a preemption notice that can checkpoint or have not begun to run. */
+    private fun stopBeforePreemption(machine: Machine) {
         for (placement in machine.placements.values) {
             if (placement.stopCause != null || placement.stage != PlacementStage.OBSERVED) continue
             val job = placement.job
@@ -166,25 +177,25 @@
     }
 
     private companion object {
-        val UNKNOWN_BOOT = 60.seconds
+        val DEFAULT_BOOT_TIME = 60.seconds
 
         /** The largest number of machines that are probed for comparison. */
-        const val MAX_CONTROLS = 6
+        const val MAX_COMPARISON_PROBES = 6
         const val MIN_PROBES = 4
         const val MACHINES_PER_PROBE = 100
         val MIN_PROBE_INTERVAL = 2.seconds
 
-        /** Past the pause between two probes, so that one slow answer is not taken for a lost machine. */
+        /** Added to the interval between two probes, so that one slow reply does not make a machine look lost. */
         val SECOND_PROBE_MARGIN = 500.milliseconds
 
-        /** A heartbeat is late after so many intervals, and a margin. */
+        /** A heartbeat is late after this many heartbeat intervals plus [LATE_MARGIN]. */
         const val LATE_INTERVALS = 1.6
         val LATE_MARGIN = 500.milliseconds
 
-        /** A machine that the cloud lists no more is given up after so many intervals without a heartbeat. */
+        /** A machine that the cloud no longer lists is declared lost after this many heartbeat intervals of silence. */
         const val MIN_SILENCE_INTERVALS = 2.5
 
-        /** What the cloud's list may be late by, besides its usual lag. */
+        /** By how much the cloud's list may be late in addition to its usual lag. */
         val LIST_MARGIN = 2.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration
 
 /**
- * Reconciles heartbeats with what the leader knows. It concludes only what they prove: which tasks are on a machine,
- * which are surely gone, which are done.
+ * Reconciles heartbeats with the leader's state. It concludes only what they prove: which tasks are on a machine, which
+ * are certainly gone, and which are done.
  */
 class HeartbeatProcessor(
     private val context: SchedulingContext,
@@ -28,12 +28,12 @@
 ) {
     private val now: Duration get() = context.now
 
-    /** Applies a heartbeat if it is newer than what is known. Null: it is old, or a copy. */
+    /** Applies a heartbeat and returns its machine, or null if the heartbeat is outdated or a duplicate. */
     fun process(heartbeat: Heartbeat, source: HeartbeatSource): Machine? {
-        // A copy of a heartbeat may come long after the machine was deleted: it is not back.
+        // A duplicate may arrive long after the machine was deleted, and must not add the machine again.
         if (cluster.wasDeleted(heartbeat.machine)) return null
         val known = cluster.machines[heartbeat.machine]
-        // The same number is a copy too: it must not renew the evidence of life.
+        // A heartbeat with the same sequence number is a duplicate too, and must not count as contact.
         if (known != null && !known.isNewer(heartbeat)) return null
         val machine =
             cluster.findOrAdd(heartbeat.machine) {
@@ -66,10 +66,10 @@
             val job = cluster.jobs[status.key.job]
             val placement = machine.placements[status.key]?.takeIf { it.attempt == status.attempt }
             when {
-                status.state == TaskState.EXITED -> exited(machine, job, placement, status)
+                status.state == TaskState.EXITED -> taskExited(machine, job, placement, status)
                 placement != null -> {
                     present.add(status.key)
-                    progressed(machine, placement, status)
+                    taskPresent(machine, placement, status)
                 }
                 else -> orphaned[status.key] = job?.resourceRequest ?: Resources.ZERO
             }
@@ -82,27 +82,30 @@
         orphans.reconcile(machine, orphaned)
     }
 
-    /** The heartbeat shows this leader's token and not the task, and no start of it can still arrive. */
+    /**
+     * Whether the task is proved to be off the machine. The heartbeat has this leader's token and does not show the
+     * task, and no start of it can still arrive.
+     */
     private fun isProvedMissing(placement: Placement, machine: Machine, present: Set<TaskKey>): Boolean {
         if (placement.key in present || placement.stage == PlacementStage.PLANNED) return false
         return placement.wasStartSent && !machine.requests.hasUnconfirmedStart(placement.key, placement.attempt)
     }
 
-    private fun progressed(machine: Machine, placement: Placement, status: TaskStatus) {
+    private fun taskPresent(machine: Machine, placement: Placement, status: TaskStatus) {
         val job = placement.job
         val wasWithoutImage = placement.taskState == null || placement.taskState == TaskState.FETCHING
         if (status.state != TaskState.FETCHING && wasWithoutImage) {
             machine.imageCache.recordUse(job.spec.image, job.spec.imageGb, cluster.typeOf(machine)?.cacheGb ?: 0.0)
         }
         val beginsToRun = placement.observed(status.state, now)
-        if (beginsToRun && job.spec.kind == JobKind.GANG && runsWhole(job)) job.gangStarted = true
+        if (beginsToRun && job.spec.kind == JobKind.GANG && isFullyRunning(job)) job.gangStarted = true
     }
 
-    private fun runsWhole(gang: Job): Boolean =
+    private fun isFullyRunning(gang: Job): Boolean =
         gang.placements.size == gang.spec.tasks &&
             gang.placements.values.all { it.taskState == TaskState.RUNNING }
 
-    private fun exited(machine: Machine, job: Job?, placement: Placement?, status: TaskStatus) {
+    private fun taskExited(machine: Machine, job: Job?, placement: Placement?, status: TaskStatus) {
         if (status.exit == ExitReason.DONE && job != null) taskDone(machine, job, placement, status.key.task)
         if (placement != null) missingTasks.attemptEnded(placement, machine, status.exit)
     }
@@ -110,7 +113,7 @@
     private fun taskDone(machine: Machine, job: Job, placement: Placement?, task: Int) {
         if (job.spec.kind == JobKind.SERVICE || task >= job.spec.tasks) return
         if (job.spec.kind == JobKind.GANG) {
-            // They complete together: if one task is done, all of them are.
+            // The tasks of a gang complete together, so if one of them is done, all of them are.
             if (job.isComplete) return
             job.finishAllTasks()
             job.storeLater(now)
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatReplyCommands.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatReplyCommands.kt
@@ -17,11 +17,11 @@
 import kotlin.time.Duration
 
 /**
- * What a worker is told in the answer to its heartbeat, besides the commands that are sent to it: repeated stops, stops
- * of orphans, and which exited tasks it may forget.
+ * Determines the commands in the reply to a worker's heartbeat, in addition to those sent by request: repeated stops,
+ * stops of orphans, and which exited tasks the worker may forget.
  */
 class HeartbeatReplyCommands(private val context: SchedulingContext, private val cluster: ClusterState) {
-    /** The commands for the machine, from the tasks that its newest heartbeat showed. */
+    /** The commands for the machine, based on the tasks in its newest heartbeat. */
     fun commandsFor(machine: Machine): List<Command> {
         if (machine.taskStatuses.isEmpty()) return emptyList()
         val commands = machine.taskStatuses.mapNotNull { commandFor(machine, it) }
@@ -40,7 +40,7 @@
     }
 
     private fun forget(machine: Machine, job: Job?, status: TaskStatus): ForgetTask? {
-        // A start still on its way would start the task again after this.
+        // A start that is still in flight would start the task again after the worker has forgotten it.
         if (machine.requests.hasUnconfirmedStart(status.key, status.attempt)) return null
         val isDone = status.exit == ExitReason.DONE && job != null
         if (isDone && isResultNeeded(job, status.key.task)) return null
@@ -48,7 +48,7 @@
         return ForgetTask(status.key, status.attempt, cause)
     }
 
-    /** The result is not known to be stored yet. */
+    /** Whether the task's result is not known to be stored yet. */
     private fun isResultNeeded(job: Job, task: Int): Boolean =
         !job.isFinished && job.spec.kind != JobKind.SERVICE && !job.storedDone[task]
 
@@ -66,16 +66,16 @@
     private fun mayStopOrphan(machine: Machine, key: TaskKey, cause: StopCause): Boolean =
         cause == StopCause.CANCELLED || context.hooks.gate.admits(ProposedOrder(cause, machine.id, key))
 
-    /** A stop that should have been carried out by now. */
+    /** The stop of a task that should have been executed by now and is sent again; null if none is due. */
     private fun repeatedStop(placement: Placement, status: TaskStatus): StopTask? {
         val cause = placement.stopCause ?: return null
         val sentAt = placement.stopSentAt ?: return null
-        val patience = context.config.heartbeatInterval * PATIENCE_INTERVALS
-        if (context.now - sentAt <= patience || status.state == TaskState.CHECKPOINTING) return null
+        val timeout = context.config.heartbeatInterval * STOP_TIMEOUT_INTERVALS
+        if (context.now - sentAt <= timeout || status.state == TaskState.CHECKPOINTING) return null
         return StopTask(status.key, status.attempt, placement.stopGrace, cause)
     }
 
     private companion object {
-        const val PATIENCE_INTERVALS = 0.7
+        const val STOP_TIMEOUT_INTERVALS = 0.7
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageCache.kt
@@ -1,7 +1,8 @@
 package glenspool.core.cluster
 
 /**
- * The images that tasks were seen to have on a machine, least recently used first; the machine evicts in that order.
+ * The images that tasks are known to have fetched to a machine, least recently used first. The machine evicts them in
+ * that order.
  */
 class ImageCache {
     private val sizes = LinkedHashMap<String, Double>()
@@ -9,10 +10,10 @@
     /** The size of each image in GB. */
     val images: Map<String, Double> get() = sizes
 
-    /** Whether the image is there. */
+    /** Whether the image is in the cache. */
     operator fun contains(image: String): Boolean = image in sizes
 
-    /** A task has the image; what then exceeds the cache's [capacityGb] is evicted. */
+    /** Records that a task has the image, and evicts the images that then exceed the cache's [capacityGb]. */
     fun recordUse(image: String, gb: Double, capacityGb: Double) {
         sizes.remove(image)
         sizes[image] = gb
--- a/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
@@ -9,37 +9,37 @@
 typealias ImagesByMachine = Map<String, Map<String, Double>>
 
 /**
- * Hints for a later leader: which machine has which images. A failover would otherwise forget it, and every task would
- * fetch again. They are spread over several values, of which one is stored at a time, so that they never take more than
- * a little of what the key-value store allows.
+ * Stores which machine has which images, as hints for a later leader. Without them a failover would lose this
+ * information, and every task would fetch its image again. The hints are divided into several values, of which one is
+ * stored at a time, so that they never use more than a small part of the key-value store's limits.
  */
 class ImageLocations(private val context: SchedulingContext, private val cluster: ClusterState) {
-    /** What an earlier leader left. */
-    private var remembered: ImagesByMachine = emptyMap()
+    /** The image locations that an earlier leader stored. */
+    private var inherited: ImagesByMachine = emptyMap()
     private val storedParts = HashMap<Int, ImagesByMachine>()
     private var storedAt = context.now
     private var nextPart = 0
 
-    /** Takes over what an earlier leader left. */
+    /** Loads the image locations that an earlier leader stored. */
     fun loadStored(images: ImagesByMachine) {
-        remembered = images
+        inherited = images
         for ((part, entries) in images.entries.groupBy { partOf(it.key) }) {
             storedParts[part] = entries.associate { it.key to it.value }
         }
     }
 
-    /** Gives a machine that is heard for the first time the images that it had for an earlier leader. */
+    /** Restores the image cache of a machine at its first contact from the image locations of an earlier leader. */
     fun restore(machine: Machine) {
         val cacheGb = cluster.typeOf(machine)?.cacheGb ?: 0.0
-        remembered[machine.id]?.forEach { (image, gb) -> machine.imageCache.recordUse(image, gb, cacheGb) }
+        inherited[machine.id]?.forEach { (image, gb) -> machine.imageCache.recordUse(image, gb, cacheGb) }
     }
 
-    /** Stores the next part that has changed, now and then. */
+    /** Stores the next part that has changed, at most one per [STORE_INTERVAL]. */
     fun storeChanges() {
         if (context.now - storedAt < STORE_INTERVAL) return
         val parts = currentParts()
-        for (offset in 0 until PARTS) {
-            val part = (nextPart + offset) % PARTS
+        for (offset in 0 until PART_COUNT) {
+            val part = (nextPart + offset) % PART_COUNT
             val images = parts[part] ?: emptyMap()
             if (images == storedParts[part].orEmpty()) continue
             nextPart = part + 1
@@ -55,37 +55,37 @@
         for (machine in cluster.machines.values) {
             if (machine.isTrusted && !machine.isDeleting) parts.add(machine.id, machine.imageCache.images)
         }
-        if (context.now - context.startedAt >= KEEP_REMEMBERED) return parts.parts
-        // What was left for a machine that is not heard yet must not be lost by storing its part anew.
-        for ((id, images) in remembered) {
+        if (context.now - context.startedAt >= INHERITED_RETENTION) return parts.parts
+        // Storing a part again must not lose the inherited images of machines that have not been in contact yet.
+        for ((id, images) in inherited) {
             val hadContact = cluster.machines[id]?.reachability?.hadContact == true
             if (!hadContact && !cluster.wasDeleted(id)) parts.add(id, images)
         }
         return parts.parts
     }
 
-    /** Collects parts of at most [maxBytes] each; what does not fit is left out. */
+    /** Collects parts of at most [maxBytes] each; machines that do not fit are omitted. */
     private class PartBuilder(private val maxBytes: Int) {
         val parts = HashMap<Int, LinkedHashMap<String, Map<String, Double>>>()
-        private val bytesLeft = HashMap<Int, Int>()
+        private val remainingBytes = HashMap<Int, Int>()
 
         fun add(machine: String, images: Map<String, Double>) {
             val part = partOf(machine)
             val bytes = machine.length + BYTES_PER_ENTRY + images.keys.sumOf { it.length + BYTES_PER_ENTRY }
-            val left = (bytesLeft[part] ?: maxBytes) - bytes
-            if (images.isEmpty() || left < 0) return
-            bytesLeft[part] = left
+            val remaining = (remainingBytes[part] ?: maxBytes) - bytes
+            if (images.isEmpty() || remaining < 0) return
+            remainingBytes[part] = remaining
             parts.getOrPut(part) { LinkedHashMap() }[machine] = images.toMap()
         }
     }
 
     companion object {
-        /** Enough for a thousand machines with a few images each in the smallest value there may be. */
-        const val PARTS = 16
+        /** Enough for a thousand machines with a few images each at the smallest allowed size of a value. */
+        const val PART_COUNT = 16
         private val STORE_INTERVAL = 3.seconds
-        private val KEEP_REMEMBERED: Duration = 60.seconds
+        private val INHERITED_RETENTION: Duration = 60.seconds
         private const val BYTES_PER_ENTRY = 12
 
-        private fun partOf(machine: String): Int = (machine.hashCode() and Int.MAX_VALUE) % PARTS
+        private fun partOf(machine: String): Int = (machine.hashCode() and Int.MAX_VALUE) % PART_COUNT
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
+++ b/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
@@ -7,9 +7,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Gives up the leadership of a node that hears no worker, or reaches none. Such a leader keeps them all from one that
- * could answer, until their leases expire, so it gives way well before that; where nobody else hears them either,
- * nothing is lost.
+ * Resigns the leadership of a node that has no contact with any worker, or reaches none. Until the workers' leases
+ * expire, such a leader would keep all workers from a leader that could answer them, so it resigns well before that. If
+ * no other controller has contact with the workers either, nothing is lost.
  */
 class LeaderConnectivity(
     private val context: SchedulingContext,
@@ -20,12 +20,12 @@
     private val now: Duration get() = context.now
     private var hasResigned = false
 
-    /** [silence]: how long a machine may be silent before it is given up. */
-    fun check(silence: Duration) {
+    /** Resigns if this node is isolated. [maxSilence] is the silence after which a machine is declared lost. */
+    fun check(maxSilence: Duration) {
         if (hasResigned) return
-        if (hearsNobody()) {
+        if (hasNoContact()) {
             resign("no worker is heard")
-        } else if (reachesNobody(silence)) {
+        } else if (reachesNoWorker(maxSilence)) {
             resign("no worker is reached")
         }
     }
@@ -35,33 +35,33 @@
         context.act(Resign(reason))
     }
 
-    private fun hearsNobody(): Boolean {
+    private fun hasNoContact(): Boolean {
         if (overload.isOverloaded) return false
-        var up = 0
+        var upCount = 0
         var lastContactAt: Duration? = null
         for (machine in cluster.machines.values) {
             if (machine.isDeleting || machine.isBooting) continue
-            up++
+            upCount++
             machine.reachability.lastContactAt?.let { lastContactAt = maxOf(lastContactAt ?: it, it) }
         }
-        if (up < MIN_MACHINES) return false
-        val last = lastContactAt ?: return now - context.startedAt > context.config.lease * MAX_LEASE_SHARE
-        return now - last > maxOf(context.config.heartbeatInterval * MAX_INTERVALS, MIN_SILENCE)
+        if (upCount < MIN_MACHINES) return false
+        val last = lastContactAt ?: return now - context.startedAt > context.config.lease * FIRST_CONTACT_LEASE_SHARE
+        return now - last > maxOf(context.config.heartbeatInterval * MAX_SILENCE_INTERVALS, MIN_SILENCE_LIMIT)
     }
 
-    private fun reachesNobody(silence: Duration): Boolean {
+    private fun reachesNoWorker(maxSilence: Duration): Boolean {
         if (contacts.unreachableCount < MIN_MACHINES || contacts.reachableCount > 0) return false
-        val lost = cluster.machines.values.count { it.reachability.isUnreachableFor(silence, now) }
-        return lost >= MIN_MACHINES
+        val unreachable = cluster.machines.values.count { it.reachability.isUnreachableFor(maxSilence, now) }
+        return unreachable >= MIN_MACHINES
     }
 
     private companion object {
         /** Fewer machines prove nothing about this node. */
         const val MIN_MACHINES = 3
 
-        /** A new leader that has heard nobody waits for this share of a lease. */
-        const val MAX_LEASE_SHARE = 0.6
-        const val MAX_INTERVALS = 2.5
-        val MIN_SILENCE = 3.seconds
+        /** A new leader that has had no contact with any worker waits for this share of a lease. */
+        const val FIRST_CONTACT_LEASE_SHARE = 0.6
+        const val MAX_SILENCE_INTERVALS = 2.5
+        val MIN_SILENCE_LIMIT = 3.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -15,7 +15,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** One machine of the cluster as the leader knows it. It changes by what is told of it, see the methods. */
+/** A machine of the cluster as the leader knows it; its methods apply what the leader learns of it. */
 class Machine(val id: String, type: String, zone: String, spot: Boolean, val firstSeen: Duration) {
     /** Its type's name; empty while only a stored placement names the machine. */
     var type: String = type
@@ -27,7 +27,7 @@
     var spot: Boolean = spot
         private set
 
-    /** Where its worker takes commands; empty while that is not known. */
+    /** The address at which its worker accepts commands; empty while it is not known. */
     var addr: String = ""
         private set
 
@@ -40,7 +40,7 @@
     var token = 0L
         private set
 
-    /** The time that was left until its preemption, as the newest heartbeat told; null: it is not preempted. */
+    /** The time remaining until its preemption as of the newest heartbeat; null if there is no preemption notice. */
     var preemptionNotice: Duration? = null
         private set
 
@@ -48,7 +48,10 @@
     var taskStatuses: List<TaskStatus> = emptyList()
         private set
 
-    /** Whether the newest heartbeat came under the current leader's token, so that it shows what will not change. */
+    /**
+     * Whether the newest heartbeat had the current leader's token, so that no command of an earlier leader can change
+     * what it shows.
+     */
     var isTrusted = false
         private set
 
@@ -60,29 +63,29 @@
     var unlistedSince: Duration? = null
         private set
 
-    /** The time since it was rented, as the cloud last listed it. */
+    /** The time since it was rented, according to the cloud's last list. */
     var age: Duration = Duration.ZERO
         private set
     var isBooting = true
         private set
 
-    /** Whether the cloud says that it stopped by itself. */
+    /** Whether the cloud listed it as failed, which means that it stopped without a request to delete it. */
     var hasFailed = false
         private set
 
-    /** Why it is given up; it is never used again. Null: it is not. */
+    /** Why it is being deleted; null if it is not. A machine that is being deleted is never used again. */
     var deletionCause: DeletionCause? = null
         private set
     val isDeleting: Boolean get() = deletionCause != null
 
-    /** Whether the cloud was asked to delete it, and has not refused. */
+    /** Whether the cloud was requested to delete it and has not rejected the request. */
     var isDeletionSent = false
         private set
 
-    /** Gets no more short work, so that it becomes empty and can be returned. */
+    /** Whether it gets no more short tasks, so that it becomes empty and can be returned. */
     var isCordoned = false
 
-    /** Since when it has been seen without any task; kept by the scale-in policy. */
+    /** Since when it has been without any task; maintained by the scale-in policy. */
     var idleSince: Duration? = null
 
     val reachability = Reachability()
@@ -97,17 +100,17 @@
     private var reservedFor: Job? = null
     private var reservedUntil: Duration = Duration.ZERO
 
-    /** Whether the heartbeat is newer than all that came before; a copy is not. */
+    /** Whether the heartbeat is newer than all earlier ones; a duplicate is not. */
     fun isNewer(heartbeat: Heartbeat): Boolean =
         heartbeat.incarnation > incarnation ||
             (heartbeat.incarnation == incarnation && heartbeat.sequence > sequence)
 
-    /** A stored placement names it, so it must have been up once. */
+    /** Marks it as booted, since a stored placement names it and it must therefore have been up once. */
     fun assumeBooted() {
         isBooting = false
     }
 
-    /** Takes over what a newer heartbeat says of the machine itself. */
+    /** Applies the machine's own properties from a newer heartbeat. */
     fun updateDescription(heartbeat: Heartbeat) {
         type = heartbeat.type
         zone = heartbeat.zone
@@ -117,12 +120,12 @@
     }
 
     /**
-     * Takes over the rest of a newer heartbeat. [leaderToken]: the token with which this leader sends now;
-     * [electionToken]: the token of its election.
+     * Applies the rest of a newer heartbeat. [leaderToken] is the token with which this leader currently sends,
+     * [electionToken] the token of its election.
      *
-     * Until the worker has seen this leader's token, commands of an earlier leader may still be carried out: such a
-     * heartbeat shows what is there, but not what will not be. A worker that began anew has forgotten the token, so it
-     * is this heartbeat's that counts, not the highest that the machine ever showed.
+     * Until the worker has seen this leader's token, it may still execute commands of an earlier leader. Its heartbeat
+     * then shows which tasks are present, but not which ones will stay absent. A restarted worker has forgotten the
+     * token, so the token of this heartbeat counts, not the highest one that the machine ever showed.
      */
     fun applyHeartbeat(
         heartbeat: Heartbeat,
@@ -135,7 +138,7 @@
         requests.dropInvalidStarts(heartbeat.token, heartbeat.incarnation, isNewIncarnation)
         incarnation = heartbeat.incarnation
         sequence = heartbeat.sequence
-        // It has learnt a token since: something of ours has reached it.
+        // The worker has learned a newer token, so a message of this leader has reached it.
         if (heartbeat.token > token && heartbeat.token >= leaderToken) reachability.recordReachable(now)
         token = maxOf(token, heartbeat.token)
         reachability.recordContact(source, now)
@@ -144,7 +147,7 @@
         isTrusted = heartbeat.token >= electionToken
     }
 
-    /** The cloud listed it. */
+    /** Applies the machine's entry in the cloud's list. */
     fun applyListEntry(entry: ListedMachine) {
         if (type.isEmpty()) {
             type = entry.type
@@ -159,45 +162,45 @@
         if (entry.stage == MachineStage.FAILED) hasFailed = true
     }
 
-    /** The cloud's list lacks it. */
+    /** Records that the machine is missing in the cloud's list. */
     fun markUnlisted(now: Duration) {
         if (unlistedSince == null) unlistedSince = now
     }
 
-    /** Gives the machine up for good: it is never used again. */
+    /** Marks the machine for deletion; this is final, and it is never used again. */
     fun markForDeletion(cause: DeletionCause) {
         deletionCause = cause
         requests.clearPending()
     }
 
-    /** The cloud is asked to delete it. */
+    /** Records that the cloud is requested to delete it. */
     fun markDeletionSent() {
         isDeletionSent = true
     }
 
-    /** The cloud did not delete it; it is asked again at [retryAt]. */
+    /** Records that the cloud did not delete it; the request is sent again at [retryAt]. */
     fun retryDeletionAt(retryAt: Duration) {
         isDeletionSent = false
         requests.delayRequestsUntil(retryAt)
     }
 
     /**
-     * Keeps its resources for a gang for which work was stopped here, or that was here: nothing of the gang's priority
-     * or below gets them before it. That lasts longer than work takes to checkpoint and its end to be reported; it is
-     * renewed while the gang waits.
+     * Reserves its resources for a gang that ran here or for which work was stopped here, so that no job of the gang's
+     * priority or below gets them first. The reservation lasts longer than stopped work takes to checkpoint and to be
+     * reported as ended. It is renewed while the gang waits.
      */
     fun reserve(job: Job, now: Duration) {
         reservedFor = job
-        reservedUntil = now + RESERVATION
+        reservedUntil = now + RESERVATION_TIME
     }
 
     /** Whether it is reserved for the job. */
     fun isReservedFor(job: Job): Boolean = reservedFor === job
 
-    /** Whether the job must not use it, since another one's reservation stands. */
+    /** Whether the job must not use it, because it is reserved for another job. */
     fun isReservedAgainst(job: Job, now: Duration): Boolean {
         val owner = reservedFor ?: return false
-        // While some of the owner's last attempt is still leaving, the reservation ends.
+        // The reservation ends if no task of the owner waits, such as while its last attempt is still leaving.
         if (now >= reservedUntil || owner.waitingCount() == 0) {
             reservedFor = null
             return false
@@ -205,57 +208,57 @@
         return owner !== job && job.effectivePriority <= owner.effectivePriority
     }
 
-    /** What is free of its capacity. */
+    /** Its free capacity. */
     fun available(type: MachineType): Resources = type.capacity - workload.usedResources()
 
     /** Whether the image is in its cache. */
     fun hasImage(image: String): Boolean = image in imageCache
 
-    /** Whether the image is here or being fetched by some task. */
+    /** Whether the image is in its cache or is being fetched by a task. */
     fun willHaveImage(image: String): Boolean = hasImage(image) || placements.values.any { it.job.spec.image == image }
 
-    /** Whether it is given up, has failed, or will be taken back soon. */
+    /** Whether it is being deleted, has failed, or has a preemption notice. */
     val isLeaving: Boolean get() = isDeleting || hasFailed || preemptionNotice != null
 
-    /** Whether it may get work. */
+    /** Whether it may get work. [freshness] is the longest allowed time since the last contact. */
     fun isReady(now: Duration, freshness: Duration): Boolean {
         if (!reachability.hadContactWithin(freshness, now) || reachability.isUnreachable) return false
         return isTrusted && !isLeaving && !health.isQuarantined(now)
     }
 
     private companion object {
-        val RESERVATION = 10.seconds
+        val RESERVATION_TIME = 10.seconds
     }
 }
 
-/** What a machine's tasks tell of its health. */
+/** The health of a machine, derived from the outcomes of its tasks. */
 class MachineHealth {
     private var consecutiveFailures = 0
     private var quarantinedUntil: Duration? = null
 
-    /** How long tasks run here, relative to other machines of the type; 1 is usual. */
+    /** The run time of tasks relative to that on other machines of the type; 1 is usual. */
     var slowness = 1.0
         private set
 
-    /** Whether it gets no work for now. */
+    /** Whether it temporarily gets no work. */
     fun isQuarantined(now: Duration): Boolean = quarantinedUntil.let { it != null && now < it }
 
-    /** A task failed here; several in a row set the machine aside for a while. */
+    /** Records a failed task; several failures in a row put the machine into quarantine. */
     fun taskFailed(now: Duration) {
         consecutiveFailures++
-        if (consecutiveFailures >= FAILURES_TO_QUARANTINE) quarantinedUntil = now + QUARANTINE
+        if (consecutiveFailures >= FAILURES_TO_QUARANTINE) quarantinedUntil = now + QUARANTINE_TIME
     }
 
-    /** A task completed; [relativeDuration]: its duration as a multiple of the usual one. */
+    /** Records a completed task; [relativeDuration] is its duration as a multiple of the usual one. */
     fun taskCompleted(relativeDuration: Double) {
         consecutiveFailures = 0
-        slowness = slowness * OLD_WEIGHT + relativeDuration.coerceAtMost(MAX_SLOWNESS) * NEW_WEIGHT
+        slowness = slowness * OLD_WEIGHT + relativeDuration.coerceAtMost(MAX_RELATIVE_DURATION) * NEW_WEIGHT
     }
 
     private companion object {
         const val FAILURES_TO_QUARANTINE = 3
-        val QUARANTINE = 60.seconds
-        const val MAX_SLOWNESS = 5.0
+        val QUARANTINE_TIME = 60.seconds
+        const val MAX_RELATIVE_DURATION = 5.0
 
         /** Weights of the moving average. */
         const val OLD_WEIGHT = 0.6
@@ -263,25 +266,26 @@
     }
 }
 
-/** Whether a job may use a machine at all, whatever else runs. */
+/** Whether the constraints of a job allow it to use the machine at all, regardless of other work. */
 fun isAllowed(spec: JobSpec, machine: Machine): Boolean =
     (spec.types == null || machine.type in spec.types) &&
         (spec.zone == null || spec.zone == machine.zone) &&
         (spec.spot || !machine.spot)
 
 /**
- * Whether one more task of the job may be in the zone, counting every task that is or may be somewhere. Placements and
- * orphans both count, since neither is proved gone. [zoneOf]: the zone of a machine, null if it is not known.
+ * Whether one more task of the job may run in the zone, counting every task that runs or may run somewhere. Placements
+ * and orphans both count, since neither is proved gone. [zoneOf] returns the zone of a machine, or null if it is not
+ * known.
  */
 fun isZoneAllowed(job: Job, zone: String, zoneOf: (String) -> String?): Boolean {
     if (!job.spec.sameZone && !job.spec.spread) return true
     var inZone = 0
 
-    /** Counts a task's machine; false if the job's tasks must not be here because of it. */
+    /** Counts the machine of a task; returns false if its zone excludes [zone] for the job's other tasks. */
     fun admits(machine: String): Boolean {
         val taskZone = zoneOf(machine)
         if (job.spec.sameZone && taskZone != zone) return false
-        // A machine whose zone is not known yet could be anywhere: it counts against every zone.
+        // A machine whose zone is not known yet could be in any zone, so it counts against every zone.
         if (taskZone == null || taskZone == zone) inZone++
         return true
     }
--- a/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
@@ -7,15 +7,15 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Gives machines up by deleting them, several with one request: a lost rack is one call to the cloud. */
+/** Deletes machines, several with one request, so that a lost rack takes one call to the cloud. */
 class MachineDeleter(private val context: SchedulingContext) {
-    private val waiting = LinkedHashMap<String, DeletionCause>()
-    private var sentAt = context.startedAt - LONG_AGO
+    private val pending = LinkedHashMap<String, DeletionCause>()
+    private var sentAt = context.startedAt - INITIAL_SEND_AGE
 
-    /** Gives the machine up, unless that has to wait. */
+    /** Marks the machine for deletion and queues its deletion, unless the order gate defers it. */
     fun delete(machine: Machine, cause: DeletionCause) {
         if (machine.isDeleting) return
-        if (cause in DEFERRABLE && !context.hooks.gate.admits(ProposedOrder(cause, machine.id))) return
+        if (cause in DEFERRABLE_CAUSES && !context.hooks.gate.admits(ProposedOrder(cause, machine.id))) return
         context.log(isImportant = true) {
             val lastContactAt = machine.reachability.lastContactAt
             "delete-machine machine=${machine.id} reason=${cause.label} tasks=${machine.placements.size} " +
@@ -25,7 +25,7 @@
         enqueue(machine, cause)
     }
 
-    /** Deletes a machine again that was given up, if the cloud has refused to. */
+    /** Queues the deletion of a marked machine again, if the cloud has rejected it. */
     fun retry(machine: Machine) {
         val cause = machine.deletionCause ?: return
         if (!machine.isDeletionSent && context.now >= machine.requests.nextRequestAt) enqueue(machine, cause)
@@ -33,22 +33,22 @@
 
     private fun enqueue(machine: Machine, cause: DeletionCause) {
         machine.markDeletionSent()
-        waiting[machine.id] = cause
+        pending[machine.id] = cause
     }
 
-    /** Asks the cloud for what has gathered, at a limited rate. */
+    /** Sends the queued deletions to the cloud, at a limited rate. */
     fun flush() {
-        if (waiting.isEmpty() || context.now - sentAt < SEND_INTERVAL) return
+        if (pending.isEmpty() || context.now - sentAt < SEND_INTERVAL) return
         sentAt = context.now
-        val batch = waiting.entries.take(DeleteMachines.MAX_MACHINES).associate { it.key to it.value }
-        batch.keys.forEach(waiting::remove)
+        val batch = pending.entries.take(DeleteMachines.MAX_MACHINES).associate { it.key to it.value }
+        batch.keys.forEach(pending::remove)
         batch.values.forEach(context.orderCounts::add)
         context.act(DeleteMachines(batch))
     }
 
     private companion object {
-        /** Neither a promise about cancelled work nor certain knowledge is behind these. */
-        val DEFERRABLE =
+        /** Causes that rest neither on a promise about cancelled work nor on certain knowledge, so they may wait. */
+        val DEFERRABLE_CAUSES =
             setOf(
                 DeletionCause.NEVER_CAME_UP,
                 DeletionCause.UNREACHABLE,
@@ -56,6 +56,6 @@
                 DeletionCause.NOT_NEEDED,
             )
         val SEND_INTERVAL = 400.milliseconds
-        val LONG_AGO = 10.seconds
+        val INITIAL_SEND_AGE = 10.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/MachineRequests.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineRequests.kt
@@ -15,21 +15,21 @@
 )
 
 /**
- * The requests to one machine: commands that wait, the request on its way, and starts that may still be carried out.
+ * The requests to one machine: queued commands, the request in flight, and starts that may still be executed.
  */
 class MachineRequests {
-    private val waiting = ArrayList<Command>()
+    private val pending = ArrayList<Command>()
     private val starts = ArrayList<UnconfirmedStart>()
 
     /** Commands that have not been sent yet. */
-    val pendingCommands: List<Command> get() = waiting
+    val pendingCommands: List<Command> get() = pending
     val unconfirmedStarts: List<UnconfirmedStart> get() = starts
 
-    /** Whether a request is on its way; there is only one at a time. */
+    /** Whether a request is in flight; there is only one at a time. */
     var isInFlight = false
         private set
 
-    /** When the last request was sent: it tells that request's starts from earlier ones. */
+    /** When the last request was sent; it distinguishes the starts of that request from earlier ones. */
     var sentAt: Duration? = null
         private set
 
@@ -41,37 +41,37 @@
     var nextProbeAt: Duration = Duration.ZERO
         private set
 
-    /** Lets a command wait for the next request. */
+    /** Queues a command for the next request. */
     fun add(command: Command) {
-        waiting.add(command)
+        pending.add(command)
     }
 
-    /** Replaces all commands that wait. */
+    /** Replaces all queued commands. */
     fun replacePending(commands: List<Command>) {
-        waiting.clear()
-        waiting.addAll(commands)
+        pending.clear()
+        pending.addAll(commands)
     }
 
-    /** The machine is given up: nothing is sent to it any more. */
-    fun clearPending() = waiting.clear()
+    /** Discards all queued commands; nothing is sent to a machine that is being deleted. */
+    fun clearPending() = pending.clear()
 
-    /** The placement is gone: a start of it that waits is not sent. */
+    /** Discards the queued start of a placement that was removed. */
     fun dropStart(key: TaskKey, attempt: Long) {
-        if (waiting.isNotEmpty()) waiting.removeIf { it is StartTask && it.isFor(key, attempt) }
+        if (pending.isNotEmpty()) pending.removeIf { it is StartTask && it.isFor(key, attempt) }
     }
 
-    /** Whether any command for the attempt waits. */
-    fun hasPending(key: TaskKey, attempt: Long): Boolean = waiting.any { it.isFor(key, attempt) }
+    /** Whether any command for the attempt is queued. */
+    fun hasPending(key: TaskKey, attempt: Long): Boolean = pending.any { it.isFor(key, attempt) }
 
     private fun Command.isFor(key: TaskKey, attempt: Long) = this.key == key && this.attempt == attempt
 
-    /** A request is sent. */
+    /** Records that a request is sent. */
     fun requestSent(now: Duration) {
         sentAt = now
         isInFlight = true
     }
 
-    /** The request's outcome is known. */
+    /** Records that the request in flight has ended. */
     fun requestEnded() {
         isInFlight = false
     }
@@ -86,17 +86,17 @@
         nextProbeAt = time
     }
 
-    /** A start is on its way, and may be carried out at any later time. */
+    /** Records a start in flight, which may be executed at any later time. */
     fun startSent(start: UnconfirmedStart) {
         starts.add(start)
     }
 
-    /** What was sent with the last request can't be carried out any more, or has been. */
+    /** Removes the starts of the last request, which have been executed or can no longer be. */
     fun confirmLastRequest(token: Long, incarnation: Long) {
         starts.removeIf { it.token == token && it.incarnation == incarnation && it.since == sentAt }
     }
 
-    /** The worker refuses what was sent to an earlier incarnation or with a lower token. */
+    /** Removes the starts that the worker rejects, sent to an earlier incarnation or with a lower token. */
     fun dropInvalidStarts(token: Long, incarnation: Long, isNewIncarnation: Boolean) {
         if (isNewIncarnation) starts.removeIf { it.incarnation < incarnation }
         starts.removeIf { it.token < token }
--- a/src/main/kotlin/glenspool/core/cluster/MachineWorkload.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineWorkload.kt
@@ -6,18 +6,21 @@
 import glenspool.core.model.TaskKey
 import kotlin.time.Duration
 
-/** What is on a machine, or may be: placements, and tasks without a placement (orphans). */
+/** The tasks that are or may be on a machine: placements, and tasks without a placement (orphans). */
 class MachineWorkload {
-    private val placed = LinkedHashMap<TaskKey, Placement>()
-    private val orphanTasks = HashMap<TaskKey, Resources>()
+    private val placementsByTask = LinkedHashMap<TaskKey, Placement>()
+    private val orphanResources = HashMap<TaskKey, Resources>()
 
-    /** What all of them take; null after a change, since placement rounds ask far more often than it changes. */
+    /**
+     * The resources that all tasks use; null after a change. Cached, because placement rounds read the value far more
+     * often than it changes.
+     */
     private var cachedUse: Resources? = null
 
-    val placements: Map<TaskKey, Placement> get() = placed
+    val placements: Map<TaskKey, Placement> get() = placementsByTask
 
-    /** Tasks without a placement, and what each takes. */
-    val orphans: Map<TaskKey, Resources> get() = orphanTasks
+    /** Tasks without a placement, with the resources that each uses. */
+    val orphans: Map<TaskKey, Resources> get() = orphanResources
 
     /** Since when there have been orphans. */
     var orphanedSince: Duration? = null
@@ -27,20 +30,20 @@
     var serviceReplicas = 0
         private set
 
-    val taskCount: Int get() = placed.size + orphanTasks.size
+    val taskCount: Int get() = placementsByTask.size + orphanResources.size
 
-    /** Adds a placement; an older one of the same task gives way. */
+    /** Adds a placement; an older one of the same task is replaced. */
     fun addPlacement(placement: Placement) {
-        val replaced = placed.put(placement.key, placement)
+        val replaced = placementsByTask.put(placement.key, placement)
         if (replaced != null) countReplica(replaced, -1)
         countReplica(placement, +1)
         cachedUse = null
     }
 
-    /** Removes the placement if it is still here. */
+    /** Removes the placement if it is still on the machine. */
     fun removePlacement(placement: Placement) {
-        if (placed[placement.key] !== placement) return
-        placed.remove(placement.key)
+        if (placementsByTask[placement.key] !== placement) return
+        placementsByTask.remove(placement.key)
         countReplica(placement, -1)
         cachedUse = null
     }
@@ -49,27 +52,30 @@
         if (placement.job.spec.kind == JobKind.SERVICE) serviceReplicas += sign
     }
 
-    /** Adds an orphan, or corrects what it takes. True if it was not known before. */
+    /** Adds an orphan or corrects its resources. Returns true if it was not known before. */
     fun addOrphan(key: TaskKey, resources: Resources, now: Duration): Boolean {
         if (orphanedSince == null) orphanedSince = now
         cachedUse = null
-        return orphanTasks.put(key, resources) == null
+        return orphanResources.put(key, resources) == null
     }
 
-    /** The orphan is gone. */
+    /** Removes an orphan that is gone. */
     fun removeOrphan(key: TaskKey) {
-        orphanTasks.remove(key)
-        if (orphanTasks.isEmpty()) orphanedSince = null
+        orphanResources.remove(key)
+        if (orphanResources.isEmpty()) orphanedSince = null
         cachedUse = null
     }
 
-    /** What placements and orphans take; summed anew after each change, so that rounding errors can't add up. */
+    /**
+     * The resources that placements and orphans use. They are summed again after each change, so that rounding errors
+     * can't accumulate.
+     */
     fun usedResources(): Resources = cachedUse ?: sum().also { cachedUse = it }
 
     private fun sum(): Resources {
         var sum = Resources.ZERO
-        for (placement in placed.values) sum += placement.job.resourceRequest
-        for (resources in orphanTasks.values) sum += resources
+        for (placement in placementsByTask.values) sum += placement.job.resourceRequest
+        for (resources in orphanResources.values) sum += resources
         return sum
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
@@ -12,7 +12,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What becomes of placements whose tasks are proved to be off their machines: restored there, or given up. */
+/**
+ * Handles placements whose tasks are proved to be off their machines: the task is restored there, or the placement is
+ * removed.
+ */
 class MissingTaskHandler(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -21,18 +24,21 @@
     private val now: Duration get() = context.now
     private val freshness: Duration get() = context.config.heartbeatFreshness
 
-    /** The task is missing on its machine, which says nothing of why. */
+    /** Handles a task that is missing on its machine for an unknown reason. */
     fun handle(placement: Placement, machine: Machine) {
         val policy = context.hooks.missingTaskPolicy()
         when {
-            policy == MissingTaskPolicy.RESTORE_AND_WAIT && mayYetSendHeartbeat(machine, placement.job) -> Unit
-            policy != MissingTaskPolicy.RESCHEDULE && mayBeRestored(placement, machine) -> restore(placement, machine)
+            policy == MissingTaskPolicy.RESTORE_AND_WAIT && isFirstHeartbeatPending(machine, placement.job) -> Unit
+            policy != MissingTaskPolicy.RESCHEDULE && canRestore(placement, machine) -> restore(placement, machine)
             else -> attemptEnded(placement, machine, null)
         }
     }
 
-    /** It answers requests and has sent no heartbeat by itself: it gets the time in which a worker finds its leader. */
-    private fun mayYetSendHeartbeat(machine: Machine, job: Job): Boolean {
+    /**
+     * Whether the machine answers requests but its worker has not sent a heartbeat yet. The worker gets the time that
+     * it usually needs to find the leader.
+     */
+    private fun isFirstHeartbeatPending(machine: Machine, job: Job): Boolean {
         val isCritical = job.effectivePriority == Priority.CRITICAL
         val intervals = if (isCritical) INTERVALS_TO_WAIT_CRITICAL else INTERVALS_TO_WAIT
         val reachability = machine.reachability
@@ -41,15 +47,16 @@
     }
 
     /**
-     * The placement is stored and holds resources, quota and zone, so the task may simply be started there again. Not a
-     * gang's: its tasks find each other by their attempt. Not where the machine is about to go, or the job failed.
+     * Whether the task may be started again on its machine. The placement is stored and occupies resources, quota and
+     * zone, so nothing else is needed. This excludes gangs, whose tasks find each other by their attempt, and machines
+     * that are about to be removed or on which the job failed.
      */
-    private fun mayBeRestored(placement: Placement, machine: Machine): Boolean {
+    private fun canRestore(placement: Placement, machine: Machine): Boolean {
         val job = placement.job
         val isWanted = job.isLive && !job.done[placement.task] && placement.stopCause == null
         if (!isWanted || job.spec.kind == JobKind.GANG) return false
-        // Whichever message shows that the task is missing, the machine's own heartbeats must arrive, or what is
-        // started there ends with its lease.
+        // Whichever message shows that the task is missing, heartbeats that the worker itself sends must arrive;
+        // otherwise a task that is started there ends with the worker's lease.
         if (!machine.reachability.sentHeartbeatWithin(freshness, now)) return false
         return machine.id !in job.failedOn && !machine.isCordoned && machine.isReady(now, freshness)
     }
@@ -59,31 +66,32 @@
         commands.add(machine, StartTask(placement.key, placement.attempt, StartCause.RESTORED))
     }
 
-    /** The attempt is proved to be off its machine. [exit]: why it ended, if that is known. */
+    /** Ends an attempt that is proved to be off its machine. [exit] is the reason why it ended, null if unknown. */
     fun attemptEnded(placement: Placement, machine: Machine, exit: ExitReason?) {
         val job = placement.job
         cluster.removePlacement(placement)
         job.storeLater(now)
         context.requestRound()
-        // A broken gang begins again where its image is, not somewhere else because small work was quicker.
+        // A broken gang should restart where its image is cached, and not elsewhere because smaller jobs took the
+        // machine first.
         if (job.spec.kind == JobKind.GANG && job.waitingCount() > 0) machine.reserve(job, now)
         when (exit) {
-            ExitReason.ERROR, ExitReason.UNKNOWN -> failed(job, machine)
-            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_PRESENT -> job.retryAfter = now + RETRY
+            ExitReason.ERROR, ExitReason.UNKNOWN -> recordFailure(job, machine)
+            ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_PRESENT -> job.retryAfter = now + RETRY_DELAY
             else -> Unit
         }
     }
 
-    private fun failed(job: Job, machine: Machine) {
+    private fun recordFailure(job: Job, machine: Machine) {
         job.failedOn.add(machine.id)
         machine.health.taskFailed(now)
         val machines = job.failedOn.size
-        // On several machines the job is at fault: it must not consume the fleet.
+        // If the job failed on several machines, the job itself is at fault, and must not use up the fleet.
         val backoff =
             if (machines <
                 2
             ) {
-                RETRY
+                RETRY_DELAY
             } else {
                 minOf(MAX_BACKOFF, BASE_BACKOFF * (1 shl minOf(machines, MAX_DOUBLINGS)))
             }
@@ -91,14 +99,14 @@
     }
 
     private companion object {
-        val RETRY = 1.seconds
+        val RETRY_DELAY = 1.seconds
         val BASE_BACKOFF = 2.seconds
         val MAX_BACKOFF = 60.seconds
         const val MAX_DOUBLINGS = 5
 
         /**
-         * A worker sends a heartbeat in every interval, give or take a quarter; critical work waits for one of them,
-         * other work for several.
+         * Heartbeat intervals to wait for a worker's first heartbeat. A worker sends one heartbeat per interval, with a
+         * deviation of up to a quarter; critical work waits for one heartbeat, other work for several.
          */
         const val INTERVALS_TO_WAIT_CRITICAL = 1.5
         const val INTERVALS_TO_WAIT = 3.0
--- a/src/main/kotlin/glenspool/core/cluster/Orphans.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Orphans.kt
@@ -6,32 +6,36 @@
 import glenspool.core.model.TaskKey
 
 /**
- * Tasks on machines without a stored placement: remains of earlier leaders. They block their task, take resources and
- * count for their team's quota until they are proved gone.
+ * Tracks orphans: tasks that run on machines without a stored placement, left by earlier leaders. An orphan blocks the
+ * placement of its task, uses resources and counts towards its team's quota until it is proved gone.
  */
 class Orphans(private val context: SchedulingContext, private val cluster: ClusterState) {
-    /** Machines with tasks of jobs that nobody knows, by job. */
+    /** Machines with tasks of unrecorded jobs, by job. */
     private val unrecorded = HashMap<String, MutableSet<String>>()
 
-    /** A heartbeat shows exactly these tasks without a placement on the machine, each with what it takes. */
+    /**
+     * Updates the machine's orphans to [shown], the tasks without a placement in its newest heartbeat, each with the
+     * resources that it uses.
+     */
     fun reconcile(machine: Machine, shown: Map<TaskKey, Resources>) {
         if (machine.orphans.isEmpty() && shown.isEmpty()) return
         machine.orphans.keys
             .filter { it !in shown }
             .forEach { remove(machine, it) }
         for ((key, resources) in shown) {
-            if (machine.workload.addOrphan(key, resources, context.now)) found(machine, key)
+            if (machine.workload.addOrphan(key, resources, context.now)) recordOrphan(machine, key)
         }
     }
 
-    private fun found(machine: Machine, key: TaskKey) {
+    private fun recordOrphan(machine: Machine, key: TaskKey) {
         val job = cluster.jobs[key.job]
         if (job != null) charge(job, machine, key) else unrecorded.getOrPut(key.job) { HashSet() }.add(machine.id)
     }
 
     /**
-     * Tasks of the job were on machines before the job was known: it was accepted once, the key-value store lost it,
-     * and its user submits it again. Without this the same task would be started once more elsewhere.
+     * Assigns tasks to the job that were found on machines before the job was known. This occurs if the key-value
+     * store lost a job that was accepted, and the user submits it again. Otherwise the same task would be started a
+     * second time elsewhere.
      */
     fun adopt(job: Job) {
         for (id in unrecorded.remove(job.spec.id).orEmpty()) {
@@ -43,14 +47,14 @@
         }
     }
 
-    /** The machine is gone, with its orphans. */
+    /** Removes the orphans of a machine that is gone. */
     fun removeAll(machine: Machine) {
         machine.orphans.keys
             .toList()
             .forEach { remove(machine, it) }
     }
 
-    /** The task is proved to be off the machine. */
+    /** Removes an orphan that is proved to be off the machine. */
     private fun remove(machine: Machine, key: TaskKey) {
         machine.workload.removeOrphan(key)
         forgetUnrecorded(machine, key.job)
--- a/src/main/kotlin/glenspool/core/cluster/Reachability.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Reachability.kt
@@ -4,15 +4,15 @@
 import kotlin.time.Duration
 
 /**
- * When a machine was heard, and when it was reached. The two differ: heartbeats may arrive from a machine that no
- * answer and no command reaches.
+ * When a machine was in contact, and when it was reachable. The two differ, since heartbeats may arrive from a machine
+ * that neither replies nor commands of this node reach.
  */
 class Reachability {
-    /** When it was last heard of, by a heartbeat or by the answer to a request. Null: never. */
+    /** When a heartbeat or the reply to a request was last received; null if never. */
     var lastContactAt: Duration? = null
         private set
 
-    /** When its worker last sent a heartbeat by itself. Null: not in this term. */
+    /** When a heartbeat that its worker sent without a request was last received; null if not in this term. */
     var lastHeartbeatAt: Duration? = null
         private set
 
@@ -20,7 +20,7 @@
     var firstReplyAt: Duration? = null
         private set
 
-    /** Since when requests have gone without an answer. Only an answered request ends this. */
+    /** Since when requests have been unanswered; null if they are not. Only an answered request resets it. */
     var unreachableSince: Duration? = null
         private set
 
@@ -30,25 +30,25 @@
 
     val hadContact: Boolean get() = lastContactAt != null
 
-    /** Whether requests to it go without an answer. */
+    /** Whether requests to it are unanswered. */
     val isUnreachable: Boolean get() = unreachableSince != null
 
-    /** Whether anything was heard of it within [span]. */
+    /** Whether it was in contact within [span]. */
     fun hadContactWithin(span: Duration, now: Duration): Boolean = lastContactAt.isWithin(span, now)
 
-    /** Whether its worker sent a heartbeat by itself within [span]. */
+    /** Whether a heartbeat that its worker sent without a request was received within [span]. */
     fun sentHeartbeatWithin(span: Duration, now: Duration): Boolean = lastHeartbeatAt.isWithin(span, now)
 
     /** Whether a request was answered within [span]. */
     fun wasReachableWithin(span: Duration, now: Duration): Boolean = lastReachableAt.isWithin(span, now)
 
-    /** Whether requests have gone without an answer for more than [span]. */
+    /** Whether requests have been unanswered for more than [span]. */
     fun isUnreachableFor(span: Duration, now: Duration): Boolean =
         unreachableSince.let { it != null && now - it > span }
 
     private fun Duration?.isWithin(span: Duration, now: Duration) = this != null && now - this <= span
 
-    /** A heartbeat came. */
+    /** Records a received heartbeat. */
     fun recordContact(source: HeartbeatSource, now: Duration) {
         lastContactAt = now
         when (source) {
@@ -57,18 +57,21 @@
         }
     }
 
-    /** A request was answered. */
+    /** Records that a request was answered. */
     fun recordReachable(now: Duration) {
         lastReachableAt = now
         unreachableSince = null
     }
 
-    /** A request that was sent at [since] had no answer. */
+    /** Records that a request sent at [since] was not answered. */
     fun recordNoResponse(since: Duration) {
         if (unreachableSince == null) unreachableSince = since
     }
 
-    /** Time in which this process could hear nothing is not held against the machine. */
+    /**
+     * Excludes a [gap] in which this process could receive nothing from the time for which the machine was silent or
+     * unreachable.
+     */
     fun excludeGap(gap: Duration, now: Duration) {
         lastContactAt = lastContactAt?.let { minOf(now, it + gap) }
         lastHeartbeatAt = lastHeartbeatAt?.let { minOf(now, it + gap) }
--- a/src/main/kotlin/glenspool/core/cluster/TypePerformance.kt
+++ b/src/main/kotlin/glenspool/core/cluster/TypePerformance.kt
@@ -4,15 +4,15 @@
 import glenspool.core.model.JobKind
 import kotlin.time.Duration
 
-/** Keeps the table of the fastest machine type for each job class, from how long tasks ran. */
+/** Determines the fastest machine type for each job class from the durations of completed tasks. */
 class TypePerformance {
-    /** The usual duration of a class's tasks on a type, relative to their estimates. */
+    /** The usual duration of a job class's tasks on a machine type, relative to their estimates. */
     private val relativeDurations = HashMap<String, HashMap<String, Double>>()
 
     /** The fastest type for the class, null if none of its tasks has completed. */
     fun fastestType(jobClass: String): String? = relativeDurations[jobClass]?.minByOrNull { it.value }?.key
 
-    /** A task has completed on the machine. */
+    /** Records that a task has completed on the machine. */
     fun taskCompleted(placement: Placement, machine: Machine, now: Duration) {
         val started = placement.runningSince ?: return
         val spec = placement.job.spec
@@ -20,7 +20,7 @@
         val relativeDuration = (now - started) / spec.estimatedDuration
         val byType = relativeDurations.getOrPut(spec.jobClass) { HashMap() }
         val usual = byType[machine.type] ?: relativeDuration
-        // Before the sample itself counts: a machine is slow against the others of its type.
+        // Uses the average before this sample, since a machine counts as slow relative to the others of its type.
         machine.health.taskCompleted(relativeDuration / usual.coerceAtLeast(MIN_RELATIVE_DURATION))
         byType[machine.type] = usual * OLD_WEIGHT + relativeDuration * NEW_WEIGHT
     }
--- a/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ZonePartitionDetector.kt
@@ -4,48 +4,49 @@
 import kotlin.time.Duration
 
 /**
- * Tells a zone that is partitioned off from machines that are lost. In a zone with a controller of its own the work
- * goes on meanwhile, since that controller keeps its workers' leases; giving its machines up would stop a good part of
- * all work, to rent the same again. So its machines are waited for, but not without end: a controller there may have
- * ended too. Machines that died with their zone show in the cloud's list, and cancelled work is never waited for.
+ * Distinguishes a partitioned zone from lost machines. In a zone that has a controller, work continues during a network
+ * partition, since that controller renews the leases of its workers; deleting the zone's machines would stop a large
+ * part of all work, only to rent the same machines again. The leader therefore waits for the machines, but only for a
+ * limited time, since the controller in the zone may have ended too. Machines that failed with their zone are shown in
+ * the cloud's list, and cancelled work is never waited for.
  */
 class ZonePartitionDetector(private val context: SchedulingContext) {
     private class ContactCount {
         var total = 0
-        var fresh = 0
+        var recent = 0
     }
 
-    /** A partition: since when, and when it was last seen. */
-    private class Partition(val since: Duration, val lastSeen: Duration)
+    /** A partition with the time since when it has existed and the time at which it was last detected. */
+    private class Partition(val since: Duration, val lastDetectedAt: Duration)
 
     private val contactByZone = HashMap<String, ContactCount>()
 
-    /** Zones that are partitioned off, or were until a moment ago. */
+    /** Zones that are partitioned, or were until a moment ago. */
     private val partitions = HashMap<String, Partition>()
 
-    /** Begins to count anew. */
-    fun beginCount() = contactByZone.clear()
+    /** Resets the counts. */
+    fun resetCounts() = contactByZone.clear()
 
     /** Counts a machine that is up. */
     fun count(machine: Machine) {
         val contact = contactByZone.getOrPut(machine.zone) { ContactCount() }
         contact.total++
-        // Half of the machines that are heard at all were heard within this time: it shows a partition before the
-        // first machine is given up.
+        // Of the machines in contact, half were in contact within this time. It is short enough to show a partition
+        // before the first machine is declared lost.
         val span = context.config.heartbeatInterval / 2
-        if (machine.reachability.hadContactWithin(span, context.now)) contact.fresh++
+        if (machine.reachability.hadContactWithin(span, context.now)) contact.recent++
     }
 
-    /** Judges from what was counted. */
+    /** Detects partitions from the counts. */
     fun update() {
         val total = contactByZone.values.sumOf { it.total }
-        val fresh = contactByZone.values.sumOf { it.fresh }
+        val recent = contactByZone.values.sumOf { it.recent }
         for (zone in context.config.peerZones) {
             val contact = contactByZone[zone] ?: ContactCount()
-            // The other zones must be heard, or the fault is this node's own.
-            val areOthersInContact = (fresh - contact.fresh) * ONE_IN_CONTACT_ELSEWHERE > total - contact.total
-            val isSilent = contact.total >= MIN_MACHINES && contact.fresh * ONE_IN_STILL_IN_CONTACT <= contact.total
-            update(zone, isSilent && areOthersInContact)
+            // The other zones must be in contact; otherwise the fault is on this node's side.
+            val isRestInContact = (recent - contact.recent) * OTHER_MACHINES_PER_CONTACT > total - contact.total
+            val isSilent = contact.total >= MIN_MACHINES && contact.recent * MACHINES_PER_CONTACT <= contact.total
+            update(zone, isSilent && isRestInContact)
         }
     }
 
@@ -55,32 +56,33 @@
             partitions[zone] = Partition(known?.since ?: context.now, context.now)
             return
         }
-        // Not sooner: the first workers to be heard again must not condemn those that need a moment more.
-        val patience = context.config.heartbeatInterval * INTERVALS_TO_RETURN
-        if (known != null && context.now - known.lastSeen > patience) partitions.remove(zone)
+        // Kept for a grace period: when the first workers are in contact again, the machines of those that need a
+        // moment longer must not be deleted.
+        val gracePeriod = context.config.heartbeatInterval * GRACE_PERIOD_INTERVALS
+        if (known != null && context.now - known.lastDetectedAt > gracePeriod) partitions.remove(zone)
     }
 
-    /** Whether the zone's machines are to be waited for. */
+    /** Whether the zone counts as partitioned, so that its machines are waited for. */
     fun isPartitioned(zone: String): Boolean {
         val partition = partitions[zone] ?: return false
-        return context.now - partition.since < context.config.lease * MAX_LEASES
+        return context.now - partition.since < context.config.lease * MAX_PARTITION_LEASES
     }
 
     private companion object {
-        /** With fewer machines, chance alone would often leave none heard of late. */
+        /** With fewer machines it would often happen by chance that none was in contact recently. */
         const val MIN_MACHINES = 4
 
-        /** One machine in so many may still be heard in a zone that counts as partitioned off. */
-        const val ONE_IN_STILL_IN_CONTACT = 20
+        /** In a partitioned zone, at most one of this many machines is still in contact. */
+        const val MACHINES_PER_CONTACT = 20
 
         /**
-         * More than one machine in so many of the other zones was heard within half a heartbeat interval; usually it is
-         * one in two.
+         * In the other zones, more than one of this many machines must have been in contact within half a heartbeat
+         * interval; usually it is one in two.
          */
-        const val ONE_IN_CONTACT_ELSEWHERE = 4
+        const val OTHER_MACHINES_PER_CONTACT = 4
 
-        /** A partition is waited for as long as so many leases. */
-        const val MAX_LEASES = 4
-        const val INTERVALS_TO_RETURN = 3
+        /** The machines of a partitioned zone are waited for during this many leases. */
+        const val MAX_PARTITION_LEASES = 4
+        const val GRACE_PERIOD_INTERVALS = 3
     }
 }
--- a/src/test/kotlin/glenspool/core/CancellationDeadlineTest.kt
+++ b/src/test/kotlin/glenspool/core/CancellationDeadlineTest.kt
@@ -8,11 +8,11 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Cancelled work is gone by its deadline, also where its machine can't be told to stop it. */
+/** Tests that cancelled work is gone by its deadline, even if no stop command reaches its machine. */
 class CancellationDeadlineTest : SchedulerTestBase() {
     @Test
     fun `cancelled work on a silent machine is gone by its deadline`() {
-        // All other machines are silent too, so silence alone would have this one kept.
+        // All other machines are silent too, so silence alone would not cause the deletion of this one.
         started(3)
         submit(job("a"))
         wait(1.seconds)
--- a/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
@@ -9,12 +9,12 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What any controller does about cancelled work while there is no leader. */
+/** Tests how controllers enforce cancellations while there is no leader. */
 class CancelledWorkTrackerTest : SchedulerTestBase() {
     private val tracker = CancelledWorkTracker(40.seconds)
     private val machinesByJob = mapOf("a" to listOf("m1", "m2"), "b" to listOf("m2", "m3"))
 
-    /** The machines to ask after so many seconds; [cancelledAt] has the second of each job's cancellation. */
+    /** The machines to probe after [at] seconds; [cancelledAt] has the second in which each job was cancelled. */
     private fun machinesToProbe(at: Int, cancelledAt: Map<String, Int> = mapOf("a" to 0, "b" to 4)) =
         tracker.machinesToProbe(
             at.seconds,
@@ -52,7 +52,7 @@
         assertEquals(emptyList<String>(), tracker.overdueMachines(30.seconds))
         machinesToProbe(31)
         assertEquals(listOf("m2"), tracker.overdueMachines(31.seconds))
-        // One that was never probed may have stopped the work.
+        // A machine that was never probed is not overdue, since it may have stopped the work.
         val (_, m3) = machinesToProbe(35)
         assertEquals(listOf("m2"), tracker.overdueMachines(35.seconds))
         tracker.recordProbe(m3, null)
@@ -74,8 +74,8 @@
         val (machine, task) = busy(1).entries.single()
         val stops = step { jobCancelled("a", 900, now) }.stops()
         assertEquals(listOf(StopTask(task.key, task.attempt, Duration.ZERO, StopCause.CANCELLED)), stops)
-        // The key-value store shows the same later: nothing changes but its version, which a final record is
-        // conditioned on.
+        // The key-value store later reports the same cancellation. Only its version changes, on which the transaction
+        // that stores the final state is conditional.
         assertEquals(emptyList<SendCommands>(), step { jobCancelled("a", 901, now) }.commandRequests())
         val afterStop = heartbeatActions(machine, task.exited(ExitReason.STOPPED)) + wait(1.seconds)
         val finalStates = afterStop.writes().filterIsInstance<StoreFinalState>()
--- a/src/test/kotlin/glenspool/core/DeletionBatchingTest.kt
+++ b/src/test/kotlin/glenspool/core/DeletionBatchingTest.kt
@@ -6,14 +6,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The cloud allows few calls: deletions are sent in batches with a pause between them. */
+/** Tests that deletions are sent in batches at a minimum interval, because the cloud allows only few calls. */
 class DeletionBatchingTest : SchedulerTestBase() {
     @Test
     fun `machines lost one after the other share a deletion call`() {
         val running = busy(6, others = 6)
         val first = list(running.keys, failed = setOf("m1"))
         assertEquals(listOf(listOf("m1")), first.deletions().map { it.machines })
-        // Within the pause nothing is sent, and what came meanwhile goes together.
+        // Within the interval nothing is sent; machines lost meanwhile are deleted together after it.
         assertTrue(list(running.keys, failed = setOf("m1", "m2")).none { it is DeleteMachines })
         now += 200.milliseconds
         assertTrue(list(running.keys, failed = setOf("m1", "m2", "z1")).none { it is DeleteMachines })
@@ -25,8 +25,8 @@
     fun `deletion calls are sent at a minimum interval, and no machine is skipped`() {
         val running = busy(8)
         assertEquals(setOf("m1"), list(running.keys, failed = setOf("m1")).deletedMachines())
-        val withinPause = list(running.keys, failed = setOf("m1", "m2"))
-        assertEquals(emptySet<String>(), withinPause.deletedMachines(), "the cloud's calls are few")
+        val withinInterval = list(running.keys, failed = setOf("m1", "m2"))
+        assertEquals(emptySet<String>(), withinInterval.deletedMachines(), "no call within the interval")
         assertEquals(setOf("m2"), wait(1.seconds).deletedMachines())
     }
 
--- a/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
+++ b/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** Which silent or unreachable machines are taken for failed, and when. */
+/** Tests which silent or unreachable machines are declared lost, and when. */
 class FailureDetectionTest : SchedulerTestBase() {
     @Test
     fun `silence of the whole fleet is treated as the leader's own fault, and no machine is deleted early`() {
         busy(4)
         assertTrue(wait(25.seconds).none { it is DeleteMachines })
-        // But not for ever: if the machines are really lost, nobody else would replace them.
+        // They are deleted in the end, since nothing else would replace the machines if they are really lost.
         assertTrue(wait(30.seconds).any { it is DeleteMachines })
     }
 
@@ -51,7 +51,7 @@
         val unreachable = running.keys.first()
         step { probeEnded(unreachable, null) }
         assertFalse(knownMachine(unreachable).isReady(now, 60.seconds))
-        // A probe that was never sent, for want of threads, says nothing of the machine.
+        // A probe that was never sent, because no thread was free, must not make the machine unreachable.
         val other = (running.keys - unreachable).single()
         step { probeEnded(other, null, wasSent = false) }
         assertTrue(knownMachine(other).isReady(now, 60.seconds))
--- a/src/test/kotlin/glenspool/core/HeartbeatCostTest.kt
+++ b/src/test/kotlin/glenspool/core/HeartbeatCostTest.kt
@@ -4,9 +4,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A heartbeat that says nothing new must not cost more with more machines and jobs, by counts of what is looked at. */
+/**
+ * Tests by work counters that the cost of a heartbeat without news does not grow with the numbers of machines and jobs.
+ */
 class HeartbeatCostTest {
-    /** The work of a hundred heartbeats that say nothing new. */
+    /** The work that a hundred heartbeats without news cause, as counted by the work counters. */
     private fun measureHeartbeatWork(machines: Int, jobs: Int): Long {
         val fleet = LargeFleet()
         fleet.fill(machines, jobs)
@@ -14,7 +16,7 @@
         val workBefore = counters.total
         val roundsBefore = counters.rounds
         repeat(100) { fleet.sendHeartbeat("m${it + 1}") }
-        assertEquals(roundsBefore, counters.rounds, "a heartbeat that says nothing new starts no round")
+        assertEquals(roundsBefore, counters.rounds, "a heartbeat without news starts no placement round")
         return counters.total - workBefore
     }
 
--- a/src/test/kotlin/glenspool/core/LeaderIsolationTest.kt
+++ b/src/test/kotlin/glenspool/core/LeaderIsolationTest.kt
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** A leader that is cut off from its workers resigns in time, and no other leader does. */
+/** Tests that a leader that is isolated from its workers resigns in time, and that no other leader does. */
 class LeaderIsolationTest : SchedulerTestBase() {
     @Test
     fun `a leader that receives no heartbeats resigns before the workers' leases expire`() {
         busy(4)
-        val silent = wait(core.config.lease / 2)
-        assertEquals(1, silent.count { it is Resign })
+        val actions = wait(core.config.lease / 2)
+        assertEquals(1, actions.count { it is Resign })
     }
 
     @Test
     fun `time in which the leader's own lease was uncertain does not count as silence of machines`() {
         val running = busy(4)
-        // Its lease is unsure for 12 s; calls still end meanwhile, so the core's own time goes on.
+        // The leader's lease is uncertain for 12 s. Calls still end meanwhile, so the core's clock advances.
         repeat(12) {
             now += 1.seconds
             step { machineTypesKnown(listOf(bigType)) }
--- a/src/test/kotlin/glenspool/core/OrphanedTasksTest.kt
+++ b/src/test/kotlin/glenspool/core/OrphanedTasksTest.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Tasks that run without a stored placement, such as those of earlier leaders. */
+/** Tests the handling of tasks that run without a stored placement, such as those started by earlier leaders. */
 class OrphanedTasksTest : SchedulerTestBase() {
     @Test
     fun `an orphan of an unknown job blocks its task when the job is submitted again`() {
@@ -21,8 +21,8 @@
         wait(2.seconds)
         assertEquals(setOf(1), scheduledJob("a").placements.keys, "task 0 runs on m1")
         assertEquals(setOf(TaskKey("a", 0)), scheduledJob("a").orphans.keys)
-        // Both count for capacity: the task that was placed beside it, and the orphan until the machine shows that it
-        // is gone.
+        // Both tasks use capacity of the machine: the one that was placed there, and the orphan until a heartbeat shows
+        // that it is gone.
         assertEquals(Resources(12.0, 2.0, 48.0), knownMachine("m1").available(bigType))
         heartbeatReply("m1")
         wait(2.seconds)
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -7,23 +7,26 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A leader with too little processor time must not take its own lateness for the failure of machines. */
+/** Tests that a leader with too little processor time does not mistake its own backlog for the failure of machines. */
 class OverloadTest : SchedulerTestBase() {
-    /** The machines deleted while [LOST] is silent and the process is [backlog] behind, for [period]. */
+    /**
+     * The machines that are deleted within [period] while [LOST_MACHINE] is silent and the process has the given
+     * [backlog].
+     */
     private fun deletedDuring(backlog: Duration, period: Duration): Set<String> {
         val running = busy(10)
         val actions = ArrayList<Action>()
         val end = now + period
         while (now < end) {
             step { backlogMeasured(backlog) }
-            actions += live(2.seconds, running - LOST, emptySet())
+            actions += live(2.seconds, running - LOST_MACHINE, emptySet())
         }
         return actions.deletedMachines()
     }
 
     @Test
     fun `silent machines are deleted when the process is not overloaded`() {
-        assertEquals(setOf(LOST), deletedDuring(200.milliseconds, 16.seconds))
+        assertEquals(setOf(LOST_MACHINE), deletedDuring(200.milliseconds, 16.seconds))
     }
 
     @Test
@@ -35,7 +38,7 @@
     fun `the backlog, which may hold a machine's heartbeat, is subtracted from the machine's silence`() {
         val running = busy(10)
         val lastContactAt = now
-        val others = running - LOST
+        val others = running - LOST_MACHINE
 
         fun deletedAfter(silence: Duration, backlog: Duration): Set<String> {
             val actions = ArrayList<Action>()
@@ -46,21 +49,21 @@
             }
             return actions.deletedMachines()
         }
-        assertEquals(emptySet<String>(), deletedAfter(SILENCE, 0.seconds))
-        assertEquals(emptySet<String>(), deletedAfter(SILENCE + 800.milliseconds, 900.milliseconds))
-        assertEquals(setOf(LOST), deletedAfter(SILENCE + 1200.milliseconds, 900.milliseconds))
+        assertEquals(emptySet<String>(), deletedAfter(SILENCE_LIMIT, 0.seconds))
+        assertEquals(emptySet<String>(), deletedAfter(SILENCE_LIMIT + 800.milliseconds, 900.milliseconds))
+        assertEquals(setOf(LOST_MACHINE), deletedAfter(SILENCE_LIMIT + 1200.milliseconds, 900.milliseconds))
     }
 
     @Test
     fun `an unanswered probe counts only without overload, and then a lost machine is deleted`() {
         val running = busy(10)
         step { backlogMeasured(2.seconds) }
-        step { probeEnded(LOST, null) }
-        assertEquals(null, core.machines[LOST]?.reachability?.unreachableSince)
-        // The overload is over after a while: a probe without an answer counts again.
+        step { probeEnded(LOST_MACHINE, null) }
+        assertEquals(null, core.machines[LOST_MACHINE]?.reachability?.unreachableSince)
+        // After a while the overload is over, and an unanswered probe counts again.
         val actions = ArrayList<Action>()
-        repeat(10) { actions += live(2.seconds, running - LOST, setOf(LOST)) }
-        assertEquals(setOf(LOST), actions.deletedMachines())
+        repeat(10) { actions += live(2.seconds, running - LOST_MACHINE, setOf(LOST_MACHINE)) }
+        assertEquals(setOf(LOST_MACHINE), actions.deletedMachines())
     }
 
     @Test
@@ -69,9 +72,9 @@
         val actions = ArrayList<Action>()
         repeat(30) {
             step { backlogMeasured(1.seconds) }
-            actions += live(2.seconds, running - LOST, emptySet())
+            actions += live(2.seconds, running - LOST_MACHINE, emptySet())
         }
-        assertEquals(setOf(LOST), actions.deletedMachines())
+        assertEquals(setOf(LOST_MACHINE), actions.deletedMachines())
     }
 
     @Test
@@ -86,9 +89,9 @@
     }
 
     private companion object {
-        const val LOST = "m10"
+        const val LOST_MACHINE = "m10"
 
-        /** Two and a half heartbeat intervals. */
-        val SILENCE = 5.seconds
+        /** The silence after which a machine is declared lost: two and a half heartbeat intervals. */
+        val SILENCE_LIMIT = 5.seconds
     }
 }
--- a/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
@@ -8,8 +8,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * PROTOCOL: "Direct commands do not renew the lease." Work given to a worker that can't send heartbeats is lost when
- * its lease expires.
+ * PROTOCOL: "Direct commands do not renew the lease." Tests that workers that can't send heartbeats get no work, since
+ * it would be lost when their lease expires.
  */
 class OwnHeartbeatTest : SchedulerTestBase(config(), SchedulerHooks(newWorkNeedsOwnHeartbeat = true)) {
     private fun submitForTwoMachines() = submit(job("a", tasks = 2, resourceRequest = wholeMachine))
--- a/src/test/kotlin/glenspool/core/PacedStartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PacedStartsTest.kt
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** Starts that have to wait are sent in the order of their urgency, whenever they were decided. */
+/** Tests that deferred starts are sent in the order of their urgency, regardless of when they were queued. */
 class PacedStartsTest : SchedulerTestBase(config(), SchedulerHooks(gate = StartAllowance())) {
     private val allowance = core.hooks.gate as StartAllowance
 
-    /** Admits so many starts. */
+    /** An order gate that admits [starts] more starts and all other orders. */
     private class StartAllowance(var starts: Int = 0) : OrderGate {
         override fun admits(order: ProposedOrder): Boolean = order.cause !is StartCause || starts-- > 0
     }
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -10,11 +10,14 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-private val RESTORING =
+private val RESTORING_HOOKS =
     SchedulerHooks(newWorkNeedsOwnHeartbeat = true, missingTaskPolicy = { MissingTaskPolicy.RESTORE })
 
-/** A stored placement whose task is missing on its machine is used again, if the machine's own heartbeats arrive. */
-class RestoreInPlaceTest : SchedulerTestBase(config(), RESTORING) {
+/**
+ * Tests that a task that is missing on its machine is started there again under its stored placement, if the worker
+ * sends heartbeats without a request.
+ */
+class RestoreInPlaceTest : SchedulerTestBase(config(), RESTORING_HOOKS) {
     private val restoringStart = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
 
     private fun submitWithStoredPlacement() {
@@ -22,13 +25,13 @@
         submit(job("a"), listOf(StoredPlacement(0, 3, "m1")), last = 3)
     }
 
-    private fun List<Action>.transactions() = filterIsInstance<StoreChanges>().size
+    private fun List<Action>.transactionCount() = filterIsInstance<StoreChanges>().size
 
     @Test
     fun `a missing task is started on its machine under the same attempt, and nothing is stored`() {
         submitWithStoredPlacement()
         val actions = heartbeatActions("m1") + wait(2.seconds)
-        assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactions())
+        assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactionCount())
     }
 
     @Test
@@ -36,7 +39,7 @@
         submitWithStoredPlacement()
         say(heartbeat("m1", token = TOKEN - 1))
         val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
-        assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactions())
+        assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactionCount())
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
@@ -12,7 +12,7 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** Delayed, duplicated and restarted sequences of heartbeats are no evidence. */
+/** Tests that delayed and duplicate heartbeats, and those of a restarted sequence, are not used as evidence. */
 class StaleHeartbeatTest : SchedulerTestBase() {
     @Test
     fun `a heartbeat older than the newest one changes nothing`() {
@@ -46,18 +46,18 @@
         step { deletionEnded(listOf("m1"), true) }
         say(last.copy(sequence = last.sequence + 5))
         assertTrue("m1" !in core.machines)
-        // The next leader does not remember the deletion; but the duplicate can't show its fencing token.
+        // The next leader does not know of the deletion, but the duplicate can't have the next leader's fencing token.
         val next = Scheduler(config(), TOKEN + 1, now)
         val service = job("a", JobKind.SERVICE, priority = Priority.CRITICAL)
-        val first =
+        val firstActions =
             next.step(now, now) {
                 machineTypesKnown(listOf(bigType))
                 heartbeatReceived(last)
                 jobStored(JobRecord(service, now, 0, BitSet(), emptyList()), 1)
             }
-        val actions = first + tickAfter(2, next)
+        val actions = firstActions + tickAfter(2, next)
         assertTrue(next.jobs.getValue("a").placements.isEmpty())
-        // Nor is it counted as a machine that will soon be there.
+        // The machine is not counted as capacity that will soon be available either.
         val later = (3..8).flatMap { tickAfter(it, next) }
         assertTrue((actions + later).any { it is ScaleOut })
     }
--- a/src/test/kotlin/glenspool/core/StartFencingTest.kt
+++ b/src/test/kotlin/glenspool/core/StartFencingTest.kt
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** A task is never started twice: starts follow their stored placement, and fencing tokens void what is in flight. */
+/**
+ * Tests that no task is started twice: a start is sent only after its placement is stored, and a higher fencing token
+ * invalidates the starts in flight.
+ */
 class StartFencingTest : SchedulerTestBase() {
     @Test
     fun `no start is sent before the placement is stored`() {
@@ -92,8 +95,8 @@
     }
 
     @Test
-    fun `a heartbeat without the lost fencing token removes no placement, whatever its sequence number`() {
-        // It restarted: commands of an earlier leader that are still in flight would be executed again.
+    fun `a heartbeat of a worker that lost its fencing token removes no placement, whatever its sequence`() {
+        // The worker restarted, so it would execute commands of an earlier leader that are still in flight.
         executed(commanded(), runningTask("a", 0, 1))
         say(heartbeat("m1", token = 0))
         assertEquals(1L, scheduledJob("a").placements.getValue(0).attempt)
--- a/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
+++ b/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
@@ -5,7 +5,10 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** Failure detection where much of a large fleet fails at once: a zone that is cut off is given time to return. */
+/**
+ * Tests failure detection when a large part of the fleet fails at the same time: the machines of a partitioned zone are
+ * deleted only if the partition lasts too long.
+ */
 class ZoneOutageTest : SchedulerTestBase() {
     /** The machines of the other zone. */
     private fun machinesOfOtherZone(running: Map<String, TaskStatus>) =
@@ -14,11 +17,11 @@
     @Test
     fun `a zone that is partitioned for a while keeps its machines and tasks`() {
         val running = busy(6, others = 6)
-        val zone = machinesOfOtherZone(running)
-        assertEquals(emptySet<String>(), live(48.seconds, running - zone, zone).deletedMachines())
-        // Their heartbeats do not return all at the same moment.
-        val late = zone.drop(1).toSet()
-        assertEquals(emptySet<String>(), live(4.seconds, running - late, late).deletedMachines())
+        val zoneMachines = machinesOfOtherZone(running)
+        assertEquals(emptySet<String>(), live(48.seconds, running - zoneMachines, zoneMachines).deletedMachines())
+        // Not all of the machines resume their heartbeats at the same moment.
+        val stillSilent = zoneMachines.drop(1).toSet()
+        assertEquals(emptySet<String>(), live(4.seconds, running - stillSilent, stillSilent).deletedMachines())
         assertEquals(emptySet<String>(), live(20.seconds, running, emptySet()).deletedMachines())
         val placements = scheduledJob("a").placements.values
         assertEquals(12, placements.count { it.attempt == running.getValue(it.machine).attempt })
@@ -27,16 +30,16 @@
     @Test
     fun `the machines of a zone that stays partitioned are deleted`() {
         val running = busy(6, others = 6)
-        val zone = machinesOfOtherZone(running)
-        assertEquals(zone, live(100.seconds, running - zone, zone).deletedMachines())
+        val zoneMachines = machinesOfOtherZone(running)
+        assertEquals(zoneMachines, live(100.seconds, running - zoneMachines, zoneMachines).deletedMachines())
     }
 
     @Test
     fun `machines that failed with their zone are deleted as soon as the cloud lists them as failed`() {
         val running = busy(6, others = 6)
-        val zone = machinesOfOtherZone(running)
-        assertEquals(emptySet<String>(), live(20.seconds, running - zone, zone).deletedMachines())
-        assertEquals(zone, list(running.keys, failed = zone).deletedMachines())
+        val zoneMachines = machinesOfOtherZone(running)
+        assertEquals(emptySet<String>(), live(20.seconds, running - zoneMachines, zoneMachines).deletedMachines())
+        assertEquals(zoneMachines, list(running.keys, failed = zoneMachines).deletedMachines())
     }
 
     @Test
