--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -29,14 +29,14 @@
 class Node(
     private val settings: Settings,
     tuning: Tuning,
-    /** Null: levels of stored forms are not managed. */
+    /** Null if levels of stored forms are not managed. */
     rolloutPolicy: RolloutPolicy? = null,
     registry: FeatureRegistry = FeatureRegistry.CURRENT,
     build: String = "development",
-    /** Null: a cold start is recovered from as at any failover. */
+    /** Null if a cold start is handled like any failover. */
     recoveryPolicy: RecoveryPolicy? = null,
-    /** Ends the process at once. */
-    private val fatal: () -> Unit,
+    /** Ends the process immediately. */
+    private val onFatalError: () -> Unit,
 ) : NodeState,
     AutoCloseable {
     private val clock = TimeSource.Monotonic.markNow()
@@ -52,7 +52,7 @@
     private val workers = clients.workers
     private val peers = clients.peers
 
-    /** Kept for a multiple of the time in which they have to take effect. */
+    /** Cancellations are kept for a multiple of the time within which they have to take effect. */
     override val cancellations =
         Cancellations(boot, members, settings.workers.cancellationDeadline * 4, ::uptime, ::wallClock)
     private val cache: StoreCache =
@@ -62,14 +62,14 @@
         }
     private val freshness = CacheFreshness(cache)
     private val exchange: CancellationExchange =
-        CancellationExchange(settings.node, cancellations, peers, ::uptime, freshness::isStale) {
-            loop.post(Event.CancellationsLearned(it))
+        CancellationExchange(settings.node, cancellations, peers, ::uptime, freshness::isRefreshOverdue) {
+            loop.post(Event.CancellationsReceived(it))
         }
     private val leadership: Leadership =
         Leadership(
             settings.node, boot, store, cache, ::elected,
-            deposed = { loop.post(Event.LeadershipLost) },
-            storedWithElection = { token -> recovery?.storedWithElection(token).orEmpty() },
+            onDeposed = { loop.post(Event.LeadershipLost) },
+            electionPuts = { token -> recovery?.electionPuts(token).orEmpty() },
             mayLead = { !fenced() },
         )
     private val monitor =
@@ -81,7 +81,7 @@
             val identity = ProcessIdentity(settings.node, boot, registry.of(build))
             RolloutManager(
                 identity, members, registry, policy, store, cache, leadership, peers, health,
-                ::isServing, ::uptime, fatal,
+                ::isServing, ::uptime, onFatalError,
             )
         }
     private val recovery: RecoveryManager? =
@@ -94,15 +94,15 @@
     private val features: FeaturePermits = rollout?.gate ?: UnmanagedFeatures { monitor.mayUseSealedRecords }
 
     private val writer = StoreWriter(storeLimits, store, cache, leadership, features, ::storeEnded)
-    private val cloudWatch =
-        CloudWatch(settings.cloudLimits.listLag, cloud, store, cache, leadership) { loop.post(it) }
+    private val cloudPoller =
+        CloudPoller(settings.cloudLimits.listLag, cloud, store, cache, leadership) { loop.post(it) }
     private val actions =
         ActionExecutor(leadership, store, cloud, workers, writer, settings.workers.lease) { loop.post(it) }
     private val loop: CoreLoop =
         CoreLoop(
-            config, cache, leadership, actions, features, cloudWatch::knownTypes,
-            intakeLag = { ports.lag() },
-            recoveries = recovery,
+            config, cache, leadership, actions, features, cloudPoller::knownTypes,
+            intakeLag = { ports.intakeLag() },
+            recoveryManager = recovery,
         )
     private val recoveryOperations = RecoveryOperations(settings.node, leadership, recovery) { loop.orderCounts }
     private val cancelledWork =
@@ -113,20 +113,23 @@
 
     private val users =
         UserRouter(
-            UserApi(settings, store, cache, peers, ::isolated, features, exchange::confirm, cloudWatch::knownTypes),
+            UserApi(
+                settings, store, cache, peers, ::isolated, features, exchange::awaitConfirmable,
+                cloudPoller::knownTypes,
+            ),
             rollout?.gate,
             health,
         )
-    private val workerApi = WorkerApi(settings, this, loop::heartbeat)
+    private val workerApi = WorkerApi(settings, this, loop::acceptHeartbeat)
     private val ownStatus = OwnPeerStatus(settings.node, leadership, freshness, rollout, recovery)
     private val internalRouter =
         InternalRouter(
-            PeerServer(ownStatus::read, exchange::answer, users::relayed),
+            PeerServer(ownStatus::read, exchange::answer, users::handleRelayed),
             OperatorServer.forRecovery(recoveryOperations::answer),
             rollout?.let { OperatorServer.forRollout(it::answer) },
         )
-    private val ports: NodePorts = NodePorts(settings, users, workerApi, internalRouter, fatal)
-    private val threads = ServiceThreads(fatal)
+    private val ports: NodePorts = NodePorts(settings, users, workerApi, internalRouter, onFatalError)
+    private val threads = ServiceThreads(onFatalError)
 
     /** Opens the ports and starts all service threads. */
     fun start() {
@@ -140,7 +143,7 @@
         threads.start("store-sync") { cache.serveSyncs() }
         threads.start("leadership") { leadership.run() }
         threads.start("core") { loop.run() }
-        threads.start("cloud") { cloudWatch.run() }
+        threads.start("cloud") { cloudPoller.run() }
         threads.start("store-writer") { writer.run() }
         threads.start("peer-monitor") { monitor.run() }
         threads.start("garbage-collector") {
@@ -156,7 +159,7 @@
         }
         recovery?.let { manager -> threads.start("recovery") { manager.run() } }
         rollout?.let { manager ->
-            workerApi.incarnationSeen = health::incarnationSeen
+            workerApi.incarnationSeen = health::recordIncarnation
             threads.start("rollout") { manager.run() }
         }
     }
@@ -172,19 +175,19 @@
     }
 
     private fun storeRead(sentAgo: Duration) {
-        cancellations.storeRead(uptime() - sentAgo)
+        cancellations.recordStoreRead(uptime() - sentAgo)
         recovery?.storeRead(sentAgo)
     }
 
     private fun isServing(): Boolean = freshness.isFresh() && !isolated()
 
-    /** This node's answer to an operator about the rollout. Levels must be managed. */
+    /** Returns this node's answer to an operator about the rollout. Levels must be managed. */
     fun rolloutAnswer(request: RolloutRequest): RolloutReply {
         val manager = checkNotNull(rollout) { "levels are not managed" }
         return manager.answer(request)
     }
 
-    /** This node's answer to an operator about its orders and its recovery. */
+    /** Returns this node's answer to an operator about its orders and its recovery. */
     fun recoveryAnswer(request: RecoveryRequest): RecoveryReply = recoveryOperations.answer(request)
 
     override fun fenced(): Boolean = rollout?.gate?.fence() != null
--- a/src/main/kotlin/glenspool/controller/RecoveryOperations.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryOperations.kt
@@ -6,13 +6,13 @@
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
 
-/** Answers operators' questions and orders about the leader's orders and its recovery. */
+/** Answers operators' queries about the leader's orders and its recovery, and operators' orders to the recovery. */
 internal class RecoveryOperations(
     private val node: String,
     private val leadership: Leadership,
-    /** Null: recovery is not managed. */
+    /** Null if recovery is not managed. */
     private val recovery: RecoveryManager?,
-    /** What the present term's leader has ordered so far; null if this node does not lead. */
+    /** The numbers of orders given in the present term; null if this node does not lead. */
     private val orderCounts: () -> OrderCounts?,
 ) {
     fun answer(request: RecoveryRequest): RecoveryReply =
@@ -20,7 +20,7 @@
             RecoveryVerb.STATUS -> accepted()
             RecoveryVerb.DIFFERENCES -> if (recovery == null) notManaged() else differences(recovery)
             RecoveryVerb.APPROVE, RecoveryVerb.PAUSE, RecoveryVerb.RESUME ->
-                if (recovery == null) notManaged() else recovery.order(request) ?: accepted()
+                if (recovery == null) notManaged() else recovery.applyOrder(request) ?: accepted()
         }
 
     private fun accepted() = RecoveryReply(true, status = status())
@@ -28,7 +28,7 @@
     private fun notManaged() = RecoveryReply(false, NOT_MANAGED)
 
     private fun differences(manager: RecoveryManager): RecoveryReply {
-        if (leadership.current() == null) return RecoveryReply(false, manager.notLeading())
+        if (leadership.current() == null) return RecoveryReply(false, manager.notLeaderMessage())
         val snapshot =
             manager.snapshot() ?: return RecoveryReply(false, "this term began as usual: nothing was compared")
         return RecoveryReply(true, differences = RecoveryReplies.differences(snapshot))
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -14,10 +14,10 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Translates a recovery's state into the messages that operators' commands use. */
+/** Converts a recovery's state to the messages that operators' commands use. */
 internal object RecoveryReplies {
-    /** So many differences are listed by name at most, so that the answer stays small. */
-    const val MOST_LISTED = 500
+    /** The largest number of differences that an answer lists one by one, which limits its size. */
+    const val MAX_LISTED_DIFFERENCES = 500
 
     private val listingOrder =
         compareBy<Difference>({ it.kind }, { it.machine }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 })
@@ -49,7 +49,7 @@
         )
     }
 
-    /** Why destructive orders are held; null if they are not. */
+    /** Says why destructive orders are held back; null if they are not. */
     fun breaker(state: BreakerState, policy: RecoveryPolicy): String? {
         if (!state.isOpen) return null
         return "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, " +
@@ -58,7 +58,7 @@
 
     fun differences(snapshot: RecoverySnapshot): DifferenceList {
         val all = snapshot.findings.values.flatMap { it.differences }
-        val listed = all.sortedWith(listingOrder).take(MOST_LISTED)
+        val listed = all.sortedWith(listingOrder).take(MAX_LISTED_DIFFERENCES)
         return DifferenceList(all.size, listed.map { entry(it, snapshot.now) })
     }
 
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -23,13 +23,13 @@
 import java.util.Random
 import kotlin.time.Duration
 
-/** Rounds on random fleets against a slow plain model, which looks at every task, machine and rule in turn. */
+/** Compares rounds on random fleets with a slow, simple model, which checks every task, machine and rule in turn. */
 class PlacementRoundModelTest {
     private class PlacedTask(val job: Job, val task: Int, val machine: Machine) {
         val team get() = job.spec.team
     }
 
-    private class PlainView(private val quotas: Map<String, Int>) : PlacementView {
+    private class StubPlacementView(private val quotas: Map<String, Int>) : PlacementView {
         override val types = listOf(bigType, leanType).associateBy { it.name }
         override val commonType = bigType
         override val resourceFactor = 2.0
@@ -52,7 +52,7 @@
         override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
             val placement = Placement(job, task, attempt ?: 1, machine.id, Duration.ZERO)
             job.place(placement, maySplit = false)
-            machine.workload.place(placement)
+            machine.workload.addPlacement(placement)
             placed.add(PlacedTask(job, task, machine))
         }
 
@@ -69,10 +69,10 @@
         override fun costPenalty(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
     }
 
-    /** A placement round on a random fleet with random jobs; it has run. */
+    /** A placement round on a random fleet with random jobs. The constructor runs the round. */
     private class RandomRound(seed: Long) {
         private val random = Random(seed)
-        val view = PlainView(mapOf("t1" to 4, "t2" to 9))
+        val view = StubPlacementView(mapOf("t1" to 4, "t2" to 9))
         val jobs: List<Job>
 
         init {
@@ -86,7 +86,7 @@
             val type = if (random.nextInt(3) == 0) "lean" else "big"
             val zone = if (random.nextBoolean()) "a" else "b"
             val machine = Machine(id, type, zone, random.nextBoolean(), Duration.ZERO)
-            if (random.nextBoolean()) machine.imageCache.used("i${random.nextInt(3)}", 1.0, 100.0)
+            if (random.nextBoolean()) machine.imageCache.recordUse("i${random.nextInt(3)}", 1.0, 100.0)
             return machine
         }
 
@@ -107,8 +107,8 @@
         }
     }
 
-    /** The rules for one more task of the job on the machine, said as plainly as possible. */
-    private fun isLegal(view: PlainView, job: Job, machine: Machine, placed: List<PlacedTask>): Boolean {
+    /** Whether the rules allow one more task of the job on the machine, in the simplest possible form. */
+    private fun isLegal(view: StubPlacementView, job: Job, machine: Machine, placed: List<PlacedTask>): Boolean {
         val spec = job.spec
         val zones = placed.filter { it.job === job }.map { it.machine.zone }
         val used =
@@ -125,7 +125,7 @@
     }
 
     @Test
-    fun `every placement is legal at its moment, and no legal one is left out`() {
+    fun `every placement is legal when it is made, and no legal placement is missed`() {
         var placedCount = 0
         for (seed in 1L..400L) {
             val round = RandomRound(seed)
@@ -136,18 +136,18 @@
                 assertTrue(isLegal, "seed $seed: ${task.job.spec} on ${task.machine.id}")
             }
             assertEquals(placed.size, placed.map { it.job.spec.id to it.task }.distinct().size)
-            for (job in round.jobs) checkNoneLeftOut(round.view, job, "seed $seed")
+            for (job in round.jobs) assertNoPlacementMissed(round.view, job, "seed $seed")
         }
         assertTrue(placedCount > 2000)
     }
 
-    private fun checkNoneLeftOut(view: PlainView, job: Job, context: String) {
+    private fun assertNoPlacementMissed(view: StubPlacementView, job: Job, context: String) {
         if (job.spec.kind == JobKind.GANG) {
             val placed = job.placements.size
-            assertTrue(placed == 0 || placed == job.spec.tasks, "$context: half a gang")
+            assertTrue(placed == 0 || placed == job.spec.tasks, "$context: gang placed incompletely")
         } else if (job.waitingCount() > 0) {
             val missed = view.machines.firstOrNull { isLegal(view, job, it, view.placed) }
-            assertEquals(null, missed?.id, "$context: ${job.spec} could run")
+            assertEquals(null, missed?.id, "$context: ${job.spec} could have been placed")
         }
     }
 
@@ -171,9 +171,9 @@
     }
 
     @Test
-    fun `a cached image wins over a larger or emptier machine`() {
+    fun `a machine that caches the image is preferred to a larger or emptier one`() {
         val warm = bigMachine("warm")
-        warm.imageCache.used("img", 2.0, 100.0)
+        warm.imageCache.recordUse("img", 2.0, 100.0)
         val view = viewOf(bigMachine("empty"), warm)
         view.place(newJob(job("o", tasks = 1, image = "x")), 0, warm, null)
         val job = newJob(job("a"))
@@ -183,7 +183,7 @@
 
     private fun bigMachine(id: String) = Machine(id, "big", "a", false, Duration.ZERO)
 
-    private fun viewOf(vararg machines: Machine) = PlainView(emptyMap()).also { it.machines += machines }
+    private fun viewOf(vararg machines: Machine) = StubPlacementView(emptyMap()).also { it.machines += machines }
 
     private companion object {
         fun newJob(spec: JobSpec) = Job(JobRecord(spec, Duration.ZERO, 0, BitSet(), emptyList()), 1)
