--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -18,7 +18,7 @@
 import glenspool.peer.RolloutVerb
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartKind
 import glenspool.wire.Cbor
 import org.http4k.core.Method
@@ -141,7 +141,7 @@
         val settings = SettingsReader().read(settingsFile)
         val config = schedulerConfig(settings, Tuning())
         val setting =
-            RecoverySetting(
+            RecoveryTimings(
                 settings.workers.lease,
                 settings.workers.heartbeatInterval,
                 settings.cloudLimits.listLag,
--- a/src/main/kotlin/glenspool/config/RolloutSettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/RolloutSettingsReader.kt
@@ -16,8 +16,8 @@
         root.refuseUnknown("mode", "fenced", "settle_s", "evidence_s", "left_behind_s", "health")
         return RolloutPolicy(
             mode = root.choice("mode", default.mode, ActivationMode.entries),
-            fenced = root.choice("fenced", default.fenced, FencedReaction.entries),
-            settle = root.duration("settle_s", default.settle),
+            fencedReaction = root.choice("fenced", default.fencedReaction, FencedReaction.entries),
+            settlingTime = root.duration("settle_s", default.settlingTime),
             evidenceAge = root.duration("evidence_s", default.evidenceAge, MIN_EVIDENCE_S),
             leftBehindAfter = root.duration("left_behind_s", default.leftBehindAfter),
             health = root.table("health")?.let { health(it, default.health) } ?: default.health,
@@ -28,8 +28,8 @@
         table.refuseUnknown("window_s", "tolerated", "factor")
         return HealthLimits(
             window = table.duration("window_s", default.window),
-            tolerated = table.number("tolerated", default.tolerated.toDouble(), 0.0).toLong(),
-            factor = table.number("factor", default.factor, 1.0),
+            toleratedEvents = table.number("tolerated", default.toleratedEvents.toDouble(), 0.0).toLong(),
+            toleratedFactor = table.number("factor", default.toleratedFactor, 1.0),
         )
     }
 
--- a/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
+++ b/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
@@ -3,7 +3,7 @@
 import glenspool.config.Settings
 import glenspool.core.SchedulerConfig
 import glenspool.core.Tuning
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 
 /**
  * The deployment that [settings] describe, as schedulers see it. [logsDetails]: whether each placement and stop
@@ -22,7 +22,7 @@
 }
 
 /** What a recovery needs to know of the deployment. */
-internal fun recoverySetting(settings: Settings): RecoverySetting {
+internal fun recoverySetting(settings: Settings): RecoveryTimings {
     val workers = settings.workers
-    return RecoverySetting(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
+    return RecoveryTimings(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
 }
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -79,7 +79,7 @@
 
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
-        val notices = engine.tick(context.clock.elapsedNow(), isBehind = backlog >= BEHIND)
+        val notices = engine.tick(context.clock.elapsedNow(), isOverloaded = backlog >= BEHIND)
         if (notices.isNotEmpty()) context.recoveryManager?.handleNotices(notices)
     }
 
@@ -99,12 +99,12 @@
 
     /** The store was read by a request sent at [sent]. */
     fun storeRead(sent: ComparableTimeMark) {
-        recovery?.stateRead(context.clock.elapsedNow() - sent.elapsedNow())
+        recovery?.recordStoreRead(context.clock.elapsedNow() - sent.elapsedNow())
     }
 
     /** The other controllers' answers show how the term began. */
     fun startKindDetermined(kind: StartKind) {
-        recovery?.startJudged(kind)
+        recovery?.startKindDetermined(kind)
     }
 
     /** Carries out an operator's stored order. */
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -78,7 +78,7 @@
 
     private val rollout: RolloutManager? =
         rolloutPolicy?.let { policy ->
-            val identity = ProcessIdentity(settings.node, boot, registry.of(build))
+            val identity = ProcessIdentity(settings.node, boot, registry.levelsOf(build))
             RolloutManager(
                 identity, members, registry, policy, store, cache, leadership, peers, health,
                 ::isServing, ::uptime, onFatalError,
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -8,14 +8,14 @@
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
-import glenspool.reconcile.ContinuityWitness
-import glenspool.reconcile.MemberWitness
+import glenspool.reconcile.ContinuityEvidence
+import glenspool.reconcile.MemberContinuityEvidence
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
 import glenspool.reconcile.RecoveryPhase
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
 import glenspool.reconcile.RecoverySnapshot
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartClassifier
 import glenspool.reconcile.StartKind
 import glenspool.reconcile.StoredRecovery
@@ -35,7 +35,7 @@
     private val node: String,
     private val memberCount: Int,
     private val policy: RecoveryPolicy,
-    private val setting: RecoverySetting,
+    private val setting: RecoveryTimings,
     store: KeyValueStoreClient,
     cache: StoreCache,
     private val leadership: Leadership,
@@ -51,7 +51,7 @@
     private val records = RecoveryRecords(cache, RecordStore(store, cache))
 
     /** Guarded by its own lock, like [storeReadAt]. */
-    private val witness = ContinuityWitness(LEASE_REMAINDER)
+    private val witness = ContinuityEvidence(LEASE_REMAINDER)
     private var storeReadAt: Duration? = null
 
     /** The first term that this process has lived through. */
@@ -78,14 +78,14 @@
     /** The store was read by a request sent [sentAgo]; all changes up to then were handed to the core before. */
     fun storeRead(sentAgo: Duration) {
         synchronized(witness) { observeLeader(uptime()) }
-        if (current?.engine?.awaitsStateRead == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
+        if (current?.engine?.needsStoreReads == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
         val last = storeReadAt
         storeReadAt = now
-        if (last != null && now - last > READ_GAP) witness.readingInterrupted(now)
-        witness.stateRead(leadership.recordedToken(), now)
+        if (last != null && now - last > READ_GAP) witness.recordReadGap(now)
+        witness.recordStoreRead(leadership.recordedToken(), now)
         firstWitnessed = witness.firstToken
     }
 
@@ -101,7 +101,7 @@
 
     private fun StartKind.needsNoRecovery() = this == StartKind.TAKE_OVER || this == StartKind.FIRST
 
-    private fun unasked(members: Int) = List(members) { MemberWitness(answered = false, firstToken = null) }
+    private fun unasked(members: Int) = List(members) { MemberContinuityEvidence(answered = false, firstToken = null) }
 
     /**
      * A term begins; called by the core thread, with the core's time. Null: it is an ordinary start, and nothing has to
@@ -150,7 +150,7 @@
         // A controller that says nothing of this, since it does not manage recovery, is as good as one that can't be
         // asked.
         val witnesses = peers.statuses().mapNotNull { it.witness }
-        val answers = witnesses.map { MemberWitness(answered = true, firstToken = it.firstToken) }
+        val answers = witnesses.map { MemberContinuityEvidence(answered = true, firstToken = it.firstToken) }
         val members = answers + unasked(memberCount - answers.size)
         // The election has opened this term's own record, which says nothing about how the term began.
         val kind = StartClassifier.classify(recovery.term.token, firstWitnessed, members, StoredRecovery.Absent)
--- a/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryNoticeLog.kt
@@ -18,7 +18,8 @@
                 log.warn("recovery: {}", RecoveryReplies.breaker(notice.state, policy))
             is RecoveryNotice.BreakerReleased -> {
                 val state = notice.state
-                log.info("recovery: destructive orders go on cause={} machines={}", state.release, state.machines)
+                log
+                    .info("recovery: destructive orders go on cause={} machines={}", state.release, state.affectedCount)
             }
         }
     }
@@ -29,7 +30,7 @@
         log.info(
             "recovery phase={} cause={} start={} heard={} expected={} differences={} settled={} until={}",
             notice.state.phase, notice.state.end, snapshot.startKind, gathering.reported, gathering.expected,
-            snapshot.totals.byKind, snapshot.resolvedShare, snapshot.until,
+            snapshot.totals.byKind, snapshot.resolvedShare, snapshot.phaseDeadline,
         )
     }
 }
--- a/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryReplies.kt
@@ -9,7 +9,7 @@
 import glenspool.reconcile.OrphanTask
 import glenspool.reconcile.RecoveryPolicy
 import glenspool.reconcile.RecoverySnapshot
-import glenspool.reconcile.UnheardMachine
+import glenspool.reconcile.SilentMachine
 import glenspool.reconcile.kind
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
@@ -23,7 +23,7 @@
         compareBy<Difference>({ it.kind }, { it.machine }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 })
 
     fun recovery(snapshot: RecoverySnapshot, policy: RecoveryPolicy): RecoveryStatus.Recovery {
-        val lacking = snapshot.gathering.lacking(policy.gatherShare)
+        val lacking = snapshot.gathering.incompleteGroups(policy.gatherShare)
         return RecoveryStatus.Recovery(
             token = snapshot.token,
             start =
@@ -34,7 +34,7 @@
                 snapshot.state.phase.name
                     .lowercase(),
             phaseSeconds = seconds(snapshot.now - snapshot.state.since),
-            leftSeconds = snapshot.until?.let { seconds(it - snapshot.now) },
+            leftSeconds = snapshot.phaseDeadline?.let { seconds(it - snapshot.now) },
             paused = snapshot.isPaused,
             approved = snapshot.isApproved,
             expectedMachines = snapshot.gathering.expected,
@@ -52,7 +52,7 @@
     /** Why destructive orders are held; null if they are not. */
     fun breaker(state: BreakerState, policy: RecoveryPolicy): String? {
         if (!state.isOpen) return null
-        return "destructive orders are held: ${state.machines} of ${state.fleet} machines would get them, " +
+        return "destructive orders are held: ${state.affectedCount} of ${state.fleetSize} machines would get them, " +
             "more than ${policy.breakerShare}"
     }
 
@@ -79,7 +79,7 @@
             is MissingTask -> "attempt ${difference.attempt}"
             is OrphanTask -> "attempt ${difference.attempt}, ${orphanCause(difference)}"
             is DuplicateTask -> "on ${difference.machines.joinToString(", ")}"
-            is UnheardMachine -> "${difference.placements} stored places"
+            is SilentMachine -> "${difference.placements} stored places"
             else -> ""
         }
 
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -178,7 +178,7 @@
         }
         log.error("this process must not serve: {}", fence)
         leadership.resign("fenced", FENCED_BACKOFF)
-        if (policy.fenced == FencedReaction.EXIT) exit()
+        if (policy.fencedReaction == FencedReaction.EXIT) exit()
     }
 
     /** The leader's own view; null on another node, which has only what is stored. */
--- a/src/main/kotlin/glenspool/controller/RolloutReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutReplies.kt
@@ -8,8 +8,8 @@
 import glenspool.rollout.Fence
 import glenspool.rollout.Hold
 import glenspool.rollout.LevelRecord
-import glenspool.rollout.MemberSeen
 import glenspool.rollout.MemberView
+import glenspool.rollout.ObservedMember
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.OperatorRequest
 import glenspool.rollout.PlanStep
@@ -101,7 +101,7 @@
         )
 
     /** A member as the leader stored it; a node that does not lead knows no more of it. */
-    private fun storedMember(seen: MemberSeen) =
+    private fun storedMember(seen: ObservedMember) =
         RolloutStatus.Member(
             seen.member,
             seen.build,
--- a/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
+++ b/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
@@ -9,20 +9,20 @@
  * The state of the [CircuitBreaker] when it was last evaluated.
  *
  * @property isOpen whether destructive orders are held back
- * @property machines the number of machines that would receive destructive orders
- * @property fleet the number of machines in the fleet
+ * @property affectedCount the number of machines that would receive destructive orders
+ * @property fleetSize the number of machines in the fleet
  * @property openSince when the breaker opened, in the term's monotonic time; null if it never did
  * @property release why it closed again; null if it has not opened, or is still open
  */
 data class BreakerState(
     val isOpen: Boolean,
-    val machines: Int,
-    val fleet: Int,
+    val affectedCount: Int,
+    val fleetSize: Int,
     val openSince: Duration?,
     val release: BreakerRelease?,
 ) {
     companion object {
-        val CLOSED = BreakerState(isOpen = false, machines = 0, fleet = 0, openSince = null, release = null)
+        val CLOSED = BreakerState(isOpen = false, affectedCount = 0, fleetSize = 0, openSince = null, release = null)
     }
 }
 
@@ -35,25 +35,32 @@
     var state = BreakerState.CLOSED
         private set
 
-    /** Evaluates the breaker anew. [machines]: how many of the [fleet] would receive destructive orders now. */
-    fun evaluate(machines: Int, fleet: Int, isApproved: Boolean, now: Duration): BreakerState {
+    /** Evaluates the breaker. [affectedCount]: how many machines would receive destructive orders now. */
+    fun evaluate(affectedCount: Int, fleetSize: Int, isApproved: Boolean, now: Duration): BreakerState {
         if (state.release != null) return state
-        val isTooMany = fleet >= MIN_FLEET && machines > fleet * policy.breakerShare
+        val isTooMany = fleetSize >= MIN_FLEET && affectedCount > fleetSize * policy.breakerShare
         val openSince = state.openSince
         state =
             when {
-                openSince == null -> BreakerState(isTooMany, machines, fleet, now.takeIf { isTooMany }, release = null)
-                isApproved -> released(BreakerRelease.APPROVED, machines, fleet)
-                !isTooMany -> released(BreakerRelease.FEWER_DIFFERENCES, machines, fleet)
-                now - openSince >= policy.breakerWait -> released(BreakerRelease.TIME_OVER, machines, fleet)
-                else -> state.copy(machines = machines, fleet = fleet)
+                openSince == null ->
+                    BreakerState(
+                        isTooMany, affectedCount, fleetSize,
+                        now.takeIf {
+                            isTooMany
+                        },
+                        release = null,
+                    )
+                isApproved -> released(BreakerRelease.APPROVED, affectedCount, fleetSize)
+                !isTooMany -> released(BreakerRelease.FEWER_DIFFERENCES, affectedCount, fleetSize)
+                now - openSince >= policy.breakerWait -> released(BreakerRelease.TIME_OVER, affectedCount, fleetSize)
+                else -> state.copy(affectedCount = affectedCount, fleetSize = fleetSize)
             }
         return state
     }
 
-    private fun released(release: BreakerRelease, machines: Int, fleet: Int): BreakerState {
+    private fun released(release: BreakerRelease, affectedCount: Int, fleetSize: Int): BreakerState {
         val openSince = state.openSince
-        return BreakerState(isOpen = false, machines, fleet, openSince, release)
+        return BreakerState(isOpen = false, affectedCount, fleetSize, openSince, release)
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/reconcile/ContinuityWitness.kt
+++ b/src/main/kotlin/glenspool/reconcile/ContinuityEvidence.kt
@@ -11,7 +11,7 @@
  * a moment. It counts only once it has persisted for [staleLeaseLimit] while the store was read without a gap, since
  * only a living leader renews the lease, and an outage of the store extends every lease by its full time.
  */
-class ContinuityWitness(private val staleLeaseLimit: Duration) {
+class ContinuityEvidence(private val staleLeaseLimit: Duration) {
     private var hasReadStore = false
 
     /** The token of a leadership record that may be stale; null if there is none. */
@@ -28,7 +28,7 @@
      * The store was read at [at], in monotonic time; [leader] is the token of the leadership record, null if there is
      * no record.
      */
-    fun stateRead(leader: Long?, at: Duration) {
+    fun recordStoreRead(leader: Long?, at: Duration) {
         if (firstToken != null) return
         val isFirstRead = !hasReadStore
         hasReadStore = true
@@ -45,7 +45,7 @@
     }
 
     /** The store could not be read for a while: a record from before the gap may be stale now. */
-    fun readingInterrupted(at: Duration) {
+    fun recordReadGap(at: Duration) {
         readSince = at
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/Difference.kt
+++ b/src/main/kotlin/glenspool/reconcile/Difference.kt
@@ -69,7 +69,7 @@
  *
  * @property placements the number of placements stored for it
  */
-data class UnheardMachine(override val machine: String, val placements: Int, override val evidence: Evidence) :
+data class SilentMachine(override val machine: String, val placements: Int, override val evidence: Evidence) :
     Difference
 
 /** A machine that answers requests but whose own heartbeats do not arrive: its lease will expire. */
@@ -112,6 +112,6 @@
             is UnrecordedResult -> DifferenceKind.UNRECORDED_RESULT
             is ObsoletePlacement -> DifferenceKind.OBSOLETE_PLACE
             is DelistedMachine -> DifferenceKind.DELISTED_MACHINE
-            is UnheardMachine -> DifferenceKind.UNHEARD_MACHINE
+            is SilentMachine -> DifferenceKind.UNHEARD_MACHINE
             is UnreportingMachine -> DifferenceKind.UNREPORTING_MACHINE
         }
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -38,7 +38,7 @@
     private val machinesByObservedJob = HashMap<String, MutableSet<String>>()
 
     /** The number of machine comparisons so far, for tests: an event's cost must not grow with the fleet. */
-    var comparisons = 0L
+    var comparisonCount = 0L
         private set
 
     /** The numbers of differences and confirmed placements as of the last comparison. */
@@ -167,7 +167,7 @@
     private fun compareAll(machines: Set<String>) = machines.forEach(::compare)
 
     private fun compare(machine: String) {
-        comparisons++
+        comparisonCount++
         count(findings[machine] ?: MachineFindings.NONE, -1)
         val updated = MachineComparison.compare(machine, views)
         findings = if (updated.isEmpty) findings.remove(machine) else findings.put(machine, updated)
--- a/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
@@ -22,7 +22,7 @@
     val reported: Int get() = groups.sumOf { it.reported }
 
     /** The groups of which less than [share] has reported. */
-    fun lacking(share: Double): List<Group> = groups.filterNot { it.reaches(share) }
+    fun incompleteGroups(share: Double): List<Group> = groups.filterNot { it.reaches(share) }
 
     companion object {
         val NONE = GatheringProgress(emptyList())
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -75,7 +75,7 @@
             } else {
                 Evidence(EvidenceSource.CLOUD_LIST, rented.firstReadAt ?: Duration.ZERO)
             }
-        return UnheardMachine(machine, placements, evidence)
+        return SilentMachine(machine, placements, evidence)
     }
 
     private fun unreporting(observed: ObservedMachine): Difference? {
--- a/src/main/kotlin/glenspool/reconcile/PhaseMachine.kt
+++ b/src/main/kotlin/glenspool/reconcile/PhaseStateMachine.kt
@@ -35,7 +35,7 @@
 data class PhaseState(val phase: RecoveryPhase, val since: Duration, val end: PhaseEnd? = null)
 
 /** The state machine of a recovery's phases. */
-class PhaseMachine(private val policy: RecoveryPolicy, private val setting: RecoverySetting, startedAt: Duration) {
+class PhaseStateMachine(private val policy: RecoveryPolicy, private val setting: RecoveryTimings, startedAt: Duration) {
     var state = PhaseState(RecoveryPhase.READING, startedAt)
         private set
 
@@ -43,7 +43,7 @@
     val isActive: Boolean get() = state.phase != RecoveryPhase.NORMAL
 
     /** When the present phase ends at the latest; null if it has no time limit. */
-    val until: Duration? get() = timeLimit()?.let { state.since + it }
+    val deadline: Duration? get() = timeLimit()?.let { state.since + it }
 
     /** Enters the next phase if the facts allow it. Returns the phase entered, or null. */
     fun advance(facts: PhaseFacts): PhaseState? = next(facts)?.also { state = it }
@@ -65,13 +65,15 @@
         when (state.phase) {
             RecoveryPhase.READING -> facts.isListRead
             // Without a list it is not known which machines should report.
-            RecoveryPhase.GATHERING -> facts.isListRead && facts.gathering.lacking(policy.gatherShare).isEmpty()
+            RecoveryPhase.GATHERING ->
+                facts.isListRead &&
+                    facts.gathering.incompleteGroups(policy.gatherShare).isEmpty()
             RecoveryPhase.ADOPTING -> facts.isCompared && !facts.breaker.isOpen
             RecoveryPhase.REPAIRING -> facts.isCompared && facts.repairable == 0 && facts.unconfirmed == 0
             RecoveryPhase.NORMAL -> false
         }
 
-    private fun isTimeOver(now: Duration): Boolean = until.let { it != null && now >= it }
+    private fun isTimeOver(now: Duration): Boolean = deadline.let { it != null && now >= it }
 
     private fun timeLimit(): Duration? =
         when (state.phase) {
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -7,10 +7,10 @@
 
 /**
  * Recovery in one term: observes what the scheduler learns ([RecoveryObserver]), decides which of its orders have to
- * wait ([RecoveryOrderGate]), and moves through the phases ([PhaseMachine]). A term that began with an ordinary
+ * wait ([RecoveryOrderGate]), and moves through the phases ([PhaseStateMachine]). A term that began with an ordinary
  * failover has no engine.
  *
- * Owned by the scheduler's thread; [snapshot] and [awaitsStateRead] may be read by any thread.
+ * Owned by the scheduler's thread; [snapshot] and [needsStoreReads] may be read by any thread.
  *
  * @param token the term's fencing token
  * @param startedAt when the term began, in the term's monotonic time
@@ -18,7 +18,7 @@
  */
 class RecoveryEngine(
     policy: RecoveryPolicy,
-    setting: RecoverySetting,
+    setting: RecoveryTimings,
     private val token: Long,
     private val startedAt: Duration,
     startKind: StartKind,
@@ -26,7 +26,7 @@
 ) {
     private var now = startedAt
     private var evaluatedAt = startedAt - EVALUATION_INTERVAL
-    private val phases = PhaseMachine(policy, setting, startedAt)
+    private val phases = PhaseStateMachine(policy, setting, startedAt)
     private val breaker = CircuitBreaker(policy)
     private val budget = RepairBudget(policy.rates) { now }
     private val overrides = OperatorOverrides(record?.isPaused ?: false, record?.isApproved ?: false)
@@ -53,8 +53,8 @@
     /** Whether the recovery still goes on. */
     val isActive: Boolean get() = phases.isActive
 
-    /** Whether [stateRead] is to be called at every read of the store. */
-    val awaitsStateRead: Boolean get() = unrecordedTasks.isStoreReadAwaited
+    /** Whether [recordStoreRead] is to be called at every read of the store. */
+    val needsStoreReads: Boolean get() = unrecordedTasks.needsStoreReads
 
     /** The state at the last evaluation; null before the first. */
     @Volatile
@@ -62,13 +62,13 @@
         private set
 
     /** The store was read by a request that was sent at [sentAt], and all that it returned has been applied. */
-    fun stateRead(sentAt: Duration) = unrecordedTasks.storeRead(sentAt)
+    fun recordStoreRead(sentAt: Duration) = unrecordedTasks.recordStoreRead(sentAt)
 
     /**
      * The other controllers' answers decide how this term began, if that was unknown. An ordinary failover ends the
      * recovery at the next evaluation.
      */
-    fun startJudged(kind: StartKind) {
+    fun startKindDetermined(kind: StartKind) {
         if (startKind == StartKind.UNKNOWN) startKind = kind
     }
 
@@ -91,19 +91,19 @@
      * Compares queued observations, and evaluates phases and breaker at most once a second. To be called often.
      *
      * @param at the term's monotonic time
-     * @param isBehind whether this process has no processor time to spare
+     * @param isOverloaded whether this process has no processor time to spare
      */
-    fun tick(at: Duration, isBehind: Boolean = false): List<RecoveryNotice> {
+    fun tick(at: Duration, isOverloaded: Boolean = false): List<RecoveryNotice> {
         now = at
         if (!isActive) return emptyList()
-        observer.compareQueued(isBehind)
+        observer.compareQueuedUpdates(isOverloaded)
         if (at - evaluatedAt < EVALUATION_INTERVAL) return emptyList()
         evaluatedAt = at
         return evaluate()
     }
 
     private fun evaluate(): List<RecoveryNotice> {
-        observer.gathering()?.let { gathering = it }
+        observer.gatheringProgress()?.let { gathering = it }
         budget.resize(observer.fleetSize)
         val notices = ArrayList<RecoveryNotice>()
         val entered = advancePhases(notices)
@@ -129,7 +129,7 @@
 
     private fun evaluateBreaker(notices: MutableList<RecoveryNotice>) {
         val before = breaker.state
-        val after = breaker.evaluate(observer.threatenedMachines(), observer.fleetSize, isApproved, now)
+        val after = breaker.evaluate(observer.affectedMachineCount(), observer.fleetSize, isApproved, now)
         if (after.isOpen && !before.isOpen) notices.add(RecoveryNotice.BreakerOpened(after))
         if (after.release != null && before.release == null) notices.add(RecoveryNotice.BreakerReleased(after))
     }
@@ -162,7 +162,7 @@
             token,
             startKind,
             phases.state,
-            phases.until,
+            phases.deadline,
             now,
             isPaused,
             isApproved,
--- a/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
@@ -11,7 +11,7 @@
  * Observes what the scheduler learns of the cluster while the recovery is active, and queues it for comparison. Ignores
  * everything afterwards.
  */
-internal class RecoveryObserver(private val phases: PhaseMachine, private val unrecorded: UnrecordedTasks) :
+internal class RecoveryObserver(private val phases: PhaseStateMachine, private val unrecorded: UnrecordedTasks) :
     ClusterObserver {
     private var tracker = DifferenceTracker()
     private var updates = DeferredUpdates(tracker)
@@ -34,10 +34,10 @@
     val findings get() = tracker.findings
 
     /** Null until the cloud's first list has come. */
-    fun gathering(): GatheringProgress? = listed?.let { GatheringProgress.of(it, reportedMachines) }
+    fun gatheringProgress(): GatheringProgress? = listed?.let { GatheringProgress.of(it, reportedMachines) }
 
     /** The number of machines that would be deleted as silent, or have unexpected tasks stopped. */
-    fun threatenedMachines(): Int =
+    fun affectedMachineCount(): Int =
         tracker.findings.values.count { found ->
             val kinds = found.differences.mapTo(HashSet()) { it.kind }
             // A machine that the cloud does not list any more is lost whatever is ordered.
@@ -45,9 +45,9 @@
             wouldBeDeleted || DifferenceKind.ORPHAN_TASK in kinds || DifferenceKind.DUPLICATE_TASK in kinds
         }
 
-    /** Compares some of the queued observations. [isBehind]: whether this process has no processor time to spare. */
-    fun compareQueued(isBehind: Boolean) {
-        val limit = if (isBehind) UPDATES_PER_TICK_BEHIND else UPDATES_PER_TICK
+    /** Compares some of the queued observations, fewer if [isOverloaded]: if this process has no spare CPU time. */
+    fun compareQueuedUpdates(isOverloaded: Boolean) {
+        val limit = if (isOverloaded) UPDATES_PER_TICK_BEHIND else UPDATES_PER_TICK
         updates.apply(maxOf(limit, updates.size / MIN_SHARE_DIVISOR))
     }
 
--- a/src/main/kotlin/glenspool/reconcile/RecoveryOrderGate.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryOrderGate.kt
@@ -15,7 +15,7 @@
 
 /** Decides which of the scheduler's proposed orders have to wait during a recovery. Admits everything afterwards. */
 internal class RecoveryOrderGate(
-    private val phases: PhaseMachine,
+    private val phases: PhaseStateMachine,
     private val overrides: OperatorOverrides,
     private val unrecorded: UnrecordedTasks,
     private val budget: RepairBudget,
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
@@ -35,4 +35,4 @@
  * @property lease how long a worker's lease lasts
  * @property listLag how far the cloud's lists may lag behind
  */
-data class RecoverySetting(val lease: Duration, val heartbeatInterval: Duration, val listLag: Duration)
+data class RecoveryTimings(val lease: Duration, val heartbeatInterval: Duration, val listLag: Duration)
--- a/src/main/kotlin/glenspool/reconcile/RecoverySnapshot.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoverySnapshot.kt
@@ -7,7 +7,8 @@
  * What operators are shown of a recovery. Immutable, so any thread may read it while the engine goes on.
  *
  * @property token the term's fencing token
- * @property until when the present phase ends at the latest, in the term's monotonic time; null if it has no time limit
+ * @property phaseDeadline when the current phase ends at the latest, in the term's monotonic time; null if it has no
+ *   time limit
  * @property now when the snapshot was made, in the term's monotonic time
  * @property resolvedShare the share of the adopted placements of which it is known whether their task still runs; 1 if
  *   there were none
@@ -18,7 +19,7 @@
     val token: Long,
     val startKind: StartKind,
     val state: PhaseState,
-    val until: Duration?,
+    val phaseDeadline: Duration?,
     val now: Duration,
     val isPaused: Boolean,
     val isApproved: Boolean,
--- a/src/main/kotlin/glenspool/reconcile/StartKind.kt
+++ b/src/main/kotlin/glenspool/reconcile/StartKind.kt
@@ -28,7 +28,7 @@
  * @property answered false if the controller could not be asked
  * @property firstToken the fencing token of the first term that its process lived through; null if there is none
  */
-data class MemberWitness(val answered: Boolean, val firstToken: Long?)
+data class MemberContinuityEvidence(val answered: Boolean, val firstToken: Long?)
 
 /** Classifies how a term began. Without proof either way the result stays [StartKind.UNKNOWN]. */
 object StartClassifier {
@@ -40,7 +40,12 @@
      * @param members the statements of all other controllers
      * @param recovery the stored record of the last recovery
      */
-    fun classify(token: Long, ownFirstToken: Long?, members: List<MemberWitness>, recovery: StoredRecovery): StartKind {
+    fun classify(
+        token: Long,
+        ownFirstToken: Long?,
+        members: List<MemberContinuityEvidence>,
+        recovery: StoredRecovery,
+    ): StartKind {
         if (recovery.isUnfinished(token)) return StartKind.CONTINUED
         if (token == FIRST_TOKEN) return StartKind.FIRST
         val firstTokens = members.map { it.firstToken } + ownFirstToken
--- a/src/main/kotlin/glenspool/reconcile/UnrecordedTasks.kt
+++ b/src/main/kotlin/glenspool/reconcile/UnrecordedTasks.kt
@@ -9,7 +9,7 @@
  * The tasks that machines report and whose job the store does not know, as far as this leader has read it. Whether such
  * a job is really absent is proved by a read of the store that was sent after the task was first reported.
  *
- * Used by the scheduler's thread only, but for [isStoreReadAwaited].
+ * Used by the scheduler's thread only, but for [needsStoreReads].
  */
 internal class UnrecordedTasks(startedAt: Duration) {
     private data class ReportedTask(val machine: String, val task: TaskKey)
@@ -25,7 +25,7 @@
 
     /** Whether it matters how recently the store was read; may be read by any thread. */
     @Volatile
-    var isStoreReadAwaited = false
+    var needsStoreReads = false
         private set
 
     fun jobRead(job: String) {
@@ -45,7 +45,7 @@
         if (reported.isEmpty() && reportedSince.isEmpty()) return
         reportedSince.keys.removeIf { it.machine == heartbeat.machine && it !in reported }
         reported.forEach { reportedSince.putIfAbsent(it, at) }
-        isStoreReadAwaited = reportedSince.isNotEmpty()
+        needsStoreReads = reportedSince.isNotEmpty()
     }
 
     fun machineDeleted(machine: String) {
@@ -53,7 +53,7 @@
     }
 
     /** Everything stored before [sentAt] has been read and applied. */
-    fun storeRead(sentAt: Duration) {
+    fun recordStoreRead(sentAt: Duration) {
         storeReadUpTo = maxOf(storeReadUpTo, sentAt)
     }
 
@@ -65,7 +65,7 @@
 
     fun clear() {
         reportedSince.clear()
-        isStoreReadAwaited = false
+        needsStoreReads = false
         knownJobs.clear()
     }
 }
--- a/src/main/kotlin/glenspool/rollout/ActivationRule.kt
+++ b/src/main/kotlin/glenspool/rollout/ActivationRule.kt
@@ -112,7 +112,7 @@
             report == null || !view.isReachable -> Hold(HoldCause.MEMBER_UNREACHABLE, view.member)
             !report.levels.reads(target) -> Hold(HoldCause.MEMBER_OLD_BUILD, view.member, report.levels.build)
             !report.isReady -> Hold(HoldCause.MEMBER_NOT_READY, view.member)
-            view.readyFor < policy.settle -> Hold(HoldCause.MEMBER_SETTLING, view.member)
+            view.readyFor < policy.settlingTime -> Hold(HoldCause.MEMBER_SETTLING, view.member)
             else -> null
         }
     }
--- a/src/main/kotlin/glenspool/rollout/FeatureGate.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureGate.kt
@@ -34,11 +34,11 @@
  *
  * @property neededLevel the active level
  * @property neededName the active level's name
- * @property own the levels that this process reads
+ * @property ownLevels the levels that this process reads
  */
-data class Fence(val neededLevel: Int, val neededName: String, val own: BuildLevels) {
+data class Fence(val neededLevel: Int, val neededName: String, val ownLevels: BuildLevels) {
     override fun toString(): String {
-        val readable = "build ${own.build} reads levels ${own.lowest} to ${own.highest}"
+        val readable = "build ${ownLevels.build} reads levels ${ownLevels.lowest} to ${ownLevels.highest}"
         return "level $neededLevel ($neededName) is active, and $readable"
     }
 }
@@ -48,12 +48,12 @@
  * cache. A permit carries the level record's version: a write that arrives after the level was left fails on that
  * condition, however late it is.
  */
-class FeatureGate(private val own: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
+class FeatureGate(private val ownLevels: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
     override fun isInUse(level: Int): Boolean = permit(level) != null
 
     override fun permit(level: Int): WritePermit? {
         val record = stored() as? Stored.Present ?: return null
-        if (!own.reads(record.value.level) || level > record.value.highestWritable) return null
+        if (!ownLevels.reads(record.value.level) || level > record.value.highestWritable) return null
         return WritePermit(record.version)
     }
 
@@ -68,5 +68,6 @@
             Stored.NotRead, is Stored.Unreadable -> null
         }
 
-    private fun fence(level: Int, name: String): Fence? = if (own.reads(level)) null else Fence(level, name, own)
+    private fun fence(level: Int, name: String): Fence? =
+        if (ownLevels.reads(level)) null else Fence(level, name, ownLevels)
 }
--- a/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
@@ -45,7 +45,7 @@
     fun nameOf(number: Int): String = if (number == BASE) BASE_NAME else find(number)?.name ?: "unknown"
 
     /** The levels of the build with this name. */
-    fun of(build: String) = BuildLevels(build, lowestRead, highest)
+    fun levelsOf(build: String) = BuildLevels(build, lowestRead, highest)
 
     companion object {
         /** The level whose forms the version in production writes. */
--- a/src/main/kotlin/glenspool/rollout/HealthGate.kt
+++ b/src/main/kotlin/glenspool/rollout/HealthGate.kt
@@ -89,7 +89,9 @@
         val share = ((now - stepAt) / limits.window).coerceIn(MIN_SHARE, Double.MAX_VALUE)
         return HealthEvent.entries
             .map { HealthFailure(it, it.countIn(before), it.countIn(after)) }
-            .filter { it.after > limits.tolerated * maxOf(1.0, share) + limits.factor * it.before * share }
+            .filter {
+                it.after > limits.toleratedEvents * maxOf(1.0, share) + limits.toleratedFactor * it.before * share
+            }
     }
 
     private fun totalAt(at: Duration): HealthCounts {
--- a/src/main/kotlin/glenspool/rollout/LevelChangeRule.kt
+++ b/src/main/kotlin/glenspool/rollout/LevelChangeRule.kt
@@ -24,7 +24,7 @@
         if (lowerTo >= record.level || registry.find(record.level)?.deactivation != Deactivation.REWRITE) return null
         if (record.stage == LevelStage.ACTIVE) return Change(record.level, LevelStage.LEAVING)
         // The store cache shows this stage, so it shows every write before it; no record has taken on the form since.
-        if (input.recordsIn(record.level) > 0 || !areAllManaged(input, members)) return null
+        if (input.recordCountInLevel(record.level) > 0 || !areAllManaged(input, members)) return null
         return Change(record.level - 1, LevelStage.ACTIVE)
     }
 
--- a/src/main/kotlin/glenspool/rollout/MemberTracker.kt
+++ b/src/main/kotlin/glenspool/rollout/MemberTracker.kt
@@ -38,29 +38,29 @@
 class MemberTracker(members: Collection<String>, private val evidenceAge: Duration, startedAt: Duration) {
     private class Evidence(var changedAt: Duration) {
         var report: MemberReport? = null
-        var askedAt: Duration? = null
+        var requestSentAt: Duration? = null
         var readySince: Duration? = null
         var restarts = 0
     }
 
     private val evidenceByMember = members.sorted().associateWith { Evidence(startedAt) }
 
-    /** Reports of members that are not configured are ignored. [askedAt]: when the request was sent. */
-    fun memberReported(report: MemberReport, askedAt: Duration) {
+    /** Reports of members that are not configured are ignored. [requestSentAt]: when the request was sent. */
+    fun memberReported(report: MemberReport, requestSentAt: Duration) {
         val evidence = evidenceByMember[report.member] ?: return
-        val previouslyAskedAt = evidence.askedAt
-        if (previouslyAskedAt != null && askedAt <= previouslyAskedAt) return
-        val isUninterrupted = previouslyAskedAt != null && askedAt - previouslyAskedAt <= evidenceAge
+        val previousRequestSentAt = evidence.requestSentAt
+        if (previousRequestSentAt != null && requestSentAt <= previousRequestSentAt) return
+        val isUninterrupted = previousRequestSentAt != null && requestSentAt - previousRequestSentAt <= evidenceAge
         val previous = evidence.report
         val isSameProcess = previous != null && previous.boot == report.boot && previous.levels == report.levels
         if (!isSameProcess || !isUninterrupted) {
-            evidence.changedAt = askedAt
+            evidence.changedAt = requestSentAt
             evidence.readySince = null
         }
         if (!isSameProcess && previous != null) evidence.restarts++
-        evidence.readySince = if (report.isReady) evidence.readySince ?: askedAt else null
+        evidence.readySince = if (report.isReady) evidence.readySince ?: requestSentAt else null
         evidence.report = report
-        evidence.askedAt = askedAt
+        evidence.requestSentAt = requestSentAt
     }
 
     /** The views of all members, in the order of their names. */
@@ -68,11 +68,11 @@
         evidenceByMember.map { (member, evidence) -> view(member, evidence, now) }
 
     private fun view(member: String, evidence: Evidence, now: Duration): MemberView {
-        val lastReportAge = evidence.askedAt?.let { now - it }
+        val lastReportAge = evidence.requestSentAt?.let { now - it }
         val isReachable = lastReportAge != null && lastReportAge <= evidenceAge
         val readySince = evidence.readySince?.takeIf { isReachable }
         // A member that is not reachable any more has been so since its last report.
-        val changedAt = if (isReachable) evidence.changedAt else evidence.askedAt ?: evidence.changedAt
+        val changedAt = if (isReachable) evidence.changedAt else evidence.requestSentAt ?: evidence.changedAt
         return MemberView(
             member,
             evidence.report,
--- a/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
@@ -15,7 +15,7 @@
     val orders: Stored<OperatorOrders>,
     val state: Stored<RolloutState>,
     /** The number of records in the store cache that have a form of the given level. */
-    val recordsIn: (level: Int) -> Int,
+    val recordCountInLevel: (level: Int) -> Int,
 )
 
 /** What the leader should do. A record's `version` is the condition of the compare-and-swap that replaces it. */
@@ -65,9 +65,9 @@
     private val levelChanges = LevelChangeRule(registry)
     private val notices = RolloutNotices(policy)
 
-    /** Takes a member's report as evidence. [askedAt]: when the request was sent, in monotonic time. */
-    fun memberReported(report: MemberReport, askedAt: Duration) {
-        tracker.memberReported(report, askedAt)
+    /** Takes a member's report as evidence. [requestSentAt]: when the request was sent, in monotonic time. */
+    fun memberReported(report: MemberReport, requestSentAt: Duration) {
+        tracker.memberReported(report, requestSentAt)
         health.add(report)
     }
 
@@ -119,8 +119,8 @@
     private fun withoutVolatileDetail(hold: Hold?): Hold? =
         if (hold?.cause == HoldCause.HEALTH) hold.copy(detail = null) else hold
 
-    private fun memberSeen(view: MemberView, wallClock: Duration): MemberSeen? {
+    private fun memberSeen(view: MemberView, wallClock: Duration): ObservedMember? {
         val levels = view.report?.levels ?: return null
-        return MemberSeen(view.member, levels.build, levels.highest, wallClock - view.unchangedFor)
+        return ObservedMember(view.member, levels.build, levels.highest, wallClock - view.unchangedFor)
     }
 }
--- a/src/main/kotlin/glenspool/rollout/RolloutPolicy.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutPolicy.kt
@@ -24,17 +24,17 @@
     /** The time before a step that is compared with the time after it. */
     val window: Duration = 10.minutes,
     /** The number of events of one kind that are always tolerated after a step. */
-    val tolerated: Long = 20,
+    val toleratedEvents: Long = 20,
     /** The multiple of the earlier rate that is tolerated beyond that. */
-    val factor: Double = 3.0,
+    val toleratedFactor: Double = 3.0,
 )
 
 /** The settings of the rollout, from its settings file. */
 data class RolloutPolicy(
     val mode: ActivationMode = ActivationMode.AUTOMATIC,
-    val fenced: FencedReaction = FencedReaction.UNREADY,
+    val fencedReaction: FencedReaction = FencedReaction.UNREADY,
     /** How long each member's process must have been ready without interruption. */
-    val settle: Duration = 20.seconds,
+    val settlingTime: Duration = 20.seconds,
     /** A report older than this is no evidence. */
     val evidenceAge: Duration = 10.seconds,
     /** How long a member may hold the rollout back until operators are warned; the warning is repeated as often. */
--- a/src/main/kotlin/glenspool/rollout/StoredRecords.kt
+++ b/src/main/kotlin/glenspool/rollout/StoredRecords.kt
@@ -84,12 +84,12 @@
  * @property highest the highest level that its build reads
  * @property since when its present process was first seen, in wall-clock time since the epoch
  */
-data class MemberSeen(val member: String, val build: String, val highest: Int, val since: Duration)
+data class ObservedMember(val member: String, val build: String, val highest: Int, val since: Duration)
 
 /** The rollout's state as the leader stores it, for the next leader and for operators. */
 data class RolloutState(
     val target: Int,
-    val members: List<MemberSeen>,
+    val members: List<ObservedMember>,
     val hold: Hold?,
     /** When [hold] came into force, in wall-clock time since the epoch; null if there is no hold. */
     val heldSince: Duration?,
@@ -98,5 +98,5 @@
     fun equalsExceptTimes(other: RolloutState): Boolean =
         target == other.target && hold == other.hold && members.withoutTimes() == other.members.withoutTimes()
 
-    private fun List<MemberSeen>.withoutTimes() = map { it.copy(since = Duration.ZERO) }
+    private fun List<ObservedMember>.withoutTimes() = map { it.copy(since = Duration.ZERO) }
 }
--- a/src/main/kotlin/glenspool/wire/RolloutWire.kt
+++ b/src/main/kotlin/glenspool/wire/RolloutWire.kt
@@ -6,7 +6,7 @@
 import glenspool.rollout.HoldCause
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.rollout.MemberSeen
+import glenspool.rollout.ObservedMember
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.RolloutState
 import kotlin.time.Duration
@@ -88,7 +88,7 @@
             heldSince = if (fields["held_since"] == null) null else fields.count("held_since").milliseconds,
         )
 
-    private fun encodeMember(member: MemberSeen): Fields =
+    private fun encodeMember(member: ObservedMember): Fields =
         linkedMapOf(
             "member" to member.member,
             "build" to member.build,
@@ -97,7 +97,7 @@
         )
 
     private fun decodeMember(fields: Fields) =
-        MemberSeen(
+        ObservedMember(
             member = fields.text("member"),
             build = fields.text("build"),
             highest = fields.levelNumber("highest"),
--- a/src/test/kotlin/glenspool/api/GatedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/GatedApiTest.kt
@@ -23,7 +23,7 @@
 
 /** Submissions at a controller whose feature levels are managed. */
 class GatedApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
-    private val gate = FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(state) { true }::level)
+    private val gate = FeatureGate(FeatureRegistry.CURRENT.levelsOf("build"), RolloutRecords(state) { true }::level)
 
     @BeforeEach
     fun manageLevels() {
--- a/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
@@ -43,7 +43,7 @@
     private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val gate =
-        FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(cache) { cache.age() != null }::level)
+        FeatureGate(FeatureRegistry.CURRENT.levelsOf("build"), RolloutRecords(cache) { cache.age() != null }::level)
     private val elected = LinkedBlockingQueue<Term>()
     private val outcomes = LinkedBlockingQueue<StoreOutcome>()
     private val leadership = Leadership("a", "boot", client, cache, { elected.add(it) }, {}) { gate.fence() == null }
--- a/src/test/kotlin/glenspool/core/RandomDay.kt
+++ b/src/test/kotlin/glenspool/core/RandomDay.kt
@@ -7,7 +7,7 @@
 import glenspool.core.model.Team
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartKind
 import glenspool.simulation.ClusterSimulation
 import glenspool.simulation.FaultRates
@@ -39,7 +39,7 @@
 
     private fun newSimulation(): ClusterSimulation {
         val deployment = config(TEAMS, peerZones = setOf("b")).copy(valueBytes = valueBytes)
-        val setting = RecoverySetting(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
+        val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoverer = { token: Long, startedAt: Duration, kind: StartKind ->
             RecoveryEngine(RecoveryPolicy(), setting, token, startedAt, kind)
         }
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -18,7 +18,7 @@
 import glenspool.core.model.Team
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartKind
 import glenspool.simulation.ClusterSimulation
 import glenspool.simulation.FaultRates
@@ -120,7 +120,7 @@
 
     private fun play(day: Day): String {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = day.valueBytes)
-        val setting = RecoverySetting(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
+        val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoverer = {
             token: Long,
             at: Duration,
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -62,7 +62,7 @@
 import glenspool.rollout.HoldCause
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.rollout.MemberSeen
+import glenspool.rollout.ObservedMember
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.RolloutState
 import glenspool.simulation.CapturedRun
@@ -178,7 +178,7 @@
                         RecoveryWire.encode(RecoveryRecord(7, it, 9.seconds, isPaused = true))
                 } +
                 HoldCause.entries.associate { cause ->
-                    val members = listOf(MemberSeen("b", "1.0", 2, 3.seconds))
+                    val members = listOf(ObservedMember("b", "1.0", 2, 3.seconds))
                     val state = RolloutState(2, members, Hold(cause, "b", "why"), 4.seconds)
                     "rollout state ${cause.ordinal}" to RolloutWire.encode(state)
                 } +
--- a/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
@@ -79,7 +79,7 @@
         )
 
     @Test
-    fun `what workers and cloud receive after a cold start is what was planted, each once and at the pace`() {
+    fun `after a cold start exactly the orders that the planted differences need arrive, within the rate limits`() {
         val random = Random(11)
         service().use { service ->
             names.forEach { service.start(it) }
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -28,7 +28,7 @@
  */
 class ColdStartScenariosTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoverySetting(config().lease, config().heartbeatInterval, config().listLag)
+    private val setting = RecoveryTimings(config().lease, config().heartbeatInterval, config().listLag)
     private val teams = listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 0.0, null, 4.0))
 
     /**
@@ -239,7 +239,7 @@
     }
 
     @Test
-    fun `the checks notice a needless order and one above the rate limit`() {
+    fun `the checks detect an unnecessary order and an order above the rate limit`() {
         val simulation = runningCluster()
         simulation.restartControllers(4.seconds)
         simulation.received.clear()
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -201,15 +201,15 @@
         }
         observeFleet(sequence = 1, TaskState.RUNNING, 1.seconds)
         assertEquals(DifferenceTotals(emptyMap(), fleet * 4, fleet * 4), tracker.totals())
-        val before = tracker.comparisons
+        val before = tracker.comparisonCount
         observeFleet(sequence = 1, TaskState.RUNNING, 2.seconds)
-        assertEquals(before, tracker.comparisons, "an unchanged heartbeat causes no comparison")
+        assertEquals(before, tracker.comparisonCount, "an unchanged heartbeat causes no comparison")
         observeFleet(sequence = 2, TaskState.CHECKPOINTING, 2.seconds)
-        return (tracker.comparisons - before) / fleet
+        return (tracker.comparisonCount - before) / fleet
     }
 
     @Test
-    fun `a changed heartbeat causes one comparison however large the fleet is`() {
+    fun `a changed heartbeat causes one comparison, independent of the fleet size`() {
         assertEquals(listOf(1L, 1L, 1L), listOf(40, 300, 4000).map(::comparisonsPerHeartbeat))
     }
 
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -27,17 +27,17 @@
 /** The rules of a recovery, one by one, in simulated time. */
 class RecoveryRulesTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoverySetting(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
+    private val setting = RecoveryTimings(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
 
     /** The first token that a process witnesses whose reads of the store return these leaders' tokens. */
     private fun firstTokenAfter(vararg reads: Pair<Long?, Duration>): Long? {
-        val witness = ContinuityWitness(staleLeaseLimit = 4.seconds)
-        reads.forEach { (leader, at) -> witness.stateRead(leader, at) }
+        val witness = ContinuityEvidence(staleLeaseLimit = 4.seconds)
+        reads.forEach { (leader, at) -> witness.recordStoreRead(leader, at) }
         return witness.firstToken
     }
 
     @Test
-    fun `a process witnesses a term only if it saw it begin or saw its lease renewed`() {
+    fun `a term is continuity evidence only if the process observed its election or a renewal of its lease`() {
         assertEquals(3L, firstTokenAfter(null to 0.seconds, 3L to 1.seconds))
         assertEquals(3L, firstTokenAfter(3L to 0.seconds, 3L to 2.seconds, 3L to 4.seconds))
         assertEquals(4L, firstTokenAfter(3L to 0.seconds, 4L to 1.seconds))
@@ -46,22 +46,22 @@
     }
 
     @Test
-    fun `an interruption of reading extends the time until a term counts as witnessed`() {
-        val witness = ContinuityWitness(staleLeaseLimit = 4.seconds)
-        witness.stateRead(3L, 0.seconds)
+    fun `a gap in reading the store extends the time until a term counts as continuity evidence`() {
+        val witness = ContinuityEvidence(staleLeaseLimit = 4.seconds)
+        witness.recordStoreRead(3L, 0.seconds)
 
-        witness.readingInterrupted(9.seconds)
-        witness.stateRead(3L, 9.seconds)
+        witness.recordReadGap(9.seconds)
+        witness.recordStoreRead(3L, 9.seconds)
 
         assertNull(witness.firstToken)
     }
 
     @Test
-    fun `a start counts as cold only if every controller answered and none witnessed an earlier term`() {
-        fun answered(firstToken: Long?) = MemberWitness(answered = true, firstToken)
-        val silent = MemberWitness(answered = false, firstToken = null)
+    fun `a start is cold only if every controller answered and none has evidence of an earlier term`() {
+        fun answered(firstToken: Long?) = MemberContinuityEvidence(answered = true, firstToken)
+        val silent = MemberContinuityEvidence(answered = false, firstToken = null)
 
-        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberWitness): StartKind {
+        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberContinuityEvidence): StartKind {
             val noRecord = StoredRecovery.Absent
             return StartClassifier.classify(token, ownFirstToken, members.toList(), noRecord)
         }
@@ -78,7 +78,7 @@
     fun `a start continues a recovery whose record is unfinished or unreadable`() {
         val unfinished = RecoveryRecord(4, RecoveryPhase.GATHERING, 1.seconds)
         val finished = unfinished.copy(phase = RecoveryPhase.NORMAL)
-        val members = listOf(MemberWitness(answered = true, firstToken = 2))
+        val members = listOf(MemberContinuityEvidence(answered = true, firstToken = 2))
 
         fun classify(recovery: StoredRecovery) = StartClassifier.classify(5, 4, members, recovery)
         assertEquals(StartKind.CONTINUED, classify(StoredRecovery.Present(unfinished, 9)))
@@ -131,10 +131,10 @@
         isPaused,
     )
 
-    private fun phaseMachine() = PhaseMachine(policy, setting, startedAt = 0.seconds)
+    private fun phaseMachine() = PhaseStateMachine(policy, setting, startedAt = 0.seconds)
 
     @Test
-    fun `phases end when they are complete or their time is over, and not while paused`() {
+    fun `a phase ends when it is complete or its time limit is over, but not while the recovery is paused`() {
         val phases = phaseMachine()
         assertEquals(RecoveryPhase.GATHERING, phases.advance(facts(0.seconds))?.phase)
 
@@ -143,7 +143,8 @@
         assertEquals(PhaseEnd.TIME_OVER, phases.advance(facts(9.seconds, reported = 8))?.end)
         assertEquals(RecoveryPhase.ADOPTING, phases.state.phase)
 
-        val openBreaker = BreakerState(isOpen = true, machines = 9, fleet = 10, openSince = 9.seconds, release = null)
+        val openBreaker =
+            BreakerState(isOpen = true, affectedCount = 9, fleetSize = 10, openSince = 9.seconds, release = null)
         assertNull(phases.advance(facts(99.seconds, breaker = openBreaker)))
         assertEquals(RecoveryPhase.REPAIRING, phases.advance(facts(100.seconds))?.phase)
 
@@ -153,20 +154,20 @@
     }
 
     @Test
-    fun `gathering is not complete while no list says which machines should report`() {
+    fun `gathering is not complete before the cloud has listed the machines that should report`() {
         val phases = phaseMachine()
         assertEquals(PhaseEnd.TIME_OVER, phases.advance(facts(3.seconds, isListRead = false))?.end)
         assertNull(phases.advance(facts(4.seconds, isListRead = false, gathering = GatheringProgress.NONE)))
     }
 
     @Test
-    fun `an ordinary failover ends the recovery at once`() {
+    fun `an ordinary failover ends the recovery immediately`() {
         val normal = PhaseState(RecoveryPhase.NORMAL, 1.seconds, PhaseEnd.ORDINARY_START)
         assertEquals(normal, phaseMachine().advance(facts(1.seconds, StartKind.TAKE_OVER)))
     }
 
     @Test
-    fun `the breaker stays open until less is to be done, an operator approves or its time is over`() {
+    fun `the breaker stays open until fewer machines are affected, an operator approves or its time limit is over`() {
         fun evaluated(breaker: CircuitBreaker, machines: Int, at: Duration, isApproved: Boolean = false): BreakerState {
             val fleet = 10
             return breaker.evaluate(machines, fleet, isApproved, at)
@@ -183,7 +184,7 @@
     }
 
     @Test
-    fun `the budget limits orders per second, and resizing the fleet gives no spent order back`() {
+    fun `the budget limits orders per second, and a larger fleet does not refund spent orders`() {
         var now = 0.seconds
         val budget = RepairBudget(RepairRates(stops = 0.1)) { now }
 
@@ -200,7 +201,7 @@
     }
 
     @Test
-    fun `a task of an unknown job is stopped only if its job was read as absent after the task was reported`() {
+    fun `a task of an unknown job is stopped only if a store read sent after its first report found no such job`() {
         val engine = RecoveryEngine(policy, setting, token = 2, startedAt = 0.seconds, StartKind.COLD)
         val gate = engine.hooks.gate
         val observer = engine.hooks.observer
@@ -213,9 +214,9 @@
         (4..9).forEach { engine.tick(it.seconds) }
         assertEquals(RecoveryPhase.REPAIRING, engine.phase)
 
-        engine.stateRead(2.9.seconds)
+        engine.recordStoreRead(2.9.seconds)
         assertFalse(gate.admits(order))
-        engine.stateRead(3.1.seconds)
+        engine.recordStoreRead(3.1.seconds)
         engine.pause()
         assertFalse(gate.admits(order))
         engine.resume()
@@ -224,7 +225,7 @@
     }
 
     @Test
-    fun `the stored record decodes to itself, and anything else is rejected as malformed`() {
+    fun `a recovery record decodes to itself, and incomplete or invalid fields are rejected as malformed`() {
         for (phase in RecoveryPhase.entries) {
             val isApproved = phase == RecoveryPhase.NORMAL
             val record = RecoveryRecord(7, phase, 99.seconds, isPaused = true, isApproved)
--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -84,7 +84,7 @@
     }
 
     @Test
-    fun `the leader may end at each stage, before its write, during it or before its answer`() {
+    fun `a deactivation completes even if leaders end before, during or after their write at any stage`() {
         val fates =
             listOf(RolloutSimulation.Fate.REFUSED, RolloutSimulation.Fate.LATE, RolloutSimulation.Fate.ANSWER_LOST)
         val stages = setOf(1 to LevelStage.ACTIVE, 1 to LevelStage.LEAVING, 0 to LevelStage.ACTIVE)
@@ -125,7 +125,7 @@
     }
 
     @Test
-    fun `an operator may take a deactivation back while records have the form`() {
+    fun `an operator can cancel a deactivation while records still have the form`() {
         store(splitRecord, simulation.permitOf("b", 1))
         simulation.order(OperatorRequest.Deactivate(1))
         simulation.run(10.seconds)
--- a/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
+++ b/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
@@ -21,7 +21,7 @@
 
     @Test
     fun `events since a step are compared with those before it, across restarts`() {
-        val gate = HealthGate(HealthLimits(window = 10.minutes, tolerated = 5, factor = 2.0))
+        val gate = HealthGate(HealthLimits(window = 10.minutes, toleratedEvents = 5, toleratedFactor = 2.0))
         for (minute in 0..9) {
             gate.add(report("b", "one", refusals = minute * 10L))
             gate.sample(minute.minutes)
@@ -45,7 +45,7 @@
 
     @Test
     fun `too many events since the last step stop the plan and hold the level`() {
-        val simulation = RolloutSimulation(RolloutPolicy(health = HealthLimits(tolerated = 3)))
+        val simulation = RolloutSimulation(RolloutPolicy(health = HealthLimits(toleratedEvents = 3)))
         simulation.elect("a")
         val startedAt = simulation.now
         val engine = RolloutEngine(simulation.leader.registry, simulation.policy, listOf("a", "b", "c"), startedAt)
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `a member left behind for hours holds the level and is named until it is replaced`() {
+    fun `a member with an old build holds the level and is named in warnings until it is replaced`() {
         simulation.restartWithOldBuild("c")
         simulation.elect("a")
         simulation.run(3.hours)
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a rollback before activation fences nobody, and the upgrade can be repeated`() {
+    fun `a rollback before activation fences no member, and the upgrade can be repeated`() {
         simulation.restartWithOldBuild("b", "c")
         simulation.elect("a")
         simulation.run(1.minutes)
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `a member that alternates between builds never settles`() {
+    fun `a member that alternates between builds prevents the activation`() {
         simulation.elect("a")
         repeat(30) {
             simulation.restartWithOldBuild("b")
@@ -103,23 +103,23 @@
     fun `a delayed answer of an earlier process is ignored`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
 
-        tracker.memberReported(report("b-2", oldBuild), askedAt = 20.seconds)
-        tracker.memberReported(report("b-1", newBuild), askedAt = 19.seconds)
+        tracker.memberReported(report("b-2", oldBuild), requestSentAt = 20.seconds)
+        tracker.memberReported(report("b-1", newBuild), requestSentAt = 19.seconds)
 
         val view = tracker.view(21.seconds).single()
         assertEquals(oldBuild, view.report?.levels)
     }
 
     @Test
-    fun `the time of readiness starts over with another process and after a gap in the evidence`() {
+    fun `the readiness time restarts with a new process and after a gap in the evidence`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
 
-        tracker.memberReported(report("b-3"), askedAt = 22.seconds)
-        tracker.memberReported(report("b-4"), askedAt = 30.seconds)
+        tracker.memberReported(report("b-3"), requestSentAt = 22.seconds)
+        tracker.memberReported(report("b-4"), requestSentAt = 30.seconds)
         assertEquals(1.seconds, tracker.view(31.seconds).single().readyFor)
 
         // During the gap it may have been another process.
-        tracker.memberReported(report("b-4"), askedAt = 41.seconds)
+        tracker.memberReported(report("b-4"), requestSentAt = 41.seconds)
         assertEquals(0.seconds, tracker.view(41.seconds).single().readyFor)
         assertEquals(0.seconds, tracker.view(60.seconds).single().readyFor)
     }
@@ -127,12 +127,12 @@
     @Test
     fun `a report of a member that is not configured is ignored`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
-        tracker.memberReported(report("x", member = "stranger"), askedAt = 61.seconds)
+        tracker.memberReported(report("x", member = "stranger"), requestSentAt = 61.seconds)
         assertEquals(listOf("b"), tracker.view(61.seconds).map { it.member })
     }
 
     @Test
-    fun `a leader that ends before its write changes nothing, and the next one gathers evidence of its own`() {
+    fun `a leader that ends before its write changes nothing, and the next leader collects new evidence`() {
         simulation.elect("a")
         simulation.fate = RolloutSimulation.Fate.REFUSED
         simulation.run(40.seconds)
@@ -177,7 +177,7 @@
     }
 
     @Test
-    fun `a late activation of the same leader that meets a newer record changes nothing`() {
+    fun `a delayed activation of the same leader changes nothing if the level record is newer`() {
         simulation.elect("a")
         simulation.fate = RolloutSimulation.Fate.LATE
         simulation.run(24.seconds)
@@ -214,7 +214,7 @@
     }
 
     @Test
-    fun `an excluded member is not waited for`() {
+    fun `an activation does not wait for an excluded member`() {
         simulation.member("c").up = false
         simulation.elect("a")
         simulation.run(1.minutes)
@@ -229,7 +229,7 @@
     }
 
     @Test
-    fun `an excluded member that comes back with an old build is fenced, or reported if its build knows no levels`() {
+    fun `an excluded member that restarts with an old build is fenced, or reported if its build knows no levels`() {
         simulation.member("c").up = false
         simulation.elect("a")
         simulation.run(1.minutes)
@@ -312,7 +312,7 @@
     }
 
     @Test
-    fun `without a level record the rollout is as before the first activation`() {
+    fun `if the level record is missing, the rollout proceeds as before the first activation`() {
         simulation.elect("a")
         simulation.run(30.seconds)
         storeUnconditionally(Put(Keys.LEVEL, futureLevel))
--- a/src/test/kotlin/glenspool/rollout/RolloutModel.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModel.kt
@@ -27,7 +27,7 @@
     var endedAt: Duration? = null
     val view = LaggingView(store)
     val records = RolloutRecords(view) { view.loaded }
-    val levels = registry.of("build-${registry.highest}")
+    val levels = registry.levelsOf("build-${registry.highest}")
     val gate = FeatureGate(levels, records::level)
 
     fun forms() = view.withPrefix(FORM_PREFIX)
@@ -116,7 +116,7 @@
                 processes.any {
                     it.member == member &&
                         it.levels.reads(after.level) &&
-                        it.startedAt <= decidedAt - policy.settle &&
+                        it.startedAt <= decidedAt - policy.settlingTime &&
                         it.endedAt.let { end -> end == null || end >= decidedAt - policy.evidenceAge }
                 }
             if (!hasProof) violations.add("$now $after without $member")
--- a/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
@@ -26,7 +26,7 @@
 
     private val random = Random(seed)
     private val store = InMemoryStore()
-    private val policy = RolloutPolicy(settle = 8.seconds, evidenceAge = 5.seconds)
+    private val policy = RolloutPolicy(settlingTime = 8.seconds, evidenceAge = 5.seconds)
     private val members = listOf("a", "b", "c")
     private val live = HashMap<String, ModelProcess>()
     private val partitioned = HashSet<String>()
@@ -142,7 +142,7 @@
             records.level(),
             records.orders(),
             records.state(),
-            recordsIn = { level -> process.formsOf(level).size },
+            recordCountInLevel = { level -> process.formsOf(level).size },
         )
     }
 
--- a/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
@@ -17,7 +17,7 @@
     }
 
     @Property(seed = "20261202", shrinking = ShrinkingMode.OFF)
-    fun `no reader meets a form that it can't read, and no level changes without evidence`(
+    fun `no unfenced process reads a form above its build, and no level changes without evidence`(
         @ForAll @LongRange(min = 0) seed: Long,
     ) {
         assertEquals(emptyList<String>(), modelAfterRun(seed).violations, "seed $seed")
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -55,7 +55,7 @@
     private val state =
         RolloutState(
             target = 2,
-            members = listOf(MemberSeen("a", "b", 1, 3.milliseconds)),
+            members = listOf(ObservedMember("a", "b", 1, 3.milliseconds)),
             hold = Hold(HoldCause.HEALTH, "a", "b"),
             heldSince = 9.milliseconds,
         )
@@ -147,12 +147,12 @@
     }
 
     @Property(seed = "4714")
-    fun `a damaged level record permits and fences no more than what is legible of it`(
+    fun `a damaged level record permits and fences only what its decodable fields state`(
         @ForAll @LongRange(min = 0) seed: Long,
     ) {
         val store = InMemoryStore()
         store.transact(emptyMap(), listOf(Put(Keys.LEVEL, damagedRecord(seed))), emptyList())
-        val gate = FeatureGate(FeatureRegistry.CURRENT.of("b"), RolloutRecords(store) { true }::level)
+        val gate = FeatureGate(FeatureRegistry.CURRENT.levelsOf("b"), RolloutRecords(store) { true }::level)
         val record = readOrNull(RolloutWire::level, store.entries.getValue(Keys.LEVEL).value) as LevelRecord?
         val mayWrite = record != null && record.level == 1 && record.stage == LevelStage.ACTIVE
         val mustNotServe = record != null && record.level > 1
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -23,7 +23,7 @@
 class UpgradeUnderLoadTest {
     @TempDir
     lateinit var dir: File
-    private val policy = RolloutPolicy(settle = 400.milliseconds, evidenceAge = 1200.milliseconds)
+    private val policy = RolloutPolicy(settlingTime = 400.milliseconds, evidenceAge = 1200.milliseconds)
     private val oldBuild = registryUpTo(1)
     private val newBuild = registryUpTo(2)
     private val names = listOf("bobbin-0", "bobbin-1", "bobbin-2")
--- a/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -63,7 +63,7 @@
                 if (unmanaged) {
                     BuildLevels("unmanaged", FeatureRegistry.BASE, registry.highest)
                 } else {
-                    registry.of("build-${registry.highest}")
+                    registry.levelsOf("build-${registry.highest}")
                 }
         val gate: FeatureGate get() = FeatureGate(levels, records::level)
 
@@ -140,7 +140,7 @@
             level = records.level(),
             orders = records.orders(),
             state = records.state(),
-            recordsIn = { records.sealedRecords() },
+            recordCountInLevel = { records.sealedRecords() },
         )
 
     fun overview() = engine.overview(input())
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -158,7 +158,7 @@
 
     private fun tickRecovery() {
         val engine = recovery ?: return
-        engine.stateRead(context.now)
+        engine.recordStoreRead(context.now)
         recoveryNotices.addAll(engine.tick(context.now))
         isRecoveryDue = engine.isActive
     }
