--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -79,7 +79,7 @@
 
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
-        val notices = engine.tick(context.clock.elapsedNow(), isBehind = backlog >= OVERLOAD_BACKLOG)
+        val notices = engine.tick(context.clock.elapsedNow(), isOverloaded = backlog >= OVERLOAD_BACKLOG)
         if (notices.isNotEmpty()) context.recoveryManager?.handleNotices(notices)
     }
 
@@ -99,12 +99,12 @@
 
     /** Notifies the recovery that the key-value store was read by a request sent at [sent]. */
     fun storeRead(sent: ComparableTimeMark) {
-        recovery?.stateRead(context.clock.elapsedNow() - sent.elapsedNow())
+        recovery?.recordStoreRead(context.clock.elapsedNow() - sent.elapsedNow())
     }
 
     /** Notifies the recovery of the kind of start that the other controllers' answers show. */
     fun startKindDetermined(kind: StartKind) {
-        recovery?.startJudged(kind)
+        recovery?.startKindDetermined(kind)
     }
 
     /** Carries out an operator's stored order to the recovery. */
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -8,14 +8,14 @@
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
-import glenspool.reconcile.ContinuityWitness
-import glenspool.reconcile.MemberWitness
+import glenspool.reconcile.ContinuityEvidence
+import glenspool.reconcile.MemberContinuityEvidence
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
 import glenspool.reconcile.RecoveryPhase
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
 import glenspool.reconcile.RecoverySnapshot
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartClassifier
 import glenspool.reconcile.StartKind
 import glenspool.reconcile.StoredRecovery
@@ -36,7 +36,7 @@
     private val node: String,
     private val memberCount: Int,
     private val policy: RecoveryPolicy,
-    private val setting: RecoverySetting,
+    private val setting: RecoveryTimings,
     store: KeyValueStoreClient,
     cache: StoreCache,
     private val leadership: Leadership,
@@ -52,7 +52,7 @@
     private val records = RecoveryRecords(cache, RecordStore(store, cache))
 
     /** Guarded by its own lock, which also guards [storeReadAt]. */
-    private val continuity = ContinuityWitness(STALE_LEASE_LIMIT)
+    private val continuity = ContinuityEvidence(STALE_LEASE_LIMIT)
     private var storeReadAt: Duration? = null
 
     /** The fencing token of the first term that this process has lived through; null if there is none yet. */
@@ -82,14 +82,14 @@
      */
     fun storeRead(sentAgo: Duration) {
         synchronized(continuity) { observeLeader(uptime()) }
-        if (current?.engine?.awaitsStateRead == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
+        if (current?.engine?.needsStoreReads == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
         val lastReadAt = storeReadAt
         storeReadAt = now
-        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuity.readingInterrupted(now)
-        continuity.stateRead(leadership.recordedToken(), now)
+        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuity.recordReadGap(now)
+        continuity.recordStoreRead(leadership.recordedToken(), now)
         firstObservedToken = continuity.firstToken
     }
 
@@ -105,7 +105,10 @@
 
     private fun StartKind.needsNoRecovery() = this == StartKind.TAKE_OVER || this == StartKind.FIRST
 
-    private fun unansweredMembers(count: Int) = List(count) { MemberWitness(answered = false, firstToken = null) }
+    private fun unansweredMembers(count: Int) =
+        List(count) {
+            MemberContinuityEvidence(answered = false, firstToken = null)
+        }
 
     /**
      * Begins a term; called on the core thread, with the core's time. Returns null if this is an ordinary start, so
@@ -153,7 +156,7 @@
         membersQueriedAt = uptime()
         // A controller that does not manage recovery gives no evidence, and counts like one that can't be asked.
         val evidence = peers.statuses().mapNotNull { it.witness }
-        val answers = evidence.map { MemberWitness(answered = true, firstToken = it.firstToken) }
+        val answers = evidence.map { MemberContinuityEvidence(answered = true, firstToken = it.firstToken) }
         val members = answers + unansweredMembers(memberCount - answers.size)
         // The stored record is left out, since this term's own election wrote it: it does not show how the term began.
         val kind = StartClassifier.classify(recovery.term.token, firstObservedToken, members, StoredRecovery.Absent)
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -183,7 +183,7 @@
         }
         log.error("this process is fenced and must neither lead nor serve: {}", fence)
         leadership.resign("fenced", FENCED_BACKOFF)
-        if (policy.fenced == FencedReaction.EXIT) exit()
+        if (policy.fencedReaction == FencedReaction.EXIT) exit()
     }
 
     /** The rollout as the leader sees it; null if this node does not lead and so has only the stored records. */
--- a/src/main/kotlin/glenspool/controller/RolloutReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutReplies.kt
@@ -8,8 +8,8 @@
 import glenspool.rollout.Fence
 import glenspool.rollout.Hold
 import glenspool.rollout.LevelRecord
-import glenspool.rollout.MemberSeen
 import glenspool.rollout.MemberView
+import glenspool.rollout.ObservedMember
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.OperatorRequest
 import glenspool.rollout.PlanStep
@@ -105,7 +105,7 @@
         )
 
     /** Describes a member as the leader stored it, which is all that a node that does not lead knows about it. */
-    private fun storedMember(seen: MemberSeen) =
+    private fun storedMember(seen: ObservedMember) =
         RolloutStatus.Member(
             seen.member,
             seen.build,
