--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -52,7 +52,7 @@
     private val records = RecoveryRecords(cache, RecordStore(store, cache))
 
     /** Guarded by its own lock, which also guards [storeReadAt]. */
-    private val continuity = ContinuityEvidence(STALE_LEASE_LIMIT)
+    private val continuityEvidence = ContinuityEvidence(STALE_LEASE_LIMIT)
     private var storeReadAt: Duration? = null
 
     /** The fencing token of the first term that this process has lived through; null if there is none yet. */
@@ -81,16 +81,16 @@
      * passed to the core.
      */
     fun storeRead(sentAgo: Duration) {
-        synchronized(continuity) { observeLeader(uptime()) }
+        synchronized(continuityEvidence) { observeLeader(uptime()) }
         if (current?.engine?.needsStoreReads == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
         val lastReadAt = storeReadAt
         storeReadAt = now
-        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuity.recordReadGap(now)
-        continuity.recordStoreRead(leadership.recordedToken(), now)
-        firstObservedToken = continuity.firstToken
+        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuityEvidence.recordReadGap(now)
+        continuityEvidence.recordStoreRead(leadership.recordedToken(), now)
+        firstObservedToken = continuityEvidence.firstToken
     }
 
     /**
@@ -98,14 +98,14 @@
      * leader does not know of. Empty if it is certain that nothing has to be recovered, as after an ordinary failover.
      */
     fun electionPuts(token: Long): List<Put> {
-        val kind = StartClassifier.classify(token, firstObservedToken, unansweredMembers(memberCount), records.read())
+        val kind = StartClassifier.classify(token, firstObservedToken, missingAnswers(memberCount), records.read())
         lastCandidacy = Candidacy(token, kind)
         return if (kind.needsNoRecovery()) emptyList() else listOf(records.electionPut(token))
     }
 
     private fun StartKind.needsNoRecovery() = this == StartKind.TAKE_OVER || this == StartKind.FIRST
 
-    private fun unansweredMembers(count: Int) =
+    private fun missingAnswers(count: Int) =
         List(count) {
             MemberContinuityEvidence(answered = false, firstToken = null)
         }
@@ -157,7 +157,7 @@
         // A controller that does not manage recovery gives no evidence, and counts like one that can't be asked.
         val evidence = peers.statuses().mapNotNull { it.witness }
         val answers = evidence.map { MemberContinuityEvidence(answered = true, firstToken = it.firstToken) }
-        val members = answers + unansweredMembers(memberCount - answers.size)
+        val members = answers + missingAnswers(memberCount - answers.size)
         // The stored record is left out, since this term's own election wrote it: it does not show how the term began.
         val kind = StartClassifier.classify(recovery.term.token, firstObservedToken, members, StoredRecovery.Absent)
         if (kind != StartKind.UNKNOWN) post(Event.StartKindDetermined(recovery.term, kind))
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -107,9 +107,9 @@
 
     /** Runs one round: collects evidence, decides and acts. Returns the time until the next round. */
     private fun lead(term: Term): Duration {
-        val askedAt = uptime()
+        val requestSentAt = uptime()
         val statuses = peers.statuses()
-        val decision = synchronized(this) { decide(term, statuses, askedAt) }
+        val decision = synchronized(this) { decide(term, statuses, requestSentAt) }
         decision.actions.forEach { perform(it, term) }
         return if (decision.isSettled && decision.actions.isEmpty()) {
             minOf(SETTLED_INTERVAL, policy.evidenceAge / 2)
@@ -118,10 +118,10 @@
         }
     }
 
-    private fun decide(term: Term, statuses: List<PeerStatus>, askedAt: Duration): Decision {
+    private fun decide(term: Term, statuses: List<PeerStatus>, requestSentAt: Duration): Decision {
         val engine = engineOf(term)
-        engine.memberReported(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
-        statuses.forEach { engine.memberReported(report(it), askedAt) }
+        engine.memberReported(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), requestSentAt)
+        statuses.forEach { engine.memberReported(report(it), requestSentAt) }
         val input = input(term)
         val actions = engine.step(input)
         return Decision(actions, isSettled = engine.overview(input).hold == null)
