--- a/src/main/kotlin/glenspool/api/DescriptionPartWriter.kt
+++ b/src/main/kotlin/glenspool/api/DescriptionPartWriter.kt
@@ -72,13 +72,13 @@
             features.permit(FeatureRegistry.SEALED_RECORDS)
                 ?: return Attempt.NotPermitted(query.findOrRefuse(jobId, UserAnswer.TryLater))
         // A late copy of this transaction must not change the parts of a job that was accepted since.
-        return when (val result = store.transact(permit.conditions() + notAccepted(jobId), puts)) {
+        return when (val result = store.transact(permit.conditions() + notAcceptedConditions(jobId), puts)) {
             is StoreResult.Ok -> Attempt.Stored(result.value)
             is StoreResult.Conflict -> Attempt.NotPermitted(conflicting(jobId, result.keys))
             is StoreResult.Refused ->
                 when {
                     !result.isRateLimit -> Attempt.Failed(UserAnswer.Unreachable)
-                    retry.pause() -> Attempt.RateLimited
+                    retry.backOff() -> Attempt.RateLimited
                     else -> Attempt.Failed(UserAnswer.RateLimited)
                 }
             is StoreResult.Unknown, StoreResult.Missing -> Attempt.Failed(UserAnswer.Unreachable)
--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -61,12 +61,12 @@
     private fun tryStore(record: JobRecord, abortedBy: String?, isSplit: Boolean, retry: StoreRetry): Attempt {
         val jobId = record.spec.id
         if (!isSplit && record.dependencies.isEmpty()) {
-            return transact(record, notAccepted(jobId), abortedBy, isSplit, retry)
+            return transact(record, notAcceptedConditions(jobId), abortedBy, isSplit, retry)
         }
         val permit =
             features.permit(FeatureRegistry.SEALED_RECORDS)
                 ?: return Attempt.Answered(query.findOrRefuse(jobId, UserAnswer.TryLater))
-        val conditions = notAccepted(jobId) + permit.conditions()
+        val conditions = notAcceptedConditions(jobId) + permit.conditions()
         if (!isSplit) return transact(record, conditions, abortedBy, isSplit, retry)
         return when (val parts = descriptionParts.write(record, retry)) {
             is DescriptionPartWriter.Result.Failed -> Attempt.Answered(parts.answer)
@@ -103,7 +103,7 @@
 
     private fun refused(result: StoreResult.Refused, isSplit: Boolean, retry: StoreRetry): Attempt =
         when {
-            result.isRateLimit -> if (retry.pause()) Attempt.RateLimited else Attempt.Answered(UserAnswer.RateLimited)
+            result.isRateLimit -> if (retry.backOff()) Attempt.RateLimited else Attempt.Answered(UserAnswer.RateLimited)
             result.status != Status.BAD_REQUEST.code -> Attempt.Answered(UserAnswer.Unreachable)
             // Parts can't be made any smaller: if they don't fit either, nothing will.
             isSplit -> Attempt.Answered(SubmissionValidator.DESCRIPTION_TOO_LONG)
--- a/src/main/kotlin/glenspool/api/JobCancellation.kt
+++ b/src/main/kotlin/glenspool/api/JobCancellation.kt
@@ -18,7 +18,7 @@
                 is StoreResult.Ok -> return stored(jobId)
                 is StoreResult.Refused -> {
                     if (!result.isRateLimit) return UserAnswer.Unreachable
-                    if (!retry.pause()) return UserAnswer.RateLimited
+                    if (!retry.backOff()) return UserAnswer.RateLimited
                 }
                 is StoreResult.Conflict, is StoreResult.Unknown, StoreResult.Missing -> return notStored(jobId)
             }
--- a/src/main/kotlin/glenspool/api/LeaseRenewalPolicy.kt
+++ b/src/main/kotlin/glenspool/api/LeaseRenewalPolicy.kt
@@ -15,7 +15,7 @@
  */
 class LeaseRenewalPolicy(
     private val workers: WorkerSettings,
-    private val otherNodes: Int,
+    private val otherNodeCount: Int,
     private val elapsed: () -> Duration,
 ) {
     /**
@@ -82,7 +82,7 @@
      * out.
      */
     private fun mayRefuseOnce(): Boolean {
-        val vainRound = (WORKER_TIMEOUT + WORKER_RETRY_PAUSE) * otherNodes
+        val vainRound = (WORKER_TIMEOUT + WORKER_RETRY_PAUSE) * otherNodeCount
         return workers.lease >= vainRound + MARGIN + workers.heartbeatInterval * LATE_HEARTBEAT
     }
 
--- a/src/main/kotlin/glenspool/api/NodeState.kt
+++ b/src/main/kotlin/glenspool/api/NodeState.kt
@@ -18,5 +18,5 @@
     fun isolated(): Boolean
 
     /** The node that workers should send their heartbeats to; null if no other one is known to lead. */
-    fun leaderToName(): String?
+    fun otherLeader(): String?
 }
--- a/src/main/kotlin/glenspool/api/PeerRelay.kt
+++ b/src/main/kotlin/glenspool/api/PeerRelay.kt
@@ -21,7 +21,7 @@
     /** Only versions that know dependencies may take a submission that has some. */
     private fun relayPath(request: UserRequest): String {
         val isSubmission = request.method == Method.POST && request.path == UserPaths.JOBS
-        return if (isSubmission && hasDependencies(request.body)) PeerPaths.RELAY_CHAINED else PeerPaths.RELAY
+        return if (isSubmission && hasDependencies(request.body)) PeerPaths.RELAY_WITH_DEPENDENCIES else PeerPaths.RELAY
     }
 
     /** A body that can't be decoded is refused wherever it is answered. */
--- a/src/main/kotlin/glenspool/api/StoreConditions.kt
+++ b/src/main/kotlin/glenspool/api/StoreConditions.kt
@@ -8,7 +8,7 @@
 internal const val ABSENT = 0L
 
 /** A job may be stored only if it is neither live nor ended: a retry, at any node and however late, changes nothing. */
-internal fun notAccepted(jobId: String): Map<String, Long> =
+internal fun notAcceptedConditions(jobId: String): Map<String, Long> =
     mapOf(
         Keys.job(jobId) to ABSENT,
         Keys.final(jobId) to ABSENT,
--- a/src/main/kotlin/glenspool/api/StoreRetry.kt
+++ b/src/main/kotlin/glenspool/api/StoreRetry.kt
@@ -12,7 +12,7 @@
     private val start = TimeSource.Monotonic.markNow()
 
     /** Blocks for a random pause before the next attempt. False, at once: the time for attempts is over. */
-    fun pause(): Boolean {
+    fun backOff(): Boolean {
         if (start.elapsedNow() > RETRY_PERIOD) return false
         Thread.sleep(ThreadLocalRandom.current().nextLong(MIN_PAUSE_MS, MAX_PAUSE_MS))
         return true
--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -67,7 +67,7 @@
     }
 
     /** Answers a request that another node relayed; it is not relayed again. */
-    fun local(request: RelayRequest): RelayAnswer {
+    fun answerRelayed(request: RelayRequest): RelayAnswer {
         val userRequest = UserRequest(Method.valueOf(request.method), request.path, request.body)
         return answer(userRequest).toResponse().toRelayAnswer()
     }
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -32,7 +32,7 @@
 
     /** Called with each heartbeat's machine and incarnation, while somebody counts them; null otherwise. */
     @Volatile
-    var incarnationSeen: ((machine: String, incarnation: Long) -> Unit)? = null
+    var incarnationListener: ((machine: String, incarnation: Long) -> Unit)? = null
 
     /** How many heartbeats this node has received since its start. */
     fun heartbeatsReceived(): Long = heartbeats.get()
@@ -48,7 +48,7 @@
                 log.warn("heartbeat not understood: {}", e.message)
                 return respond(badRequest(e.message ?: "malformed"))
             }
-        incarnationSeen?.invoke(heartbeat.machine, heartbeat.incarnation)
+        incarnationListener?.invoke(heartbeat.machine, heartbeat.incarnation)
         core.receive(heartbeat) { orders ->
             respond(
                 if (orders == null) {
@@ -62,7 +62,7 @@
 
     /** The answer of a node that does not lead, or whose core is behind. */
     private fun answerWithoutLead(heartbeat: Heartbeat): Response {
-        val leader = node.leaderToName()
+        val leader = node.otherLeader()
         if (leader != null && redirectLimiter.mayRedirect(heartbeat.machine)) {
             return cbor(MISDIRECTED, WorkerWire.redirect(leader))
         }
--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -77,18 +77,18 @@
         val sentAt = uptime()
         val update = cancellations.updateFor(member.name)
         return when (val result = peers.exchange(member, CancellationMessages.encode(node, update))) {
-            is PeerClient.Exchange.Answered -> {
+            is PeerClient.ExchangeResult.Answered -> {
                 val answer = CancellationMessages.decode(result.message)
                 processNew(cancellations.applyReply(member.name, answer, sentAt))
                 lock.withLock { answerReceived.signalAll() }
                 true
             }
-            PeerClient.Exchange.Unsupported -> {
+            PeerClient.ExchangeResult.Unsupported -> {
                 cancellations.markUnsupported(member.name)
                 lock.withLock { answerReceived.signalAll() }
                 false
             }
-            PeerClient.Exchange.None -> false
+            PeerClient.ExchangeResult.Failed -> false
         }
     }
 
--- a/src/main/kotlin/glenspool/controller/LeaderDirectory.kt
+++ b/src/main/kotlin/glenspool/controller/LeaderDirectory.kt
@@ -11,7 +11,8 @@
     fun otherLeader(): String? {
         if (!freshness.isRefreshOverdue()) return recordedOtherLeader()
         val statuses = monitor.statuses
-        val reportedLeader = statuses.firstOrNull { it.leading }?.node ?: statuses.firstOrNull { it.fresh }?.leader
+        val reportedLeader =
+            statuses.firstOrNull { it.leading }?.node ?: statuses.firstOrNull { it.isCacheFresh }?.leader
         if (reportedLeader != null) return reportedLeader.takeIf { it != node }
         return if (freshness.isFresh()) recordedOtherLeader() else null
     }
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -159,7 +159,7 @@
         }
         recovery?.let { manager -> threads.start("recovery") { manager.run() } }
         rollout?.let { manager ->
-            workerApi.incarnationSeen = health::recordIncarnation
+            workerApi.incarnationListener = health::recordIncarnation
             threads.start("rollout") { manager.run() }
         }
     }
@@ -196,7 +196,7 @@
     override fun isolated(): Boolean = monitor.isIsolated()
 
     /** See [LeaderDirectory.otherLeader]. */
-    override fun leaderToName(): String? = leaders.otherLeader()
+    override fun otherLeader(): String? = leaders.otherLeader()
 
     override fun uptime(): Duration = clock.elapsedNow()
 
--- a/src/main/kotlin/glenspool/controller/OwnPeerStatus.kt
+++ b/src/main/kotlin/glenspool/controller/OwnPeerStatus.kt
@@ -17,9 +17,9 @@
             node,
             leading = leadership.current() != null,
             leader = leadership.recordedLeader(),
-            fresh = freshness.isFresh(),
-            reads = PeerStatus.SEALED,
+            isCacheFresh = freshness.isFresh(),
+            readableLevel = PeerStatus.SEALED_RECORDS,
             levels = rollout?.ownLevels(),
-            witness = recovery?.ownContinuityEvidence(),
+            continuityEvidence = recovery?.ownContinuityEvidence(),
         )
 }
--- a/src/main/kotlin/glenspool/controller/PeerMonitor.kt
+++ b/src/main/kotlin/glenspool/controller/PeerMonitor.kt
@@ -67,7 +67,7 @@
     private fun checkSealedRecords() {
         membersCheckedAt = TimeSource.Monotonic.markNow()
         val answers = peers.statuses()
-        if (answers.size < memberCount || answers.any { it.reads < PeerStatus.SEALED }) return
+        if (answers.size < memberCount || answers.any { it.readableLevel < PeerStatus.SEALED_RECORDS }) return
         log.info("all controllers read sealed records, which may be written from now on")
         mayUseSealedRecords = true
     }
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -3,7 +3,7 @@
 import glenspool.core.SchedulerHooks
 import glenspool.logging.loggerOf
 import glenspool.peer.PeerClient
-import glenspool.peer.PeerWitness
+import glenspool.peer.PeerContinuityEvidence
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
@@ -74,7 +74,7 @@
     val hooksWithoutRecovery = SchedulerHooks(newWorkNeedsOwnHeartbeat = true)
 
     /** The evidence of terms that this process has lived through, for the other controllers. */
-    fun ownContinuityEvidence() = PeerWitness(firstObservedToken)
+    fun ownContinuityEvidence() = PeerContinuityEvidence(firstObservedToken)
 
     /**
      * To be called when the store was read by a request that was sent [sentAgo] ago, after all changes up to then were
@@ -155,7 +155,7 @@
     private fun queryMembers(recovery: TermRecovery) {
         membersQueriedAt = uptime()
         // A controller that does not manage recovery gives no evidence, and counts like one that can't be asked.
-        val evidence = peers.statuses().mapNotNull { it.witness }
+        val evidence = peers.statuses().mapNotNull { it.continuityEvidence }
         val answers = evidence.map { MemberContinuityEvidence(answered = true, firstToken = it.firstToken) }
         val members = answers + unansweredMembers(memberCount - answers.size)
         // The stored record is left out, since this term's own election wrote it: it does not show how the term began.
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -142,8 +142,8 @@
         val levels = status.levels
         if (levels == null) {
             // A build without levels reports which stored forms it reads, or not even that.
-            val assumed = BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.reads)
-            return MemberReport(status.node, null, assumed, status.fresh)
+            val assumed = BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.readableLevel)
+            return MemberReport(status.node, null, assumed, status.isCacheFresh)
         }
         return MemberReport(
             status.node,
--- a/src/main/kotlin/glenspool/controller/UserRouter.kt
+++ b/src/main/kotlin/glenspool/controller/UserRouter.kt
@@ -36,6 +36,6 @@
         if (gate?.fence() != null) {
             RelayAnswer(Status.SERVICE_UNAVAILABLE.code, ByteArray(0), null)
         } else {
-            userApi.local(request)
+            userApi.answerRelayed(request)
         }
 }
--- a/src/main/kotlin/glenspool/peer/PeerClient.kt
+++ b/src/main/kotlin/glenspool/peer/PeerClient.kt
@@ -20,25 +20,25 @@
         }
 
     /** How an exchange of known cancellations ended. */
-    sealed interface Exchange {
+    sealed interface ExchangeResult {
         /** It answered with [message]. */
-        data class Answered(val message: CancellationMessage) : Exchange
+        data class Answered(val message: CancellationMessage) : ExchangeResult
 
         /** The peer runs a version that takes no part in the exchange. */
-        data object Unsupported : Exchange
+        data object Unsupported : ExchangeResult
 
         /** The peer did not answer, or refused, or its answer can't be decoded. */
-        data object None : Exchange
+        data object Failed : ExchangeResult
     }
 
     /** Sends what this controller knows of cancellations and reads what the other one does. */
-    fun exchange(with: Member, message: CancellationMessage): Exchange {
+    fun exchange(with: Member, message: CancellationMessage): ExchangeResult {
         val body = PeerWire.encode(message)
         val reply = request(with, PeerPaths.CANCELLATIONS, body, EXCHANGE_TIMEOUT, PeerWire::decodeCancellations)
         return when {
-            reply is PeerReply.Success -> Exchange.Answered(reply.value)
-            reply is PeerReply.Failure && reply.status == NOT_FOUND -> Exchange.Unsupported
-            else -> Exchange.None
+            reply is PeerReply.Success -> ExchangeResult.Answered(reply.value)
+            reply is PeerReply.Failure && reply.status == NOT_FOUND -> ExchangeResult.Unsupported
+            else -> ExchangeResult.Failed
         }
     }
 
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -9,23 +9,23 @@
     @SerialName("node") val node: String,
     @SerialName("leading") val leading: Boolean,
     @SerialName("leader") val leader: String?,
-    @SerialName("fresh") val fresh: Boolean,
-    /** Which stored forms it reads, see [SEALED]; versions without job dependencies don't say. */
-    @SerialName("reads") val reads: Int = 0,
+    @SerialName("fresh") val isCacheFresh: Boolean,
+    /** Which stored forms it reads, see [SEALED_RECORDS]; versions without job dependencies don't say. */
+    @SerialName("reads") val readableLevel: Int = 0,
     /** Its build and the levels that it knows; null where levels are not managed. */
     @SerialName("levels") val levels: PeerLevels? = null,
     /** The leaders' terms that its process has witnessed; null where recovery is not managed. */
-    @SerialName("witness") val witness: PeerWitness? = null,
+    @SerialName("witness") val continuityEvidence: PeerContinuityEvidence? = null,
 ) {
     companion object {
         /** Records whose description or placements are stored under keys of their own. */
-        const val SEALED = 1
+        const val SEALED_RECORDS = 1
     }
 }
 
 /** The fencing token of the first leader's term that a controller's process has witnessed; null if there is none. */
 @Serializable
-data class PeerWitness(
+data class PeerContinuityEvidence(
     @SerialName("firstToken") val firstToken: Long? = null,
 )
 
--- a/src/main/kotlin/glenspool/peer/PeerPaths.kt
+++ b/src/main/kotlin/glenspool/peer/PeerPaths.kt
@@ -6,7 +6,7 @@
     const val RELAY = "/peer/relay"
 
     /** Submissions with dependencies: a version that does not know them would start the jobs at once. */
-    const val RELAY_CHAINED = "/peer/relay-chained"
+    const val RELAY_WITH_DEPENDENCIES = "/peer/relay-chained"
 
     /** The exchange of known cancellations. A version that does not know the path takes no part in it. */
     const val CANCELLATIONS = "/peer/cancellations"
--- a/src/main/kotlin/glenspool/peer/PeerServer.kt
+++ b/src/main/kotlin/glenspool/peer/PeerServer.kt
@@ -32,7 +32,7 @@
 
     private fun post(request: Request): Response =
         when (request.uri.path) {
-            PeerPaths.RELAY, PeerPaths.RELAY_CHAINED ->
+            PeerPaths.RELAY, PeerPaths.RELAY_WITH_DEPENDENCIES ->
                 answerDecoded(request, PeerWire::decodeRelayRequest) { PeerWire.encode(relay(it)) }
             PeerPaths.CANCELLATIONS ->
                 answerDecoded(request, PeerWire::decodeCancellations) { message ->
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -70,7 +70,7 @@
         )
 
     @Test
-    fun `the cloud's answers to a scale-out are told apart`() {
+    fun `a scale-out is rented, refused or unknown depending on the cloud's answer`() {
         val cloud = CloudClient(addr, http, 1000.0)
         val rent = ScaleOut("r-1-1", "g8", "a", true, mapOf(ScaleOutCause.BACKLOG to 3))
         answer = answerWith(200, mapOf("spindles" to listOf("i-1", "i-2")))
@@ -88,7 +88,7 @@
     }
 
     @Test
-    fun `only the cloud's 200 proves a deletion`() {
+    fun `a deletion is confirmed only by the cloud's status 200`() {
         val cloud = CloudClient(addr, http, 1000.0)
         assertTrue(cloud.delete(listOf("i-1")))
         answer = answerWith(503, mapOf("error" to "trouble"))
@@ -131,8 +131,8 @@
     }
 
     @Test
-    fun `a peer answers a relayed request and says who leads, and one that is down is passed over`() {
-        val status = PeerStatus("n1", leading = true, leader = "n1", fresh = true)
+    fun `a peer answers relayed requests and reports the leader, and a peer that is down is skipped`() {
+        val status = PeerStatus("n1", leading = true, leader = "n1", isCacheFresh = true)
         var relayed: RelayRequest? = null
         val server =
             PeerServer({ status }, { null }) {
@@ -152,7 +152,7 @@
     }
 
     @Test
-    fun `clients that stall in the middle of a request do not keep others from being answered`() {
+    fun `clients that stall in the middle of a request do not block other clients`() {
         val stalled = List(20) { Socket("127.0.0.1", counterpart.port) }
         for (socket in stalled) {
             socket.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -26,7 +26,7 @@
     private fun stage(id: String) = show(id).stage
 
     /** Stores a copy of a job past the API, as another node would accept it. */
-    private fun acceptElsewhere(id: String, like: String, dependencies: List<String> = emptyList()) {
+    private fun storeAsOtherNode(id: String, like: String, dependencies: List<String> = emptyList()) {
         val record = record(like).copy(spec = spec(id), dependencies = dependencies)
         state.put(Keys.job(id), RecordWire.encode(record))
     }
@@ -41,7 +41,7 @@
     }
 
     @Test
-    fun `a job with dependencies is stored in a form that the version in production leaves alone`() {
+    fun `a job with dependencies is stored in a form that the version in production ignores`() {
         submit(spec("run-1"))
         assertAnswer(201, "pending", submit(spec("run-2"), listOf("run-1", "run-1")))
         assertEquals(listOf("run-1"), dependencies("run-2"))
@@ -56,7 +56,7 @@
     }
 
     @Test
-    fun `only accepted jobs can be named as dependencies, in whatever state, and no services`() {
+    fun `only accepted jobs in any state, and no services, can be named as dependencies`() {
         submit(spec("run-1"))
         submit(spec("run-2"))
         end("run-2", "done")
@@ -70,12 +70,12 @@
         assertEquals(404, show("run-4").status)
         assertEquals(201, submit(spec("run-4"), listOf("run-1", "run-2")).status)
         // Accepted by another node a moment ago: a cache that was not brought up to date would not know it.
-        acceptElsewhere("run-5", like = "run-1")
+        storeAsOtherNode("run-5", like = "run-1")
         assertEquals(201, submit(spec("run-6"), listOf("run-5")).status)
     }
 
     @Test
-    fun `without the key-value store nothing is decided, and a repeat is answered before any check`() {
+    fun `without the key-value store a submission gets 503, and a known job is answered despite failed checks`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
         state.down = true
@@ -88,7 +88,7 @@
     }
 
     @Test
-    fun `a cancellation holds at once for all jobs that depend on the cancelled one`() {
+    fun `a cancellation applies immediately to all jobs that depend on the cancelled one`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
         submit(spec("run-3"), listOf("run-2"))
@@ -107,7 +107,7 @@
     }
 
     @Test
-    fun `a cancellation that is answered with done lets dependent jobs go on`() {
+    fun `a cancellation of a job that is done does not abort its dependents`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
         end("run-1", "done")
@@ -117,11 +117,11 @@
     }
 
     @Test
-    fun `a chain of hundreds of jobs and a list of hundreds of dependencies fit small values`() {
+    fun `a chain of 300 jobs and a list of 301 dependencies are accepted under small value limits`() {
         state.lowerLimits()
         submit(spec("run-0"))
         assertEquals("pending", stage("run-0"))
-        for (i in 1..300) acceptElsewhere("run-$i", like = "run-0", dependencies = listOf("run-${i - 1}"))
+        for (i in 1..300) storeAsOtherNode("run-$i", like = "run-0", dependencies = listOf("run-${i - 1}"))
         val all = (0..300).map { "run-$it" }
         assertEquals(201, submit(spec("run-900"), all + all).status)
         assertEquals(all, dependencies("run-900"))
@@ -134,7 +134,7 @@
     }
 
     @Test
-    fun `a description that was short enough before is stored in parts when values become smaller`() {
+    fun `a description that exceeds a lowered value limit is stored in parts`() {
         val long = specWithTypes("run-1", types = 300)
         assertTrue(long.maxRecordBytes in 2049..8192)
         // Old controllers may lead: it is stored in their form as long as the key-value store takes it.
@@ -153,7 +153,7 @@
     }
 
     @Test
-    fun `description parts that another request changed meanwhile do not become part of a job`() {
+    fun `description parts that another request has changed in the meantime are not used for a job`() {
         state.lowerLimits()
         val long = specWithTypes("run-1", types = 300)
         // Another attempt, with other words, rewrites a part between this one's parts and its record.
--- a/src/test/kotlin/glenspool/api/GatedApiTest.kt
+++ b/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
@@ -22,7 +22,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Submissions at a controller whose feature levels are managed. */
-class GatedApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
+class FeatureLevelApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
     private val gate = FeatureGate(FeatureRegistry.CURRENT.levelsOf("build"), RolloutRecords(state) { true }::level)
 
     @BeforeEach
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `a level that is left just before the record is stored refuses it`() {
+    fun `a record is refused if its level changes to LEAVING just before the transaction`() {
         submit(spec("run-1"))
         storeLevel(LevelStage.ACTIVE)
         state.beforeTransaction = { puts ->
@@ -62,7 +62,7 @@
     }
 
     @Test
-    fun `no description is stored in parts before the level is active, whatever the key-value store refuses`() {
+    fun `no description parts are stored before the level is active, even if the store refuses the value`() {
         state.valueLimit = 2048
         val long = spec("run-1").copy(types = List(150) { "some-type-$it" } + "big")
         assertEquals(503, submit(long).status)
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `a fenced controller refuses everything at once and says which level it would need`() {
+    fun `a fenced controller rejects all requests and reports the level that it needs`() {
         var refusals = 0
         val handler = refusalFilter { refusals++ }.then(fenceFilter(gate::fence)).then { Response(Status.OK) }
         HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 2, handler).use { listener ->
--- a/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
+++ b/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
@@ -22,7 +22,7 @@
                 gangPeer = 8.seconds,
                 cancellationDeadline = CANCELLATION_DEADLINE,
             )
-        return LeaseRenewalPolicy(workers, otherNodes = 2) { now }
+        return LeaseRenewalPolicy(workers, otherNodeCount = 2) { now }
     }
 
     private fun LeaseRenewalPolicy.renewsIsolated(machine: String): Boolean =
@@ -40,7 +40,7 @@
         )
 
     @Test
-    fun `an isolated node refuses each worker once in a lease, and renews the lease of one that comes back`() {
+    fun `an isolated node refuses each worker once per lease, and renews the lease if the worker returns`() {
         val policy = policy()
         policy.recordAnswer("m1")
         policy.recordAnswer("m2")
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `a worker that was refused comes back within its lease in the worst case`() {
+    fun `a refused worker returns before its lease expires, even in the worst case`() {
         val policy = policy()
         var answeredAt = Duration.ZERO
         var longest = Duration.ZERO
@@ -76,7 +76,7 @@
     }
 
     @Test
-    fun `a worker that found nobody elsewhere has its lease renewed at once`() {
+    fun `a worker that this node has not answered before has its lease renewed immediately`() {
         val policy = policy()
         // Cut off with its zone it has tried two nodes in vain already; another vain round would outlast its lease.
         assertTrue(policy.renewsIsolated("m1"))
@@ -88,7 +88,7 @@
     }
 
     @Test
-    fun `in an outage that other nodes see too every lease is renewed`() {
+    fun `every lease is renewed in an outage if the node is not isolated`() {
         val policy = policy()
         repeat(50) {
             now += 4.seconds
@@ -97,13 +97,13 @@
     }
 
     @Test
-    fun `no worker is refused where its lease would not outlast a round of the other nodes`() {
+    fun `no worker is refused if its lease could expire during failed attempts at the other nodes`() {
         val policy = policy(lease = 12.seconds)
         assertEquals(List(9) { true }, List(9) { policy.renewsIsolated("m1") })
     }
 
     @Test
-    fun `a node that knows nothing of cancellations renews only while their deadline leaves time for two leases`() {
+    fun `a node without cancellation data renews leases only while the deadline leaves time for two leases`() {
         // 49 s for a cancellation, two leases of 24 s: none is left.
         val policy = policy()
         assertFalse(policy.renewsConnected("m1", cancellationsCompleteUntil = null))
@@ -116,7 +116,7 @@
     }
 
     @Test
-    fun `no renewed lease outlasts the deadline of a cancellation that this node may not know`() {
+    fun `no renewed lease outlasts the deadline of a cancellation that this node may not have received`() {
         val policy = policy()
         val complete = 100.seconds
         now = 123.seconds
--- a/src/test/kotlin/glenspool/api/RedirectLimiterTest.kt
+++ b/src/test/kotlin/glenspool/api/RedirectLimiterTest.kt
@@ -11,7 +11,7 @@
     private val limiter = RedirectLimiter(lease = 24.seconds) { now }
 
     @Test
-    fun `a node that has just started spreads the redirects of a large fleet, and ends within a lease`() {
+    fun `a node that has just started spreads the redirects of a large fleet over less than half a lease`() {
         val waiting = ArrayDeque((1..FLEET).map { "m$it" })
         redirectOnce(waiting)
         val redirectedAtOnce = FLEET - waiting.size
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -28,7 +28,7 @@
     private fun submitRaw(body: ByteArray) = http.call("POST", addr, "/api/jobs", body, 10.seconds) as CallResult.Answer
 
     @Test
-    fun `a job is accepted once, and a retry is answered with its present state`() {
+    fun `a job is accepted once, and a retry is answered with its current state`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertAnswer(200, "pending", submit(spec("run-1")))
         end("run-1", "done")
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `a job that was never accepted gets 404, and one stored by another node is known at once`() {
+    fun `a job that was never accepted gets 404, and one stored by another node is found immediately`() {
         assertEquals(404, show("run-9").status)
         assertEquals(404, withdraw("run-9").status)
         // A cache that was not brought up to date would still answer 404 here.
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `a job that can never run gets 422, but a known job is answered as known`() {
+    fun `a job that can never run gets 422, but a job that was accepted before gets 200`() {
         assertEquals(422, submit(spec("run-1", team = "nobody")).status)
         assertEquals(422, submit(spec("run-2", resourceRequest = Resources(2.0, 5.0, 8.0))).status)
         assertEquals(422, submit(spec("run-3", tasks = 40, kind = JobKind.GANG)).status)
@@ -82,7 +82,7 @@
     }
 
     @Test
-    fun `without the key-value store every request is answered at once with a time to come back`() {
+    fun `without the key-value store every request gets 503, and the node stays ready`() {
         submit(spec("run-1"))
         state.down = true
         assertEquals(503, submit(spec("run-2")).status)
@@ -102,7 +102,7 @@
     }
 
     @Test
-    fun `a short rate limit is retried, a long one is answered with a time to come back`() {
+    fun `a request is retried during a short rate limit, and gets 429 during a long one`() {
         state.throttled = 2
         assertEquals(201, submit(spec("run-1")).status)
         state.throttled = 1_000
@@ -113,7 +113,7 @@
     }
 
     @Test
-    fun `a node that has lost the key-value store alone relays requests to a peer`() {
+    fun `a node that alone cannot reach the key-value store relays requests to a peer`() {
         // The peer reaches the same key-value store, which this node alone does not.
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state-2", 8, state::serve).use { reachable ->
             val peersClient = KeyValueStoreClient("127.0.0.1:${reachable.port}", http)
@@ -138,13 +138,13 @@
     }
 
     private fun servePeer(api: UserApi): HttpListener {
-        val status = PeerStatus("n1", leading = false, leader = null, fresh = true)
-        val server = PeerServer({ status }, { null }, api::local)
+        val status = PeerStatus("n1", leading = false, leader = null, isCacheFresh = true)
+        val server = PeerServer({ status }, { null }, api::answerRelayed)
         return HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 4, server)
     }
 
     @Test
-    fun `a node that can ask nobody sends users elsewhere at once, and is not ready`() {
+    fun `an isolated node answers 503 without a request to the store, and is not ready`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertEquals(200, ready().status)
         cutOff = true
@@ -158,7 +158,7 @@
     }
 
     @Test
-    fun `a cancellation that other controllers do not know yet is neither confirmed nor denied`() {
+    fun `a cancellation that other controllers have not received yet is neither confirmed nor denied`() {
         assertEquals(201, submit(spec("run-1")).status)
         confirmable = false
         assertEquals(503, withdraw("run-1").status)
@@ -174,7 +174,7 @@
     }
 
     @Test
-    fun `a job of 100,000 tasks is accepted, and no larger one`() {
+    fun `a job of 100,000 tasks is accepted, and a larger one gets 400`() {
         assertEquals(201, submit(spec("run-1", tasks = 100_000)).status)
         assertEquals(400, submit(spec("run-2", tasks = 100_001)).status)
     }
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -31,11 +31,11 @@
 import glenspool.core.model.TaskStatus
 import glenspool.peer.CancellationMessage
 import glenspool.peer.DifferenceList
+import glenspool.peer.PeerContinuityEvidence
 import glenspool.peer.PeerLevels
 import glenspool.peer.PeerPaths
 import glenspool.peer.PeerStatus
 import glenspool.peer.PeerWire
-import glenspool.peer.PeerWitness
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
@@ -293,7 +293,7 @@
     @Test
     fun `messages between controllers`() {
         val status =
-            PeerStatus("n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerWitness(7))
+            PeerStatus("n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerContinuityEvidence(7))
         val cancellations =
             CancellationMessage(
                 "n1", "boot", 5, listOf(CancellationMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12,
@@ -317,7 +317,7 @@
                 }
         val paths =
             listOf(
-                PeerPaths.STATUS, PeerPaths.RELAY, PeerPaths.RELAY_CHAINED,
+                PeerPaths.STATUS, PeerPaths.RELAY, PeerPaths.RELAY_WITH_DEPENDENCIES,
                 PeerPaths.CANCELLATIONS, PeerPaths.ROLLOUT, PeerPaths.RECOVERY,
             )
         GoldenFile("peer-messages.txt").check(
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -98,7 +98,7 @@
     @Test
     fun `its messages are understood, and it is not taken for a new one`() {
         val status = PeerWire.decodeStatus(written("peer-status"))
-        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), status)
+        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, readableLevel = 0), status)
 
         val request = PeerWire.decodeRelayRequest(written("relay-request"))
         assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(request.body)).id)
@@ -114,7 +114,7 @@
     @OptIn(ExperimentalSerializationApi::class)
     @Test
     fun `it understands what a new controller says of itself`() {
-        val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED))
+        val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED_RECORDS))
         val oldDecoder = kotlinx.serialization.cbor.Cbor { ignoreUnknownKeys = true }
 
         val understood = oldDecoder.decodeFromByteArray<OldStatus>(encoded)
@@ -202,9 +202,9 @@
                 val both = PeerClient(listOf(member(old), member(new)))
                 val oldAlone = PeerClient(listOf(member(old)))
 
-                assertEquals(200, both.relay(request, 5.seconds, PeerPaths.RELAY_CHAINED)?.status)
+                assertEquals(200, both.relay(request, 5.seconds, PeerPaths.RELAY_WITH_DEPENDENCIES)?.status)
                 assertEquals(emptyList<String>(), taken)
-                assertNull(oldAlone.relay(request, 5.seconds, PeerPaths.RELAY_CHAINED))
+                assertNull(oldAlone.relay(request, 5.seconds, PeerPaths.RELAY_WITH_DEPENDENCIES))
                 assertEquals(201, both.relay(request, 5.seconds)?.status)
             }
         }
