--- a/src/main/kotlin/glenspool/api/DependencyResolver.kt
+++ b/src/main/kotlin/glenspool/api/DependencyResolver.kt
@@ -64,7 +64,7 @@
                     continue
                 }
                 if (jobId in direct) open.add(jobId)
-                if (RecordWire.waits(record.value)) {
+                if (RecordWire.waitsForDependencies(record.value)) {
                     records.read(jobId, record.value).dependencies.filterTo(queue) { seen.add(it) }
                 }
             }
--- a/src/main/kotlin/glenspool/api/DescriptionPartWriter.kt
+++ b/src/main/kotlin/glenspool/api/DescriptionPartWriter.kt
@@ -29,7 +29,7 @@
     fun write(record: JobRecord, retry: StoreRetry): Result {
         val jobId = record.spec.id
         val versions = LinkedHashMap<String, Long>()
-        for (puts in JobRecordReader.descriptionParts(record, limits.valueBytes).chunked(limits.txnOps)) {
+        for (puts in JobRecordReader.descriptionPartPuts(record, limits.valueBytes).chunked(limits.txnOps)) {
             while (true) {
                 when (val attempt = tryWrite(jobId, puts, retry)) {
                     is Attempt.Stored -> {
--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -31,7 +31,7 @@
     /** [abortedBy]: a cancelled job that this one depends on; it is accepted all the same, and its user told so. */
     fun accept(record: JobRecord, abortedBy: String?): UserAnswer {
         val retry = StoreRetry()
-        var isSplit = Cbor.jsonBytes(RecordWire.encode(record)) > maxValueBytes(record)
+        var isSplit = Cbor.jsonSizeBytes(RecordWire.encode(record)) > maxValueBytes(record)
         while (true) {
             when (val attempt = tryStore(record, abortedBy, isSplit, retry)) {
                 is Attempt.Answered -> return attempt.answer
--- a/src/main/kotlin/glenspool/api/UserResponses.kt
+++ b/src/main/kotlin/glenspool/api/UserResponses.kt
@@ -9,9 +9,14 @@
 
 internal fun UserAnswer.toResponse(): Response =
     when (this) {
-        is UserAnswer.Accepted -> cbor(Status.CREATED, UserWire.accepted(jobId, abortedBy))
-        is UserAnswer.Live -> cbor(Status.OK, UserWire.live(jobId, tasksDone, tasksRunning, unfinishedDependencies))
-        is UserAnswer.Ended -> cbor(Status.OK, UserWire.ended(jobId, outcome))
+        is UserAnswer.Accepted -> cbor(Status.CREATED, UserWire.acceptedStatus(jobId, abortedBy))
+        is UserAnswer.Live ->
+            cbor(
+                Status.OK,
+                UserWire
+                    .openStatus(jobId, tasksDone, tasksRunning, unfinishedDependencies),
+            )
+        is UserAnswer.Ended -> cbor(Status.OK, UserWire.endedStatus(jobId, outcome))
         is UserAnswer.NotFound -> cbor(Status.NOT_FOUND, UserWire.error("no such job: $jobId"))
         is UserAnswer.Refused -> cbor(status, UserWire.error(reason))
         UserAnswer.RateLimited -> tryLater(Status.TOO_MANY_REQUESTS)
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -80,7 +80,7 @@
 
     private fun answer(heartbeat: Heartbeat, token: Long, commands: List<Command>): Response {
         leaseRenewal.recordAnswer(heartbeat.machine)
-        return cbor(Status.OK, WorkerWire.answer(token, commands))
+        return cbor(Status.OK, WorkerWire.heartbeatReply(token, commands))
     }
 
     /** A cancelled job stays cancelled, so any node may have its tasks stopped, whatever token is in force. */
--- a/src/main/kotlin/glenspool/cloud/CloudClient.kt
+++ b/src/main/kotlin/glenspool/cloud/CloudClient.kt
@@ -53,7 +53,7 @@
     /** Rents machines. The request's id makes this idempotent, so that it may be sent again while unanswered. */
     fun rent(request: ScaleOut): ScaleOutOutcome {
         limiter.acquire()
-        val body = CloudWire.rent(request.request, request.type, request.zone, request.spot, request.count)
+        val body = CloudWire.rentalRequest(request.request, request.type, request.zone, request.spot, request.count)
         val reply = http.post(addr, "/hosts", body, TIMEOUT)
         return if (reply is CallResult.Answer) outcomeOf(reply) else ScaleOutOutcome.Unknown
     }
@@ -70,7 +70,7 @@
     /** Deletes machines. True only once the cloud has confirmed that they are gone. */
     fun delete(ids: List<String>): Boolean {
         limiter.acquire()
-        val reply = http.post(addr, "/hosts/delete", CloudWire.delete(ids), TIMEOUT)
+        val reply = http.post(addr, "/hosts/delete", CloudWire.deletionRequest(ids), TIMEOUT)
         return reply is CallResult.Answer && reply.status == OK
     }
 
--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -24,7 +24,7 @@
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.StoreResult
-import glenspool.wire.FinalWire
+import glenspool.wire.FinalStateWire
 import glenspool.wire.ImagesWire
 import glenspool.worker.WorkerClient
 import kotlin.time.Duration
@@ -79,7 +79,7 @@
     private fun sendCommands(action: SendCommands, term: Term) =
         run(callPool, onFailure = { post(Event.CommandsEnded(action, CommandOutcome.NOT_TRIED, null, term)) }) {
             if (isLeading(term)) {
-                val (outcome, heartbeat) = workers.command(action)
+                val (outcome, heartbeat) = workers.sendCommands(action)
                 postCommandsEnded(action, outcome, heartbeat, term)
             } else {
                 postCommandsEnded(action, CommandOutcome.NOT_TRIED, null, term)
@@ -125,7 +125,7 @@
     private fun storeImageLocations(action: StoreImageLocations, term: Term) =
         run(callPool, onFailure = { log.debug("image locations not stored: the request was not started or failed") }) {
             val put = Put(Keys.images(action.part), ImagesWire.encode(action.images))
-            val result = store.transact(mapOf(Keys.LEAD to term.recordVersion), listOf(put))
+            val result = store.transact(mapOf(Keys.LEADERSHIP to term.recordVersion), listOf(put))
             if (result !is StoreResult.Ok) log.debug("image locations not stored: {}", result)
         }
 
@@ -139,7 +139,7 @@
         val found = HashMap<String, FinalState>()
         for (id in jobs) {
             when (val result = store.get(Keys.final(id))) {
-                is StoreResult.Ok -> found[id] = FinalWire.end(result.value.value)
+                is StoreResult.Ok -> found[id] = FinalStateWire.finalState(result.value.value)
                 is StoreResult.Missing -> log.info("no final state stored for job {}", id)
                 // This request failed, and the next ones would most likely fail too.
                 else -> return found
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -81,7 +81,7 @@
         if (heartbeat == null || stops.isEmpty()) return
         // The worker's own token is enough, because stops start nothing and a cancellation is never revoked.
         val commands = SendCommands(suspect.machine, addr, heartbeat.token, heartbeat.incarnation, stops)
-        val (outcome, heartbeatAfter) = workers.command(commands)
+        val (outcome, heartbeatAfter) = workers.sendCommands(commands)
         log.info(
             "stop machine={} commands={} reason=cancelled-work leading=false outcome={}",
             suspect.machine, stops, outcome,
--- a/src/main/kotlin/glenspool/controller/CloudPoller.kt
+++ b/src/main/kotlin/glenspool/controller/CloudPoller.kt
@@ -38,7 +38,7 @@
     fun knownTypes(): List<MachineType>? = types ?: storedTypes()?.also { types = it }
 
     private fun storedTypes(): List<MachineType>? {
-        val item = cache.get(Keys.TYPES) ?: return null
+        val item = cache.get(Keys.MACHINE_TYPES) ?: return null
         return try {
             CloudWire.decodeTypes(item.value)
         } catch (e: MalformedMessage) {
@@ -68,10 +68,10 @@
         types = read
         post(Event.MachineTypesRead(read))
         // The last known types are stored, so that a node can validate submissions while the cloud does not answer.
-        val stored = cache.get(Keys.TYPES)
+        val stored = cache.get(Keys.MACHINE_TYPES)
         if (stored != null && hasSameTypes(CloudWire.decodeTypes(stored.value), read)) return
-        val conditions = mapOf(Keys.LEAD to term.recordVersion, Keys.TYPES to (stored?.version ?: 0L))
-        val result = store.transact(conditions, listOf(Put(Keys.TYPES, raw)))
+        val conditions = mapOf(Keys.LEADERSHIP to term.recordVersion, Keys.MACHINE_TYPES to (stored?.version ?: 0L))
+        val result = store.transact(conditions, listOf(Put(Keys.MACHINE_TYPES, raw)))
         if (result !is StoreResult.Ok) log.info("machine types not stored: {}", result)
     }
 
--- a/src/main/kotlin/glenspool/controller/GarbageCollector.kt
+++ b/src/main/kotlin/glenspool/controller/GarbageCollector.kt
@@ -38,7 +38,7 @@
         previousCandidates = candidates.toHashSet()
         if (due.isEmpty()) return
         // If a record is stored in the meantime, its condition fails, and the record keeps its parts.
-        val conditions = due.map(::recordKeyOf).distinct().associateWith { 0L } + (Keys.LEAD to recordVersion)
+        val conditions = due.map(::recordKeyOf).distinct().associateWith { 0L } + (Keys.LEADERSHIP to recordVersion)
         val result = transact(conditions, emptyList(), due)
         log.debug("garbage collected keys={} -> {}", due, result)
     }
--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -49,12 +49,12 @@
     fun current(): Term? = term?.takeIf { validUntil.hasNotPassedNow() }
 
     /** Returns the leader named in the stored leadership record, or null if there is no record. */
-    fun recordedLeader(): String? = cache.get(Keys.LEAD)?.let { LeadershipWire.node(it.value) }
+    fun recordedLeader(): String? = cache.get(Keys.LEADERSHIP)?.let { LeadershipWire.node(it.value) }
 
     /** Returns the token with which the recorded leader was elected, or null if there is no record. */
-    fun recordedToken(): Long? = cache.get(Keys.LEAD)?.let { LeadershipWire.token(it.value) }
+    fun recordedToken(): Long? = cache.get(Keys.LEADERSHIP)?.let { LeadershipWire.token(it.value) }
 
-    private fun recordedBoot(): String? = cache.get(Keys.LEAD)?.let { LeadershipWire.boot(it.value) }
+    private fun recordedBoot(): String? = cache.get(Keys.LEADERSHIP)?.let { LeadershipWire.boot(it.value) }
 
     /** The body of the service thread: renews the lease while this node leads, and stands for election if none does. */
     fun run() {
@@ -91,7 +91,7 @@
             return Duration.ZERO
         }
         val sentAt = clock.markNow()
-        return when (val result = client.renew(ledTerm.lease)) {
+        return when (val result = client.renewLease(ledTerm.lease)) {
             is StoreResult.Ok -> {
                 validUntil = sentAt + VALIDITY
                 RENEWAL_INTERVAL
@@ -108,7 +108,7 @@
     }
 
     private fun isReplaced(term: Term): Boolean {
-        val recorded = cache.get(Keys.LEAD) ?: return false
+        val recorded = cache.get(Keys.LEADERSHIP) ?: return false
         return isCacheRecent() && recorded.version > term.recordVersion
     }
 
@@ -117,7 +117,7 @@
     /** The records that an election replaces, and the last fencing token. */
     private class Candidacy(val recorded: StoreWire.Item?, val counter: StoreWire.Item?, val lastToken: Long) {
         val conditions
-            get() = mapOf(Keys.LEAD to (recorded?.version ?: 0L), Keys.TERM to (counter?.version ?: 0L))
+            get() = mapOf(Keys.LEADERSHIP to (recorded?.version ?: 0L), Keys.TOKEN_COUNTER to (counter?.version ?: 0L))
     }
 
     /** Returns null if a node leads, or if this node may not stand for election at the moment. */
@@ -125,13 +125,13 @@
         val age = cache.age()
         if (age == null || age > MAX_CACHE_AGE) return null
         if (backoffUntil?.hasNotPassedNow() == true || !mayLead()) return null
-        val recorded = cache.get(Keys.LEAD)
+        val recorded = cache.get(Keys.LEADERSHIP)
         // If the record was written by an earlier process of this node, that process has ended and the leadership is
         // vacant. Its record can't be mistaken for this process's own, because the election replaces it on condition of
         // its exact version.
         val isFromEarlierProcess = recorded != null && recordedLeader() == node && recordedBoot() != boot
         if (recorded != null && !isFromEarlierProcess) return null
-        val counter = cache.get(Keys.TERM)
+        val counter = cache.get(Keys.TOKEN_COUNTER)
         return try {
             Candidacy(recorded, counter, counter?.let { LeadershipWire.decodeCounter(it.value) } ?: 0L)
         } catch (e: MalformedMessage) {
@@ -147,8 +147,8 @@
         val token = candidacy.lastToken + 1
         val puts =
             listOf(
-                Put(Keys.LEAD, LeadershipWire.encode(node, boot, token), lease),
-                Put(Keys.TERM, LeadershipWire.encodeCounter(token)),
+                Put(Keys.LEADERSHIP, LeadershipWire.encode(node, boot, token), lease),
+                Put(Keys.TOKEN_COUNTER, LeadershipWire.encodeCounter(token)),
             ) + electionPuts(token)
         return when (val result = client.transact(candidacy.conditions, puts)) {
             is StoreResult.Ok -> beginTerm(Term(token, result.value, lease), sentAt)
@@ -179,7 +179,7 @@
      * the store could not be read in time.
      */
     private fun awaitElectionInCache(revision: Long, sentAt: ComparableTimeMark): Boolean {
-        while (!cache.sync(SYNC_TIMEOUT) || cache.get(Keys.LEAD)?.version.let { it == null || it < revision }) {
+        while (!cache.sync(SYNC_TIMEOUT) || cache.get(Keys.LEADERSHIP)?.version.let { it == null || it < revision }) {
             if (sentAt.elapsedNow() > VALIDITY) {
                 log.warn("election won, but the stored state could not be read in time; not acting as leader")
                 return false
@@ -191,12 +191,12 @@
     /** Advances the fencing token within the term. Returns the new token; null if it may not have been advanced. */
     fun advanceToken(): Long? {
         val leading = current() ?: return null
-        val counter = cache.get(Keys.TERM) ?: return null
+        val counter = cache.get(Keys.TOKEN_COUNTER) ?: return null
         val next = LeadershipWire.decodeCounter(counter.value) + 1
         val result =
             client.transact(
-                mapOf(Keys.LEAD to leading.recordVersion, Keys.TERM to counter.version),
-                listOf(Put(Keys.TERM, LeadershipWire.encodeCounter(next))),
+                mapOf(Keys.LEADERSHIP to leading.recordVersion, Keys.TOKEN_COUNTER to counter.version),
+                listOf(Put(Keys.TOKEN_COUNTER, LeadershipWire.encodeCounter(next))),
             )
         if (result is StoreResult.Ok) return next
         cache.sync(SYNC_TIMEOUT)
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -139,7 +139,7 @@
     }
 
     private fun startThreads() {
-        threads.start("store-watch") { cache.follow() }
+        threads.start("store-watch") { cache.watchChanges() }
         threads.start("store-sync") { cache.serveSyncs() }
         threads.start("leadership") { leadership.run() }
         threads.start("core") { loop.run() }
--- a/src/main/kotlin/glenspool/controller/RecordStore.kt
+++ b/src/main/kotlin/glenspool/controller/RecordStore.kt
@@ -28,9 +28,9 @@
      * called if the store shows that it is not.
      */
     fun replaceInTerm(term: Term, put: Put, version: Long, onDeposed: () -> Unit = {}): StoreResult<Long> {
-        val result = store.transact(mapOf(Keys.LEAD to term.recordVersion, put.key to version), listOf(put))
+        val result = store.transact(mapOf(Keys.LEADERSHIP to term.recordVersion, put.key to version), listOf(put))
         if (result !is StoreResult.Ok) log.info("record {} not stored: {}", put.key, result)
-        if (result is StoreResult.Conflict && Keys.LEAD in result.keys) onDeposed()
+        if (result is StoreResult.Conflict && Keys.LEADERSHIP in result.keys) onDeposed()
         refresh()
         return result
     }
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -136,7 +136,7 @@
     private fun input(term: Term) =
         RolloutInput(
             uptime(), wallClock(), term.token, identity.node, records.level(), records.orders(), records.state(),
-        ) { level -> if (level == FeatureRegistry.SEALED_RECORDS) records.sealedRecords() else 0 }
+        ) { level -> if (level == FeatureRegistry.SEALED_RECORDS) records.countSealedRecordKeys() else 0 }
 
     private fun report(status: PeerStatus): MemberReport {
         val levels = status.levels
--- a/src/main/kotlin/glenspool/controller/RolloutReplies.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutReplies.kt
@@ -82,7 +82,7 @@
             members = overview?.members?.map(::member) ?: state?.members.orEmpty().map(::storedMember),
             health = overview?.health.orEmpty().map { it.toString() },
             plan = overview?.plan.orEmpty().map(::text),
-            recordsInLevel = records.sealedRecords(),
+            recordsInLevel = records.countSealedRecordKeys(),
         )
     }
 
--- a/src/main/kotlin/glenspool/controller/StoreWriter.kt
+++ b/src/main/kotlin/glenspool/controller/StoreWriter.kt
@@ -79,7 +79,7 @@
     }
 
     private fun handleConflict(conflict: StoreResult.Conflict): StoreOutcome {
-        if (Keys.LEAD in conflict.keys) {
+        if (Keys.LEADERSHIP in conflict.keys) {
             leadership.stepDown("a write was refused")
         } else {
             log.info("store conflict keys={}", conflict.keys)
@@ -96,8 +96,8 @@
         val update = changes.writes.singleOrNull() as? UpdateJobRecord
         val permit = features.permit(FeatureRegistry.SEALED_RECORDS)
         if (update == null || update.record.descriptionParts > 0 || permit == null) return StoreOutcome.TooLarge()
-        val parts = JobRecordReader.descriptionParts(update.record, limits.valueBytes)
-        val conditions = permit.conditions() + (Keys.LEAD to term.recordVersion)
+        val parts = JobRecordReader.descriptionPartPuts(update.record, limits.valueBytes)
+        val conditions = permit.conditions() + (Keys.LEADERSHIP to term.recordVersion)
         val isStored = parts.chunked(limits.txnOps).all { puts -> store.transact(conditions, puts) is StoreResult.Ok }
         return if (isStored) StoreOutcome.TooLarge(mapOf(update.id to parts.size)) else StoreOutcome.TooLarge()
     }
--- a/src/main/kotlin/glenspool/controller/Transaction.kt
+++ b/src/main/kotlin/glenspool/controller/Transaction.kt
@@ -6,7 +6,7 @@
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.wire.DoneBitsWire
-import glenspool.wire.FinalWire
+import glenspool.wire.FinalStateWire
 import glenspool.wire.RecordWire
 
 /**
@@ -26,7 +26,7 @@
 ): Transaction {
     val builder = TransactionBuilder()
     // Because of this condition a deposed leader's writes fail, however late they arrive.
-    builder.conditions[Keys.LEAD] = recordVersion
+    builder.conditions[Keys.LEADERSHIP] = recordVersion
     builder.conditions.putAll(extraConditions)
     for (write in store.writes) {
         // Because of this condition an older write of this same leader that arrives late can't undo a newer one.
@@ -56,14 +56,14 @@
     private fun addPlacementPart(update: UpdateJobRecord, part: Int) {
         val key = Keys.placementPart(update.id, part)
         val placements = update.record.placementParts[part]
-        if (placements == null) removes.add(key) else puts.add(Put(key, RecordWire.encodePlaces(placements)))
+        if (placements == null) removes.add(key) else puts.add(Put(key, RecordWire.encodePlacements(placements)))
     }
 
     fun add(final: StoreFinalState) {
         // Done and cancelled exclude each other: this condition fails if a cancellation was stored in the meantime, and
         // a cancellation is stored only while there is no final state.
         conditions[Keys.cancel(final.id)] = final.cancelVersion ?: 0
-        puts.add(Put(Keys.final(final.id), FinalWire.encode(final.finalState, final.tasks, final.abortedBy)))
+        puts.add(Put(Keys.final(final.id), FinalStateWire.encode(final.finalState, final.tasks, final.abortedBy)))
         removes.add(Keys.job(final.id))
         if (final.cancelVersion != null) removes.add(Keys.cancel(final.id))
     }
--- a/src/main/kotlin/glenspool/controller/WarmUp.kt
+++ b/src/main/kotlin/glenspool/controller/WarmUp.kt
@@ -99,7 +99,7 @@
         fun answer(request: Request): Response {
             val body = request.body.bounded() ?: return cbor(Status.BAD_REQUEST, emptyMap())
             val heartbeat = WorkerWire.decodeHeartbeat(Cbor.decodeMap(body))
-            return cbor(Status.OK, WorkerWire.answer(heartbeat.token, emptyList()))
+            return cbor(Status.OK, WorkerWire.heartbeatReply(heartbeat.token, emptyList()))
         }
     }
 }
--- a/src/main/kotlin/glenspool/state/JobRecordReader.kt
+++ b/src/main/kotlin/glenspool/state/JobRecordReader.kt
@@ -16,7 +16,7 @@
      */
     fun read(id: String, value: Fields): JobRecord {
         val record = RecordWire.decode(value, partsOf(id))
-        if (record.spec.tasks <= RecordWire.INLINE_TASKS) return record
+        if (record.spec.tasks <= RecordWire.MAX_INLINE_TASKS) return record
         return record.copy(done = withChunks(id, record.done))
     }
 
@@ -30,7 +30,7 @@
     private fun withChunks(id: String, inline: BitSet): BitSet {
         val done = inline.clone() as BitSet
         for (chunk in keys.withPrefix(Keys.chunks(id))) {
-            val firstTask = chunk.key.substringAfterLast('/').toInt() * RecordWire.CHUNK_TASKS
+            val firstTask = chunk.key.substringAfterLast('/').toInt() * RecordWire.TASKS_PER_CHUNK
             val bits = RecordWire.decodeBits(chunk.value.text("done"))
             bits.stream().forEach { done.set(firstTask + it) }
         }
@@ -39,7 +39,7 @@
 
     companion object {
         /** The keys that hold the description of a record for which one value of [valueBytes] is too small. */
-        fun descriptionParts(record: JobRecord, valueBytes: Int): List<Put> =
+        fun descriptionPartPuts(record: JobRecord, valueBytes: Int): List<Put> =
             RecordWire.encodeDescriptionParts(record, valueBytes).mapIndexed { number, part ->
                 Put(Keys.descriptionPart(record.spec.id, number), part)
             }
--- a/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
@@ -31,7 +31,7 @@
     }
 
     /** No answer that could be understood: perhaps carried out, perhaps later; only a read tells. */
-    data class Unknown(val why: String) : StoreResult<Nothing>
+    data class Unknown(val reason: String) : StoreResult<Nothing>
 }
 
 /** A key to be set by a transaction. */
@@ -58,13 +58,13 @@
 
     /** Reads one key. */
     fun get(key: String): StoreResult<StoreWire.Item> {
-        val reply = http.get(addr, "${StoreWire.GET}/$key", TIMEOUT)
+        val reply = http.get(addr, "${StoreWire.STORE_PATH}/$key", TIMEOUT)
         return resultOf(reply) { StoreWire.decodeItem(it) }
     }
 
     /** Lists the keys with this [prefix], in order, behind the key [after]. */
     fun list(prefix: String, after: String?): StoreResult<Page> {
-        val reply = http.get(addr, StoreWire.list(prefix, after), LIST_TIMEOUT)
+        val reply = http.get(addr, StoreWire.listPath(prefix, after), LIST_TIMEOUT)
         return resultOf(reply) {
             Page(StoreWire.decodeItems(it), StoreWire.hasNextPage(it), StoreWire.decodeRevision(it))
         }
@@ -74,8 +74,8 @@
      * Watches the keys with this [prefix]: delivers the changes after the revision [after], and waits for one as long
      * as [wait]. Refused with 410 if the store has forgotten that revision.
      */
-    fun follow(prefix: String, after: Long, wait: Duration): StoreResult<Changes> {
-        val reply = http.get(addr, StoreWire.follow(prefix, after, wait), wait + FOLLOW_TIMEOUT)
+    fun watch(prefix: String, after: Long, wait: Duration): StoreResult<Changes> {
+        val reply = http.get(addr, StoreWire.watchPath(prefix, after, wait), wait + FOLLOW_TIMEOUT)
         return resultOf(reply) { Changes(StoreWire.decodeChanges(it), StoreWire.decodeRevision(it)) }
     }
 
@@ -89,25 +89,25 @@
         removes: List<String> = emptyList(),
     ): StoreResult<Long> {
         val body = StoreWire.transaction(conditions, puts, removes)
-        val reply = http.post(addr, StoreWire.TRANSACTION, body, TIMEOUT)
+        val reply = http.post(addr, StoreWire.TRANSACTION_PATH, body, TIMEOUT)
         return resultOf(reply) { StoreWire.decodeRevision(it) }
     }
 
     /** Grants a lease that expires [ttl] after its last renewal; the value is its id. */
     fun newLease(ttl: Duration): StoreResult<Long> {
-        val reply = http.post(addr, StoreWire.LEASES, StoreWire.newLease(ttl), TIMEOUT)
+        val reply = http.post(addr, StoreWire.LEASES_PATH, StoreWire.leaseRequest(ttl), TIMEOUT)
         return resultOf(reply) { StoreWire.decodeLease(it) }
     }
 
     /** Renews a lease; [StoreResult.Missing] once it has expired. */
-    fun renew(lease: Long): StoreResult<Unit> {
-        val reply = http.post(addr, StoreWire.renew(lease), emptyMap(), RENEW_TIMEOUT)
+    fun renewLease(lease: Long): StoreResult<Unit> {
+        val reply = http.post(addr, StoreWire.renewalPath(lease), emptyMap(), RENEW_TIMEOUT)
         return resultOf(reply) {}
     }
 
     /** Ends a lease, which removes the keys that were set with it. */
     fun endLease(lease: Long): StoreResult<Unit> {
-        val reply = http.call("DELETE", addr, "${StoreWire.LEASES}/$lease", null, RENEW_TIMEOUT)
+        val reply = http.call("DELETE", addr, "${StoreWire.LEASES_PATH}/$lease", null, RENEW_TIMEOUT)
         return resultOf(reply) {}
     }
 
--- a/src/main/kotlin/glenspool/state/Keys.kt
+++ b/src/main/kotlin/glenspool/state/Keys.kt
@@ -9,13 +9,13 @@
     const val LIVE = "g/"
 
     /** The leader's record; it is set with the leader's lease, and a leader's writes are conditioned on its version. */
-    const val LEAD = "g/lead"
+    const val LEADERSHIP = "g/lead"
 
     /** The counter of fencing tokens. */
-    const val TERM = "g/term"
+    const val TOKEN_COUNTER = "g/term"
 
     /** The machine types that the cloud offered last. */
-    const val TYPES = "g/types"
+    const val MACHINE_TYPES = "g/types"
 
     /** Which machine has which images cached, in several parts. */
     const val IMAGES = "g/images/"
--- a/src/main/kotlin/glenspool/state/RolloutRecords.kt
+++ b/src/main/kotlin/glenspool/state/RolloutRecords.kt
@@ -21,16 +21,16 @@
     private val decoded = ConcurrentHashMap<String, Stored<*>>()
 
     /** The active level. */
-    fun level(): Stored<LevelRecord> = read(Keys.LEVEL, RolloutWire::level)
+    fun level(): Stored<LevelRecord> = read(Keys.LEVEL, RolloutWire::decodeLevel)
 
     /** What operators have ordered. */
-    fun orders(): Stored<OperatorOrders> = read(Keys.ROLLOUT_ORDERS, RolloutWire::orders)
+    fun orders(): Stored<OperatorOrders> = read(Keys.ROLLOUT_ORDERS, RolloutWire::decodeOrders)
 
     /** The progress that the leader has recorded. */
-    fun state(): Stored<RolloutState> = read(Keys.ROLLOUT_STATE, RolloutWire::state)
+    fun state(): Stored<RolloutState> = read(Keys.ROLLOUT_STATE, RolloutWire::decodeState)
 
     /** How many keys hold a form of the level `sealed-records`: sealed job records and the parts of such. */
-    fun sealedRecords(): Int =
+    fun countSealedRecordKeys(): Int =
         keys.atomically {
             val sealed = keys.withPrefix(Keys.JOB).count { RecordWire.isSealed(it.value) }
             sealed + keys.withPrefix(Keys.DESCRIPTION_PART).size + keys.withPrefix(Keys.PLACEMENT_PART).size
--- a/src/main/kotlin/glenspool/state/StoreCache.kt
+++ b/src/main/kotlin/glenspool/state/StoreCache.kt
@@ -15,7 +15,7 @@
 import kotlin.time.TimeSource
 
 /**
- * This node's cache of the live keys. A long-polling watch ([follow]) keeps it up to date, and [sync] brings it to a
+ * This node's cache of the live keys. A long-polling watch ([watchChanges]) keeps it up to date, and [sync] brings it to a
  * state later than a user's request: a watch that does not wait delivers all changes up to the store's present
  * revision, which no cache can know by itself.
  *
@@ -82,7 +82,7 @@
     }
 
     /** Applies changes as they happen, by a long-polling watch, until the thread is interrupted. */
-    fun follow() {
+    fun watchChanges() {
         while (!Thread.currentThread().isInterrupted) {
             if (refresh(WATCH_WAIT)) pause(watchGap) else pause(RETRY_GAP)
         }
@@ -95,7 +95,7 @@
         val known = synchronized(this) { revision }
         if (known == NEVER_LOADED) return load()
         val sentAt = TimeSource.Monotonic.markNow()
-        val result = client.follow(Keys.LIVE, known, wait)
+        val result = client.watch(Keys.LIVE, known, wait)
         if (result is StoreResult.Refused && result.status == REVISION_COMPACTED) return load()
         if (result !is StoreResult.Ok) return false
         apply(result.value)
--- a/src/main/kotlin/glenspool/wire/Cbor.kt
+++ b/src/main/kotlin/glenspool/wire/Cbor.kt
@@ -54,7 +54,7 @@
     }
 
     /** How many bytes the value takes as JSON, which is how the key-value store counts against its limit. */
-    fun jsonBytes(value: Any?): Int {
+    fun jsonSizeBytes(value: Any?): Int {
         val counter = ByteCounter()
         jsonFactory.createGenerator(counter).use { write(it, value) }
         return counter.bytes
--- a/src/main/kotlin/glenspool/wire/CloudWire.kt
+++ b/src/main/kotlin/glenspool/wire/CloudWire.kt
@@ -38,7 +38,7 @@
         )
 
     /** A request to rent [count] machines. Sent again under the same [request] id, it rents no more of them. */
-    fun rent(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields =
+    fun rentalRequest(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields =
         linkedMapOf(
             "hire" to request,
             "frame" to type,
@@ -51,7 +51,7 @@
     fun decodeMachineIds(fields: Fields): List<String> = fields.textsOrNull("spindles") ?: emptyList()
 
     /** A request to delete the machines with these [ids]. */
-    fun delete(ids: List<String>): Fields = mapOf("spindles" to ids)
+    fun deletionRequest(ids: List<String>): Fields = mapOf("spindles" to ids)
 
     /** One page of the cloud's list of machines. */
     fun decodeMachines(fields: Fields): List<ListedMachine> = fields.maps("spindles").map(::decodeMachine)
@@ -63,7 +63,7 @@
             type = fields.text("frame"),
             zone = fields.text("hall"),
             spot = fields.flag("loaners"),
-            stage = stages.pick("stage", fields.text("stage")),
+            stage = stages.decodeWord("stage", fields.text("stage")),
             age = fields.duration("held_s"),
         )
 
--- a/src/main/kotlin/glenspool/wire/DoneBitsWire.kt
+++ b/src/main/kotlin/glenspool/wire/DoneBitsWire.kt
@@ -6,7 +6,7 @@
 object DoneBitsWire {
     /** The bits of [chunk] out of all of the job's [done] bits. */
     fun encode(done: BitSet, chunk: Int): Fields {
-        val from = chunk * RecordWire.CHUNK_TASKS
-        return mapOf("done" to RecordWire.encodeBits(done.get(from, from + RecordWire.CHUNK_TASKS)))
+        val from = chunk * RecordWire.TASKS_PER_CHUNK
+        return mapOf("done" to RecordWire.encodeBits(done.get(from, from + RecordWire.TASKS_PER_CHUNK)))
     }
 }
--- a/src/main/kotlin/glenspool/wire/Fields.kt
+++ b/src/main/kotlin/glenspool/wire/Fields.kt
@@ -91,7 +91,7 @@
 internal fun Duration.toSeconds(): Double = toDouble(DurationUnit.SECONDS)
 
 /** The value that the protocol's [word] in field [name] stands for. */
-internal fun <T> Map<String, T>.pick(name: String, word: String): T {
+internal fun <T> Map<String, T>.decodeWord(name: String, word: String): T {
     val value = this[word]
     return value ?: throw MalformedMessage(name, "unknown value")
 }
--- a/src/main/kotlin/glenspool/wire/FinalWire.kt
+++ b/src/main/kotlin/glenspool/wire/FinalStateWire.kt
@@ -11,7 +11,7 @@
  * | `tasks` | the job's number of tasks |
  * | `with` | the dependency whose cancellation cancelled this job |
  */
-object FinalWire {
+object FinalStateWire {
     /** [abortedBy]: the cancelled dependency, if that is why the job ended. */
     fun encode(end: FinalState, tasks: Int, abortedBy: String?): Fields {
         val fields =
@@ -24,14 +24,14 @@
     }
 
     /** How the job ended. */
-    fun end(fields: Fields): FinalState = if (fields["end"] == "done") FinalState.DONE else FinalState.CANCELLED
+    fun finalState(fields: Fields): FinalState = if (fields["end"] == "done") FinalState.DONE else FinalState.CANCELLED
 
     /** The cancelled dependency, if that is why the job ended. */
     fun abortedBy(fields: Fields): String? = fields["with"] as? String
 
     /** The status that users get of the job [id], which ended so. */
-    fun answer(id: String, fields: Fields): Fields =
-        when (end(fields)) {
+    fun status(id: String, fields: Fields): Fields =
+        when (finalState(fields)) {
             FinalState.DONE -> JobWire.status(id, Stage.DONE, (fields["tasks"] as? Long ?: 0L).toInt(), 0)
             FinalState.CANCELLED -> JobWire.status(id, Stage.CANCELLED, abortedBy = abortedBy(fields))
         }
--- a/src/main/kotlin/glenspool/wire/JobWire.kt
+++ b/src/main/kotlin/glenspool/wire/JobWire.kt
@@ -8,7 +8,7 @@
 private val jobIdForm = Regex("[!-~&&[^/]]{1,120}")
 
 /** A job has at most so many tasks. */
-const val MAX_TASKS = 100_000L
+const val MAX_TASKS_PER_JOB = 100_000L
 
 private val kinds = mapOf("batch" to JobKind.ARRAY, "gang" to JobKind.GANG, "daemon" to JobKind.SERVICE)
 private val priorities =
@@ -53,13 +53,13 @@
         val id = fields.text("uid")
         if (!isValidJobId(id)) throw MalformedMessage("uid", "not a job id")
         val tasks = fields.count("threads")
-        if (tasks !in 1..MAX_TASKS) throw MalformedMessage("threads", "1 to $MAX_TASKS are allowed")
+        if (tasks !in 1..MAX_TASKS_PER_JOB) throw MalformedMessage("threads", "1 to $MAX_TASKS_PER_JOB are allowed")
         return JobSpec(
             id = id,
             jobClass = fields.text("lot"),
             team = fields.text("crew"),
-            kind = kinds.pick("weave", fields.text("weave")),
-            priority = priorities.pick("urgency", fields.text("urgency")),
+            kind = kinds.decodeWord("weave", fields.text("weave")),
+            priority = priorities.decodeWord("urgency", fields.text("urgency")),
             tasks = tasks.toInt(),
             resourceRequest = fields.resources(),
             image = fields.text("pattern"),
@@ -111,7 +111,7 @@
         )
 
     /**
-     * A job's status as users get it. [done] and [running] count tasks; [awaits]: the dependencies that are not done
+     * A job's status as users get it. [done] and [running] count tasks; [unfinishedDependencies]: the dependencies that are not done
      * yet; [abortedBy]: the cancelled dependency, if that is why the job ended.
      */
     fun status(
@@ -119,13 +119,13 @@
         stage: Stage,
         done: Int? = null,
         running: Int? = null,
-        awaits: List<String> = emptyList(),
+        unfinishedDependencies: List<String> = emptyList(),
         abortedBy: String? = null,
     ): Fields {
         val fields = linkedMapOf<String, Any?>("uid" to id, "stage" to stage.word)
         if (done != null) fields["done"] = done
         if (running != null) fields["running"] = running
-        if (awaits.isNotEmpty()) fields["awaits"] = awaits
+        if (unfinishedDependencies.isNotEmpty()) fields["awaits"] = unfinishedDependencies
         if (abortedBy != null) fields["aborted_with"] = abortedBy
         return fields
     }
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -28,10 +28,10 @@
  */
 object RecordWire {
     /** Jobs of up to this many tasks keep their done bits in the record itself, larger ones in chunks. */
-    const val INLINE_TASKS = JobRecord.MAX_INLINE_TASKS
+    const val MAX_INLINE_TASKS = JobRecord.MAX_INLINE_TASKS
 
     /** So many tasks have their done bits in one chunk. */
-    const val CHUNK_TASKS = JobRecord.TASKS_PER_CHUNK
+    const val TASKS_PER_CHUNK = JobRecord.TASKS_PER_CHUNK
 
     /** A record has fewer parts of each kind under keys of their own; a higher number is damage. */
     private const val MAX_PARTS = 10_000L
@@ -52,8 +52,8 @@
         fields["at"] = record.submitted.inWholeMilliseconds
         fields["last"] = record.lastAttempt
         if (record.dependenciesDoneAt != null) fields["ready"] = record.dependenciesDoneAt.inWholeMilliseconds
-        if (record.spec.tasks <= INLINE_TASKS && !record.done.isEmpty) fields["done"] = encodeBits(record.done)
-        if (record.placements.isNotEmpty()) fields.putAll(encodePlaces(record.placements))
+        if (record.spec.tasks <= MAX_INLINE_TASKS && !record.done.isEmpty) fields["done"] = encodeBits(record.done)
+        if (record.placements.isNotEmpty()) fields.putAll(encodePlacements(record.placements))
         return fields
     }
 
@@ -85,7 +85,7 @@
     fun isSealed(fields: Fields): Boolean = fields["sealed"] != null
 
     /** Whether a stored record waits for dependencies; decodes no more of it than that. */
-    fun waits(fields: Fields): Boolean = (fields["sealed"] as? Map<*, *>)?.get("waits") == true
+    fun waitsForDependencies(fields: Fields): Boolean = (fields["sealed"] as? Map<*, *>)?.get("waits") == true
 
     /** The whole record; [parts] is asked for the parts of a sealed one. Done bits in chunks are left out. */
     fun decode(fields: Fields, parts: PartReader): JobRecord {
@@ -101,8 +101,8 @@
             submitted = fields.count("at").milliseconds,
             lastAttempt = fields.count("last"),
             done = fields.textOrNull("done")?.let(::decodeBits) ?: BitSet(),
-            placements = decodePlaces(fields),
-            dependencies = if (waits(fields)) description.textsOrNull("awaits").orEmpty() else emptyList(),
+            placements = decodePlacements(fields),
+            dependencies = if (waitsForDependencies(fields)) description.textsOrNull("awaits").orEmpty() else emptyList(),
             dependenciesDoneAt = if ("ready" in fields) fields.count("ready").milliseconds else null,
             placementParts = decodePlacementParts(sealed, parts),
             descriptionParts = descriptionParts,
@@ -136,10 +136,10 @@
         (sealed?.get("shelves") as? List<*>)
             .orEmpty()
             .map { boundedNumber("shelves", it, MAX_PARTS) }
-            .associateWith { parts.placementPart(it)?.let(::decodePlaces).orEmpty() }
+            .associateWith { parts.placementPart(it)?.let(::decodePlacements).orEmpty() }
 
     /** Placements as they are stored in a record or in a part of it. */
-    fun encodePlaces(placements: List<StoredPlacement>): Fields {
+    fun encodePlacements(placements: List<StoredPlacement>): Fields {
         val byMachine =
             placements.groupBy { it.machine }.mapValues { (_, onMachine) ->
                 onMachine.flatMap { listOf(it.task.toLong(), it.attempt) }
@@ -147,7 +147,7 @@
         return mapOf("on" to byMachine)
     }
 
-    private fun decodePlaces(fields: Fields): List<StoredPlacement> {
+    private fun decodePlacements(fields: Fields): List<StoredPlacement> {
         val byMachine = fields["on"] ?: return emptyList()
         if (byMachine !is Map<*, *>) throw MalformedMessage("on", "a map is needed")
         return byMachine.entries.flatMap { (machine, numbers) ->
@@ -155,7 +155,11 @@
                 throw MalformedMessage("on", "pairs of numbers are needed")
             }
             numbers.chunked(2).map { (task, attempt) ->
-                StoredPlacement(boundedNumber("on", task, MAX_TASKS), wholeNumber("on", attempt), machine.toString())
+                StoredPlacement(
+                    boundedNumber("on", task, MAX_TASKS_PER_JOB), wholeNumber("on", attempt),
+                    machine
+                        .toString(),
+                )
             }
         }
     }
--- a/src/main/kotlin/glenspool/wire/RecoveryWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecoveryWire.kt
@@ -20,7 +20,7 @@
     fun decode(fields: Fields) =
         RecoveryRecord(
             token = fields.count("token"),
-            phase = phases.pick("phase", fields.text("phase")),
+            phase = phases.decodeWord("phase", fields.text("phase")),
             startedAt = fields.count("started").milliseconds,
             isPaused = fields.flag("paused"),
             isApproved = fields.flag("approved"),
--- a/src/main/kotlin/glenspool/wire/RolloutWire.kt
+++ b/src/main/kotlin/glenspool/wire/RolloutWire.kt
@@ -31,11 +31,11 @@
         )
 
     /** Decodes a [LevelRecord]. */
-    fun level(fields: Fields) =
+    fun decodeLevel(fields: Fields) =
         LevelRecord(
             level = fields.levelNumber("level"),
             name = fields.text("name"),
-            stage = stages.pick("stage", fields.text("stage")),
+            stage = stages.decodeWord("stage", fields.text("stage")),
             token = fields.count("token"),
             changedAt = fields.count("changed").milliseconds,
         )
@@ -49,7 +49,7 @@
         )
 
     /** Decodes [OperatorOrders]. */
-    fun orders(fields: Fields) =
+    fun decodeOrders(fields: Fields) =
         OperatorOrders(
             mode = fields.textOrNull("mode")?.let { enumOf<ActivationMode>("mode", it) },
             approvedLevel = fields.levelNumberOrNull("approved"),
@@ -80,7 +80,7 @@
         )
 
     /** Decodes a [RolloutState]. */
-    fun state(fields: Fields) =
+    fun decodeState(fields: Fields) =
         RolloutState(
             target = fields.levelNumber("target"),
             members = fields.maps("members").map(::decodeMember),
--- a/src/main/kotlin/glenspool/wire/StoreWire.kt
+++ b/src/main/kotlin/glenspool/wire/StoreWire.kt
@@ -26,29 +26,29 @@
     /** A key to be set; with a [lease] the store removes it once that has expired or was ended. */
     data class Put(val key: String, val value: Fields, val lease: Long? = null)
 
-    const val GET = "/store"
-    const val TRANSACTION = "/multi"
-    const val FOLLOW = "/follow"
-    const val LEASES = "/leases"
+    const val STORE_PATH = "/store"
+    const val TRANSACTION_PATH = "/multi"
+    const val WATCH_PATH = "/follow"
+    const val LEASES_PATH = "/leases"
     private const val PAGE_ITEMS = 1000
 
     /** The path that lists keys with this [prefix] behind the key [after], one page of them. */
-    fun list(prefix: String, after: String?): String {
+    fun listPath(prefix: String, after: String?): String {
         val start = if (after != null) "&after=$after" else ""
-        return "$GET?starts=$prefix$start&page=$PAGE_ITEMS"
+        return "$STORE_PATH?starts=$prefix$start&page=$PAGE_ITEMS"
     }
 
     /** The path of a watch: changes after the revision [after], for which the store waits as long as [wait]. */
-    fun follow(prefix: String, after: Long, wait: Duration): String {
+    fun watchPath(prefix: String, after: Long, wait: Duration): String {
         val waitMs = wait.inWholeMilliseconds
-        return "$FOLLOW?starts=$prefix&after=$after&wait_ms=$waitMs"
+        return "$WATCH_PATH?starts=$prefix&after=$after&wait_ms=$waitMs"
     }
 
     /** The path that renews a lease. */
-    fun renew(lease: Long): String = "$LEASES/$lease/touch"
+    fun renewalPath(lease: Long): String = "$LEASES_PATH/$lease/touch"
 
     /** The body that asks for a lease. */
-    fun newLease(ttl: Duration): Fields = mapOf("life_ms" to ttl.inWholeMilliseconds)
+    fun leaseRequest(ttl: Duration): Fields = mapOf("life_ms" to ttl.inWholeMilliseconds)
 
     /** The body of a compare-and-swap transaction: all changes if every key has the version given, or none. */
     fun transaction(conditions: Map<String, Long>, puts: List<Put>, removes: List<String>): Fields {
--- a/src/main/kotlin/glenspool/wire/UserWire.kt
+++ b/src/main/kotlin/glenspool/wire/UserWire.kt
@@ -35,27 +35,27 @@
 
     /** Reads what is stored under a job's final key. */
     fun decodeOutcome(stored: Fields): JobOutcome =
-        when (FinalWire.end(stored)) {
+        when (FinalStateWire.finalState(stored)) {
             FinalState.DONE -> JobOutcome.Done((stored["tasks"] as? Long ?: 0L).toInt())
-            FinalState.CANCELLED -> JobOutcome.Cancelled(FinalWire.abortedBy(stored))
+            FinalState.CANCELLED -> JobOutcome.Cancelled(FinalStateWire.abortedBy(stored))
         }
 
     /** What is stored for a cancellation. [at]: time since the epoch. */
     fun encodeCancellation(at: Duration): Fields = mapOf("at" to at.inWholeMilliseconds)
 
     /** A job that was just accepted. [abortedBy]: a cancelled job that it depends on, so that it will never run. */
-    fun accepted(jobId: String, abortedBy: String?): Fields {
+    fun acceptedStatus(jobId: String, abortedBy: String?): Fields {
         val stage = if (abortedBy == null) Stage.QUEUED else Stage.CANCELLED
         return JobWire.status(jobId, stage, abortedBy = abortedBy)
     }
 
     /** A job that has not ended. [unfinishedDependencies]: the jobs it depends on that are not done yet. */
-    fun live(jobId: String, tasksDone: Int, tasksRunning: Int, unfinishedDependencies: List<String>): Fields {
+    fun openStatus(jobId: String, tasksDone: Int, tasksRunning: Int, unfinishedDependencies: List<String>): Fields {
         val stage = if (tasksRunning == 0) Stage.QUEUED else Stage.RUNNING
         return JobWire.status(jobId, stage, tasksDone, tasksRunning, unfinishedDependencies)
     }
 
-    fun ended(jobId: String, outcome: JobOutcome): Fields =
+    fun endedStatus(jobId: String, outcome: JobOutcome): Fields =
         when (outcome) {
             is JobOutcome.Done -> JobWire.status(jobId, Stage.DONE, outcome.tasks, running = 0)
             is JobOutcome.Cancelled -> JobWire.status(jobId, Stage.CANCELLED, abortedBy = outcome.abortedBy)
--- a/src/main/kotlin/glenspool/wire/WorkerWire.kt
+++ b/src/main/kotlin/glenspool/wire/WorkerWire.kt
@@ -70,7 +70,7 @@
         )
 
     private fun decodeTask(fields: Fields): TaskStatus {
-        val state = taskStates.pick("stage", fields.text("stage"))
+        val state = taskStates.decodeWord("stage", fields.text("stage"))
         return TaskStatus(
             key = decodeTaskKey(fields.text("thread")),
             attempt = fields.count("try"),
@@ -120,13 +120,13 @@
     private fun encodeTaskKey(key: TaskKey) = "${key.job}/${key.task}"
 
     /** The answer to a heartbeat, with commands that are valid under this fencing [token]. */
-    fun answer(token: Long, commands: List<Command>): Fields {
+    fun heartbeatReply(token: Long, commands: List<Command>): Fields {
         val orders = commands.map(::encodeCommand)
         return mapOf("baton" to token, "orders" to orders)
     }
 
     /** Commands sent to a worker without a heartbeat to answer, meant for this [incarnation] of it alone. */
-    fun direct(token: Long, incarnation: Long, commands: List<Command>): Fields {
+    fun directCommands(token: Long, incarnation: Long, commands: List<Command>): Fields {
         val orders = commands.map(::encodeCommand)
         return linkedMapOf("baton" to token, "shift" to incarnation, "orders" to orders)
     }
--- a/src/main/kotlin/glenspool/worker/WorkerClient.kt
+++ b/src/main/kotlin/glenspool/worker/WorkerClient.kt
@@ -17,9 +17,9 @@
 /** The requests that controllers send to workers, each to the worker's own address. None is retried. */
 class WorkerClient(private val http: HttpCaller) {
     /** Sends commands and waits until they are carried out or refused. */
-    fun command(order: SendCommands): CommandReply {
-        val body = WorkerWire.direct(order.token, order.incarnation, order.commands)
-        return when (val reply = http.post(order.addr, "/do", body, TIMEOUT)) {
+    fun sendCommands(request: SendCommands): CommandReply {
+        val body = WorkerWire.directCommands(request.token, request.incarnation, request.commands)
+        return when (val reply = http.post(request.addr, "/do", body, TIMEOUT)) {
             is CallResult.NotSent -> CommandReply(CommandOutcome.NOT_SENT, null)
             is CallResult.NoAnswer -> CommandReply(CommandOutcome.UNKNOWN, null)
             is CallResult.Answer -> replyOf(reply)
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -117,15 +117,20 @@
         val worker = WorkerClient(http)
         val commands = SendCommands("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
         answer = answerWith(200, heartbeat)
-        assertEquals(CommandOutcome.DONE, worker.command(commands).outcome)
+        assertEquals(CommandOutcome.DONE, worker.sendCommands(commands).outcome)
         assertEquals(4L to 2L, requests.last().body.let { it["baton"] to it["shift"] })
         answer = answerWith(200, mapOf("nonsense" to 1))
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(commands).outcome)
+        assertEquals(CommandOutcome.UNKNOWN, worker.sendCommands(commands).outcome)
         answer = answerWith(409, heartbeat)
-        assertEquals(CommandOutcome.REFUSED, worker.command(commands).outcome)
+        assertEquals(CommandOutcome.REFUSED, worker.sendCommands(commands).outcome)
         answer = answerWith(500, emptyMap())
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(commands).outcome)
-        assertEquals(CommandOutcome.NOT_SENT, worker.command(commands.copy(addr = "127.0.0.1:${unusedPort()}")).outcome)
+        assertEquals(CommandOutcome.UNKNOWN, worker.sendCommands(commands).outcome)
+        assertEquals(
+            CommandOutcome.NOT_SENT,
+            worker
+                .sendCommands(commands.copy(addr = "127.0.0.1:${unusedPort()}"))
+                .outcome,
+        )
         answer = answerWith(200, heartbeat)
         assertEquals(3.5.seconds, worker.probe(addr)?.preemptionNotice)
     }
--- a/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
@@ -118,12 +118,12 @@
     @Test
     fun `a process that can't read the active level is not elected, even as the only candidate`() {
         awaitElection()
-        val lease = checkNotNull(store.entries[Keys.LEAD]?.lease)
+        val lease = checkNotNull(store.entries[Keys.LEADERSHIP]?.lease)
         storeLevel(2, LevelStage.ACTIVE)
         leadership.resign("fenced", Duration.ZERO)
         store.endLease(lease)
         assertNull(elected.poll(1200, TimeUnit.MILLISECONDS))
-        assertNull(store.get(Keys.LEAD))
+        assertNull(store.get(Keys.LEADERSHIP))
         storeLevel(1, LevelStage.ACTIVE)
         awaitElection()
     }
--- a/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
+++ b/src/test/kotlin/glenspool/controller/GarbageCollectorTest.kt
@@ -26,7 +26,7 @@
 
     /** Stores a leadership record and returns its version. */
     private fun storeLeadershipRecord(): Long {
-        put(Keys.LEAD)
+        put(Keys.LEADERSHIP)
         return store.revision
     }
 
@@ -50,7 +50,7 @@
         repeat(3) { collector.collect(recordVersion) }
         val expected =
             setOf(
-                Keys.LEAD,
+                Keys.LEADERSHIP,
                 Keys.job("live"),
                 Keys.job("coming"),
                 Keys.placementPart("live", 0),
@@ -63,7 +63,7 @@
     fun `a deposed leader removes nothing`() {
         val recordVersion = storeLeadershipRecord()
         put(Keys.descriptionPart("over", 0))
-        put(Keys.LEAD)
+        put(Keys.LEADERSHIP)
         repeat(3) { collector.collect(recordVersion) }
         assertEquals(1, store.withPrefix(Keys.DESCRIPTION_PART).size)
     }
--- a/src/test/kotlin/glenspool/controller/TransactionTest.kt
+++ b/src/test/kotlin/glenspool/controller/TransactionTest.kt
@@ -23,7 +23,7 @@
 
     /** Stores a leadership record and returns its version. */
     private fun storeLeadershipRecord(): Long {
-        store.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("token" to 1L), store.newLease())), emptyList())
+        store.transact(emptyMap(), listOf(Put(Keys.LEADERSHIP, mapOf("token" to 1L), store.newLease())), emptyList())
         return store.revision
     }
 
@@ -53,7 +53,7 @@
         val version = storeJobRecord()
         val late = transaction(oldRecordVersion, update(version, lastAttempt = 1, requiresUncancelled = true))
         storeLeadershipRecord()
-        assertEquals(listOf(Keys.LEAD), apply(late))
+        assertEquals(listOf(Keys.LEADERSHIP), apply(late))
         assertEquals(0L, storedRecord().lastAttempt)
     }
 
@@ -80,7 +80,7 @@
         assertEquals(listOf(Keys.cancel("a")), apply(placement))
         assertEquals(listOf(Keys.cancel("a")), apply(done))
         assertNull(apply(cancelled))
-        assertEquals(setOf(Keys.LEAD, Keys.final("a")), store.entries.keys)
+        assertEquals(setOf(Keys.LEADERSHIP, Keys.final("a")), store.entries.keys)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -71,7 +71,7 @@
         fleet.runTurn()
         val body = Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastHeartbeat))))
         val response = WarmUp.answer(Request(Method.POST, WarmUp.PATH).body(body))
-        val expected = WorkerWire.answer(fleet.lastHeartbeat.token, emptyList())
+        val expected = WorkerWire.heartbeatReply(fleet.lastHeartbeat.token, emptyList())
         assertEquals(expected, Cbor.decodeMap(response.body.stream.readAllBytes()))
     }
 }
--- a/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
@@ -47,8 +47,13 @@
         val placements = record.placements + record.placementParts.values.flatten()
         assertEquals((0 until 4000).toSet(), placements.map { it.task }.toSet())
         assertTrue(record.placementParts.size > 16, "${record.placementParts.size} parts")
-        val values = record.placementParts.values.map { RecordWire.encodePlaces(it) } + RecordWire.encode(record)
-        assertTrue(values.all { Cbor.jsonBytes(it) <= config().valueBytes }, "${values.map { Cbor.jsonBytes(it) }}")
+        val values = record.placementParts.values.map { RecordWire.encodePlacements(it) } + RecordWire.encode(record)
+        assertTrue(
+            values.all {
+                Cbor.jsonSizeBytes(it) <= config().valueBytes
+            },
+            "${values.map { Cbor.jsonSizeBytes(it) }}",
+        )
     }
 
     @Test
--- a/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
+++ b/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
@@ -59,6 +59,6 @@
         assertEquals(listOf("huge"), retry.writes.map { it.id })
         val write = store(wait(1.seconds)).writes.single() as UpdateJobRecord
         assertEquals(3, write.record.descriptionParts)
-        assertTrue(Cbor.jsonBytes(RecordWire.encode(write.record)) < VALUE_BYTES)
+        assertTrue(Cbor.jsonSizeBytes(RecordWire.encode(write.record)) < VALUE_BYTES)
     }
 }
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -123,7 +123,7 @@
             val record = state.get(Keys.job(id)) ?: return
             val cancellation = state.get(Keys.cancel(id))
             val finalState = StoreFinalState(id, record.version, cancellation?.version, 1)
-            val leaderVersion = state.get(Keys.LEAD)?.version ?: 0
+            val leaderVersion = state.get(Keys.LEADERSHIP)?.version ?: 0
             val transaction = transactionOf(leaderVersion, StoreChanges(listOf(finalState)))
             state.transact(transaction.conditions, transaction.puts, transaction.removes)
         }
@@ -136,7 +136,7 @@
     fun `no node answers anything older, whatever happens at the same time`(seed: Long) {
         val random = Random(seed)
         loseAnswers(isLosing = seed % 2 == 0L)
-        state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("token" to 1L), state.newLease())), emptyList())
+        state.transact(emptyMap(), listOf(Put(Keys.LEADERSHIP, mapOf("token" to 1L), state.newLease())), emptyList())
         val ids = (1..40).map { "run-%06d".format(seed * 1000 + it) }
 
         ids.forEach { play(it, random) }
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -71,7 +71,7 @@
 import glenspool.wire.Cbor
 import glenspool.wire.CloudWire
 import glenspool.wire.Fields
-import glenspool.wire.FinalWire
+import glenspool.wire.FinalStateWire
 import glenspool.wire.ImagesWire
 import glenspool.wire.JobWire
 import glenspool.wire.RecordWire
@@ -148,11 +148,11 @@
             records.mapValues { RecordWire.encode(it.value) } +
                 mapOf(
                     "part of a description" to RecordWire.encodeDescriptionParts(waiting, 4096).single(),
-                    "part with places" to RecordWire.encodePlaces(places),
+                    "part with places" to RecordWire.encodePlacements(places),
                     "done bits" to mapOf("done" to RecordWire.encodeBits(done)),
-                    "final state done" to FinalWire.encode(FinalState.DONE, 12, null),
-                    "final state cancelled" to FinalWire.encode(FinalState.CANCELLED, 12, null),
-                    "final state cancelled with another" to FinalWire.encode(FinalState.CANCELLED, 12, "run-0"),
+                    "final state done" to FinalStateWire.encode(FinalState.DONE, 12, null),
+                    "final state cancelled" to FinalStateWire.encode(FinalState.CANCELLED, 12, null),
+                    "final state cancelled with another" to FinalStateWire.encode(FinalState.CANCELLED, 12, "run-0"),
                     "images" to ImagesWire.encode(mapOf("i-1" to mapOf("img" to 2.5))),
                     "operators' orders" to
                         RolloutWire.encode(
@@ -193,7 +193,9 @@
     fun `keys and transactions`() {
         val keys =
             listOf(
-                Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.images(3), Keys.job("run-1"), Keys.cancel("run-1"),
+                Keys.LEADERSHIP, Keys.TOKEN_COUNTER, Keys.MACHINE_TYPES, Keys.images(3), Keys.job("run-1"),
+                Keys
+                    .cancel("run-1"),
                 Keys.chunk("run-1", 2), Keys.descriptionPart("run-1", 2), Keys.placementPart("run-1", 2),
                 Keys.final("run-1"), Keys.RECOVERY, Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE, Keys.LIVE,
             )
@@ -211,15 +213,17 @@
         val message = StoreWire.transaction(transaction.conditions, transaction.puts, transaction.removes)
         val requests =
             listOf(
-                StoreWire.list("g/", "g/j/x"), StoreWire.list("g/", null), StoreWire.follow("g/", 7, 3.seconds),
+                StoreWire.listPath("g/", "g/j/x"), StoreWire.listPath("g/", null),
                 StoreWire
-                    .renew(7),
+                    .watchPath("g/", 7, 3.seconds),
+                StoreWire
+                    .renewalPath(7),
             )
         GoldenFile("keys-and-transactions.txt").check(
             mapOf(
                 "keys" to keys.joinToString(" "), "transaction" to spelled(message),
                 "requests" to requests.joinToString(" "),
-                "new lease" to spelled(StoreWire.newLease(3.seconds)),
+                "new lease" to spelled(StoreWire.leaseRequest(3.seconds)),
             ),
         )
     }
@@ -247,11 +251,11 @@
             mapOf(
                 "report" to
                     WorkerWire.encode(Heartbeat("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, 7.5.seconds, tasks)),
-                "answer to a report" to WorkerWire.answer(7, commands),
-                "commands" to WorkerWire.direct(7, 2, commands),
+                "answer to a report" to WorkerWire.heartbeatReply(7, commands),
+                "commands" to WorkerWire.directCommands(7, 2, commands),
                 "redirect" to WorkerWire.redirect("n2"),
-                "rental" to CloudWire.rent("r-7-1", "g8", "a", true, 3),
-                "deletion" to CloudWire.delete(listOf("i-1", "i-2")),
+                "rental" to CloudWire.rentalRequest("r-7-1", "g8", "a", true, 3),
+                "deletion" to CloudWire.deletionRequest(listOf("i-1", "i-2")),
             ) + statuses
         GoldenFile("messages.txt").check(messages.mapValues { spelled(it.value) })
     }
--- a/src/test/kotlin/glenspool/rollout/RolloutModel.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModel.kt
@@ -57,7 +57,7 @@
         private set
 
     /** The stored level record; null if there is none. */
-    fun storedLevel(): LevelRecord? = store.entries[Keys.LEVEL]?.let { RolloutWire.level(it.value) }
+    fun storedLevel(): LevelRecord? = store.entries[Keys.LEVEL]?.let { RolloutWire.decodeLevel(it.value) }
 
     /** A process must not meet a form beyond its build unless it is fenced. */
     fun checkReader(process: ModelProcess, now: Duration) {
@@ -72,7 +72,7 @@
     fun checkTransaction(before: LevelRecord?, transaction: ModelTransaction, now: Duration) {
         val put = transaction.put
         when {
-            put.key == Keys.LEVEL -> checkLevel(before, RolloutWire.level(put.value), now)
+            put.key == Keys.LEVEL -> checkLevel(before, RolloutWire.decodeLevel(put.value), now)
             put.key.startsWith(FORM_PREFIX) -> checkForm(before, transaction, now)
         }
     }
@@ -86,7 +86,7 @@
     }
 
     private fun checkLevel(before: LevelRecord?, after: LevelRecord, now: Duration) {
-        val leaderToken = store.entries.getValue(Keys.LEAD).value["token"]
+        val leaderToken = store.entries.getValue(Keys.LEADERSHIP).value["token"]
         if (leaderToken != after.token) violations.add("$now $after is not of the leader")
         val from = before?.level ?: 0
         when (after.level) {
--- a/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
@@ -110,7 +110,7 @@
         catchUp(process)
         if (process.gate.fence() != null) return
         lastToken++
-        val put = Put(Keys.LEAD, mapOf("node" to process.member, "token" to lastToken))
+        val put = Put(Keys.LEADERSHIP, mapOf("node" to process.member, "token" to lastToken))
         store.transact(emptyMap(), listOf(put), emptyList())
         val recordVersion = store.revision
         catchUp(process)
@@ -200,7 +200,7 @@
     }
 
     private fun sendAsLeader(leader: Leader, key: String, version: Long, value: Fields) =
-        send(mapOf(Keys.LEAD to leader.recordVersion, key to version), key, value)
+        send(mapOf(Keys.LEADERSHIP to leader.recordVersion, key to version), key, value)
 
     private fun send(conditions: Map<String, Long>, key: String, value: Fields) {
         val transaction = ModelTransaction(conditions, Put(key, value))
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -102,7 +102,7 @@
     private fun readJobRecord(fields: Fields): Any? = JobRecordReader(InMemoryStore()).read("a", fields)
 
     private val readers: List<(Fields) -> Any?> =
-        listOf(RolloutWire::level, RolloutWire::orders, RolloutWire::state, ::readJobRecord, OldVersion::reads)
+        listOf(RolloutWire::decodeLevel, RolloutWire::decodeOrders, RolloutWire::decodeState, ::readJobRecord, OldVersion::reads)
 
     private fun readOrNull(reader: (Fields) -> Any?, fields: Fields): Any? =
         try {
@@ -139,9 +139,9 @@
         @ForAll("levelRecords") record: LevelRecord,
     ) {
         val fields = Cbor.decodeMap(Cbor.encode(RolloutWire.encode(record)))
-        assertEquals(record, RolloutWire.level(fields))
-        assertNull(readOrNull(RolloutWire::orders, fields))
-        assertNull(readOrNull(RolloutWire::state, fields))
+        assertEquals(record, RolloutWire.decodeLevel(fields))
+        assertNull(readOrNull(RolloutWire::decodeOrders, fields))
+        assertNull(readOrNull(RolloutWire::decodeState, fields))
         assertNull(OldVersion.reads(fields))
         assertNull(readOrNull(::readJobRecord, fields))
     }
@@ -153,7 +153,7 @@
         val store = InMemoryStore()
         store.transact(emptyMap(), listOf(Put(Keys.LEVEL, damagedRecord(seed))), emptyList())
         val gate = FeatureGate(FeatureRegistry.CURRENT.levelsOf("b"), RolloutRecords(store) { true }::level)
-        val record = readOrNull(RolloutWire::level, store.entries.getValue(Keys.LEVEL).value) as LevelRecord?
+        val record = readOrNull(RolloutWire::decodeLevel, store.entries.getValue(Keys.LEVEL).value) as LevelRecord?
         val mayWrite = record != null && record.level == 1 && record.stage == LevelStage.ACTIVE
         val mustNotServe = record != null && record.level > 1
         assertEquals(mayWrite, gate.permit(1) != null)
--- a/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
+++ b/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
@@ -72,7 +72,7 @@
         if (entries.remove(key) != null) log.add(Triple(key, null, revision))
     }
 
-    fun tooLarge(put: Put) = Cbor.jsonBytes(put.value) > valueLimit
+    fun tooLarge(put: Put) = Cbor.jsonSizeBytes(put.value) > valueLimit
 
     /** Compare-and-swap: returns the keys whose versions differ from [conditions], or null if it was carried out. */
     @Synchronized
--- a/src/test/kotlin/glenspool/simulation/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -68,7 +68,7 @@
     /** Submissions that were answered with a request to repeat them later. */
     val postponed: Int get() = users.postponed
 
-    val leader: String? get() = state.get(Keys.LEAD)?.value?.get("node") as String?
+    val leader: String? get() = state.get(Keys.LEADERSHIP)?.value?.get("node") as String?
     val fleetSize: Int get() = fleet.size
 
     private fun anyNode() = apiAddresses.getValue(names[random.nextInt(names.size)])
@@ -88,7 +88,7 @@
 
     /** Ends a controller as a crash would; the store ends its lease at once instead of after its time. */
     fun kill(name: String) {
-        val leaderLease = state.entries[Keys.LEAD]?.takeIf { it.value["node"] == name }?.lease
+        val leaderLease = state.entries[Keys.LEADERSHIP]?.takeIf { it.value["node"] == name }?.lease
         nodes.remove(name)?.close()
         leaderLease?.let(state::endLease)
     }
--- a/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -111,7 +111,7 @@
     fun elect(name: String) {
         leader = member(name)
         token++
-        state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("node" to name, "token" to token))), emptyList())
+        state.transact(emptyMap(), listOf(Put(Keys.LEADERSHIP, mapOf("node" to name, "token" to token))), emptyList())
         recordVersion = state.revision
         engine = RolloutEngine(leader.registry, policy, members.map { it.name }, now)
     }
@@ -140,7 +140,7 @@
             level = records.level(),
             orders = records.orders(),
             state = records.state(),
-            recordCountInLevel = { records.sealedRecords() },
+            recordCountInLevel = { records.countSealedRecordKeys() },
         )
 
     fun overview() = engine.overview(input())
@@ -165,7 +165,7 @@
     }
 
     private fun store(key: String, version: Long, value: Map<String, Any?>, onStored: () -> Unit) {
-        val conditions = mapOf(Keys.LEAD to recordVersion, key to version)
+        val conditions = mapOf(Keys.LEADERSHIP to recordVersion, key to version)
         val transaction = { if (state.transact(conditions, listOf(Put(key, value)), emptyList()) == null) onStored() }
         when (fate) {
             Fate.DONE, Fate.ANSWER_LOST -> transaction()
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -82,8 +82,9 @@
     private fun storeTerm() {
         val lease = store.state.newLease()
         token++
-        val leaderRecord = Put(Keys.LEAD, mapOf("token" to token), lease)
-        store.state.transact(emptyMap(), listOf(leaderRecord, Put(Keys.TERM, mapOf("token" to token))), emptyList())
+        val leaderRecord = Put(Keys.LEADERSHIP, mapOf("token" to token), lease)
+        store.state
+            .transact(emptyMap(), listOf(leaderRecord, Put(Keys.TOKEN_COUNTER, mapOf("token" to token))), emptyList())
         recordVersion = store.state.revision
     }
 
@@ -141,7 +142,7 @@
     fun advanceToken(by: Scheduler): Long? {
         if (scheduler !== by || store.isDown) return null
         token++
-        store.state.transact(emptyMap(), listOf(Put(Keys.TERM, mapOf("token" to token))), emptyList())
+        store.state.transact(emptyMap(), listOf(Put(Keys.TOKEN_COUNTER, mapOf("token" to token))), emptyList())
         return token
     }
 
--- a/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
+++ b/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
@@ -26,34 +26,34 @@
     @AfterEach
     fun close() = listener.close()
 
-    private fun answers(status: Status, body: Fields = emptyMap()) {
+    private fun respondWith(status: Status, body: Fields = emptyMap()) {
         answer = cbor(status, body)
     }
 
     @Test
     fun `an item is read with its value and version`() {
-        answers(Status.OK, mapOf("key" to "g/a", "data" to mapOf("n" to 1L), "mark" to 7L))
+        respondWith(Status.OK, mapOf("key" to "g/a", "data" to mapOf("n" to 1L), "mark" to 7L))
 
         assertEquals(StoreResult.Ok(StoreWire.Item("g/a", mapOf("n" to 1L), 7L)), client.get("g/a"))
     }
 
     @Test
-    fun `an absent key is missing, and a failed condition names its keys`() {
-        answers(Status.NOT_FOUND)
+    fun `an absent key is reported as missing, and a conflict names the keys of the failed conditions`() {
+        respondWith(Status.NOT_FOUND)
         assertEquals(StoreResult.Missing, client.get("g/a"))
 
-        answers(Status.CONFLICT, mapOf("failed" to listOf("g/lead")))
+        respondWith(Status.CONFLICT, mapOf("failed" to listOf("g/lead")))
         assertEquals(StoreResult.Conflict(listOf("g/lead")), client.transact(mapOf("g/lead" to 1L), emptyList()))
     }
 
     @Test
-    fun `an answer that can't be decoded may have been carried out`() {
-        answers(Status.OK, mapOf("ledger" to "soon"))
+    fun `the outcome is unknown if the answer can't be decoded`() {
+        respondWith(Status.OK, mapOf("ledger" to "soon"))
 
         val result = client.transact(emptyMap(), listOf(Put("g/a", emptyMap())))
 
-        val why = "glenspool.wire.MalformedMessage: ledger: a whole number is needed"
-        assertEquals(StoreResult.Unknown(why), result)
+        val reason = "glenspool.wire.MalformedMessage: ledger: a whole number is needed"
+        assertEquals(StoreResult.Unknown(reason), result)
     }
 
     @Test
@@ -66,7 +66,7 @@
     }
 
     @Test
-    fun `the store counts as unreachable from a failure on until an answer, and refusals say nothing of it`() {
+    fun `the store is unreachable from a failure until the next answer, and client errors do not change that`() {
         val statuses =
             listOf(
                 Status.TOO_MANY_REQUESTS to false,
@@ -78,7 +78,7 @@
             )
         assertFalse(client.isUnreachable)
         for ((status, isUnreachable) in statuses) {
-            answers(status)
+            respondWith(status)
             client.get("g/a")
             assertEquals(isUnreachable, client.isUnreachable, status.toString())
         }
--- a/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
+++ b/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
@@ -34,23 +34,23 @@
         )
 
     @Test
-    fun `changes from before a page was read take no key of it back`() {
+    fun `a change older than a page that was read does not replace the newer value of its key`() {
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 4, { request ->
             val body: Fields = if (request.uri.path == "/store") page else changes
             cbor(Status.OK, body)
         }).use { listener ->
             val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
             val cache = StoreCache(client, 1000.0) { _, _ -> }
-            val syncs = thread(isDaemon = true) { untilInterrupted { cache.serveSyncs() } }
+            val syncThread = thread(isDaemon = true) { runUntilInterrupted { cache.serveSyncs() } }
 
             repeat(2) { assertTrue(cache.sync(5.seconds)) }
 
             assertEquals(listOf("g/a" to 20L, "g/b" to 16L), cache.withPrefix("g/").map { it.key to it.version })
-            syncs.interrupt()
+            syncThread.interrupt()
         }
     }
 
-    private fun untilInterrupted(work: () -> Unit) {
+    private fun runUntilInterrupted(work: () -> Unit) {
         try {
             work()
         } catch (e: InterruptedException) {
@@ -59,15 +59,15 @@
     }
 
     @Test
-    fun `the active level is read after everything that may be written under it`() {
-        val others =
+    fun `the active level sorts after all keys whose form may depend on it`() {
+        val otherKeys =
             listOf(
-                Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL,
+                Keys.LEADERSHIP, Keys.TOKEN_COUNTER, Keys.MACHINE_TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL,
                 Keys.CHUNK, Keys.DESCRIPTION_PART, Keys.PLACEMENT_PART,
             )
-        val rollout = listOf(Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE)
+        val rolloutKeys = listOf(Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE)
 
-        assertTrue(others.all { it < Keys.ROLLOUT && it.startsWith(Keys.LIVE) })
-        assertTrue(rollout.all { it.startsWith(Keys.ROLLOUT) })
+        assertTrue(otherKeys.all { it < Keys.ROLLOUT && it.startsWith(Keys.LIVE) })
+        assertTrue(rolloutKeys.all { it.startsWith(Keys.ROLLOUT) })
     }
 }
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -25,7 +25,7 @@
 import glenspool.state.Put
 import glenspool.wire.Cbor
 import glenspool.wire.Fields
-import glenspool.wire.FinalWire
+import glenspool.wire.FinalStateWire
 import glenspool.wire.ImagesWire
 import glenspool.wire.JobWire
 import glenspool.wire.RecordWire
@@ -87,12 +87,16 @@
     fun `its final states, cancellations, image locations and leadership are read`() {
         val done = stored(Keys.final("run-000001"))
         val cancelled = stored(Keys.final("run-000002"))
-        assertEquals(listOf(FinalState.DONE, FinalState.CANCELLED), listOf(done, cancelled).map(FinalWire::end))
-        assertEquals(4, FinalWire.answer("run-000001", done)["done"])
+        assertEquals(
+            listOf(FinalState.DONE, FinalState.CANCELLED),
+            listOf(done, cancelled)
+                .map(FinalStateWire::finalState),
+        )
+        assertEquals(4, FinalStateWire.status("run-000001", done)["done"])
         assertEquals(1_003_000L, stored(Keys.cancel("run-000414")).count("at"))
         assertEquals(mapOf("i-000001" to mapOf("img-07" to 6.2)), ImagesWire.decode(stored(Keys.images(3))))
-        assertEquals("bobbin-0" to 5L, stored(Keys.LEAD).let { it["node"] to it.count("token") })
-        assertEquals(5L, stored(Keys.TERM).count("token"))
+        assertEquals("bobbin-0" to 5L, stored(Keys.LEADERSHIP).let { it["node"] to it.count("token") })
+        assertEquals(5L, stored(Keys.TOKEN_COUNTER).count("token"))
     }
 
     @Test
--- a/src/test/kotlin/glenspool/wire/WireTest.kt
+++ b/src/test/kotlin/glenspool/wire/WireTest.kt
@@ -33,7 +33,7 @@
     private val cbor = ObjectMapper(CBORFactory())
 
     /** The message as a second, independent encoder writes it. */
-    private fun received(text: String): Fields = Cbor.decodeMap(cbor.writeValueAsBytes(json.readTree(text)))
+    private fun decodeJson(text: String): Fields = Cbor.decodeMap(cbor.writeValueAsBytes(json.readTree(text)))
 
     /** The message as it arrives after encoding and decoding. */
     private fun roundTrip(fields: Fields): Fields = Cbor.decodeMap(Cbor.encode(fields))
@@ -49,7 +49,7 @@
      "expected_s":240.0,"knot_s":30.0,"knotting_s":4.0,"due_s":900.0}"""
 
     @Test
-    fun `a heartbeat that is encoded here is decoded as it was`() {
+    fun `an encoded heartbeat decodes to an equal heartbeat`() {
         val tasks =
             TaskState.entries.map { state ->
                 val exit = if (state == TaskState.EXITED) ExitReason.INSUFFICIENT_RESOURCES else null
@@ -62,8 +62,8 @@
     }
 
     @Test
-    fun `a job is decoded and encoded as in the protocol`() {
-        val decoded = JobWire.decode(received(job))
+    fun `a job is decoded and encoded in the protocol form`() {
+        val decoded = JobWire.decode(decodeJson(job))
 
         assertEquals(JobKind.GANG, decoded.kind)
         assertEquals(Priority.URGENT, decoded.priority)
@@ -75,8 +75,8 @@
     }
 
     @Test
-    fun `absent and null mean the same where null is allowed, and unknown fields are ignored`() {
-        val fields = received(job) - listOf("frames", "hall", "due_s") + ("colour" to "green")
+    fun `an absent optional field is decoded as null, and unknown fields are ignored`() {
+        val fields = decodeJson(job) - listOf("frames", "hall", "due_s") + ("colour" to "green")
 
         val decoded = JobWire.decode(fields)
 
@@ -85,9 +85,9 @@
     }
 
     @Test
-    fun `absurd jobs are malformed`() {
-        val good = received(job)
-        val absurdValues =
+    fun `jobs with invalid values or without required fields are malformed`() {
+        val valid = decodeJson(job)
+        val invalidValues =
             listOf(
                 "threads" to 0L, "threads" to 100_001L, "threads" to -1L, "threads" to 2.5,
                 "threads" to BigInteger.ONE.shiftLeft(64), "threads" to null,
@@ -98,15 +98,15 @@
             )
         val required = listOf("uid", "lot", "crew", "weave", "threads", "cpus", "pattern", "loaners")
 
-        for (absurd in absurdValues) {
-            assertThrows(MalformedMessage::class.java, { JobWire.decode(good + absurd) }, absurd.toString())
+        for (invalid in invalidValues) {
+            assertThrows(MalformedMessage::class.java, { JobWire.decode(valid + invalid) }, invalid.toString())
         }
-        for (name in required) assertThrows(MalformedMessage::class.java, { JobWire.decode(good - name) }, name)
+        for (name in required) assertThrows(MalformedMessage::class.java, { JobWire.decode(valid - name) }, name)
     }
 
     @Test
-    fun `a malformed message names the field and what it needs`() {
-        val malformed = assertThrows(MalformedMessage::class.java) { JobWire.decode(received(job) + ("lot" to 7L)) }
+    fun `a malformed message names the field and the expected type`() {
+        val malformed = assertThrows(MalformedMessage::class.java) { JobWire.decode(decodeJson(job) + ("lot" to 7L)) }
 
         assertEquals("lot", malformed.field)
         assertEquals("a text is needed", malformed.problem)
@@ -114,22 +114,22 @@
     }
 
     @Test
-    fun `bytes that are no map are malformed, whatever they are`() {
-        val whole = Cbor.encode(received(job))
+    fun `bytes that are not exactly one CBOR map are malformed`() {
+        val complete = Cbor.encode(decodeJson(job))
         val nested = ByteArray(2000) { 0x81.toByte() }
-        val noMaps =
-            listOf(byteArrayOf(1), Cbor.encode(listOf("a")), byteArrayOf(0xff.toByte()), nested, whole + whole)
+        val otherInputs =
+            listOf(byteArrayOf(1), Cbor.encode(listOf("a")), byteArrayOf(0xff.toByte()), nested, complete + complete)
 
-        for (size in whole.indices) {
-            assertThrows(MalformedMessage::class.java, { Cbor.decodeMap(whole.copyOf(size)) }, "cut at $size")
+        for (size in complete.indices) {
+            assertThrows(MalformedMessage::class.java, { Cbor.decodeMap(complete.copyOf(size)) }, "cut at $size")
         }
-        for (bytes in noMaps) assertThrows(MalformedMessage::class.java) { Cbor.decodeMap(bytes) }
+        for (bytes in otherInputs) assertThrows(MalformedMessage::class.java) { Cbor.decodeMap(bytes) }
     }
 
     @Test
-    fun `a heartbeat is decoded as in the protocol`() {
+    fun `a heartbeat in the protocol form is decoded`() {
         val fields =
-            received(
+            decodeJson(
                 """{"spindle":"i-000231","addr":"10.1.0.232:9000","frame":"g8","hall":"a","loaners":true,
                  "shift":1,"stitch":88,"baton":41,"recall_s":null,
                  "threads":[{"thread":"run-000412/3","try":2,"stage":"running"},
@@ -147,7 +147,7 @@
     }
 
     @Test
-    fun `commands are encoded as in the protocol`() {
+    fun `commands are encoded in the protocol form`() {
         val commands =
             listOf(
                 StartTask(TaskKey("run-000412", 4), 2, StartCause.PLACED),
@@ -159,13 +159,13 @@
             {"verb":"stop","thread":"run-000377/1","try":1,"wind_down_s":10.0},
             {"verb":"clear","thread":"run-000398/0","try":1}]"""
 
-        assertEncodes("""{"baton":41,"orders":$orders}""", WorkerWire.answer(41, commands))
-        assertEncodes("""{"baton":41,"shift":3,"orders":$orders}""", WorkerWire.direct(41, 3, commands))
+        assertEncodes("""{"baton":41,"orders":$orders}""", WorkerWire.heartbeatReply(41, commands))
+        assertEncodes("""{"baton":41,"shift":3,"orders":$orders}""", WorkerWire.directCommands(41, 3, commands))
         assertEncodes("""{"foreman":"bobbin-2"}""", WorkerWire.redirect("bobbin-2"))
     }
 
     @Test
-    fun `a transaction is encoded, and changes are decoded, as in the protocol`() {
+    fun `a transaction is encoded, and changes are decoded, in the protocol form`() {
         val put = StoreWire.Put("a/b", mapOf("x" to 1L), lease = 7L)
         assertEncodes(
             """{"guards":[{"key":"a/b","mark":0}],
@@ -178,24 +178,24 @@
         )
 
         val log = """[{"set":"c/9","data":{},"mark":433},{"remove":"c/d","mark":432}]"""
-        val changes = StoreWire.decodeChanges(received("""{"ledger":433,"log":$log}"""))
+        val changes = StoreWire.decodeChanges(decodeJson("""{"ledger":433,"log":$log}"""))
         assertEquals(listOf("c/9", "c/d"), changes.map { it.key })
         assertNull(changes[1].value)
     }
 
     @Test
-    fun `stored image locations come back as they were`() {
+    fun `encoded image locations decode to equal ones`() {
         val images = mapOf("i-1" to mapOf("img-1" to 2.5, "img-2" to 6.0), "i-2" to mapOf("img-1" to 2.5))
 
         assertEquals(images, ImagesWire.decode(roundTrip(ImagesWire.encode(images))))
     }
 
     @Test
-    fun `a stored record comes back as it was`() {
+    fun `an encoded job record decodes to an equal record`() {
         val done = BitSet().apply { listOf(0, 15).forEach(::set) }
         val placements =
             listOf(StoredPlacement(1, 8, "i-1"), StoredPlacement(2, 9, "i-1"), StoredPlacement(3, 9, "i-2"))
-        val record = JobRecord(JobWire.decode(received(job)), 1234.seconds, 9, done, placements)
+        val record = JobRecord(JobWire.decode(decodeJson(job)), 1234.seconds, 9, done, placements)
 
         val read = JobRecordReader(InMemoryStore()).read(record.spec.id, roundTrip(RecordWire.encode(record)))
 
