--- a/src/main/kotlin/glenspool/api/FenceFilter.kt
+++ b/src/main/kotlin/glenspool/api/FenceFilter.kt
@@ -1,6 +1,6 @@
 package glenspool.api
 
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.rollout.Fence
 import glenspool.wire.UserWire
 import org.http4k.core.Filter
@@ -17,7 +17,7 @@
     }
 
 private fun fencedResponse(fence: Fence): Response =
-    cbor(Status.SERVICE_UNAVAILABLE, UserWire.fenced(fence.toString(), fence.neededLevel))
+    cborResponse(Status.SERVICE_UNAVAILABLE, UserWire.fenced(fence.toString(), fence.neededLevel))
         .header("Retry-After", FENCED_RETRY_SECONDS.toString())
         .header("Connection", "close")
 
--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -2,7 +2,7 @@
 
 import glenspool.config.Settings
 import glenspool.core.model.MachineType
-import glenspool.http.bounded
+import glenspool.http.readBounded
 import glenspool.peer.PeerClient
 import glenspool.peer.RelayAnswer
 import glenspool.peer.RelayRequest
@@ -56,7 +56,7 @@
 
     override fun invoke(request: Request): Response {
         if (request.uri.path == UserPaths.READY && request.method == Method.GET) return ready()
-        val body = request.body.bounded() ?: return BODY_TOO_LONG.toResponse()
+        val body = request.body.readBounded() ?: return BODY_TOO_LONG.toResponse()
         if (isIsolated()) return tryElsewhere()
         val userRequest = UserRequest(request.method, request.uri.path, body)
         // While the store can't be reached, a peer answers sooner than another attempt would time out.
--- a/src/main/kotlin/glenspool/api/UserResponses.kt
+++ b/src/main/kotlin/glenspool/api/UserResponses.kt
@@ -1,7 +1,7 @@
 package glenspool.api
 
-import glenspool.http.cbor
-import glenspool.http.tryLater
+import glenspool.http.cborResponse
+import glenspool.http.retryLaterResponse
 import glenspool.peer.RelayAnswer
 import glenspool.wire.UserWire
 import org.http4k.core.Response
@@ -9,25 +9,21 @@
 
 internal fun UserAnswer.toResponse(): Response =
     when (this) {
-        is UserAnswer.Accepted -> cbor(Status.CREATED, UserWire.acceptedStatus(jobId, abortedBy))
+        is UserAnswer.Accepted -> cborResponse(Status.CREATED, UserWire.acceptedStatus(jobId, abortedBy))
         is UserAnswer.Live ->
-            cbor(
-                Status.OK,
-                UserWire
-                    .openStatus(jobId, tasksDone, tasksRunning, unfinishedDependencies),
-            )
-        is UserAnswer.Ended -> cbor(Status.OK, UserWire.endedStatus(jobId, outcome))
-        is UserAnswer.NotFound -> cbor(Status.NOT_FOUND, UserWire.error("no such job: $jobId"))
-        is UserAnswer.Refused -> cbor(status, UserWire.error(reason))
-        UserAnswer.RateLimited -> tryLater(Status.TOO_MANY_REQUESTS)
-        UserAnswer.TryLater, UserAnswer.Unreachable -> tryLater()
+            cborResponse(Status.OK, UserWire.openStatus(jobId, tasksDone, tasksRunning, unfinishedDependencies))
+        is UserAnswer.Ended -> cborResponse(Status.OK, UserWire.endedStatus(jobId, outcome))
+        is UserAnswer.NotFound -> cborResponse(Status.NOT_FOUND, UserWire.error("no such job: $jobId"))
+        is UserAnswer.Refused -> cborResponse(status, UserWire.error(reason))
+        UserAnswer.RateLimited -> retryLaterResponse(Status.TOO_MANY_REQUESTS)
+        UserAnswer.TryLater, UserAnswer.Unreachable -> retryLaterResponse()
     }
 
 /** The answer to the health probe of a node that takes requests. */
-internal fun readyResponse(): Response = cbor(Status.OK, emptyMap())
+internal fun readyResponse(): Response = cborResponse(Status.OK, emptyMap())
 
 /** Has the user open a new connection, which the load balancer gives to another node. */
-internal fun tryElsewhere(): Response = tryLater().header("Connection", "close")
+internal fun tryElsewhere(): Response = retryLaterResponse().header("Connection", "close")
 
 internal fun Response.toRelayAnswer(): RelayAnswer =
     RelayAnswer(
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -7,8 +7,8 @@
 import glenspool.core.model.StopTask
 import glenspool.core.model.TaskState
 import glenspool.http.AsyncHandler
-import glenspool.http.bounded
-import glenspool.http.cbor
+import glenspool.http.cborResponse
+import glenspool.http.readBounded
 import glenspool.logging.loggerOf
 import glenspool.wire.Cbor
 import glenspool.wire.MalformedMessage
@@ -39,8 +39,8 @@
 
     override fun handle(request: Request, respond: (Response) -> Unit) {
         heartbeats.incrementAndGet()
-        if (request.method != Method.POST) return respond(cbor(Status.METHOD_NOT_ALLOWED, emptyMap()))
-        val bytes = request.body.bounded() ?: return respond(badRequest("the body is too long"))
+        if (request.method != Method.POST) return respond(cborResponse(Status.METHOD_NOT_ALLOWED, emptyMap()))
+        val bytes = request.body.readBounded() ?: return respond(badRequest("the body is too long"))
         val heartbeat =
             try {
                 WorkerWire.decodeHeartbeat(Cbor.decodeMap(bytes))
@@ -64,10 +64,10 @@
     private fun answerWithoutLead(heartbeat: Heartbeat): Response {
         val leader = node.otherLeader()
         if (leader != null && redirectLimiter.mayRedirect(heartbeat.machine)) {
-            return cbor(MISDIRECTED, WorkerWire.redirect(leader))
+            return cborResponse(MISDIRECTED, WorkerWire.redirect(leader))
         }
         // A build that may not understand what is stored can't say which work was cancelled.
-        if (node.fenced() || !renewsLease(heartbeat)) return cbor(Status.SERVICE_UNAVAILABLE, emptyMap())
+        if (node.fenced() || !renewsLease(heartbeat)) return cborResponse(Status.SERVICE_UNAVAILABLE, emptyMap())
         // There is no known leader, or the worker may not be redirected to it now. An answer with the worker's own
         // token starts nothing and keeps its tasks alive.
         return answer(heartbeat, heartbeat.token, stopsOfCancelled(heartbeat))
@@ -80,7 +80,7 @@
 
     private fun answer(heartbeat: Heartbeat, token: Long, commands: List<Command>): Response {
         leaseRenewal.recordAnswer(heartbeat.machine)
-        return cbor(Status.OK, WorkerWire.heartbeatReply(token, commands))
+        return cborResponse(Status.OK, WorkerWire.heartbeatReply(token, commands))
     }
 
     /** A cancelled job stays cancelled, so any node may have its tasks stopped, whatever token is in force. */
@@ -89,7 +89,7 @@
             .filter { it.state != TaskState.EXITED && node.cancellations.contains(it.key.job) }
             .map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
 
-    private fun badRequest(reason: String): Response = cbor(Status.BAD_REQUEST, UserWire.error(reason))
+    private fun badRequest(reason: String): Response = cborResponse(Status.BAD_REQUEST, UserWire.error(reason))
 
     private companion object {
         val log = loggerOf(WorkerApi::class.java)
--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -6,9 +6,9 @@
 import glenspool.controller.schedulerConfig
 import glenspool.core.Tuning
 import glenspool.core.WarmUpFleet
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.peer.CancellationMessage
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerPaths
@@ -61,7 +61,7 @@
         // The log lines are formatted, which loads classes too, but nobody reads them.
         System.setErr(PrintStream(OutputStream.nullOutputStream()))
         // Before the first listener is made, as in `serve`: a listener reads the limit once.
-        HttpListener.configure(MAX_SOCKETS)
+        HttpListener.setSocketLimit(MAX_SOCKETS)
         val outside = HttpListener(InetSocketAddress(LOOPBACK, 0), "canned", 8, SimulatedCounterparts::answer)
         val settingsFile = File.createTempFile("class-loading", ".toml")
         try {
@@ -88,7 +88,7 @@
     }
 
     private fun sendUserAndWorkerRequests(api: String, workerAddress: String) {
-        val http = HttpCaller(CONNECT_TIMEOUT)
+        val http = HttpClient(CONNECT_TIMEOUT)
         http.get("$LOOPBACK:${freePort()}", "/nobody-listens", 1.seconds)
         Thread.sleep(ELECTION_TIME.inWholeMilliseconds)
         val job = SimulatedCounterparts.job
@@ -129,7 +129,7 @@
                 Thread.sleep(MANAGED_TIME.inWholeMilliseconds)
                 val request = PeerWire.encode(RolloutRequest(RolloutVerb.STATUS))
                 val node = "$LOOPBACK:$internalPort"
-                HttpCaller(CONNECT_TIMEOUT).callRaw("POST", node, PeerPaths.ROLLOUT, request, TIMEOUT)
+                HttpClient(CONNECT_TIMEOUT).callRaw("POST", node, PeerPaths.ROLLOUT, request, TIMEOUT)
             }
         } finally {
             policyFile.deleteOnExit()
@@ -195,12 +195,12 @@
                 path == "/multi" -> mapOf("ledger" to revision.incrementAndGet())
                 path == "/follow" -> mapOf("ledger" to revision.get(), "log" to changes())
                 path == "/store" -> mapOf("rows" to emptyList<Any>(), "has_next" to false, "ledger" to 0)
-                path.startsWith("/store/") -> return cbor(Status.NOT_FOUND, mapOf("ledger" to revision.get()))
+                path.startsWith("/store/") -> return cborResponse(Status.NOT_FOUND, mapOf("ledger" to revision.get()))
                 path == "/do" || path == "/show" -> heartbeat(revision.get() + HEARTBEAT_OFFSET, "127.0.0.1:9")
                 else -> emptyMap()
             }
         if (request.method == Method.POST) Cbor.decodeMap(request.body.stream.readAllBytes())
-        return cbor(Status.OK, body)
+        return cborResponse(Status.OK, body)
     }
 
     /** Of a worker whose task runs at first and ends later. */
--- a/src/main/kotlin/glenspool/cli/JobCommand.kt
+++ b/src/main/kotlin/glenspool/cli/JobCommand.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.wire.Fields
 import org.apache.commons.cli.Options
 import java.io.File
@@ -16,7 +16,7 @@
     private val TIMEOUT = 5.seconds
     private val SUCCESS = 200..299
     private val json = ObjectMapper()
-    private val http = HttpCaller(2.seconds)
+    private val http = HttpClient(2.seconds)
 
     fun run(args: List<String>): Int {
         val verb = args.firstOrNull() ?: throw UsageError("job needs submit, show or cancel")
@@ -45,12 +45,12 @@
 
     private fun report(result: CallResult): Int =
         when (result) {
-            is CallResult.Answer -> report(result)
+            is CallResult.Response -> report(result)
             is CallResult.NotSent -> reportFailure(result.reason)
-            is CallResult.NoAnswer -> reportFailure("no answer; it may have been carried out: ${result.reason}")
+            is CallResult.NoResponse -> reportFailure("no answer; it may have been carried out: ${result.reason}")
         }
 
-    private fun report(answer: CallResult.Answer): Int {
+    private fun report(answer: CallResult.Response): Int {
         val text = json.writeValueAsString(answer.body)
         if (answer.status !in SUCCESS) return reportFailure("status ${answer.status} $text")
         println(text)
--- a/src/main/kotlin/glenspool/cli/OperatorClient.kt
+++ b/src/main/kotlin/glenspool/cli/OperatorClient.kt
@@ -1,7 +1,7 @@
 package glenspool.cli
 
 import com.fasterxml.jackson.databind.ObjectMapper
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.RawResult
 import kotlinx.serialization.SerializationException
 import org.apache.commons.cli.Option
@@ -62,7 +62,7 @@
     private const val OK = 200
     private const val NOT_FOUND = 404
     private val REPLY_TIMEOUT = 8.seconds
-    private val http = HttpCaller(2.seconds)
+    private val http = HttpClient(2.seconds)
 
     /**
      * Posts [body] to [path] and decodes the reply with [decode].
@@ -78,8 +78,9 @@
     ): OperatorAnswer<T> =
         when (val result = http.callRaw("POST", node, path, body, REPLY_TIMEOUT)) {
             is RawResult.NotSent -> OperatorAnswer.Failed(result.reason)
-            is RawResult.NoAnswer -> OperatorAnswer.Failed("no answer; it may have been carried out: ${result.reason}")
-            is RawResult.Answer ->
+            is RawResult.NoResponse ->
+                OperatorAnswer.Failed("no answer; it may have been carried out: ${result.reason}")
+            is RawResult.Response ->
                 when (result.status) {
                     OK -> decoded(result.body, decode)
                     NOT_FOUND -> OperatorAnswer.Failed(unknownPath)
--- a/src/main/kotlin/glenspool/cli/ServeCommand.kt
+++ b/src/main/kotlin/glenspool/cli/ServeCommand.kt
@@ -22,7 +22,7 @@
         val line = parseOptions(options, args)
         if (line.argList.isNotEmpty()) throw UsageError("unexpected argument '${line.argList.first()}'")
         val settings = SettingsReader().read(File(line.getOptionValue(CONFIG)))
-        HttpListener.configure(settings.maxSockets)
+        HttpListener.setSocketLimit(settings.maxSockets)
         val files = ConfigFiles(line)
         val rolloutPolicy = files.rolloutPolicy()
         val recoveryPolicy = files.recoveryPolicy()
--- a/src/main/kotlin/glenspool/cloud/CloudClient.kt
+++ b/src/main/kotlin/glenspool/cloud/CloudClient.kt
@@ -4,7 +4,7 @@
 import glenspool.core.ScaleOut
 import glenspool.core.model.ListedMachine
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.logging.loggerOf
 import glenspool.wire.CloudWire
 import glenspool.wire.Fields
@@ -25,7 +25,7 @@
 
 /** The requests of the cloud's API. Each waits until the cloud's request rate allows it; none is retried. */
 @Suppress("UnstableApiUsage")
-class CloudClient(private val addr: String, private val http: HttpCaller, rps: Double) {
+class CloudClient(private val addr: String, private val http: HttpClient, rps: Double) {
     private val limiter by lazy { RateLimiter.create(rps * RATE_SHARE) }
 
     /** The machine types in the protocol's form, as it is stored for other nodes; null: no usable answer. */
@@ -55,10 +55,10 @@
         limiter.acquire()
         val body = CloudWire.rentalRequest(request.request, request.type, request.zone, request.spot, request.count)
         val reply = http.post(addr, "/hosts", body, TIMEOUT)
-        return if (reply is CallResult.Answer) outcomeOf(reply) else ScaleOutOutcome.Unknown
+        return if (reply is CallResult.Response) outcomeOf(reply) else ScaleOutOutcome.Unknown
     }
 
-    private fun outcomeOf(answer: CallResult.Answer): ScaleOutOutcome =
+    private fun outcomeOf(answer: CallResult.Response): ScaleOutOutcome =
         when (answer.status) {
             OK -> ScaleOutOutcome.Rented(CloudWire.decodeMachineIds(answer.body))
             BAD_REQUEST -> ScaleOutOutcome.Refused
@@ -71,13 +71,13 @@
     fun delete(ids: List<String>): Boolean {
         limiter.acquire()
         val reply = http.post(addr, "/hosts/delete", CloudWire.deletionRequest(ids), TIMEOUT)
-        return reply is CallResult.Answer && reply.status == OK
+        return reply is CallResult.Response && reply.status == OK
     }
 
     private fun <T> read(path: String, decode: (Fields) -> T): T? {
         limiter.acquire()
         val reply = http.get(addr, path, TIMEOUT)
-        if (reply !is CallResult.Answer || reply.status != OK) return null
+        if (reply !is CallResult.Response || reply.status != OK) return null
         return try {
             decode(reply.body)
         } catch (e: MalformedMessage) {
--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -156,7 +156,7 @@
     /** Runs [call] on [pool]. Calls [onFailure] if the pool is full or the call throws an exception. */
     private fun run(pool: CallPool, onFailure: () -> Unit, call: () -> Unit) {
         val isAccepted =
-            pool.run {
+            pool.tryExecute {
                 try {
                     call()
                 } catch (e: Exception) {
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -64,7 +64,7 @@
     private fun checkInBackground(suspect: SuspectMachine, addr: String) {
         if (!inProgress.add(suspect.machine)) return
         val isAccepted =
-            pool.run {
+            pool.tryExecute {
                 try {
                     checkMachine(suspect, addr)
                 } finally {
--- a/src/main/kotlin/glenspool/controller/Clients.kt
+++ b/src/main/kotlin/glenspool/controller/Clients.kt
@@ -2,7 +2,7 @@
 
 import glenspool.cloud.CloudClient
 import glenspool.config.Settings
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.hostPort
 import glenspool.peer.PeerClient
 import glenspool.state.KeyValueStoreClient
@@ -11,7 +11,7 @@
 
 /** A node's clients for all services that it calls. */
 internal class Clients(settings: Settings) {
-    private val http = HttpCaller(CONNECT_TIMEOUT)
+    private val http = HttpClient(CONNECT_TIMEOUT)
 
     val store = KeyValueStoreClient(settings.state.hostPort(), http)
     val cloud = CloudClient(settings.cloud.hostPort(), http, settings.cloudLimits.rps)
@@ -20,7 +20,7 @@
      * Keeps no connections open, since a machine rarely receives a command, and open connections to a large fleet would
      * take half of the sockets.
      */
-    val workers = WorkerClient(HttpCaller(CONNECT_TIMEOUT, keepOpen = false))
+    val workers = WorkerClient(HttpClient(CONNECT_TIMEOUT, keepAlive = false))
     val peers = PeerClient(settings.members)
 
     private companion object {
--- a/src/main/kotlin/glenspool/controller/WarmUp.kt
+++ b/src/main/kotlin/glenspool/controller/WarmUp.kt
@@ -3,9 +3,9 @@
 import glenspool.core.SchedulerConfig
 import glenspool.core.WarmUpFleet
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
-import glenspool.http.bounded
-import glenspool.http.cbor
+import glenspool.http.HttpClient
+import glenspool.http.cborResponse
+import glenspool.http.readBounded
 import glenspool.logging.loggerOf
 import glenspool.wire.Cbor
 import glenspool.wire.WorkerWire
@@ -33,7 +33,7 @@
     private val answeredHeartbeats: () -> Long,
     private val isLeading: () -> Boolean,
 ) {
-    private val http = HttpCaller(500.milliseconds)
+    private val http = HttpClient(500.milliseconds)
 
     /**
      * The body of the service thread, which ends when this function returns. Nothing depends on the warm-up: if it
@@ -78,7 +78,7 @@
     /** Sends a heartbeat to this node itself. Returns false if it was not answered. */
     private fun sendHeartbeat(fleet: WarmUpFleet): Boolean {
         val result = http.post(addr, PATH, WorkerWire.encode(fleet.lastHeartbeat), 2.seconds)
-        return result is CallResult.Answer && result.status == Status.OK.code
+        return result is CallResult.Response && result.status == Status.OK.code
     }
 
     companion object {
@@ -97,9 +97,9 @@
 
         /** Decodes a heartbeat and answers it without commands, and does nothing else with it. */
         fun answer(request: Request): Response {
-            val body = request.body.bounded() ?: return cbor(Status.BAD_REQUEST, emptyMap())
+            val body = request.body.readBounded() ?: return cborResponse(Status.BAD_REQUEST, emptyMap())
             val heartbeat = WorkerWire.decodeHeartbeat(Cbor.decodeMap(body))
-            return cbor(Status.OK, WorkerWire.heartbeatReply(heartbeat.token, emptyList()))
+            return cborResponse(Status.OK, WorkerWire.heartbeatReply(heartbeat.token, emptyList()))
         }
     }
 }
--- a/src/main/kotlin/glenspool/http/CallPool.kt
+++ b/src/main/kotlin/glenspool/http/CallPool.kt
@@ -8,13 +8,13 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * A thread pool for calls that may block: it starts a thread only if all others are busy, up to [threads]; further
+ * A thread pool for calls that may block: it starts a thread only if all others are busy, up to [maxThreads]; further
  * calls are queued, up to [queueCapacity], and beyond that refused. A counterpart that does not answer blocks a thread
  * for seconds, and tens of machines may be lost at once, while after a failover hundreds of short calls come together.
  *
  * Threads are daemons with small stacks and end after ten idle seconds, except for one.
  */
-class CallPool(name: String, threads: Int, private val queueCapacity: Int) :
+class CallPool(name: String, maxThreads: Int, private val queueCapacity: Int) :
     Executor,
     AutoCloseable {
     private inner class CallQueue : LinkedBlockingQueue<Runnable>() {
@@ -35,7 +35,7 @@
     private val executor: ThreadPoolExecutor =
         ThreadPoolExecutor(
             1,
-            threads,
+            maxThreads,
             IDLE_SECONDS,
             TimeUnit.SECONDS,
             queue,
@@ -45,11 +45,11 @@
 
     /** @throws RejectedExecutionException if the queue is full */
     override fun execute(call: Runnable) {
-        if (!run(call::run)) throw refusal()
+        if (!tryExecute(call::run)) throw refusal()
     }
 
     /** Returns false if the queue is full; [call] is not run then. */
-    fun run(call: () -> Unit): Boolean {
+    fun tryExecute(call: () -> Unit): Boolean {
         unfinished.incrementAndGet()
         return try {
             executor.execute {
--- a/src/main/kotlin/glenspool/http/CallResult.kt
+++ b/src/main/kotlin/glenspool/http/CallResult.kt
@@ -8,39 +8,39 @@
 /** How a request ended whose body is a CBOR map. */
 sealed interface CallResult {
     /** The server answered, with any status. */
-    data class Answer(val status: Int, val body: Fields) : CallResult
+    data class Response(val status: Int, val body: Fields) : CallResult
 
     /** No connection was established, so the request is not carried out, now or later. */
     data class NotSent(val reason: String) : CallResult
 
     /** No usable answer came in time. The request may have been carried out, or may be later. */
-    data class NoAnswer(val reason: String) : CallResult
+    data class NoResponse(val reason: String) : CallResult
 }
 
 /** How a request ended whose body is bytes. The cases are those of [CallResult]. */
 sealed interface RawResult {
     /** The server answered, with any status. */
-    class Answer(val status: Int, val body: ByteArray) : RawResult
+    class Response(val status: Int, val body: ByteArray) : RawResult
 
     /** No connection was established, so the request is not carried out, now or later. */
     data class NotSent(val reason: String) : RawResult
 
     /** No usable answer came in time. The request may have been carried out, or may be later. */
-    data class NoAnswer(val reason: String) : RawResult
+    data class NoResponse(val reason: String) : RawResult
 }
 
 /** Decodes the body as a CBOR map. */
 internal fun RawResult.decoded(): CallResult =
     when (this) {
         is RawResult.NotSent -> CallResult.NotSent(reason)
-        is RawResult.NoAnswer -> CallResult.NoAnswer(reason)
-        is RawResult.Answer -> decoded()
+        is RawResult.NoResponse -> CallResult.NoResponse(reason)
+        is RawResult.Response -> decoded()
     }
 
-private fun RawResult.Answer.decoded(): CallResult =
+private fun RawResult.Response.decoded(): CallResult =
     try {
-        CallResult.Answer(status, if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body))
+        CallResult.Response(status, if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body))
     } catch (e: MalformedMessage) {
         // Of a refusal the status is enough.
-        if (status == Status.OK.code) CallResult.NoAnswer(e.toString()) else CallResult.Answer(status, emptyMap())
+        if (status == Status.OK.code) CallResult.NoResponse(e.toString()) else CallResult.Response(status, emptyMap())
     }
--- a/src/main/kotlin/glenspool/http/ChunkedBody.kt
+++ b/src/main/kotlin/glenspool/http/ChunkedBodyDecoder.kt
@@ -3,24 +3,24 @@
 import java.io.ByteArrayOutputStream
 
 /**
- * Decodes a body in chunks. What has arrived of it is in [buffer] from the position [start] to [limit]. [maxBody]: how
- * many bytes the decoded body may have.
+ * Decodes a body in chunks. What has arrived of it is in [buffer] from the position [start] to [limit]. [maxBodyBytes]:
+ * how many bytes the decoded body may have.
  */
-internal class ChunkedBody(
+internal class ChunkedBodyDecoder(
     private val buffer: ByteArray,
     start: Int,
     private val limit: Int,
-    private val maxBody: Int,
+    private val maxBodyBytes: Int,
 ) {
     private var position = start
 
     /** The decoded body; null if part of it has not arrived. Throws [BadMessage] if it is malformed or too long. */
-    fun read(): BodyBytes? {
+    fun decode(): BodyBytes? {
         val body = ByteArrayOutputStream()
         while (true) {
             val size = chunkSize(readLine() ?: return null)
             if (size == 0) return if (skipTrailers()) BodyBytes(body.toByteArray(), position) else null
-            if (body.size() + size > maxBody) throw BadMessage(BadMessage.BAD_REQUEST, "the body is too long")
+            if (body.size() + size > maxBodyBytes) throw BadMessage(BadMessage.BAD_REQUEST, "the body is too long")
             if (position + size + LINE_END_BYTES > limit) return null
             body.write(buffer, position, size)
             position += size + LINE_END_BYTES
--- a/src/main/kotlin/glenspool/http/HeaderFields.kt
+++ b/src/main/kotlin/glenspool/http/HeaderFields.kt
@@ -10,9 +10,9 @@
 }
 
 /** The header fields of a message in their order, each a name and a value, as http4k takes them. */
-class HeaderFields(val all: List<Pair<String, String>>) {
+class HeaderFields(val entries: List<Pair<String, String>>) {
     /** The first value of [name], in any case. */
-    operator fun get(name: String): String? = all.firstOrNull { it.first.equals(name, ignoreCase = true) }?.second
+    operator fun get(name: String): String? = entries.firstOrNull { it.first.equals(name, ignoreCase = true) }?.second
 
     /** Whether the body is sent in chunks; throws [BadMessage] if it has another encoding. */
     val isChunked: Boolean
@@ -28,7 +28,7 @@
      */
     val contentLength: Int?
         get() {
-            val fields = all.filter { it.first.equals("Content-Length", ignoreCase = true) }
+            val fields = entries.filter { it.first.equals("Content-Length", ignoreCase = true) }
             val lengths = fields.map { it.second }.distinct()
             if (lengths.isEmpty()) return null
             val length = lengths.singleOrNull()?.toLongOrNull()
@@ -38,10 +38,10 @@
             return length.coerceAtMost(MAX_LENGTH).toInt()
         }
 
-    /** Whether the connection stays open. [isPersistent]: whether it does so by default. */
-    fun isKeepAlive(isPersistent: Boolean): Boolean {
+    /** Whether the connection stays open. [isPersistentByDefault]: whether it does so by default. */
+    fun isKeepAlive(isPersistentByDefault: Boolean): Boolean {
         val option = this["Connection"]
-        return if (isPersistent) !option.equals("close", true) else option.equals("keep-alive", true)
+        return if (isPersistentByDefault) !option.equals("close", true) else option.equals("keep-alive", true)
     }
 
     private companion object {
@@ -56,7 +56,7 @@
  */
 class MessageHead(val startLine: List<String>, val fields: HeaderFields, val end: Int) {
     /** Whether connections of [version] stay open by default; throws [BadMessage] if the version is not supported. */
-    fun isPersistent(version: String): Boolean =
+    fun isPersistentByDefault(version: String): Boolean =
         when (version) {
             "HTTP/1.1" -> true
             "HTTP/1.0" -> false
--- a/src/main/kotlin/glenspool/http/Http.kt
+++ b/src/main/kotlin/glenspool/http/Http.kt
@@ -14,20 +14,20 @@
 fun InetSocketAddress.hostPort(): String = "${address.hostAddress}:$port"
 
 /** The largest body of a request that handlers accept, in bytes. */
-const val MAX_BODY = 64 * 1024
+const val MAX_BODY_BYTES = 64 * 1024
 
-/** Reads a body of at most [MAX_BODY] bytes; null if it is longer. */
-fun Body.bounded(): ByteArray? {
-    val bytes = stream.readNBytes(MAX_BODY + 1)
-    return if (bytes.size > MAX_BODY) null else bytes
+/** Reads a body of at most [MAX_BODY_BYTES] bytes; null if it is longer. */
+fun Body.readBounded(): ByteArray? {
+    val bytes = stream.readNBytes(MAX_BODY_BYTES + 1)
+    return if (bytes.size > MAX_BODY_BYTES) null else bytes
 }
 
 /** A response whose body is a CBOR map. */
-fun cbor(status: Status, body: Fields): Response =
+fun cborResponse(status: Status, body: Fields): Response =
     Response(status)
         .header("Content-Type", "application/cbor")
         .body(Body(ByteBuffer.wrap(Cbor.encode(body))))
 
 /** A refusal that asks the client to retry [after] some time. */
-fun tryLater(status: Status = Status.SERVICE_UNAVAILABLE, after: Duration = 1.seconds): Response =
-    cbor(status, mapOf("error" to "try later")).header("Retry-After", after.inWholeSeconds.toString())
+fun retryLaterResponse(status: Status = Status.SERVICE_UNAVAILABLE, after: Duration = 1.seconds): Response =
+    cborResponse(status, mapOf("error" to "try later")).header("Retry-After", after.inWholeSeconds.toString())
--- a/src/main/kotlin/glenspool/http/HttpCaller.kt
+++ b/src/main/kotlin/glenspool/http/HttpClient.kt
@@ -16,9 +16,9 @@
  *
  * The JDK's clients were measured against it: see docs/design.md, "Libraries".
  *
- * @property keepOpen whether connections are kept open for further requests
+ * @property keepAlive whether connections are kept open for further requests
  */
-class HttpCaller(private val connectTimeout: Duration, private val keepOpen: Boolean = true) {
+class HttpClient(private val connectTimeout: Duration, private val keepAlive: Boolean = true) {
     private val connections = ConnectionPool()
 
     /** Sends a GET request and decodes the answer. */
@@ -37,13 +37,13 @@
         if (path.any { it !in VISIBLE }) return RawResult.NotSent("$path is no path")
         val request = requestBytes(method, address, path, body)
         val deadline = TimeSource.Monotonic.markNow() + timeout
-        val reused = if (keepOpen) connections.take(address) else null
+        val reused = if (keepAlive) connections.take(address) else null
         if (reused != null) {
             try {
                 return exchange(reused, address, request.duplicate(), deadline)
             } catch (e: NoResponseException) {
                 // The server may have closed the idle connection. Only a GET can be repeated without harm.
-                if (method != "GET") return RawResult.NoAnswer(e.toString())
+                if (method != "GET") return RawResult.NoResponse(e.toString())
             }
         }
         return callOnNewConnection(address, request, deadline)
@@ -59,7 +59,7 @@
         return try {
             exchange(connection, address, request, deadline)
         } catch (e: NoResponseException) {
-            RawResult.NoAnswer(e.toString())
+            RawResult.NoResponse(e.toString())
         }
     }
 
@@ -72,21 +72,21 @@
     ): RawResult {
         try {
             val response = connection.exchange(request, deadline)
-            if (keepOpen && response.isReusable) connections.put(address, connection) else connection.close()
-            return RawResult.Answer(response.status, response.body)
+            if (keepAlive && response.isReusable) connections.put(address, connection) else connection.close()
+            return RawResult.Response(response.status, response.body)
         } catch (e: NoResponseException) {
             connection.close()
             throw e
         } catch (e: IOException) {
             connection.close()
-            return RawResult.NoAnswer(e.toString())
+            return RawResult.NoResponse(e.toString())
         }
     }
 
     private fun requestBytes(method: String, address: String, path: String, body: ByteArray?): ByteBuffer {
         val head = StringBuilder(HEAD_CAPACITY)
         head.append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(address).append("\r\n")
-        if (!keepOpen) head.append("Connection: close\r\n")
+        if (!keepAlive) head.append("Connection: close\r\n")
         if (body != null) {
             head.append("Content-Type: application/cbor\r\nContent-Length: ").append(body.size).append("\r\n")
         }
--- a/src/main/kotlin/glenspool/http/HttpListener.kt
+++ b/src/main/kotlin/glenspool/http/HttpListener.kt
@@ -35,8 +35,8 @@
  * on a [CallPool] of the given number of threads. A response is written by the thread that has it.
  *
  * Limits: when all threads are busy, eight requests are queued for each of them; a further one ends with its
- * connection. Connections beyond the share of the socket limit (see [configure]) are closed at once, and so are those
- * whose timeouts pass (see [Connection]).
+ * connection. Connections beyond the share of the socket limit (see [setSocketLimit]) are closed at once, and so are
+ * those whose timeouts pass (see [ServerConnection]).
  *
  * The JDK's own server was measured against it: see docs/design.md, "Libraries".
  *
@@ -46,16 +46,16 @@
 class HttpListener(
     address: InetSocketAddress,
     name: String,
-    threads: Int,
+    maxThreads: Int,
     private val asyncHandlerOf: (Request) -> AsyncHandler?,
     private val onFatalError: () -> Unit,
     handler: HttpHandler,
 ) : AutoCloseable {
     /** A listener that runs all requests on the pool. */
-    constructor(address: InetSocketAddress, name: String, threads: Int, handler: HttpHandler) :
-        this(address, name, threads, { null }, {}, handler)
+    constructor(address: InetSocketAddress, name: String, maxThreads: Int, handler: HttpHandler) :
+        this(address, name, maxThreads, { null }, {}, handler)
 
-    private val pool = CallPool(name, threads, threads * QUEUED_PER_THREAD)
+    private val pool = CallPool(name, maxThreads, maxThreads * QUEUED_PER_THREAD)
     private val poolHandler = AsyncHandler { request, respond -> pool.execute { respond(answer(handler, request)) } }
     private val selector = Selector.open()
     private val server = ServerSocketChannel.open()
@@ -124,14 +124,14 @@
             }
         }
         server.close()
-        selector.keys().forEach { (it.attachment() as? Connection)?.close() }
+        selector.keys().forEach { (it.attachment() as? ServerConnection)?.close() }
         selector.close()
     }
 
     private fun handleReady(key: SelectionKey) {
         try {
             if (key.isAcceptable) return acceptConnections()
-            val connection = key.attachment() as Connection
+            val connection = key.attachment() as ServerConnection
             if (key.isWritable) connection.flush()
             if (key.isReadable) connection.receive(input)
         } catch (e: CancelledKeyException) {
@@ -159,7 +159,7 @@
         val key = channel.register(selector, SelectionKey.OP_READ)
         openConnections++
         val handlerOf = { request: Request -> asyncHandlerOf(request) ?: poolHandler }
-        key.attach(Connection(channel, key, writer, handlerOf, clock::elapsedNow))
+        key.attach(ServerConnection(channel, key, writer, handlerOf, clock::elapsedNow))
     }
 
     /** Closes connections whose timeouts have passed, and counts those that are open: once a second, or when full. */
@@ -169,7 +169,7 @@
         lastSweepAt = now
         var stillOpen = 0
         for (key in selector.keys()) {
-            val connection = key.attachment() as? Connection ?: continue
+            val connection = key.attachment() as? ServerConnection ?: continue
             connection.closeIfOverdue(now)
             if (connection.isOpen) stillOpen++
         }
@@ -204,7 +204,7 @@
         private var maxConnections = Int.MAX_VALUE
 
         /** Sets the limit of connections of each listener that is made from now on. */
-        fun configure(maxSockets: Int) {
+        fun setSocketLimit(maxSockets: Int) {
             maxConnections = (maxSockets * INCOMING_SHARE).toInt()
         }
     }
--- a/src/main/kotlin/glenspool/http/MessageReader.kt
+++ b/src/main/kotlin/glenspool/http/MessageReader.kt
@@ -8,33 +8,33 @@
 /**
  * Buffers the bytes of a connection as they arrive, and parses heads and bodies of HTTP messages from them. Bytes stay
  * in the buffer until [consume]. Functions throw [BadMessage] if the bytes are no message, the head has more than
- * 16 KiB or a body more than [maxBody] bytes. Not thread-safe.
+ * 16 KiB or a body more than [maxBodyBytes] bytes. Not thread-safe.
  */
-class MessageReader(private val maxBody: Int) {
+class MessageReader(private val maxBodyBytes: Int) {
     private var buffer = ByteArray(INITIAL_BUFFER_BYTES)
 
     /** Where the search for the end of the head goes on. */
     private var scanned = 0
 
     /** How many bytes are buffered. */
-    var size = 0
+    var bufferedBytes = 0
         private set
 
-    val hasInput: Boolean get() = size > 0
+    val hasInput: Boolean get() = bufferedBytes > 0
 
     /** Appends what was read from the connection. */
     fun add(bytes: ByteBuffer) {
         val count = bytes.remaining()
-        if (size + count > buffer.size) buffer = buffer.copyOf(maxOf(buffer.size * 2, size + count))
-        bytes.get(buffer, size, count)
-        size += count
+        if (bufferedBytes + count > buffer.size) buffer = buffer.copyOf(maxOf(buffer.size * 2, bufferedBytes + count))
+        bytes.get(buffer, bufferedBytes, count)
+        bufferedBytes += count
     }
 
     /** The head of the message at the start of the buffer; null until all of it has arrived. */
     fun parseHead(): MessageHead? {
         val end = endOfHead()
         if (end < 0) {
-            if (size > MAX_HEAD_BYTES) throw BadMessage(BadMessage.HEAD_TOO_LARGE, "the header is too long")
+            if (bufferedBytes > MAX_HEAD_BYTES) throw BadMessage(BadMessage.HEAD_TOO_LARGE, "the header is too long")
             return null
         }
         val lines = String(buffer, 0, end, Charsets.ISO_8859_1).split(LINE_END)
@@ -47,7 +47,7 @@
     /** The position after the empty line that ends the head; -1 if it has not arrived. */
     private fun endOfHead(): Int {
         var position = scanned
-        while (position + END_OF_HEAD.size <= size) {
+        while (position + END_OF_HEAD.size <= bufferedBytes) {
             if (isEndOfHeadAt(position)) return position + END_OF_HEAD.size
             position++
         }
@@ -65,29 +65,30 @@
     }
 
     /** A body in chunks; null until all of it has arrived. */
-    fun parseChunkedBody(head: MessageHead): BodyBytes? = ChunkedBody(buffer, head.end, size, maxBody).read()
+    fun parseChunkedBody(head: MessageHead): BodyBytes? =
+        ChunkedBodyDecoder(buffer, head.end, bufferedBytes, maxBodyBytes).decode()
 
     /** A body of [length] bytes; null until all of it has arrived. */
     fun parseBody(head: MessageHead, length: Int): BodyBytes? {
-        if (length > maxBody) throw bodyTooLong()
+        if (length > maxBodyBytes) throw bodyTooLong()
         val end = head.end + length
-        return if (size < end) null else BodyBytes(buffer.copyOfRange(head.end, end), end)
+        return if (bufferedBytes < end) null else BodyBytes(buffer.copyOfRange(head.end, end), end)
     }
 
     /** All that has arrived after the head: the body of a message that ends with its connection. */
     fun parseBodyToEnd(head: MessageHead): BodyBytes {
-        if (size - head.end > maxBody) throw bodyTooLong()
-        return BodyBytes(buffer.copyOfRange(head.end, size), size)
+        if (bufferedBytes - head.end > maxBodyBytes) throw bodyTooLong()
+        return BodyBytes(buffer.copyOfRange(head.end, bufferedBytes), bufferedBytes)
     }
 
     private fun bodyTooLong() = BadMessage(BadMessage.BAD_REQUEST, "the body is too long")
 
     /** Removes the bytes up to the position [end] from the buffer. */
     fun consume(end: Int) {
-        System.arraycopy(buffer, end, buffer, 0, size - end)
-        size -= end
+        System.arraycopy(buffer, end, buffer, 0, bufferedBytes - end)
+        bufferedBytes -= end
         scanned = 0
-        if (size == 0 && buffer.size > INITIAL_BUFFER_BYTES) buffer = ByteArray(INITIAL_BUFFER_BYTES)
+        if (bufferedBytes == 0 && buffer.size > INITIAL_BUFFER_BYTES) buffer = ByteArray(INITIAL_BUFFER_BYTES)
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/http/RequestParser.kt
+++ b/src/main/kotlin/glenspool/http/RequestParser.kt
@@ -11,10 +11,10 @@
 
 /**
  * Parses the requests of one connection from bytes as they arrive, in pieces of any size. Functions throw [BadMessage]
- * if the bytes are no request or a body has more than [maxBody] bytes. Not thread-safe.
+ * if the bytes are no request or a body has more than [maxBodyBytes] bytes. Not thread-safe.
  */
-class RequestParser(maxBody: Int) {
-    private val reader = MessageReader(maxBody)
+class RequestParser(maxBodyBytes: Int) {
+    private val reader = MessageReader(maxBodyBytes)
 
     /** The head of the request whose body has not arrived completely. */
     private var head: MessageHead? = null
@@ -24,7 +24,7 @@
     val hasInput: Boolean get() = reader.hasInput
 
     /** How many bytes have arrived that no request returned so far contains. */
-    val size: Int get() = reader.size
+    val bufferedBytes: Int get() = reader.bufferedBytes
 
     /** Whether the client waits for the interim response 100 before it sends the body. */
     val isAwaitingContinue: Boolean
@@ -39,7 +39,7 @@
         if (head.startLine.size != REQUEST_LINE_PARTS) throw BadMessage(BadMessage.BAD_REQUEST, "no request line")
         val (methodName, target, version) = head.startLine
         val fields = head.fields
-        val isKeepAlive = fields.isKeepAlive(head.isPersistent(version))
+        val isKeepAlive = fields.isKeepAlive(head.isPersistentByDefault(version))
         val method =
             Method.values().firstOrNull { it.name == methodName }
                 ?: throw BadMessage(BadMessage.NOT_IMPLEMENTED, "unknown method")
@@ -65,7 +65,7 @@
     private fun request(method: Method, target: String, fields: HeaderFields, body: ByteArray): Request {
         // Not by `Uri.of`, whose regular expression costs more than all the rest of the parsing.
         val uri = Uri("", "", "", null, target.substringBefore('?'), target.substringAfter('?', ""), "")
-        return Request(method, uri).headers(fields.all).body(Body(ByteBuffer.wrap(body)))
+        return Request(method, uri).headers(fields.entries).body(Body(ByteBuffer.wrap(body)))
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/http/ResponseParser.kt
+++ b/src/main/kotlin/glenspool/http/ResponseParser.kt
@@ -7,10 +7,10 @@
 
 /**
  * Parses one response from bytes as they arrive. Functions throw [BadMessage] if the bytes are no response or the body
- * has more than [maxBody] bytes.
+ * has more than [maxBodyBytes] bytes.
  */
-class ResponseParser(maxBody: Int) {
-    private val reader = MessageReader(maxBody)
+class ResponseParser(maxBodyBytes: Int) {
+    private val reader = MessageReader(maxBodyBytes)
 
     /** Whether part of the response has arrived. */
     val hasInput: Boolean get() = reader.hasInput
@@ -25,7 +25,7 @@
             val (version, code) = head.startLine
             val status = code.toIntOrNull() ?: throw BadMessage(BadMessage.BAD_REQUEST, "no status")
             if (status !in INFORMATIONAL) {
-                return parse(head, status, head.fields.isKeepAlive(head.isPersistent(version)), isEndOfInput)
+                return parse(head, status, head.fields.isKeepAlive(head.isPersistentByDefault(version)), isEndOfInput)
             }
             // The final response is still to come.
             reader.consume(head.end)
--- a/src/main/kotlin/glenspool/http/Connection.kt
+++ b/src/main/kotlin/glenspool/http/ServerConnection.kt
@@ -22,7 +22,7 @@
  * from any thread, which also writes it, so all state is guarded by the connection's lock. Handlers are called without
  * the lock.
  */
-internal class Connection(
+internal class ServerConnection(
     private val channel: SocketChannel,
     private val key: SelectionKey,
     private val writer: ResponseWriter,
@@ -75,7 +75,7 @@
 
     /** Back-pressure: a client may pipeline requests, but only [READ_AHEAD_BYTES] of them are buffered here. */
     private fun pauseReadingIfFull() {
-        if (parser.size < READ_AHEAD_BYTES) return
+        if (parser.bufferedBytes < READ_AHEAD_BYTES) return
         isReadingPaused = true
         updateInterestOps()
     }
@@ -216,7 +216,7 @@
     }
 
     private companion object {
-        val log = loggerOf(Connection::class.java)
+        val log = loggerOf(ServerConnection::class.java)
 
         /** More than any handler accepts, so that each of them refuses a body that is too long for it. */
         const val MAX_REQUEST_BYTES = 512 * 1024
--- a/src/main/kotlin/glenspool/peer/PeerClient.kt
+++ b/src/main/kotlin/glenspool/peer/PeerClient.kt
@@ -1,7 +1,7 @@
 package glenspool.peer
 
 import glenspool.config.Member
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.RawResult
 import glenspool.http.hostPort
 import glenspool.logging.loggerOf
@@ -11,7 +11,7 @@
 
 /** Requests to the other controllers. They are hints and relays only: no rule depends on a peer's silence. */
 class PeerClient(private val members: List<Member>) {
-    private val http = HttpCaller(CONNECT_TIMEOUT)
+    private val http = HttpClient(CONNECT_TIMEOUT)
 
     /** The statuses of those members that answer. */
     fun statuses(): List<PeerStatus> =
@@ -77,7 +77,7 @@
     ): PeerReply<T> {
         val method = if (body == null) "GET" else "POST"
         val result = http.callRaw(method, member.addr.hostPort(), path, body, timeout)
-        if (result !is RawResult.Answer) {
+        if (result !is RawResult.Response) {
             log.debug("peer {} did not answer: {}", member.name, result)
             return PeerReply.None
         }
--- a/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
@@ -1,7 +1,7 @@
 package glenspool.state
 
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.wire.Fields
 import glenspool.wire.MalformedMessage
 import glenspool.wire.StoreWire
@@ -41,7 +41,7 @@
  * The requests of the consensus-backed key-value store, one for one and without retries. Writes are compare-and-swap
  * transactions on the versions of keys.
  */
-class KeyValueStoreClient(private val addr: String, private val http: HttpCaller) {
+class KeyValueStoreClient(private val addr: String, private val http: HttpClient) {
     /**
      * Whether the last conclusive request found the store unreachable or failing. Refusals that are the request's own
      * fault are not conclusive.
@@ -126,8 +126,8 @@
     private fun <T> convert(reply: CallResult, decode: (Fields) -> T): StoreResult<T> =
         when (reply) {
             is CallResult.NotSent -> StoreResult.Refused(StoreResult.Refused.NOT_SENT)
-            is CallResult.NoAnswer -> StoreResult.Unknown(reply.reason)
-            is CallResult.Answer ->
+            is CallResult.NoResponse -> StoreResult.Unknown(reply.reason)
+            is CallResult.Response ->
                 try {
                     convertAnswer(reply, decode)
                 } catch (e: MalformedMessage) {
@@ -135,7 +135,7 @@
                 }
         }
 
-    private fun <T> convertAnswer(answer: CallResult.Answer, decode: (Fields) -> T): StoreResult<T> =
+    private fun <T> convertAnswer(answer: CallResult.Response, decode: (Fields) -> T): StoreResult<T> =
         when (answer.status) {
             OK -> StoreResult.Ok(decode(answer.body))
             NOT_FOUND -> StoreResult.Missing
--- a/src/main/kotlin/glenspool/worker/WorkerClient.kt
+++ b/src/main/kotlin/glenspool/worker/WorkerClient.kt
@@ -4,7 +4,7 @@
 import glenspool.core.SendCommands
 import glenspool.core.model.Heartbeat
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.logging.loggerOf
 import glenspool.wire.Fields
 import glenspool.wire.MalformedMessage
@@ -15,18 +15,18 @@
 data class CommandReply(val outcome: CommandOutcome, val heartbeat: Heartbeat?)
 
 /** The requests that controllers send to workers, each to the worker's own address. None is retried. */
-class WorkerClient(private val http: HttpCaller) {
+class WorkerClient(private val http: HttpClient) {
     /** Sends commands and waits until they are carried out or refused. */
     fun sendCommands(request: SendCommands): CommandReply {
         val body = WorkerWire.directCommands(request.token, request.incarnation, request.commands)
         return when (val reply = http.post(request.addr, "/do", body, TIMEOUT)) {
             is CallResult.NotSent -> CommandReply(CommandOutcome.NOT_SENT, null)
-            is CallResult.NoAnswer -> CommandReply(CommandOutcome.UNKNOWN, null)
-            is CallResult.Answer -> replyOf(reply)
+            is CallResult.NoResponse -> CommandReply(CommandOutcome.UNKNOWN, null)
+            is CallResult.Response -> replyOf(reply)
         }
     }
 
-    private fun replyOf(answer: CallResult.Answer): CommandReply {
+    private fun replyOf(answer: CallResult.Response): CommandReply {
         val heartbeat = decodeHeartbeat(answer.body)
         return when {
             // Without the heartbeat nothing shows that the commands are in effect.
@@ -39,7 +39,7 @@
     /** Asks the worker for its status; null: no usable answer. */
     fun probe(addr: String): Heartbeat? {
         val reply = http.get(addr, "/show", TIMEOUT)
-        return if (reply is CallResult.Answer && reply.status == OK) decodeHeartbeat(reply.body) else null
+        return if (reply is CallResult.Response && reply.status == OK) decodeHeartbeat(reply.body) else null
     }
 
     private fun decodeHeartbeat(fields: Fields): Heartbeat? =
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -11,9 +11,9 @@
 import glenspool.core.model.StartTask
 import glenspool.core.model.TaskKey
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerServer
 import glenspool.peer.PeerStatus
@@ -39,11 +39,11 @@
 
 /** Each adapter over real sockets on loopback, against what its counterpart may answer. */
 class AdaptersTest {
-    private val http = HttpCaller(2.seconds)
+    private val http = HttpClient(2.seconds)
 
     /** What the counterpart received, in this order. */
     private val requests = ArrayList<ReceivedRequest>()
-    private var answer: (Request) -> Response = { cbor(Status.OK, emptyMap()) }
+    private var answer: (Request) -> Response = { cborResponse(Status.OK, emptyMap()) }
     private val counterpart = HttpListener(InetSocketAddress("127.0.0.1", 0), "counterpart", 64, ::receive)
     private val addr = "127.0.0.1:${counterpart.port}"
 
@@ -59,7 +59,8 @@
     @AfterEach
     fun close() = counterpart.close()
 
-    private fun answerWith(status: Int, body: Fields): (Request) -> Response = { cbor(Status(status, null), body) }
+    private fun answerWith(status: Int, body: Fields): (Request) -> Response =
+        { cborResponse(Status(status, null), body) }
 
     private fun unusedPort() = ServerSocket(0).use { it.localPort }
 
@@ -106,7 +107,7 @@
                     "uid" to if (isFirstPage) "i-1" else "i-2", "addr" to "10.0.0.9:1", "frame" to "g8", "hall" to "a",
                     "loaners" to true, "stage" to "running", "held_s" to 2.5,
                 )
-            cbor(Status.OK, mapOf("spindles" to listOf(machine), "has_next" to isFirstPage))
+            cborResponse(Status.OK, mapOf("spindles" to listOf(machine), "has_next" to isFirstPage))
         }
         assertEquals(listOf("i-1", "i-2"), cloud.listMachines()?.map { it.id })
         assertEquals(listOf("/hosts?page=500", "/hosts?page=500&after=i-1"), requests.map { it.uri })
@@ -163,7 +164,7 @@
             socket.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
             socket.getOutputStream().flush()
         }
-        repeat(20) { assertEquals(200, (http.get(addr, "/ready", 10.seconds) as CallResult.Answer).status) }
+        repeat(20) { assertEquals(200, (http.get(addr, "/ready", 10.seconds) as CallResult.Response).status) }
         stalled.forEach { it.close() }
     }
 }
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -36,7 +36,7 @@
         return spec(id).copy(types = names)
     }
 
-    private fun assertAborted(by: String, answer: CallResult.Answer) {
+    private fun assertAborted(by: String, answer: CallResult.Response) {
         assertEquals("aborted" to by, answer.stage to answer.body["aborted_with"])
     }
 
--- a/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
+++ b/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
@@ -76,7 +76,7 @@
         var refusals = 0
         val handler = refusalFilter { refusals++ }.then(fenceFilter(gate::fence)).then { Response(Status.OK) }
         HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 2, handler).use { listener ->
-            fun request(path: String) = http.get("127.0.0.1:${listener.port}", path, 2.seconds) as CallResult.Answer
+            fun request(path: String) = http.get("127.0.0.1:${listener.port}", path, 2.seconds) as CallResult.Response
             assertEquals(200, request("/ready").status)
             storeLevel(LevelStage.ACTIVE, level = 2)
             assertEquals(listOf(503, 503), listOf("/ready", "/api/jobs/run-1").map { request(it).status })
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -23,9 +23,10 @@
 
 /** The users' requests, one job at a time. */
 class UserApiTest : ServedUserApi() {
-    private fun ready() = http.get(addr, "/ready", 10.seconds) as CallResult.Answer
+    private fun ready() = http.get(addr, "/ready", 10.seconds) as CallResult.Response
 
-    private fun submitRaw(body: ByteArray) = http.call("POST", addr, "/api/jobs", body, 10.seconds) as CallResult.Answer
+    private fun submitRaw(body: ByteArray) =
+        http.call("POST", addr, "/api/jobs", body, 10.seconds) as CallResult.Response
 
     @Test
     fun `a job is accepted once, and a retry is answered with its current state`() {
--- a/src/test/kotlin/glenspool/api/UserApiTesting.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTesting.kt
@@ -26,8 +26,8 @@
 }
 
 /** The stage of the job that an answer to a user names. */
-internal val CallResult.Answer.stage: Any? get() = body["stage"]
+internal val CallResult.Response.stage: Any? get() = body["stage"]
 
-internal fun assertAnswer(status: Int, stage: String, answer: CallResult.Answer) {
+internal fun assertAnswer(status: Int, stage: String, answer: CallResult.Response) {
     assertEquals(status to stage, answer.status to answer.stage)
 }
--- a/src/test/kotlin/glenspool/cli/JobCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/JobCommandTest.kt
@@ -1,7 +1,7 @@
 package glenspool.cli
 
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.simulation.CapturedRun
 import glenspool.wire.Cbor
 import org.http4k.core.Request
@@ -30,9 +30,9 @@
         requests += "${request.method} ${request.uri.path}"
         if (request.uri.path == "/api/jobs") Cbor.decodeMap(request.body.stream.readAllBytes())
         return if (request.uri.path.endsWith("nobody")) {
-            cbor(Status.NOT_FOUND, mapOf("error" to "no such job"))
+            cborResponse(Status.NOT_FOUND, mapOf("error" to "no such job"))
         } else {
-            cbor(Status.OK, mapOf("stage" to "pending"))
+            cborResponse(Status.OK, mapOf("stage" to "pending"))
         }
     }
 
--- a/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
@@ -6,7 +6,7 @@
 import glenspool.core.UpdateJobRecord
 import glenspool.core.model.JobRecord
 import glenspool.core.model.StoredPlacement
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
 import glenspool.rollout.FeatureGate
 import glenspool.rollout.FeatureRegistry
@@ -40,7 +40,7 @@
 class FeatureLevelWritesTest {
     private val store = InMemoryStore()
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, store::serve)
-    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpClient(2.seconds))
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val gate =
         FeatureGate(FeatureRegistry.CURRENT.levelsOf("build"), RolloutRecords(cache) { cache.age() != null }::level)
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -7,7 +7,7 @@
 import glenspool.core.StoreChanges
 import glenspool.core.StoreFinalState
 import glenspool.core.model.JobSpec
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.rollout.UnmanagedFeatures
@@ -63,7 +63,7 @@
 
     private fun node(): UserApi {
         val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
-        val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpCaller(2.seconds))
+        val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpClient(2.seconds))
         val cache = StoreCache(client, 2000.0) { _, _ -> }
         val syncs = startSyncThread(cache)
         resources.add(AutoCloseable(syncs::interrupt))
--- a/src/test/kotlin/glenspool/http/CallPoolTest.kt
+++ b/src/test/kotlin/glenspool/http/CallPoolTest.kt
@@ -10,8 +10,8 @@
 /** Counterparts that do not answer block threads; calls to others must not fail, nor take threads without bound. */
 class CallPoolTest {
     @Test
-    fun `blocking calls take threads up to the limit, further ones are queued, and one beyond the queue is refused`() {
-        CallPool("test", threads = 8, queueCapacity = 100).use { pool ->
+    fun `blocking calls use up to the maximum of threads, further ones are queued, and a full queue rejects calls`() {
+        CallPool("test", maxThreads = 8, queueCapacity = 100).use { pool ->
             val release = CountDownLatch(1)
             val started = CountDownLatch(8)
             val done = CountDownLatch(108)
@@ -22,11 +22,11 @@
                 release.await()
                 done.countDown()
             }
-            repeat(8) { assertTrue(pool.run(call)) }
+            repeat(8) { assertTrue(pool.tryExecute(call)) }
             // All eight run at once: none is queued behind one that blocks.
             started.await()
-            repeat(100) { assertTrue(pool.run(call)) }
-            assertFalse(pool.run(call))
+            repeat(100) { assertTrue(pool.tryExecute(call)) }
+            assertFalse(pool.tryExecute(call))
             release.countDown()
             done.await()
             assertEquals(8, threadIds.size)
@@ -34,14 +34,14 @@
     }
 
     @Test
-    fun `after a call that throws, the next one runs`() {
-        CallPool("test", threads = 1, queueCapacity = 10).use { pool ->
+    fun `a call runs after an earlier call has thrown an exception`() {
+        CallPool("test", maxThreads = 1, queueCapacity = 10).use { pool ->
             val hasRun = CountDownLatch(1)
-            pool.run {
+            pool.tryExecute {
                 Thread.currentThread().setUncaughtExceptionHandler { _, _ -> }
                 throw IllegalStateException("as a broken call would")
             }
-            assertTrue(pool.run(hasRun::countDown))
+            assertTrue(pool.tryExecute(hasRun::countDown))
             hasRun.await()
         }
     }
--- a/src/test/kotlin/glenspool/http/EventLoopTimerTest.kt
+++ b/src/test/kotlin/glenspool/http/EventLoopTimerTest.kt
@@ -10,7 +10,7 @@
     private val timer = EventLoopTimer { now }
 
     @Test
-    fun `the lag is the last iteration and the time since the present one started`() {
+    fun `the lag is the duration of the last iteration plus the time since the current one started`() {
         assertEquals(Duration.ZERO, timer.lag())
         timer.startIteration()
         now += 2.seconds
--- a/src/test/kotlin/glenspool/http/HttpCallerTest.kt
+++ b/src/test/kotlin/glenspool/http/HttpClientTest.kt
@@ -15,7 +15,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The client against a server that sends the given bytes, valid or not. */
-class HttpCallerTest {
+class HttpClientTest {
     /** What the server does at a request: it sends [text], if any, and closes the connection or goes on. */
     private class Reaction(val text: String?, val isClosing: Boolean)
 
@@ -26,7 +26,7 @@
     private val received = LinkedBlockingQueue<Received>()
     private val server = ServerSocket(0, 50, InetAddress.getLoopbackAddress())
     private val address = "127.0.0.1:${server.localPort}"
-    private val http = HttpCaller(2.seconds)
+    private val http = HttpClient(2.seconds)
 
     init {
         thread(isDaemon = true) { acceptConnections() }
@@ -74,10 +74,10 @@
     private fun post() = http.callRaw("POST", address, "/x", byteArrayOf(1, 2, 3), 5.seconds)
 
     private fun assertBody(text: String, result: RawResult) =
-        assertArrayEquals(text.toByteArray(), (result as RawResult.Answer).body)
+        assertArrayEquals(text.toByteArray(), (result as RawResult.Response).body)
 
     @Test
-    fun `bodies of a known length, in chunks, after an interim response and up to the connection's end are read`() {
+    fun `reads bodies with a length, in chunks, after an interim response and up to the end of the connection`() {
         onNextRequest(send = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         assertBody("hi", get())
         onNextRequest(send = CHUNKED_HEAD + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
@@ -85,7 +85,7 @@
         onNextRequest(send = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
         assertBody("", get())
         onNextRequest(send = "HTTP/1.1 503\r\n\r\nlater", thenClose = true)
-        val last = get() as RawResult.Answer
+        val last = get() as RawResult.Response
         assertEquals(503, last.status)
         assertBody("later", last)
         // All of them over one connection.
@@ -93,11 +93,11 @@
     }
 
     @Test
-    fun `a connection that the server announces to close is not used again`() {
+    fun `a connection is not reused if the server announces that it closes it`() {
         onNextRequest(send = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
         get()
         onNextRequest(send = EMPTY_RESPONSE)
-        assertTrue(post() is RawResult.Answer)
+        assertTrue(post() is RawResult.Response)
         assertEquals(listOf(1, 2), received.map { it.connection })
     }
 
@@ -107,15 +107,15 @@
         get()
         onNextRequestClose()
         onNextRequest(send = EMPTY_RESPONSE)
-        assertTrue(get() is RawResult.Answer)
+        assertTrue(get() is RawResult.Response)
         assertEquals(listOf(1, 1, 2), received.map { it.connection })
         onNextRequestClose()
-        assertTrue(post() is RawResult.NoAnswer)
+        assertTrue(post() is RawResult.NoResponse)
         assertEquals(4, received.size)
     }
 
     @Test
-    fun `incomplete and malformed responses are no answer`() {
+    fun `incomplete and malformed responses are reported as no response`() {
         val unusable =
             listOf(
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
@@ -124,17 +124,17 @@
             )
         for (text in unusable) {
             onNextRequest(send = text, thenClose = true)
-            assertTrue(post() is RawResult.NoAnswer, text)
+            assertTrue(post() is RawResult.NoResponse, text)
         }
     }
 
     @Test
-    fun `a response that does not come in time is no answer`() {
-        assertTrue(http.callRaw("POST", address, "/x", null, 50.milliseconds) is RawResult.NoAnswer)
+    fun `a response that does not arrive before the timeout is reported as no response`() {
+        assertTrue(http.callRaw("POST", address, "/x", null, 50.milliseconds) is RawResult.NoResponse)
     }
 
     @Test
-    fun `without a connection, with a wrong address or a wrong path a request is not sent`() {
+    fun `a request is not sent if the server is unreachable or the address or the path is invalid`() {
         // Not the server's own port: one that is just being closed may still accept a connection.
         val unusedPort = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         for (unreachable in listOf("127.0.0.1:$unusedPort", "nowhere", "127.0.0.1:99999", "127.0.0.1:")) {
--- a/src/test/kotlin/glenspool/http/ListenerTest.kt
+++ b/src/test/kotlin/glenspool/http/HttpListenerTest.kt
@@ -11,9 +11,9 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.concurrent.thread
 
-class ListenerTest {
+class HttpListenerTest {
     @Test
-    fun `requests beyond the threads are queued, those beyond the queue end with their connection, and others go on`() {
+    fun `requests are queued while all threads are busy, and a request beyond the queue closes its connection`() {
         val release = CountDownLatch(1)
         HttpListener(InetSocketAddress("127.0.0.1", 0), "test", 1) { request ->
             if (request.uri.path == "/slow") release.await()
--- a/src/test/kotlin/glenspool/http/ReadAheadTest.kt
+++ b/src/test/kotlin/glenspool/http/ReadAheadTest.kt
@@ -22,7 +22,7 @@
     private val dispatched = ArrayList<Dispatched>()
 
     @Test
-    fun `while a request is handled a limited amount is read ahead, and the rest once it is answered`() {
+    fun `while a request is handled, a limited number of bytes is read ahead, and the rest after its response`() {
         ServerSocketChannel.open().bind(InetSocketAddress("127.0.0.1", 0)).use { server ->
             SocketChannel.open(server.localAddress).use { client ->
                 val sender = thread { sendRequests(client) }
@@ -45,7 +45,7 @@
         Selector.open().use { selector ->
             val key = channel.register(selector, SelectionKey.OP_READ)
             val handler = AsyncHandler { request, respond -> dispatched.add(Dispatched(request, respond)) }
-            val connection = Connection(channel, key, ResponseWriter(), { handler }, { Duration.ZERO })
+            val connection = ServerConnection(channel, key, ResponseWriter(), { handler }, { Duration.ZERO })
             val input = ByteBuffer.allocate(READ_BUFFER_BYTES)
 
             fun read() {
--- a/src/test/kotlin/glenspool/http/RequestParserTest.kt
+++ b/src/test/kotlin/glenspool/http/RequestParserTest.kt
@@ -15,7 +15,7 @@
 class RequestParserTest {
     private fun bytes(text: String) = ByteBuffer.wrap(text.toByteArray(Charsets.ISO_8859_1))
 
-    private fun parser(text: String = "") = RequestParser(MAX_BODY).also { it.add(bytes(text)) }
+    private fun parser(text: String = "") = RequestParser(MAX_BODY_BYTES).also { it.add(bytes(text)) }
 
     private fun Request.text(): String {
         val payload = body.payload.duplicate()
@@ -26,7 +26,7 @@
 
     /** All requests in [stream], which arrives in random pieces of up to 39 bytes. */
     private fun parsePieces(stream: ByteArray, random: Random): List<ParsedRequest> {
-        val parser = RequestParser(MAX_BODY)
+        val parser = RequestParser(MAX_BODY_BYTES)
         val requests = ArrayList<ParsedRequest>()
         var position = 0
         while (position < stream.size) {
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `requests are the same in whatever pieces they arrive`() {
+    fun `requests are parsed the same for any sizes of the pieces in which they arrive`() {
         val chunked = "5;note=1\r\nhello\r\n6\r\n world\r\n0\r\nTrailer: 1\r\n\r\n"
         val texts =
             listOf(
@@ -63,13 +63,13 @@
     }
 
     @Test
-    fun `a connection of the older protocol version stays open only if the client asks for that`() {
+    fun `a connection of the older protocol version stays open only if the client requests it`() {
         assertEquals(false, parser("GET / HTTP/1.0\r\n\r\n").next()?.isKeepAlive)
         assertEquals(true, parser("GET / HTTP/1.0\r\nconnection: Keep-Alive\r\n\r\n").next()?.isKeepAlive)
     }
 
     @Test
-    fun `a client that expects an interim response before it sends the body is sent one`() {
+    fun `a client that expects an interim response before it sends the body is reported until one is sent`() {
         val parser = parser("POST / HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
         assertNull(parser.next())
         assertTrue(parser.isAwaitingContinue)
@@ -81,8 +81,8 @@
     }
 
     @Test
-    fun `malformed and ambiguous requests are refused with their status`() {
-        val tooLong = MAX_BODY + 1
+    fun `malformed and ambiguous requests are rejected with the matching status`() {
+        val tooLong = MAX_BODY_BYTES + 1
         val refused =
             mapOf(
                 "nonsense\r\n\r\n" to 400,
--- a/src/test/kotlin/glenspool/http/ResponseWriterTest.kt
+++ b/src/test/kotlin/glenspool/http/ResponseWriterTest.kt
@@ -28,7 +28,7 @@
     }
 
     @Test
-    fun `a response has its header fields, its length and whether the connection is closed`() {
+    fun `a response contains its header fields, its length and whether the connection is closed`() {
         now = Instant.parse("2026-02-03T04:05:06Z")
         val response = Response(Status.SERVICE_UNAVAILABLE).header("Retry-After", "1").body("later")
         val head = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nDate: Tue, 03 Feb 2026 04:05:06 GMT\r\n"
--- a/src/test/kotlin/glenspool/http/ConnectionTest.kt
+++ b/src/test/kotlin/glenspool/http/ServerConnectionTest.kt
@@ -14,7 +14,7 @@
 import kotlin.concurrent.thread
 
 /** The server as a client on loopback sees it. */
-class ConnectionTest {
+class ServerConnectionTest {
     /** How to answer the requests to `/later`. */
     private val unanswered = LinkedBlockingQueue<(Response) -> Unit>()
     private val server =
@@ -63,7 +63,7 @@
     }
 
     @Test
-    fun `a response may come later from another thread, and other connections are served meanwhile`() {
+    fun `a response may be sent later by another thread, and other connections are served in the meantime`() {
         socket.sendGet("/later")
         val respond = unanswered.take()
         Socket("127.0.0.1", server.port).use { other ->
@@ -83,7 +83,7 @@
     }
 
     @Test
-    fun `a handler that throws fails its own request alone`() {
+    fun `an exception in a handler fails only its own request`() {
         for (path in listOf("/fails", "/fails-at-once")) {
             socket.sendGet(path)
             assertEquals(500, readResponse().status)
@@ -100,14 +100,14 @@
     }
 
     @Test
-    fun `a connection is closed after the response if the client asks for that`() {
+    fun `a connection is closed after the response if the client requests it`() {
         socket.sendGet("/last", "Connection: close\r\n")
         assertTrue("Connection: close" in readResponse().head)
         assertConnectionClosed()
     }
 
     @Test
-    fun `a client that has shut its output still gets its response`() {
+    fun `a client that has shut down its output still receives its response`() {
         socket.sendGet("/later")
         val respond = unanswered.take()
         socket.shutdownOutput()
--- a/src/test/kotlin/glenspool/http/SocketLimitTest.kt
+++ b/src/test/kotlin/glenspool/http/SocketLimitTest.kt
@@ -11,10 +11,10 @@
 /** More connections than the socket limit allows. The limit holds for a whole process, so this runs in its own. */
 class SocketLimitTest {
     @Test
-    fun `connections beyond the limit are closed, those within it are served, and closed ones make room for others`() {
+    fun `connections up to the limit are served, further ones are closed, and each closed one frees a slot`() {
         val java = File(System.getProperty("java.home"), "bin/java").path
         val process =
-            ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), SocketLimit::class.java.name)
+            ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), SocketLimitProcess::class.java.name)
                 .redirectErrorStream(true)
                 .start()
         val output = process.inputStream.bufferedReader().use { it.readText().trim() }
@@ -23,7 +23,7 @@
     }
 }
 
-object SocketLimit {
+object SocketLimitProcess {
     private const val MAX_SOCKETS = 40
 
     /** The server notices a closed connection some time later; the bound is on tries, not on time. */
@@ -31,7 +31,7 @@
 
     @JvmStatic
     fun main(args: Array<String>) {
-        HttpListener.configure(MAX_SOCKETS)
+        HttpListener.setSocketLimit(MAX_SOCKETS)
         HttpListener(InetSocketAddress("127.0.0.1", 0), "limit", 8) { Response(Status.OK) }.use { server ->
             val sockets = List(MAX_SOCKETS + 10) { Socket("127.0.0.1", server.port) }
             val served = sockets.filter { it.isAnswered("/") }
--- a/src/test/kotlin/glenspool/logging/LoggingTest.kt
+++ b/src/test/kotlin/glenspool/logging/LoggingTest.kt
@@ -22,7 +22,7 @@
     }
 
     @Test
-    fun `a line has its level, its logger's name and its values, and those below the threshold are left out`() {
+    fun `a line contains level, logger name and values, and messages below the threshold are not written`() {
         val lines =
             linesOf(Level.INFO) {
                 it.debug("hidden {}", 1)
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `the level is read from its name in any case, and an unknown or missing name is info`() {
+    fun `a level name is parsed in any letter case, and an unknown or missing name means INFO`() {
         val parsed = listOf("error", "DEBUG", null, "loud").map(LogLevel::parse)
         assertEquals(listOf(Level.ERROR, Level.DEBUG, Level.INFO, Level.INFO), parsed)
     }
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -76,7 +76,7 @@
     private fun LoopbackService.verifyOldBuildIsFenced(member: String) {
         kill(member)
         start(member, oldBuild)
-        await("it is fenced") { (readiness(member) as? CallResult.Answer)?.body?.get("needs_level") == 2L }
+        await("it is fenced") { (readiness(member) as? CallResult.Response)?.body?.get("needs_level") == 2L }
         val fence = ask(member).status?.fence.orEmpty()
         assertTrue(fence.contains("level 2 (next-form) is active"), fence)
         assertFalse(ask(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
--- a/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
@@ -1,9 +1,9 @@
 package glenspool.simulation
 
 import glenspool.core.model.TaskKey
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.wire.Cbor
 import org.http4k.core.Request
 import org.http4k.core.Response
@@ -43,7 +43,7 @@
     /** Machines that the cloud was asked to delete. */
     val deleted = AtomicInteger()
 
-    internal val http = HttpCaller(500.milliseconds)
+    internal val http = HttpClient(500.milliseconds)
     private val timer = Executors.newScheduledThreadPool(minOf(workers, HEARTBEAT_THREADS))
     private val workers = ConcurrentHashMap<String, LoopbackWorker>()
     private val cloud = HttpListener(InetSocketAddress("127.0.0.1", 0), "cloud", 4, ::serveCloud)
@@ -84,15 +84,15 @@
 
     private fun serveCloud(request: Request): Response =
         when {
-            request.uri.path == "/flavors" -> cbor(Status.OK, mapOf("frames" to listOf(machineType)))
+            request.uri.path == "/flavors" -> cborResponse(Status.OK, mapOf("frames" to listOf(machineType)))
             request.uri.path == "/hosts/delete" -> delete(request)
             request.method.name == "POST" -> {
                 rented.incrementAndGet()
-                cbor(Status.SERVICE_UNAVAILABLE, mapOf("error" to "no capacity"))
+                cborResponse(Status.SERVICE_UNAVAILABLE, mapOf("error" to "no capacity"))
             }
             else -> {
                 val machines = workers.values.sortedBy { it.name }.map { it.listed() }
-                cbor(Status.OK, mapOf("spindles" to machines, "has_next" to false))
+                cborResponse(Status.OK, mapOf("spindles" to machines, "has_next" to false))
             }
         }
 
@@ -101,7 +101,7 @@
         val names = Cbor.decodeMap(request.body.stream.readAllBytes())["spindles"] as List<String>
         deleted.addAndGet(names.size)
         names.forEach { workers.remove(it)?.delete() }
-        return cbor(Status.OK, emptyMap())
+        return cborResponse(Status.OK, emptyMap())
     }
 
     override fun close() {
--- a/src/test/kotlin/glenspool/simulation/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -5,7 +5,7 @@
 import glenspool.core.Tuning
 import glenspool.core.model.JobSpec
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
@@ -58,7 +58,7 @@
     val fleet =
         LoopbackFleet(workers, { apiAddresses }, history, heartbeatInterval, lease, runTime, clock::elapsedNow)
     private val nodes = HashMap<String, Node>()
-    private val http = HttpCaller(300.milliseconds)
+    private val http = HttpClient(300.milliseconds)
 
     /** The first thing that went wrong on any thread. */
     private val failure = AtomicReference<Throwable>()
@@ -105,7 +105,7 @@
     /** A listening node is ready at once; one that can say that a job is unknown has read the state. */
     private fun hasReadState(name: String): Boolean {
         val answer = http.get(apiAddresses.getValue(name), "/api/jobs/run-999999", 1.seconds)
-        return (answer as? CallResult.Answer)?.status == 404
+        return (answer as? CallResult.Response)?.status == 404
     }
 
     /** Ends a random controller and starts a build in its place at once. */
--- a/src/test/kotlin/glenspool/simulation/LoopbackUsers.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackUsers.kt
@@ -4,7 +4,7 @@
 import glenspool.core.model.JobSpec
 import glenspool.core.model.Resources
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.wire.JobWire
 import java.util.concurrent.locks.LockSupport
 import kotlin.concurrent.thread
@@ -19,7 +19,7 @@
  */
 internal class LoopbackUsers(
     private val history: JobHistory,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val anyNode: () -> String,
     @Volatile private var loading: Boolean,
     private val onFailure: (IllegalStateException) -> Unit,
@@ -100,8 +100,8 @@
         }
     }
 
-    private fun post(path: String, body: Map<String, Any?>): CallResult.Answer? =
-        http.post(anyNode(), path, body, 5.seconds) as? CallResult.Answer
+    private fun post(path: String, body: Map<String, Any?>): CallResult.Response? =
+        http.post(anyNode(), path, body, 5.seconds) as? CallResult.Response
 
     private fun pollAll() {
         while (loading || history.accepted.size > history.finished.size) {
@@ -111,7 +111,7 @@
     }
 
     private fun poll(id: String) {
-        val answer = http.get(anyNode(), "/api/jobs/$id", 2.seconds) as? CallResult.Answer ?: return
+        val answer = http.get(anyNode(), "/api/jobs/$id", 2.seconds) as? CallResult.Response ?: return
         check(answer.status != 404) { "$id was accepted and is unknown" }
         val stage = answer.body["stage"]
         val hasEnded = answer.status == 200 && (stage == "done" || stage == "aborted")
--- a/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
@@ -7,7 +7,7 @@
 import glenspool.core.model.TaskStatus
 import glenspool.http.CallResult
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.wire.Cbor
 import glenspool.wire.Fields
 import glenspool.wire.WorkerWire
@@ -89,12 +89,13 @@
         val sentAt = fleet.now()
         val heartbeat = heartbeat()
         val address = addresses[leader] ?: addresses.values.toList().let { it[nextNode++ % it.size] }
-        val answer = fleet.http.post(address, "/checkin", WorkerWire.encode(heartbeat), 2.seconds) as? CallResult.Answer
+        val answer =
+            fleet.http.post(address, "/checkin", WorkerWire.encode(heartbeat), 2.seconds) as? CallResult.Response
         synchronized(this) { take(answer, heartbeat, sentAt) }
         return answer?.status == MISDIRECTED
     }
 
-    private fun take(answer: CallResult.Answer?, heartbeat: Heartbeat, sentAt: Duration) {
+    private fun take(answer: CallResult.Response?, heartbeat: Heartbeat, sentAt: Duration) {
         when (answer?.status) {
             OK -> takeCommands(answer.body, heartbeat, sentAt)
             MISDIRECTED -> leader = answer.body["foreman"] as? String
@@ -138,10 +139,10 @@
     }
 
     private fun serve(request: Request): Response {
-        if (request.uri.path == "/show") return cbor(Status.OK, WorkerWire.encode(heartbeat()))
+        if (request.uri.path == "/show") return cborResponse(Status.OK, WorkerWire.encode(heartbeat()))
         val body = Cbor.decodeMap(request.body.stream.readAllBytes())
         val isExecuted = synchronized(this) { executeIfCurrent(body) }
-        return cbor(if (isExecuted) Status.OK else Status.CONFLICT, WorkerWire.encode(heartbeat()))
+        return cborResponse(if (isExecuted) Status.OK else Status.CONFLICT, WorkerWire.encode(heartbeat()))
     }
 
     private fun executeIfCurrent(body: Fields): Boolean {
--- a/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
+++ b/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
@@ -9,7 +9,7 @@
 import glenspool.core.model.MachineType
 import glenspool.core.model.Resources
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.rollout.FeaturePermits
@@ -31,7 +31,7 @@
     lateinit var dir: File
     protected val state = InMemoryStore()
     protected val outside = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
-    protected val http = HttpCaller(2.seconds)
+    protected val http = HttpClient(2.seconds)
     protected val client = KeyValueStoreClient("127.0.0.1:${outside.port}", http)
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val syncs = startSyncThread(cache)
@@ -74,16 +74,16 @@
     ) = job(id, kind, tasks, resourceRequest, team)
 
     /** Submits a job. [awaits]: the field of its dependencies, as it is sent. */
-    protected fun submit(spec: JobSpec, awaits: Any? = null): CallResult.Answer {
+    protected fun submit(spec: JobSpec, awaits: Any? = null): CallResult.Response {
         val dependencies = if (awaits == null) emptyMap() else mapOf("awaits" to awaits)
-        return http.post(addr, "/api/jobs", JobWire.encode(spec) + dependencies, 20.seconds) as CallResult.Answer
+        return http.post(addr, "/api/jobs", JobWire.encode(spec) + dependencies, 20.seconds) as CallResult.Response
     }
 
-    protected fun show(id: String) = http.get(addr, "/api/jobs/$id", 20.seconds) as CallResult.Answer
+    protected fun show(id: String) = http.get(addr, "/api/jobs/$id", 20.seconds) as CallResult.Response
 
-    protected fun withdraw(id: String): CallResult.Answer {
+    protected fun withdraw(id: String): CallResult.Response {
         val path = "/api/jobs/$id/withdraw"
-        return http.post(addr, path, emptyMap(), 10.seconds) as CallResult.Answer
+        return http.post(addr, path, emptyMap(), 10.seconds) as CallResult.Response
     }
 
     /** Stores the final state of a job, as the leader does. */
--- a/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
+++ b/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
@@ -1,8 +1,8 @@
 package glenspool.state
 
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.wire.Fields
 import glenspool.wire.StoreWire
 import org.http4k.core.Response
@@ -21,13 +21,13 @@
     @Volatile
     private var answer: Response = Response(Status.OK)
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "store", 2, { answer })
-    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpClient(2.seconds))
 
     @AfterEach
     fun close() = listener.close()
 
     private fun respondWith(status: Status, body: Fields = emptyMap()) {
-        answer = cbor(status, body)
+        answer = cborResponse(status, body)
     }
 
     @Test
@@ -59,7 +59,7 @@
     @Test
     fun `a request that could not be sent is refused`() {
         val closedPort = ServerSocket(0).use { it.localPort }
-        val unreachable = KeyValueStoreClient("127.0.0.1:$closedPort", HttpCaller(2.seconds))
+        val unreachable = KeyValueStoreClient("127.0.0.1:$closedPort", HttpClient(2.seconds))
 
         assertEquals(StoreResult.Refused(StoreResult.Refused.NOT_SENT), unreachable.get("g/a"))
         assertTrue(unreachable.isUnreachable)
--- a/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
+++ b/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
@@ -1,8 +1,8 @@
 package glenspool.state
 
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.wire.Fields
 import org.http4k.core.Status
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -37,9 +37,9 @@
     fun `a change older than a page that was read does not replace the newer value of its key`() {
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 4, { request ->
             val body: Fields = if (request.uri.path == "/store") page else changes
-            cbor(Status.OK, body)
+            cborResponse(Status.OK, body)
         }).use { listener ->
-            val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+            val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpClient(2.seconds))
             val cache = StoreCache(client, 1000.0) { _, _ -> }
             val syncThread = thread(isDaemon = true) { runUntilInterrupted { cache.serveSyncs() } }
 
