--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -71,7 +71,7 @@
         return when (val parts = descriptionParts.write(record, retry)) {
             is DescriptionPartWriter.Result.Failed -> Attempt.Answered(parts.answer)
             is DescriptionPartWriter.Result.Stored -> {
-                val split = record.copy(descriptionParts = parts.versions.size)
+                val split = record.copy(descriptionPartCount = parts.versions.size)
                 transact(split, conditions + parts.versions, abortedBy, isSplit, retry)
             }
         }
--- a/src/main/kotlin/glenspool/api/JobSubmission.kt
+++ b/src/main/kotlin/glenspool/api/JobSubmission.kt
@@ -30,7 +30,7 @@
         val record =
             JobRecord(
                 spec = submission.spec,
-                submitted = wallClock(),
+                submittedAt = wallClock(),
                 lastAttempt = 0,
                 done = BitSet(),
                 placements = emptyList(),
--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -149,7 +149,7 @@
         val engine = RecoveryEngine(RecoveryPolicy(), setting, 2, Duration.ZERO, StartKind.COLD)
         val fleet = WarmUpFleet(config, engine.hooks)
         repeat(RECOVERY_ROUNDS) {
-            fleet.runTurn()
+            fleet.runCycle()
             engine.tick(fleet.now).forEach { it.toString() }
         }
         engine.snapshot?.let { RecoveryReplies.differences(it) }
--- a/src/main/kotlin/glenspool/config/TuningParameter.kt
+++ b/src/main/kotlin/glenspool/config/TuningParameter.kt
@@ -20,11 +20,11 @@
                 duration("round_period_s", 0.1..60.0, { it.roundPeriod }) { copy(roundPeriod = it) },
                 duration("gang_wait_bound_s", 0.0..3600.0, { it.gangWaitBound }) { copy(gangWaitBound = it) },
                 duration("wait_bound_s", 1.0..3600.0, { it.waitBound }) { copy(waitBound = it) },
-                duration("idle_return_s", 0.0..3600.0, { it.idleReturn }) { copy(idleReturn = it) },
+                duration("idle_return_s", 0.0..3600.0, { it.idleReturnDelay }) { copy(idleReturnDelay = it) },
                 number("silence_share", 0.1..0.9, { it.silenceShare }) { copy(silenceShare = it) },
                 number("headroom", 0.0..10.0, { it.headroom }) { copy(headroom = it) },
-                number("boot_patience", 1.0..20.0, { it.bootPatience }) { copy(bootPatience = it) },
-                duration("refusal_pause_s", 1.0..600.0, { it.refusalPause }) { copy(refusalPause = it) },
+                number("boot_patience", 1.0..20.0, { it.bootTimeoutFactor }) { copy(bootTimeoutFactor = it) },
+                duration("refusal_pause_s", 1.0..600.0, { it.refusalRetryDelay }) { copy(refusalRetryDelay = it) },
             )
 
         private fun number(
--- a/src/main/kotlin/glenspool/controller/CoreLoop.kt
+++ b/src/main/kotlin/glenspool/controller/CoreLoop.kt
@@ -116,10 +116,10 @@
                 }
             is Event.ProbeEnded -> step { probeEnded(event.machine, event.heartbeat, event.wasSent) }
             is Event.MachinesListed -> step { machinesListed(event.machines) }
-            is Event.MachineTypesRead -> step { machineTypesKnown(event.types) }
+            is Event.MachineTypesRead -> step { machineTypesRead(event.types) }
             is Event.ScaleOutEnded -> step { scaleOutEnded(event) }
             is Event.DeletionEnded -> step { deletionEnded(event.machines, event.isDeleted) }
-            is Event.StoreEnded -> activeTermIf(event.term)?.step { storeEnded(event.outcome) }
+            is Event.StoreEnded -> activeTermIf(event.term)?.step { transactionEnded(event.outcome) }
             is Event.FencingTokenAdvanced -> step { fencingTokenAdvanced(event.token) }
             is Event.StoreRead -> activeTerm?.storeRead(event.sent)
             is Event.StartKindDetermined -> activeTermIf(event.term)?.startKindDetermined(event.kind)
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -32,8 +32,8 @@
     /** Loads the stored state. No heartbeat may be passed to this term before this function has returned. */
     fun start() {
         step {
-            membersChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
-            context.knownTypes()?.let { machineTypesKnown(it) }
+            splitRecordSupportChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
+            context.knownTypes()?.let { machineTypesRead(it) }
             context.changeApplier.loadAll(this)
             // Which jobs have records that an earlier leader has split is known only after the load.
             updateSplitting()
@@ -58,7 +58,7 @@
         if (!hasLease()) return pause()
         pausedSince?.let { since ->
             pausedSince = null
-            step { resumed(context.clock.elapsedNow() - since) }
+            step { processResumed(context.clock.elapsedNow() - since) }
         }
         val backlog = context.backlog()
         step {
@@ -84,8 +84,8 @@
     }
 
     private fun Scheduler.updateSplitting() {
-        membersChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
-        splittingForbidden(context.features.permit(FeatureRegistry.SEALED_RECORDS) == null)
+        splitRecordSupportChecked(context.features.isInUse(FeatureRegistry.SEALED_RECORDS))
+        setSplittingForbidden(context.features.permit(FeatureRegistry.SEALED_RECORDS) == null)
     }
 
     /** Returns the commands for the worker that sent the heartbeat; null if this node may not answer as leader. */
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -71,7 +71,7 @@
     private var membersQueriedAt = Duration.ZERO
 
     /** The scheduler's hooks in a term in which nothing has to be recovered. */
-    val hooksWithoutRecovery = SchedulerHooks(newWorkNeedsOwnHeartbeat = true)
+    val hooksWithoutRecovery = SchedulerHooks(newWorkRequiresWorkerHeartbeat = true)
 
     /** The evidence of terms that this process has lived through, for the other controllers. */
     fun ownContinuityEvidence() = PeerContinuityEvidence(firstObservedToken)
--- a/src/main/kotlin/glenspool/controller/StoreChangeApplier.kt
+++ b/src/main/kotlin/glenspool/controller/StoreChangeApplier.kt
@@ -46,7 +46,7 @@
         val value = change.value
         when {
             value == null -> scheduler.jobRemoved(id)
-            known == null -> scheduler.jobStored(records.read(id, value), change.version)
+            known == null -> scheduler.jobRecordRead(records.read(id, value), change.version)
             // This leader wrote the record of a known job itself, so only the version can be new.
             change.version > known.version -> known.version = change.version
         }
--- a/src/main/kotlin/glenspool/controller/StoreWriter.kt
+++ b/src/main/kotlin/glenspool/controller/StoreWriter.kt
@@ -95,7 +95,7 @@
     private fun handleTooLarge(term: Term, changes: StoreChanges): StoreOutcome {
         val update = changes.writes.singleOrNull() as? UpdateJobRecord
         val permit = features.permit(FeatureRegistry.SEALED_RECORDS)
-        if (update == null || update.record.descriptionParts > 0 || permit == null) return StoreOutcome.TooLarge()
+        if (update == null || update.record.descriptionPartCount > 0 || permit == null) return StoreOutcome.TooLarge()
         val parts = JobRecordReader.descriptionPartPuts(update.record, limits.valueBytes)
         val conditions = permit.conditions() + (Keys.LEADERSHIP to term.recordVersion)
         val isStored = parts.chunked(limits.txnOps).all { puts -> store.transact(conditions, puts) is StoreResult.Ok }
--- a/src/main/kotlin/glenspool/controller/WarmUp.kt
+++ b/src/main/kotlin/glenspool/controller/WarmUp.kt
@@ -48,7 +48,7 @@
         repeat(TURN_COUNT) {
             if (isLeading()) return
             val sliceStart = TimeSource.Monotonic.markNow()
-            fleet.runTurn()
+            fleet.runCycle()
             exerciseStoreFormats(fleet)
             repeat(HEARTBEATS_PER_TURN) { if (isReachable) isReachable = sendHeartbeat(fleet) }
             workingTime += sliceStart.elapsedNow()
@@ -71,7 +71,7 @@
 
     /** Runs the code between the core and the key-value store. */
     private fun exerciseStoreFormats(fleet: WarmUpFleet) {
-        val changes = fleet.lastStore ?: return
+        val changes = fleet.lastStoreChanges ?: return
         transactionOf(1, changes).puts.forEach { Cbor.decodeMap(Cbor.encode(it.value)) }
     }
 
--- a/src/main/kotlin/glenspool/core/Actions.kt
+++ b/src/main/kotlin/glenspool/core/Actions.kt
@@ -69,18 +69,18 @@
 /**
  * Replaces the job's record. With [requiresUncancelled] it must not be stored once the job is cancelled. [chunks]: the
  * chunks of its done bits that changed; [parts]: the parts of its placements that changed, each with the number of its
- * last change; [change]: the number of the job's last change that it holds.
+ * last change; [lastChange]: the number of the job's last change that it holds.
  */
 data class UpdateJobRecord(
     override val id: String,
     override val version: Long,
     val record: JobRecord,
     val chunks: List<Int>,
-    val change: Long,
+    val lastChange: Long,
     val requiresUncancelled: Boolean,
     val parts: Map<Int, Long> = emptyMap(),
     /** Whether nothing is left that this job would still have to store. */
-    val isWhole: Boolean = true,
+    val includesAllChanges: Boolean = true,
 ) : JobWrite
 
 /**
--- a/src/main/kotlin/glenspool/core/ClusterObserver.kt
+++ b/src/main/kotlin/glenspool/core/ClusterObserver.kt
@@ -17,10 +17,10 @@
 /** Told of what the scheduler learns, as it learns it. */
 interface ClusterObserver {
     /** A live job was read from the key-value store. */
-    fun jobRead(record: JobRecord) = Unit
+    fun jobRecordRead(record: JobRecord) = Unit
 
     /** A record of this leader's own was stored. */
-    fun jobStored(record: JobRecord) = Unit
+    fun jobRecordStored(record: JobRecord) = Unit
 
     /** The job has its final state. */
     fun jobEnded(job: String) = Unit
--- a/src/main/kotlin/glenspool/core/FencingTokenAdvancer.kt
+++ b/src/main/kotlin/glenspool/core/FencingTokenAdvancer.kt
@@ -16,11 +16,11 @@
     private fun advance() {
         if (isAdvancing || context.now - advancedAt < context.config.lease / 2) return
         isAdvancing = true
-        context.act(AdvanceFencingToken)
+        context.addAction(AdvanceFencingToken)
     }
 
     /** The outcome: the new token, or null if it was not advanced. */
-    fun advanced(newToken: Long?) {
+    fun advanceEnded(newToken: Long?) {
         isAdvancing = false
         if (newToken == null || newToken <= context.token) return
         context.advanceToken(newToken)
--- a/src/main/kotlin/glenspool/core/Scheduler.kt
+++ b/src/main/kotlin/glenspool/core/Scheduler.kt
@@ -17,7 +17,7 @@
 import glenspool.core.cluster.TypePerformance
 import glenspool.core.lifecycle.Job
 import glenspool.core.lifecycle.JobDependencies
-import glenspool.core.lifecycle.JobIntake
+import glenspool.core.lifecycle.JobEventHandler
 import glenspool.core.lifecycle.JobSupervisor
 import glenspool.core.lifecycle.RecordSplitting
 import glenspool.core.lifecycle.RecordWriteScheduler
@@ -69,11 +69,11 @@
     private val preemptor = Preemptor(context, cluster, commands, deadlines)
     private val placement =
         PlacementScheduler(context, cluster, splitting, deadlines, performance, preemptor, jobSupervisor)
-    private val intake: JobIntake =
-        JobIntake(context, cluster, splitting, orphans, commands, autoscaler) { job -> writes.markDirty(job) }
+    private val jobEvents: JobEventHandler =
+        JobEventHandler(context, cluster, splitting, orphans, commands, autoscaler) { job -> writes.markDirty(job) }
 
     /** Jobs that wait for others. */
-    val dependencies: JobDependencies = JobDependencies(context, cluster, deadlines, intake::dependenciesDone)
+    val dependencies: JobDependencies = JobDependencies(context, cluster, deadlines, jobEvents::dependenciesDone)
     private val writes = RecordWriteScheduler(context, cluster, commands, dependencies, splitting, ::jobRemoved)
 
     /** Jobs whose tasks may run; those that wait for others are in [dependencies]. */
@@ -91,7 +91,7 @@
     val orderCounts: OrderCounts get() = context.orderCounts
 
     /** Whether placements may be stored apart from their job's record. */
-    val maySplitRecords: Boolean get() = splitting.isAllowed
+    val canSplitRecords: Boolean get() = splitting.isAllowed
 
     /**
      * Runs [event] at the given steady time and time of day (since the epoch), and returns what has to be done.
@@ -99,7 +99,7 @@
     fun step(now: Duration, wallTime: Duration, event: Scheduler.() -> Unit): List<Action> {
         val gap = now - context.now
         context.beginStep(now, wallTime)
-        if (gap > STALL) resumed(gap)
+        if (gap > STALL) processResumed(gap)
         event()
         if (placement.runIfDue()) autoscaler.plan()
         commands.flush()
@@ -114,7 +114,7 @@
         jobSupervisor.tick()
         tokenAdvancer.tick()
         autoscaler.tick()
-        dependencies.readUnknown()
+        dependencies.requestFinalStates()
         imageLocations.storeChanges()
         splitting.merge()
     }
@@ -125,10 +125,10 @@
     fun job(id: String): Job? = dependencies.findJob(id)
 
     /** A job record was read from the key-value store. */
-    fun jobStored(record: JobRecord, version: Long) {
+    fun jobRecordRead(record: JobRecord, version: Long) {
         val known = job(record.spec.id)
         if (known == null) {
-            intake.jobRead(record, version, dependencies)
+            jobEvents.newJobRead(record, version, dependencies)
         } else if (version > known.version) {
             known.version = version
         }
@@ -136,30 +136,31 @@
 
     /** The job's cancellation is stored under [version] since [at], a time of day. */
     fun jobCancelled(id: String, version: Long, at: Duration) {
-        job(id)?.let { intake.jobCancelled(it, version, at, dependencies) }
+        job(id)?.let { jobEvents.jobCancelled(it, version, at, dependencies) }
     }
 
     /** The job's record is gone from the live jobs: it has its final state. */
     fun jobRemoved(id: String) {
-        dependencies.removed(id)
-        intake.jobEnded(id)
+        dependencies.jobRemoved(id)
+        jobEvents.jobEnded(id)
     }
 
     /** The final states of jobs as far as they could be read. */
-    fun finalStatesRead(asked: List<String>, found: Map<String, FinalState>) = dependencies.read(asked, found)
+    fun finalStatesRead(asked: List<String>, found: Map<String, FinalState>) =
+        dependencies.finalStatesRead(asked, found)
 
     /** A transaction has ended. */
-    fun storeEnded(outcome: StoreOutcome) = writes.ended(outcome)
+    fun transactionEnded(outcome: StoreOutcome) = writes.transactionEnded(outcome)
 
     // Stored forms.
 
     /** Whether every controller was found to read split records. */
-    fun membersChecked(allReadSplitRecords: Boolean) {
-        if (allReadSplitRecords) splitting.supportedByAll()
+    fun splitRecordSupportChecked(allReadSplitRecords: Boolean) {
+        if (allReadSplitRecords) splitting.markSupportedByAll()
     }
 
     /** Whether records must not be split, whatever else is known. */
-    fun splittingForbidden(forbidden: Boolean) = splitting.setForbidden(forbidden)
+    fun setSplittingForbidden(forbidden: Boolean) = splitting.setForbidden(forbidden)
 
     /** What an earlier leader knew of the machines' image caches; used as each machine is heard. */
     fun imageLocationsRead(images: ImagesByMachine) = imageLocations.loadStored(images)
@@ -194,7 +195,7 @@
     }
 
     /** The cloud's machine types were read. */
-    fun machineTypesKnown(types: List<MachineType>) = cluster.updateTypes(types)
+    fun machineTypesRead(types: List<MachineType>) = cluster.updateTypes(types)
 
     /** The whole list of machines as the cloud gave it; it lags. */
     fun machinesListed(list: List<ListedMachine>) {
@@ -236,7 +237,7 @@
     // This process.
 
     /** The fencing token was advanced; null: it was not. */
-    fun fencingTokenAdvanced(newToken: Long?) = tokenAdvancer.advanced(newToken)
+    fun fencingTokenAdvanced(newToken: Long?) = tokenAdvancer.advanceEnded(newToken)
 
     /** Tells how far this process is behind with what comes in. */
     fun backlogMeasured(backlog: Duration) = overload.backlogMeasured(backlog)
@@ -245,7 +246,7 @@
      * The process stood still or could not lead for that long: what was not heard meanwhile proves nothing. Without
      * this a leader that outlived an outage of the key-value store would conclude that it hears nobody, and resign.
      */
-    fun resumed(gap: Duration) {
+    fun processResumed(gap: Duration) {
         for (machine in machines.values) machine.reachability.excludeGap(gap, now)
     }
 
--- a/src/main/kotlin/glenspool/core/SchedulerHooks.kt
+++ b/src/main/kotlin/glenspool/core/SchedulerHooks.kt
@@ -23,7 +23,7 @@
      * Whether a machine is fit for new work only while its own heartbeats are answered. A worker that answers commands
      * may be unable to send heartbeats: its lease expires again and again, with all that it was given meanwhile.
      */
-    val newWorkNeedsOwnHeartbeat: Boolean = false,
+    val newWorkRequiresWorkerHeartbeat: Boolean = false,
     /** What becomes of a task that is gone from the machine where it was placed. */
     val missingTaskPolicy: () -> MissingTaskPolicy = { MissingTaskPolicy.RESCHEDULE },
 )
--- a/src/main/kotlin/glenspool/core/SchedulingContext.kt
+++ b/src/main/kotlin/glenspool/core/SchedulingContext.kt
@@ -46,7 +46,7 @@
     }
 
     /** Adds to the actions of this step. */
-    fun act(action: Action) {
+    fun addAction(action: Action) {
         actions.add(action)
     }
 
@@ -77,6 +77,6 @@
 
     /** Writes a line to the log; details only if the deployment asks for them. */
     fun log(isImportant: Boolean = false, text: () -> String) {
-        if (isImportant || config.logsDetails) act(LogMessage(text(), isImportant))
+        if (isImportant || config.logsDetails) addAction(LogMessage(text(), isImportant))
     }
 }
--- a/src/main/kotlin/glenspool/core/Tuning.kt
+++ b/src/main/kotlin/glenspool/core/Tuning.kt
@@ -18,13 +18,13 @@
      */
     val waitBound: Duration = 100.seconds,
     /** An ordinary machine that has been empty for this long is returned. */
-    val idleReturn: Duration = 20.seconds,
+    val idleReturnDelay: Duration = 20.seconds,
     /** Share of a lease after which a silent machine is replaced. */
     val silenceShare: Double = 0.3,
     /** Spare places kept for critical services, as a multiple of what arrives while a machine boots. */
     val headroom: Double = 1.0,
     /** A machine that has not come up after this many usual boot times is replaced. */
-    val bootPatience: Double = 2.5,
+    val bootTimeoutFactor: Double = 2.5,
     /** How long a refused kind of machine is not asked for again. */
-    val refusalPause: Duration = 15.seconds,
+    val refusalRetryDelay: Duration = 15.seconds,
 )
--- a/src/main/kotlin/glenspool/core/WarmUpFleet.kt
+++ b/src/main/kotlin/glenspool/core/WarmUpFleet.kt
@@ -47,24 +47,24 @@
     /** The last messages, to warm up the code outside the scheduler with. */
     var lastHeartbeat: Heartbeat = heartbeat(0)
         private set
-    var lastStore: StoreChanges? = null
+    var lastStoreChanges: StoreChanges? = null
         private set
 
     /** Tasks that were started, and jobs whose final state was stored, so far. */
-    var started = 0
+    var startedTasks = 0
         private set
-    var ended = 0
+    var endedJobs = 0
         private set
 
     /** Jobs that are not over. */
-    val openJobs: Int get() = scheduler.jobs.size
+    val liveJobs: Int get() = scheduler.jobs.size
 
     init {
-        step { machineTypesKnown(listOf(type)) }
+        step { machineTypesRead(listOf(type)) }
     }
 
     /** One turn of a leader's life: a job comes, one may be cancelled, every machine sends a heartbeat, time passes. */
-    fun runTurn() {
+    fun runCycle() {
         now += TURN
         submit()
         if (jobCount % JOBS_PER_CANCELLATION == 0) step { jobCancelled("job-${jobCount - 2}", ++revision, now) }
@@ -107,7 +107,7 @@
                 checkpointDuration = Duration.ZERO,
                 deadline = 30.seconds,
             )
-        step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
+        step { jobRecordRead(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
     }
 
     private fun heartbeat(machine: Int): Heartbeat =
@@ -135,7 +135,7 @@
         when (command) {
             is StartTask -> {
                 val task = SimulatedTask(command.attempt, TURNS_PER_TASK)
-                if (onMachine.putIfAbsent(command.key, task) == null) started++
+                if (onMachine.putIfAbsent(command.key, task) == null) startedTasks++
             }
             is StopTask -> onMachine[command.key]?.turnsLeft = 0
             is ForgetTask -> onMachine.remove(command.key)
@@ -155,9 +155,9 @@
     private fun answerTo(action: Action): (Scheduler.() -> Unit)? =
         when (action) {
             is StoreChanges -> {
-                lastStore = action
-                ended += action.writes.count { it is StoreFinalState }
-                ({ storeEnded(StoreOutcome.Stored(++revision)) })
+                lastStoreChanges = action
+                endedJobs += action.writes.count { it is StoreFinalState }
+                ({ transactionEnded(StoreOutcome.Stored(++revision)) })
             }
             is SendCommands -> {
                 val machine = action.machine.drop(1).toInt()
--- a/src/main/kotlin/glenspool/core/WorkCounters.kt
+++ b/src/main/kotlin/glenspool/core/WorkCounters.kt
@@ -15,7 +15,7 @@
     var commandScans = 0L
 
     /** Placement rounds. */
-    var rounds = 0L
+    var placementRounds = 0L
 
     val total: Long get() = placementScores + storeScans + commandScans
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
@@ -40,7 +40,7 @@
         plannedAt = context.now
         val waiting =
             cluster.jobs.values
-                .filter { it.waitingCount() > 0 && it.failedOn.size < MAX_FAILED_MACHINES }
+                .filter { it.waitingTaskCount() > 0 && it.failedMachines.size < MAX_FAILED_MACHINES }
                 .sortedWith(compareByDescending<Job> { it.effectivePriority }.thenBy { it.waitingSince })
         val slots = headroom.measure()
         requests.request(scaleOut.plan(waiting, slots))
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -78,7 +78,7 @@
     /** How many machines of the most common type the job's waiting tasks would fill. */
     private fun loadOf(job: Job): Double {
         val type = cluster.commonType ?: return 0.0
-        val tasks = minOf(job.waitingCount(), cluster.quotas.remaining(job))
+        val tasks = minOf(job.waitingTaskCount(), cluster.quotas.remaining(job))
         return tasks * job.resourceRequest.dominantShareOf(type.capacity)
     }
 
@@ -117,9 +117,9 @@
 
     /** How long keeping an empty machine is worthwhile, given the time it would take to get another one ready. */
     private fun maxIdleTime(machine: Machine, imageGb: Double): Duration {
-        val idleReturn = context.config.tuning.idleReturn
+        val idleReturn = context.config.tuning.idleReturnDelay
         val type = cluster.typeOf(machine) ?: return idleReturn
-        return idleReturn + (type.boot + type.fetchTime(imageGb)) * READY_TIME_SHARE
+        return idleReturn + (type.bootTime + type.fetchTime(imageGb)) * READY_TIME_SHARE
     }
 
     private fun priceOf(machine: Machine): Double {
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutPlanner.kt
@@ -68,9 +68,9 @@
     /** Packs the tasks of a service or gang, for which machines are rented as soon as there are none to take them. */
     private fun packAllTasks(job: Job, plan: PackingPlan) {
         val quota = cluster.quotas.remaining(job)
-        if (job.spec.kind == JobKind.GANG && quota < job.waitingCount()) return
+        if (job.spec.kind == JobKind.GANG && quota < job.waitingTaskCount()) return
         val cursor = PackingCursor(job.spec, zoneFor(job, plan), capacityInZones(job))
-        repeat(minOf(job.waitingCount(), quota, MAX_PLANNED_TASKS_PER_JOB)) {
+        repeat(minOf(job.waitingTaskCount(), quota, MAX_PLANNED_TASKS_PER_JOB)) {
             if (!packOrRent(cursor, plan, ScaleOutCause.WAITING_WORK)) return
         }
     }
@@ -185,7 +185,7 @@
             val cursor = PackingCursor(job.spec)
             val limits = drainTimeLimits(job)
             var isStarved = isStarved(job)
-            repeat(minOf(job.waitingCount(), cluster.quotas.remaining(job), MAX_PLANNED_TASKS_PER_JOB)) {
+            repeat(minOf(job.waitingTaskCount(), cluster.quotas.remaining(job), MAX_PLANNED_TASKS_PER_JOB)) {
                 if (cursor.pack(plan)) return@repeat
                 val runTime = maxOf(job.spec.estimatedDuration, MIN_TASK_RUN_TIME)
                 unplannedRunTime += runTime
@@ -246,7 +246,7 @@
     /** The time from a scale-out request until a task runs on the new machine. */
     private fun leadTime(spec: JobSpec): Duration {
         val type = cluster.firstTypeFor(spec) ?: return DEFAULT_LEAD_TIME
-        return type.boot * BOOT_TIME_FACTOR + type.fetchTime(spec.imageGb)
+        return type.bootTime * BOOT_TIME_FACTOR + type.fetchTime(spec.imageGb)
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleOutRequests.kt
@@ -22,7 +22,7 @@
         retryAt.remove(request.request)
         if (rented < request.count) {
             val offer = MachineOffer(request.type, request.zone, request.spot)
-            refusedUntil[offer] = context.now + context.config.tuning.refusalPause
+            refusedUntil[offer] = context.now + context.config.tuning.refusalRetryDelay
         }
     }
 
@@ -36,7 +36,7 @@
         for ((name, time) in retryAt.entries.toList()) {
             if (context.now < time) continue
             retryAt.remove(name)
-            open[name]?.let(context::act)
+            open[name]?.let(context::addAction)
         }
     }
 
@@ -65,7 +65,7 @@
         val request = ScaleOut(name, offer.type, offer.zone, offer.spot, causes)
         open[name] = request
         causes.forEach { (cause, count) -> context.orderCounts.add(cause, count) }
-        context.act(request)
+        context.addAction(request)
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ServiceHeadroom.kt
@@ -84,7 +84,7 @@
     private fun neededSlots(rate: ArrivalRate): Int {
         val perSecond = rate.tasksPerSecond(now)
         val type = cluster.firstTypeFor(rate.spec) ?: return 0
-        val leadTime = type.boot * BOOT_TIME_FACTOR + type.fetchTime(rate.spec.imageGb) + LEAD_TIME_MARGIN
+        val leadTime = type.bootTime * BOOT_TIME_FACTOR + type.fetchTime(rate.spec.imageGb) + LEAD_TIME_MARGIN
         val mean = perSecond * (leadTime / 1.seconds) * context.config.tuning.headroom
         return ceil(mean + sqrt(mean)).toInt().coerceAtLeast(1)
     }
--- a/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
@@ -98,7 +98,7 @@
 
     /** Adds a new placement; [maySplit] tells whether it may be stored apart from the job's record. */
     fun addPlacement(placement: Placement, machine: Machine, maySplit: Boolean) {
-        placement.job.place(placement, maySplit)
+        placement.job.addPlacement(placement, maySplit)
         attach(placement, machine)
     }
 
@@ -121,14 +121,14 @@
     fun removePlacement(placement: Placement) {
         val job = placement.job
         if (job.placementOf(placement.task) !== placement) return
-        job.unplace(placement.task)
+        job.removePlacement(placement.task)
         machines[placement.machine]?.let { machine ->
             machine.workload.removePlacement(placement)
             machine.requests.dropStart(placement.key, placement.attempt)
         }
         quotas.charge(job, -1)
         context.log { "unplace task=$placement machine=${placement.machine} state=${placement.taskState}" }
-        if (placement.stage == PlacementStage.PLANNED) job.storeSoon() else job.markDirty()
+        if (placement.stage == PlacementStage.PLANNED) job.addUrgentChange() else job.markDirty()
         if (job.placements.isEmpty()) job.gangAttempt = null
     }
 }
--- a/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CommandQueue.kt
@@ -45,11 +45,11 @@
         val overrides = cause == StopCause.CANCELLED && placement.stopCause != StopCause.CANCELLED
         if (placement.stopCause != null && !overrides) return
         context.log { "stop task=$placement machine=${placement.machine} reason=$cause grace=$grace" }
-        placement.stopRequested(cause, grace)
+        placement.requestStop(cause, grace)
         val machine = cluster.machines[placement.machine] ?: return
         if (placement.stage == PlacementStage.PLANNED) return
         add(machine, StopTask(placement.key, placement.attempt, grace, cause))
-        placement.stopSent(context.now)
+        placement.markStopSent(context.now)
     }
 
     /** Sends the queued commands that may be sent now. */
@@ -136,14 +136,14 @@
             UnconfirmedStart(start.key, start.attempt, context.token, machine.incarnation, context.now)
         machine.requests.startSent(unconfirmed)
         machinesWithUnconfirmedStarts.add(machine)
-        machine.placements[start.key]?.startSent(context.now)
+        machine.placements[start.key]?.markStartSent(context.now)
     }
 
     /** Sends commands immediately; a request without commands passes the leader's token to the worker. */
     fun send(machine: Machine, commands: List<Command>) {
         machine.requests.requestSent(context.now)
         context.countOrders(commands)
-        context.act(SendCommands(machine.id, machine.addr, context.token, machine.incarnation, commands))
+        context.addAction(SendCommands(machine.id, machine.addr, context.token, machine.incarnation, commands))
     }
 
     /** Applies the outcome of a request to the machine. */
@@ -171,7 +171,7 @@
 
     private fun markStartNotExecuted(machine: Machine, start: StartTask) {
         val placement = machine.placements[start.key] ?: return
-        if (placement.attempt == start.attempt && placement.stage == PlacementStage.STORED) placement.startNotSent()
+        if (placement.attempt == start.attempt && placement.stage == PlacementStage.STORED) placement.clearStartSent()
     }
 
     /** Whether a start was unconfirmed for longer than [START_TIMEOUT], so the fencing token should be advanced. */
--- a/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
+++ b/src/main/kotlin/glenspool/core/cluster/FailureDetector.kt
@@ -65,9 +65,9 @@
     }
 
     private fun checkBoot(machine: Machine) {
-        val usualBoot = cluster.typeOf(machine)?.boot ?: DEFAULT_BOOT_TIME
+        val usualBoot = cluster.typeOf(machine)?.bootTime ?: DEFAULT_BOOT_TIME
         val age = maxOf(machine.age, now - machine.firstSeen)
-        val maxAge = usualBoot * config.tuning.bootPatience + config.listLag * 2
+        val maxAge = usualBoot * config.tuning.bootTimeoutFactor + config.listLag * 2
         if (age > maxAge) deleter.delete(machine, DeletionCause.NEVER_CAME_UP)
     }
 
@@ -142,7 +142,7 @@
     private fun probe(machine: Machine) {
         if (remainingProbes-- <= 0) return
         machine.requests.delayProbesUntil(now + probeInterval)
-        context.act(Probe(machine.id, machine.addr))
+        context.addAction(Probe(machine.id, machine.addr))
     }
 
     /**
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatProcessor.kt
@@ -97,7 +97,7 @@
         if (status.state != TaskState.FETCHING && wasWithoutImage) {
             machine.imageCache.recordUse(job.spec.image, job.spec.imageGb, cluster.typeOf(machine)?.cacheGb ?: 0.0)
         }
-        val beginsToRun = placement.observed(status.state, now)
+        val beginsToRun = placement.markObserved(status.state, now)
         if (beginsToRun && job.spec.kind == JobKind.GANG && isFullyRunning(job)) job.gangStarted = true
     }
 
@@ -115,11 +115,11 @@
         if (job.spec.kind == JobKind.GANG) {
             // The tasks of a gang complete together, so if one of them is done, all of them are.
             if (job.isComplete) return
-            job.finishAllTasks()
-            job.storeLater(now)
+            job.markAllTasksDone()
+            job.addDeferredChange(now)
         } else if (!job.done[task]) {
-            job.finishTask(task)
-            job.storeLater(now)
+            job.markTaskDone(task)
+            job.addDeferredChange(now)
             if (placement != null) performance.taskCompleted(placement, machine, now)
         }
     }
--- a/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ImageLocations.kt
@@ -45,7 +45,7 @@
             nextPart = part + 1
             storedAt = context.now
             storedParts[part] = images
-            context.act(StoreImageLocations(part, images))
+            context.addAction(StoreImageLocations(part, images))
             return
         }
     }
--- a/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
+++ b/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
@@ -32,7 +32,7 @@
 
     private fun resign(reason: String) {
         hasResigned = true
-        context.act(Resign(reason))
+        context.addAction(Resign(reason))
     }
 
     private fun hasNoContact(): Boolean {
--- a/src/main/kotlin/glenspool/core/cluster/Machine.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Machine.kt
@@ -201,7 +201,7 @@
     fun isReservedAgainst(job: Job, now: Duration): Boolean {
         val owner = reservedFor ?: return false
         // The reservation ends if no task of the owner waits, such as while its last attempt is still leaving.
-        if (now >= reservedUntil || owner.waitingCount() == 0) {
+        if (now >= reservedUntil || owner.waitingTaskCount() == 0) {
             reservedFor = null
             return false
         }
--- a/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MachineDeleter.kt
@@ -43,7 +43,7 @@
         val batch = pending.entries.take(DeleteMachines.MAX_MACHINES).associate { it.key to it.value }
         batch.keys.forEach(pending::remove)
         batch.values.forEach(context.orderCounts::add)
-        context.act(DeleteMachines(batch))
+        context.addAction(DeleteMachines(batch))
     }
 
     private companion object {
--- a/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
@@ -58,11 +58,11 @@
         // Whichever message shows that the task is missing, heartbeats that the worker itself sends must arrive;
         // otherwise a task that is started there ends with the worker's lease.
         if (!machine.reachability.sentHeartbeatWithin(freshness, now)) return false
-        return machine.id !in job.failedOn && !machine.isCordoned && machine.isReady(now, freshness)
+        return machine.id !in job.failedMachines && !machine.isCordoned && machine.isReady(now, freshness)
     }
 
     private fun restore(placement: Placement, machine: Machine) {
-        placement.restarted()
+        placement.resetForRestart()
         commands.add(machine, StartTask(placement.key, placement.attempt, StartCause.RESTORED))
     }
 
@@ -70,11 +70,11 @@
     fun attemptEnded(placement: Placement, machine: Machine, exit: ExitReason?) {
         val job = placement.job
         cluster.removePlacement(placement)
-        job.storeLater(now)
+        job.addDeferredChange(now)
         context.requestRound()
         // A broken gang should restart where its image is cached, and not elsewhere because smaller jobs took the
         // machine first.
-        if (job.spec.kind == JobKind.GANG && job.waitingCount() > 0) machine.reserve(job, now)
+        if (job.spec.kind == JobKind.GANG && job.waitingTaskCount() > 0) machine.reserve(job, now)
         when (exit) {
             ExitReason.ERROR, ExitReason.UNKNOWN -> recordFailure(job, machine)
             ExitReason.INSUFFICIENT_RESOURCES, ExitReason.ALREADY_PRESENT -> job.retryAfter = now + RETRY_DELAY
@@ -83,9 +83,9 @@
     }
 
     private fun recordFailure(job: Job, machine: Machine) {
-        job.failedOn.add(machine.id)
+        job.failedMachines.add(machine.id)
         machine.health.taskFailed(now)
-        val machines = job.failedOn.size
+        val machines = job.failedMachines.size
         // If the job failed on several machines, the job itself is at fault, and must not use up the fleet.
         val backoff =
             if (machines <
--- a/src/main/kotlin/glenspool/core/lifecycle/DoneBits.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/DoneBits.kt
@@ -41,5 +41,5 @@
 }
 
 /** Whether results of a large job are left after [write] for the next one. */
-fun Job.hasChunksLeftAfter(write: UpdateJobRecord): Boolean =
+fun Job.hasUnstoredChunksAfter(write: UpdateJobRecord): Boolean =
     storesDoneInChunks && !write.record.done.isEmpty && dirtyChunks().isNotEmpty()
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -26,17 +26,17 @@
     val resourceRequest: Resources get() = spec.resourceRequest
 
     /** When it was accepted, as a time of day. */
-    val submitted: Duration = record.submitted
+    val submittedAt: Duration = record.submittedAt
 
     /** When the job became known here, in steady time. */
     var knownSince: Duration = Duration.ZERO
 
     /** The number of parts that hold its description, stored apart from the record. */
-    var descriptionParts = record.descriptionParts
+    var descriptionPartCount = record.descriptionPartCount
 
     // Dependencies, see JobDependencies.
 
-    /** None of its tasks may be placed before its dependencies are done; [waitingCount] holds that. */
+    /** None of its tasks may be placed before its dependencies are done; [waitingTaskCount] holds that. */
     var waitsForDependencies = record.dependencies.isNotEmpty()
         private set
 
@@ -99,7 +99,7 @@
     // Placing.
 
     /** Machines on which a task of it failed. */
-    val failedOn = LinkedHashSet<String>()
+    val failedMachines = LinkedHashSet<String>()
 
     /** No task is placed before this time; null: at any time. */
     var retryAfter: Duration? = null
@@ -128,12 +128,12 @@
     val effectivePriority: Priority get() = inheritedPriority?.let { maxOf(it, spec.priority) } ?: spec.priority
 
     /** Times other than its deadline count from here. */
-    val waitingSince: Duration get() = dependenciesDoneAt ?: submitted
+    val waitingSince: Duration get() = dependenciesDoneAt ?: submittedAt
 
     /** By when it should be done, by its own deadline or that of dependents, by the time of day. */
     val dueBy: Duration?
         get() {
-            val own = spec.deadline?.let { submitted + it } ?: return inheritedDeadline
+            val own = spec.deadline?.let { submittedAt + it } ?: return inheritedDeadline
             return inheritedDeadline?.let { minOf(own, it) } ?: own
         }
 
@@ -141,14 +141,14 @@
     val checkpointGrace: Duration get() = spec.checkpointDuration + GRACE_MARGIN
 
     /** Something that must be stored before the work can go on; the number of this change. */
-    fun storeSoon(): Long {
+    fun addUrgentChange(): Long {
         markDirty()
         return storeState.addUrgentChange()
     }
 
     /** Something that should be stored within a while. */
-    fun storeLater(now: Duration) {
-        storeState.addLaterChange(now)
+    fun addDeferredChange(now: Duration) {
+        storeState.addDeferredChange(now)
         markDirty()
     }
 
@@ -188,7 +188,7 @@
     }
 
     /** Its final state is stored. */
-    fun finish() {
+    fun markFinished() {
         isFinished = true
     }
 
@@ -199,15 +199,15 @@
     fun placementOf(task: Int): Placement? = placed.get(task)
 
     /** Adds a new placement; [maySplit]: whether it may be stored apart from the record. */
-    fun place(placement: Placement, maySplit: Boolean) {
-        unplace(placement.task)
+    fun addPlacement(placement: Placement, maySplit: Boolean) {
+        removePlacement(placement.task)
         parts.add(placement, maySplit)
         add(placement)
     }
 
     /** Adds a placement that is stored in [part] already. */
     fun restore(placement: Placement, part: Int) {
-        unplace(placement.task)
+        removePlacement(placement.task)
         parts.put(placement, part)
         add(placement)
     }
@@ -218,7 +218,7 @@
     }
 
     /** Removes the task's placement, if it has one. */
-    fun unplace(task: Int) {
+    fun removePlacement(task: Int) {
         val removed = placed.remove(task) ?: return
         parts.remove(removed)
         if (!done[task]) placedNotDone--
@@ -231,7 +231,7 @@
     fun mergeParts(): Boolean = parts.mergeIntoRecord(placed.values)
 
     /** The task's result is known. */
-    fun finishTask(task: Int) {
+    fun markTaskDone(task: Int) {
         if (done[task]) return
         if (placed.containsKey(task)) placedNotDone--
         done.set(task)
@@ -239,13 +239,13 @@
     }
 
     /** The results of all tasks are known. */
-    fun finishAllTasks() {
-        for (task in 0 until spec.tasks) finishTask(task)
+    fun markAllTasksDone() {
+        for (task in 0 until spec.tasks) markTaskDone(task)
     }
 
     /** Tasks that are neither done nor placed nor orphaned, lowest first, at most [limit]. */
     fun waitingTasks(limit: Int): List<Int> {
-        if (waitingCount() <= 0) return emptyList()
+        if (waitingTaskCount() <= 0) return emptyList()
         val result = ArrayList<Int>(minOf(limit, INITIAL_LIST_SIZE))
         var task = done.nextClearBit(0)
         while (task < spec.tasks && result.size < limit) {
@@ -261,7 +261,7 @@
     fun hasWaitingTask(): Boolean = waitingTasks(1).isNotEmpty()
 
     /** How many tasks wait to be placed; orphaned ones count as waiting. */
-    fun waitingCount(): Int =
+    fun waitingTaskCount(): Int =
         if (isCancelled ||
             isFinished ||
             waitsForDependencies
@@ -275,7 +275,7 @@
     fun record() =
         JobRecord(
             spec = spec,
-            submitted = submitted,
+            submittedAt = submittedAt,
             lastAttempt = lastAttempt,
             done = done.clone() as BitSet,
             placements = placed.values.filter { it.part == PlacementParts.RECORD }.map { it.toStored() },
@@ -285,7 +285,7 @@
                 placed.values
                     .filter { it.part != PlacementParts.RECORD }
                     .groupBy({ it.part }, { it.toStored() }),
-            descriptionParts = descriptionParts,
+            descriptionPartCount = descriptionPartCount,
         )
 
     /**
@@ -293,7 +293,7 @@
      * checkpoint. [fetch]: how long a fetch usually takes.
      */
     fun lostWork(placement: Placement, now: Duration, fetch: Duration): Duration {
-        val runTime = placement.runningSince?.let { now - it } ?: return minOf(now - placement.since, fetch)
+        val runTime = placement.runningSince?.let { now - it } ?: return minOf(now - placement.createdAt, fetch)
         val hasCheckpoints = spec.checkpointInterval > Duration.ZERO
         return fetch + if (hasCheckpoints) minOf(runTime, spec.checkpointInterval) else runTime
     }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
@@ -76,13 +76,13 @@
     }
 
     /** The job is live: its final state need not be read for those that were seen before it. */
-    fun appeared(id: String) {
+    fun jobAdded(id: String) {
         unknown.remove(id)
         if (id in dependents) updateInheritance(listOf(id))
     }
 
     /** The job's final state is stored. */
-    fun ended(id: String, state: FinalState) {
+    fun jobEnded(id: String, state: FinalState) {
         unknown.remove(id)
         val waiting = dependents[id] ?: return
         finalStates[id] = state
@@ -98,35 +98,35 @@
     }
 
     /** The job's cancellation is stored: it will never be done, and what it waited for counts for itself again. */
-    fun cancelled(id: String) {
+    fun jobCancelled(id: String) {
         abortDependents(id)
         waitingJobs[id]?.let { updateInheritance(it.dependencies) }
     }
 
     /** The job is not live any more; unless its final state is known, it has to be read. */
-    fun removed(id: String) {
+    fun jobRemoved(id: String) {
         waitingJobs.remove(id)?.let { waiting ->
-            waiting.job.finish()
+            waiting.job.markFinished()
             leave(waiting)
         }
         if (!dependents[id].isNullOrEmpty() && finalStates[id] == null) unknown.add(id)
     }
 
     /** Reads final states that are not known, a few at a time: the key-value store takes few requests. */
-    fun readUnknown() {
+    fun requestFinalStates() {
         if (isReading || unknown.isEmpty() || context.now < readAfter) return
         isReading = true
-        context.act(ReadFinalStates(unknown.take(MAX_READS)))
+        context.addAction(ReadFinalStates(unknown.take(MAX_READS)))
     }
 
     /** The final states that were found of those [asked] for; the others are asked for again after a while. */
-    fun read(asked: List<String>, found: Map<String, FinalState>) {
+    fun finalStatesRead(asked: List<String>, found: Map<String, FinalState>) {
         isReading = false
         if (found.size < asked.size) readAfter = context.now + READ_PAUSE
         for (id in asked) {
             val state = found[id]
             if (state != null) {
-                ended(id, state)
+                jobEnded(id, state)
             } else if (unknown.remove(id)) {
                 unknown.add(id)
             }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobEventHandler.kt
@@ -16,7 +16,7 @@
  * Applies what the key-value store tells of jobs: new records, cancellations, final states. [onDirty] is told of jobs
  * that may have something to store.
  */
-class JobIntake(
+class JobEventHandler(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
     private val splitting: RecordSplitting,
@@ -30,17 +30,17 @@
     private class LocatedPlacement(val placement: StoredPlacement, val part: Int)
 
     /** A record of a job that is not known was read. */
-    fun jobRead(record: JobRecord, version: Long, dependencies: JobDependencies) {
+    fun newJobRead(record: JobRecord, version: Long, dependencies: JobDependencies) {
         val job = Job(record, version, splitting.partsFor(record.spec), onDirty)
         job.knownSince = now
-        context.hooks.observer.jobRead(record)
+        context.hooks.observer.jobRecordRead(record)
         if (record.dependencies.isNotEmpty()) {
             dependencies.add(job, record.dependencies)
-            dependencies.appeared(record.spec.id)
+            dependencies.jobAdded(record.spec.id)
             return
         }
         cluster.addJob(job)
-        dependencies.appeared(record.spec.id)
+        dependencies.jobAdded(record.spec.id)
         restorePlacements(job, record)
         orphans.adopt(job)
         if (job.isComplete) job.markDirty()
@@ -78,7 +78,7 @@
     private fun restore(job: Job, located: LocatedPlacement) {
         val stored = located.placement
         val placement = Placement(job, stored.task, stored.attempt, stored.machine, now)
-        placement.restored(now)
+        placement.markRestored(now)
         cluster.restore(placement, located.part)
     }
 
@@ -87,7 +87,7 @@
         job.dependenciesDone(context.wallTime, now)
         cluster.addJob(job)
         context.log {
-            val waited = (context.wallTime - job.submitted).toDouble(DurationUnit.SECONDS)
+            val waited = (context.wallTime - job.submittedAt).toDouble(DurationUnit.SECONDS)
             "dependencies-done job=${job.spec.id} class=${job.spec.jobClass} waited-s=$waited"
         }
         mayRun(job)
@@ -107,7 +107,7 @@
         }
         job.cancel(version, now - maxOf(Duration.ZERO, context.wallTime - at))
         context.hooks.observer.jobCancelled(job.spec.id)
-        dependencies.cancelled(job.spec.id)
+        dependencies.jobCancelled(job.spec.id)
         for (placement in job.placements.values.toList()) {
             // No start of a placement that is neither stored nor being stored can be on its way.
             if (placement.stage == PlacementStage.PLANNED && !job.storeState.isWriteInFlight) {
@@ -123,7 +123,7 @@
     fun jobEnded(id: String) {
         context.hooks.observer.jobEnded(id)
         val job = cluster.removeJob(id) ?: return
-        job.finish()
+        job.markFinished()
         job.placements.values
             .toList()
             .forEach(cluster::removePlacement)
--- a/src/main/kotlin/glenspool/core/lifecycle/JobStoreState.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobStoreState.kt
@@ -5,12 +5,12 @@
 /** What of a job is stored, and what is still to be stored, see [RecordWriteScheduler]. */
 class JobStoreState {
     /** Counts changes that must be stored before the work can go on; [storedChanges] is the last stored one. */
-    var changes = 0L
+    var urgentChanges = 0L
         private set
     private var storedChanges = 0L
 
     /** Since when there has been something that should be stored within a while. */
-    var storeLaterSince: Duration? = null
+    var deferredChangeSince: Duration? = null
         private set
     var isWriteInFlight = false
         private set
@@ -19,20 +19,20 @@
     var notBefore: Duration = Duration.ZERO
 
     /** Whether there is something that must be stored before the work can go on. */
-    val hasUrgentChanges: Boolean get() = changes > storedChanges
+    val hasUrgentChanges: Boolean get() = urgentChanges > storedChanges
 
     /** Counts a change that must be stored before the work can go on; its number. */
-    fun addUrgentChange(): Long = ++changes
+    fun addUrgentChange(): Long = ++urgentChanges
 
     /** Something should be stored within a while. */
-    fun addLaterChange(now: Duration) {
-        if (storeLaterSince == null) storeLaterSince = now
+    fun addDeferredChange(now: Duration) {
+        if (deferredChangeSince == null) deferredChangeSince = now
     }
 
     /** A write is on its way; [includesResults]: it holds all that was to be stored later. */
-    fun writeBegun(includesResults: Boolean) {
+    fun writeStarted(includesResults: Boolean) {
         isWriteInFlight = true
-        if (includesResults) storeLaterSince = null
+        if (includesResults) deferredChangeSince = null
     }
 
     /** The write has ended, whatever its outcome. */
@@ -41,10 +41,11 @@
     }
 
     /** Everything up to the change is stored. */
-    fun changeStored(change: Long) {
+    fun markStored(change: Long) {
         storedChanges = change
     }
 
     /** For failure messages. */
-    override fun toString() = "changes=$storedChanges/$changes later=$storeLaterSince inFlight=$isWriteInFlight"
+    override fun toString() =
+        "changes=$storedChanges/$urgentChanges later=$deferredChangeSince inFlight=$isWriteInFlight"
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -43,7 +43,7 @@
         if (isStoppedBeforeStart(placement, machine)) {
             // No heartbeat would ever show that it ended.
             cluster.removePlacement(placement)
-            placement.job.storeLater(now)
+            placement.job.addDeferredChange(now)
             return
         }
         retryStart(placement, machine)
@@ -63,7 +63,7 @@
         if (isStartMissing(placement, machine)) sendStart(placement, machine)
         if (isStartUnanswered(placement, machine)) {
             sendStart(placement, machine)
-            placement.startSent(now)
+            placement.markStartSent(now)
         }
     }
 
@@ -92,7 +92,7 @@
         if (placement.taskState != TaskState.CHECKPOINTING || cause == StopCause.CANCELLED) {
             commands.add(machine, StopTask(placement.key, placement.attempt, placement.stopGrace, cause))
         }
-        placement.stopSent(now)
+        placement.markStopSent(now)
     }
 
     /**
--- a/src/main/kotlin/glenspool/core/lifecycle/Placement.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Placement.kt
@@ -22,7 +22,7 @@
  * One attempt of a task on one machine. It holds resources, quota and zone from before its start command is sent until
  * there is proof that it is gone.
  */
-class Placement(val job: Job, val task: Int, val attempt: Long, val machine: String, val since: Duration) {
+class Placement(val job: Job, val task: Int, val attempt: Long, val machine: String, val createdAt: Duration) {
     val key = TaskKey(job.spec.id, task)
     var stage = PlacementStage.PLANNED
         private set
@@ -33,7 +33,7 @@
     var runningSince: Duration? = null
         private set
 
-    /** The job's change that has to be stored before the start command may be sent, see [Job.storeSoon]. */
+    /** The job's change that has to be stored before the start command may be sent, see [Job.addUrgentChange]. */
     var requiredChange = 0L
         private set
 
@@ -59,33 +59,33 @@
     var part = PlacementParts.RECORD
 
     /** The placement must not be acted on before this change of the job is stored. */
-    fun requires(change: Long) {
+    fun requireStoredChange(change: Long) {
         requiredChange = change
     }
 
     /** An earlier leader stored it, and may have sent the start. */
-    fun restored(now: Duration) {
+    fun markRestored(now: Duration) {
         stage = PlacementStage.STORED
         startSentAt = now
     }
 
     /** It is stored: the start may be sent. */
-    fun stored() {
+    fun markStored() {
         stage = PlacementStage.STORED
     }
 
     /** The start command is on its way. */
-    fun startSent(now: Duration) {
+    fun markStartSent(now: Duration) {
         startSentAt = now
     }
 
     /** The start command was surely not carried out. */
-    fun startNotSent() {
+    fun clearStartSent() {
         startSentAt = null
     }
 
     /** The task is to be started anew under the same placement and attempt. */
-    fun restarted() {
+    fun resetForRestart() {
         stage = PlacementStage.STORED
         taskState = null
         runningSince = null
@@ -93,7 +93,7 @@
     }
 
     /** A heartbeat shows the task. True if it shows for the first time that the task runs. */
-    fun observed(state: TaskState, now: Duration): Boolean {
+    fun markObserved(state: TaskState, now: Duration): Boolean {
         stage = PlacementStage.OBSERVED
         if (startSentAt == null) startSentAt = now
         taskState = state
@@ -103,14 +103,14 @@
     }
 
     /** The task is to be stopped, whatever was said before. */
-    fun stopRequested(cause: StopCause, grace: Duration) {
+    fun requestStop(cause: StopCause, grace: Duration) {
         stopCause = cause
         stopGrace = grace
         stopSentAt = null
     }
 
     /** The stop command is on its way. */
-    fun stopSent(now: Duration) {
+    fun markStopSent(now: Duration) {
         stopSentAt = now
     }
 
--- a/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
@@ -26,7 +26,7 @@
     val dirtyCount: Int get() = dirty.size
 
     /** How many more placements there is surely space for. */
-    fun capacityLeft(maySplit: Boolean): Int {
+    fun remainingCapacity(maySplit: Boolean): Int {
         if (!maySplit) return recordBytesLeft / BYTES_PER_PLACEMENT
         val inParts = parts.sumOf { maxOf(0, partCapacity - it.bytes) / BYTES_PER_PLACEMENT }
         val inNewParts = (MAX_PARTS - parts.size) * (partCapacity / BYTES_PER_PLACEMENT)
@@ -92,7 +92,7 @@
     fun partsToStore(limit: Int): Map<Int, Long> = dirty.entries.take(limit).associate { it.key to it.value }
 
     /** These parts are stored, as of the given changes. */
-    fun stored(changes: Map<Int, Long>) = changes.forEach { (number, change) -> dirty.remove(number, change) }
+    fun markStored(changes: Map<Int, Long>) = changes.forEach { (number, change) -> dirty.remove(number, change) }
 
     /** What is stored of the part is not what it holds. */
     fun markDirty(number: Int) {
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordSplitting.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordSplitting.kt
@@ -29,10 +29,10 @@
     }
 
     /** How many more tasks of the job may be placed, so that all its values stay within the limit. */
-    fun capacityLeft(job: Job): Int = job.parts.capacityLeft(isAllowed)
+    fun remainingCapacity(job: Job): Int = job.parts.remainingCapacity(isAllowed)
 
     /** Every controller was found to read split records; it stays so. */
-    fun supportedByAll() {
+    fun markSupportedByAll() {
         isSupportedByAll = true
     }
 
@@ -53,7 +53,7 @@
     fun merge() {
         if (jobsToMerge.isEmpty()) return
         jobsToMerge.removeIf { job ->
-            if (!job.isFinished && job.mergeParts()) job.storeSoon()
+            if (!job.isFinished && job.mergeParts()) job.addUrgentChange()
             job.isFinished || !job.isSplit
         }
     }
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
@@ -45,7 +45,7 @@
 
     private class DueWrite(val urgency: Urgency, val job: Job) {
         val waitingSince: Duration?
-            get() = if (urgency == Urgency.RESULT) job.storeState.storeLaterSince else job.waitingSince
+            get() = if (urgency == Urgency.RESULT) job.storeState.deferredChangeSince else job.waitingSince
     }
 
     /** The job may have something to store. */
@@ -62,7 +62,7 @@
             mayBeClosed(job) -> Urgency.FINAL_STATE
             job.waitsForDependencies -> null
             hasPlacements -> Urgency.PLACEMENT
-            job.storeState.storeLaterSince != null && !job.isCancelled -> Urgency.RESULT
+            job.storeState.deferredChangeSince != null && !job.isCancelled -> Urgency.RESULT
             else -> null
         }
     }
@@ -70,13 +70,13 @@
     /** Stores what is most urgent, if the budget allows it. */
     fun flush() {
         if (isTransactionInFlight || dirty.isEmpty() || now < pausedUntil) return
-        budget.fill(now)
-        if (!budget.hasAny) return
+        budget.refill(now)
+        if (!budget.allowsAnyChange) return
         val writes = chooseWrites(dueWrites())
         if (writes.isEmpty()) return
         isTransactionInFlight = true
         writesInFlight = writes
-        context.act(StoreChanges(writes))
+        context.addAction(StoreChanges(writes))
     }
 
     private fun dueWrites(): List<DueWrite> {
@@ -96,7 +96,7 @@
         return due
     }
 
-    private fun isResultDue(job: Job) = job.storeState.storeLaterSince.let { it != null && now - it > RESULT_DELAY }
+    private fun isResultDue(job: Job) = job.storeState.deferredChangeSince.let { it != null && now - it > RESULT_DELAY }
 
     private fun chooseWrites(due: List<DueWrite>): List<JobWrite> {
         val writes = ArrayList<JobWrite>()
@@ -108,14 +108,14 @@
             if (!budget.allows(changes, cost, isResult = next.urgency == Urgency.RESULT)) break
             changes += cost
             writes.add(write)
-            next.job.storeState.writeBegun(includesResults = write is UpdateJobRecord)
+            next.job.storeState.writeStarted(includesResults = write is UpdateJobRecord)
         }
         budget.spend(changes)
         return writes
     }
 
     /** A transaction has ended. */
-    fun ended(outcome: StoreOutcome) {
+    fun transactionEnded(outcome: StoreOutcome) {
         isTransactionInFlight = false
         val writes = writesInFlight
         writesInFlight = emptyList()
@@ -125,12 +125,14 @@
     }
 
     private fun ended(write: JobWrite, outcome: StoreOutcome) {
-        if (write is StoreFinalState && outcome is StoreOutcome.Stored) dependencies.ended(write.id, write.finalState)
+        if (write is StoreFinalState && outcome is StoreOutcome.Stored) {
+            dependencies.jobEnded(write.id, write.finalState)
+        }
         val job = dependencies.findJob(write.id) ?: return
         job.storeState.writeEnded()
         if (outcome !is StoreOutcome.Stored) {
             // What it would have stored is still to be stored, its results too.
-            job.storeLater(now)
+            job.addDeferredChange(now)
             return
         }
         if (outcome.revision > job.version) job.version = outcome.revision
@@ -143,9 +145,9 @@
     /** Asking for the same again would never end: the job at fault is found, waits, and is logged. */
     private fun tooLarge(writes: List<JobWrite>, descriptionParts: Map<String, Int>) {
         // The limits are lowered only when every controller is new.
-        splitting.supportedByAll()
+        splitting.markSupportedByAll()
         storesOneByOne = true
-        for ((id, parts) in descriptionParts) dependencies.findJob(id)?.descriptionParts = parts
+        for ((id, parts) in descriptionParts) dependencies.findJob(id)?.descriptionPartCount = parts
         val write = writes.singleOrNull() ?: return
         if (write.id in descriptionParts) return
         dependencies.findJob(write.id)?.storeState?.notBefore = now + TOO_LARGE_PAUSE
@@ -153,18 +155,18 @@
     }
 
     private fun recordStored(job: Job, write: UpdateJobRecord) {
-        context.hooks.observer.jobStored(write.record)
-        if (write.isWhole) job.storeState.changeStored(write.change) else job.storeLater(now)
-        job.parts.stored(write.parts)
+        context.hooks.observer.jobRecordStored(write.record)
+        if (write.includesAllChanges) job.storeState.markStored(write.lastChange) else job.addDeferredChange(now)
+        job.parts.markStored(write.parts)
         job.markDoneStored(write)
-        if (job.hasChunksLeftAfter(write)) job.storeLater(now)
+        if (job.hasUnstoredChunksAfter(write)) job.addDeferredChange(now)
         for (placement in job.placements.values.toList()) {
             if (isStoredBy(write, placement)) placementStored(placement)
         }
     }
 
     private fun isStoredBy(write: UpdateJobRecord, placement: Placement): Boolean {
-        if (placement.stage != PlacementStage.PLANNED || placement.requiredChange > write.change) return false
+        if (placement.stage != PlacementStage.PLANNED || placement.requiredChange > write.lastChange) return false
         return placement.part == PlacementParts.RECORD || placement.part in write.parts
     }
 
@@ -173,7 +175,7 @@
             cluster.removePlacement(placement)
             return
         }
-        placement.stored()
+        placement.markStored()
         if (placement.isDeferred) return
         val machine = cluster.machines[placement.machine] ?: return
         commands.add(machine, StartTask(placement.key, placement.attempt, StartCause.PLACED))
@@ -202,10 +204,10 @@
             version = job.version,
             record = job.record(),
             chunks = chunks,
-            change = job.storeState.changes,
+            lastChange = job.storeState.urgentChanges,
             requiresUncancelled = job.placements.values.any { it.stage == PlacementStage.PLANNED },
             parts = parts,
-            isWhole = parts.size == job.parts.dirtyCount,
+            includesAllChanges = parts.size == job.parts.dirtyCount,
         )
     }
 
--- a/src/main/kotlin/glenspool/core/lifecycle/WriteBudget.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/WriteBudget.kt
@@ -12,10 +12,10 @@
     private var filledAt = startedAt
 
     /** Whether at least one change may be stored. */
-    val hasAny: Boolean get() = available >= 1.0
+    val allowsAnyChange: Boolean get() = available >= 1.0
 
     /** Adds what has come since the last call. */
-    fun fill(now: Duration) {
+    fun refill(now: Duration) {
         val added = config.writeRps * LEADER_SHARE * ((now - filledAt) / 1.seconds)
         available = minOf(capacity, available + added)
         filledAt = now
--- a/src/main/kotlin/glenspool/core/model/Deployment.kt
+++ b/src/main/kotlin/glenspool/core/model/Deployment.kt
@@ -13,7 +13,7 @@
     val price: Double,
     val spotPrice: Double,
     /** How long a machine usually takes to start. */
-    val boot: Duration,
+    val bootTime: Duration,
     val zones: List<String>,
 ) {
     /** How long a machine of the type takes to fetch an image of [gb] gigabytes. */
--- a/src/main/kotlin/glenspool/core/model/JobRecord.kt
+++ b/src/main/kotlin/glenspool/core/model/JobRecord.kt
@@ -10,7 +10,7 @@
 data class JobRecord(
     val spec: JobSpec,
     /** When it was accepted, as a time of day. */
-    val submitted: Duration,
+    val submittedAt: Duration,
     /** The highest attempt number that any of its tasks ever had. */
     val lastAttempt: Long,
     /** The tasks that are done. */
@@ -23,7 +23,7 @@
     /** Placements that are stored under keys of their own, by part, since the record itself has no space for them. */
     val placementParts: Map<Int, List<StoredPlacement>> = emptyMap(),
     /** The number of parts that hold the description, which is too long for the record; 0: the record holds it. */
-    val descriptionParts: Int = 0,
+    val descriptionPartCount: Int = 0,
 ) {
     companion object {
         /** Jobs of up to this many tasks keep their done bits in the record itself, larger ones in chunks. */
--- a/src/main/kotlin/glenspool/core/placement/GangPlanner.kt
+++ b/src/main/kotlin/glenspool/core/placement/GangPlanner.kt
@@ -84,7 +84,7 @@
     fun reserveMachines(gang: Job) {
         val usable = resources.allMachines.filter { mayBeReserved(it, gang) }
         val zone = if (gang.spec.sameZone) mostCommonZone(usable) else null
-        var remaining = gang.waitingCount()
+        var remaining = gang.waitingTaskCount()
         for (machine in usable.sortedBy { it.workload.taskCount }) {
             if (remaining <= 0) return
             if (zone != null && machine.zone != zone) continue
--- a/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
@@ -45,7 +45,7 @@
         if (!isDue) return false
         lastRoundAt = now
         context.beginRound()
-        workCounters.rounds++
+        workCounters.placementRounds++
         if (types.isEmpty()) return false
         runRound()
         return true
@@ -63,17 +63,18 @@
     }
 
     private fun mayBePlaced(job: Job): Boolean {
-        if (job.waitingCount() <= 0 || job.retryAfter.let { it != null && now < it }) return false
+        if (job.waitingTaskCount() <= 0 || job.retryAfter.let { it != null && now < it }) return false
         return job.hasWaitingTask()
     }
 
     /**
-     * Whether tasks may be placed on the machine, see also [glenspool.core.SchedulerHooks.newWorkNeedsOwnHeartbeat].
+     * Whether tasks may be placed on the machine, see also
+     * [glenspool.core.SchedulerHooks.newWorkRequiresWorkerHeartbeat].
      */
     private fun isReadyForNewWork(machine: Machine): Boolean {
         val freshness = config.heartbeatFreshness
         if (!machine.isReady(now, freshness) || machine.type !in types) return false
-        val needsOwnHeartbeat = context.hooks.newWorkNeedsOwnHeartbeat
+        val needsOwnHeartbeat = context.hooks.newWorkRequiresWorkerHeartbeat
         return !needsOwnHeartbeat || machine.reachability.sentHeartbeatWithin(freshness, now)
     }
 
@@ -89,7 +90,7 @@
 
     override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
         val placement = Placement(job, task, attempt ?: job.newAttempt(), machine.id, now)
-        placement.requires(job.storeSoon())
+        placement.requireStoredChange(job.addUrgentChange())
         cluster.addPlacement(placement, machine, splitting.isAllowed)
         context.log {
             "place task=$placement class=${job.spec.jobClass} machine=${machine.id} " +
@@ -106,7 +107,7 @@
 
     override fun latestStart(job: Job): Duration = deadlines.latestStart(job)
 
-    override fun recordCapacity(job: Job): Int = splitting.capacityLeft(job)
+    override fun recordCapacity(job: Job): Int = splitting.remainingCapacity(job)
 
     override fun isAvoided(job: Job, machine: Machine): Boolean =
         hasReasonToAvoid(job, machine) || machine.isReservedAgainst(job, now)
@@ -130,6 +131,6 @@
  * there late. In the second case, another attempt on this machine would only collide with the late one.
  */
 internal fun hasReasonToAvoid(job: Job, machine: Machine): Boolean {
-    val hasFailedThere = machine.id in job.failedOn && job.failedOn.size < MAX_AVOIDED_MACHINES
+    val hasFailedThere = machine.id in job.failedMachines && job.failedMachines.size < MAX_AVOIDED_MACHINES
     return hasFailedThere || machine.requests.hasUnconfirmedStart(job.spec.id)
 }
--- a/src/main/kotlin/glenspool/core/placement/Preemptor.kt
+++ b/src/main/kotlin/glenspool/core/placement/Preemptor.kt
@@ -63,8 +63,8 @@
     }
 
     private fun freeMachinesWithImage(job: Job, ready: List<Machine>) {
-        val wanted = minOf(job.waitingCount(), cluster.quotas.remaining(job))
-        if (wanted <= 0 || job.isGang && wanted < job.waitingCount()) return
+        val wanted = minOf(job.waitingTaskCount(), cluster.quotas.remaining(job))
+        if (wanted <= 0 || job.isGang && wanted < job.waitingTaskCount()) return
         val usable = ready.filter { it.hasImage(job.spec.image) && isUsable(job, it) }
         if (countAvailable(job, usable) >= minTasksToPlace(job)) return
         if (job.isGang && !canHoldGang(job, usable, wanted)) return
@@ -101,7 +101,7 @@
      */
     private fun hasTasksOfLastAttempt(job: Job) = job.isGang && job.placements.isNotEmpty()
 
-    private fun minTasksToPlace(job: Job) = if (job.isGang) job.waitingCount() else 1
+    private fun minTasksToPlace(job: Job) = if (job.isGang) job.waitingTaskCount() else 1
 
     /** How many tasks of the job the machines have free resources for. */
     private fun countAvailable(job: Job, machines: List<Machine>): Int =
@@ -169,8 +169,8 @@
 
     private fun preemptFor(job: Job, candidates: List<Machine>, claims: Claims) {
         val quota = cluster.quotas.remaining(job)
-        if (job.isGang && quota < job.waitingCount()) return
-        var remaining = minOf(job.waitingCount(), quota)
+        if (job.isGang && quota < job.waitingTaskCount()) return
+        var remaining = minOf(job.waitingTaskCount(), quota)
         val usable = candidates.filter { isUsable(job, it) }
         val (withImage, withoutImage) = usable.partition { it.hasImage(job.spec.image) }
         val ordered = withImage + withoutImage
--- a/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -25,7 +25,8 @@
         if (jobs.isEmpty()) return
         val byResource = jobs.groupBy { bottleneck(it.resourceRequest, view.commonType, view.resourceFactor) }
         for (preferredOnly in listOf(true, false)) {
-            val waiting = byResource.mapValues { (_, bound) -> bound.filterTo(ArrayList()) { it.waitingCount() > 0 } }
+            val waiting =
+                byResource.mapValues { (_, bound) -> bound.filterTo(ArrayList()) { it.waitingTaskCount() > 0 } }
             pollQueuesInTurn(waiting, preferredOnly)
         }
     }
@@ -99,7 +100,7 @@
     }
 
     private fun mayBePlaced(job: Job): Boolean {
-        if (job.waitingCount() <= 0 || view.remainingQuota(job) <= 0) return false
+        if (job.waitingTaskCount() <= 0 || view.remainingQuota(job) <= 0) return false
         return view.recordCapacity(job) > 0 && job.hasWaitingTask()
     }
 
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -40,7 +40,7 @@
         SchedulerHooks(
             gate = RecoveryOrderGate(phases, overrides, unrecordedTasks, budget),
             observer = observer,
-            newWorkNeedsOwnHeartbeat = true,
+            newWorkRequiresWorkerHeartbeat = true,
             missingTaskPolicy = ::missingTaskPolicy,
         )
 
--- a/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
@@ -60,13 +60,13 @@
         listed = null
     }
 
-    override fun jobRead(record: JobRecord) =
+    override fun jobRecordRead(record: JobRecord) =
         whileActive {
             unrecorded.jobRead(record.spec.id)
             updates.jobStored(record, isAdopted = true)
         }
 
-    override fun jobStored(record: JobRecord) = whileActive { updates.jobStored(record, isAdopted = false) }
+    override fun jobRecordStored(record: JobRecord) = whileActive { updates.jobStored(record, isAdopted = false) }
 
     override fun jobEnded(job: String) =
         whileActive {
--- a/src/main/kotlin/glenspool/wire/CloudWire.kt
+++ b/src/main/kotlin/glenspool/wire/CloudWire.kt
@@ -33,7 +33,7 @@
             fetchGbPerS = fields.amountOrNull("fetch_gb_per_s") ?: 1.0,
             price = fields.amount("price"),
             spotPrice = fields.amountOrNull("spot_price") ?: fields.amount("price"),
-            boot = fields.duration("startup_s"),
+            bootTime = fields.duration("startup_s"),
             zones = fields.textsOrNull("halls") ?: emptyList(),
         )
 
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -49,7 +49,7 @@
     fun encode(record: JobRecord): Fields {
         val fields = LinkedHashMap<String, Any?>()
         if (needsSealing(record)) fields["sealed"] = sealed(record) else fields["job"] = JobWire.encode(record.spec)
-        fields["at"] = record.submitted.inWholeMilliseconds
+        fields["at"] = record.submittedAt.inWholeMilliseconds
         fields["last"] = record.lastAttempt
         if (record.dependenciesDoneAt != null) fields["ready"] = record.dependenciesDoneAt.inWholeMilliseconds
         if (record.spec.tasks <= MAX_INLINE_TASKS && !record.done.isEmpty) fields["done"] = encodeBits(record.done)
@@ -59,8 +59,8 @@
 
     private fun sealed(record: JobRecord): Fields {
         val fields = LinkedHashMap<String, Any?>()
-        if (record.descriptionParts > 0) {
-            fields["pieces"] = record.descriptionParts
+        if (record.descriptionPartCount > 0) {
+            fields["pieces"] = record.descriptionPartCount
         } else {
             fields.putAll(description(record))
         }
@@ -77,7 +77,7 @@
 
     /** Whether a record is stored in a form that builds before sealed records can't read. */
     fun needsSealing(record: JobRecord): Boolean {
-        val isInParts = record.placementParts.isNotEmpty() || record.descriptionParts > 0
+        val isInParts = record.placementParts.isNotEmpty() || record.descriptionPartCount > 0
         return isInParts || record.dependencies.isNotEmpty()
     }
 
@@ -98,14 +98,14 @@
         val job = description["job"] as? Fields ?: throw MalformedMessage("job", "missing")
         return JobRecord(
             spec = JobWire.decode(job),
-            submitted = fields.count("at").milliseconds,
+            submittedAt = fields.count("at").milliseconds,
             lastAttempt = fields.count("last"),
             done = fields.textOrNull("done")?.let(::decodeBits) ?: BitSet(),
             placements = decodePlacements(fields),
             dependencies = if (waitsForDependencies(fields)) description.textsOrNull("awaits").orEmpty() else emptyList(),
             dependenciesDoneAt = if ("ready" in fields) fields.count("ready").milliseconds else null,
             placementParts = decodePlacementParts(sealed, parts),
-            descriptionParts = descriptionParts,
+            descriptionPartCount = descriptionParts,
         )
     }
 
--- a/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
+++ b/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
@@ -29,7 +29,7 @@
     @Test
     fun `the values that the script sets are taken and the rest keep their defaults`() {
         val tuning = run("tuning.resource_factor = 3\ntuning.idle_return_s = deployment.lease_s * 2\n")
-        assertEquals(Tuning(resourceFactor = 3.0, idleReturn = 28.seconds), tuning)
+        assertEquals(Tuning(resourceFactor = 3.0, idleReturnDelay = 28.seconds), tuning)
         assertEquals(Tuning(), run(""))
     }
 
--- a/src/test/kotlin/glenspool/controller/WarmUpTest.kt
+++ b/src/test/kotlin/glenspool/controller/WarmUpTest.kt
@@ -22,17 +22,17 @@
     @Test
     fun `the simulated fleet starts tasks and finishes jobs, and its number of open jobs stays bounded`() {
         val fleet = WarmUpFleet(config())
-        repeat(240) { fleet.runTurn() }
-        assertTrue(fleet.started > 300, "${fleet.started} started")
-        assertTrue(fleet.ended > 150, "${fleet.ended} ended")
-        assertTrue(fleet.openJobs < 60, "${fleet.openJobs} open")
+        repeat(240) { fleet.runCycle() }
+        assertTrue(fleet.startedTasks > 300, "${fleet.startedTasks} started")
+        assertTrue(fleet.endedJobs > 150, "${fleet.endedJobs} ended")
+        assertTrue(fleet.liveJobs < 60, "${fleet.liveJobs} open")
     }
 
     @Test
     fun `a team whose quota fits no task starts nothing and causes no failure`() {
         val fleet = WarmUpFleet(config(listOf(Team("t0", 0.0, 0.0, 0.1, 0.1))))
-        repeat(240) { fleet.runTurn() }
-        assertEquals(0, fleet.started)
+        repeat(240) { fleet.runCycle() }
+        assertEquals(0, fleet.startedTasks)
     }
 
     @Test
@@ -68,7 +68,7 @@
     @Test
     fun `the answer to a simulated heartbeat has no commands and repeats its token`() {
         val fleet = WarmUpFleet(config())
-        fleet.runTurn()
+        fleet.runCycle()
         val body = Body(ByteBuffer.wrap(Cbor.encode(WorkerWire.encode(fleet.lastHeartbeat))))
         val response = WarmUp.answer(Request(Method.POST, WarmUp.PATH).body(body))
         val expected = WorkerWire.heartbeatReply(fleet.lastHeartbeat.token, emptyList())
--- a/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
@@ -9,8 +9,8 @@
 class DependencySimulationTest {
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104])
-    fun `jobs with dependencies start when all of these are done, and are aborted with them`(seed: Long) {
-        val day = RandomDay(seed, FaultRates(), hasDependencies = true).play()
+    fun `jobs start when all of their dependencies are done, and are aborted if one is cancelled`(seed: Long) {
+        val day = RandomizedSimulation(seed, FaultRates(), hasDependencies = true).run()
         assertTrue(day.dependenciesOf.size > 5)
         assertTrue(day.dependenciesOf.keys.any { day.end(it) == "done" })
     }
@@ -23,16 +23,16 @@
                 lost = 0.05, held = 0.05, copies = 0.05, oneWay = 0.01, outages = 0.02, takeovers = 0.04,
                 deaths = 0.01, cuts = 0.02, hangs = 0.01, restarts = 0.01, apart = 0.01,
             )
-        RandomDay(seed, faults, hasDependencies = true, allNew = true).play()
+        RandomizedSimulation(seed, faults, hasDependencies = true, allControllersNew = true).run()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [121, 122, 123, 124, 125, 126, 127, 128])
-    fun `old and new versions that lead in turn break no rule, whatever has dependencies`(seed: Long) {
+    fun `leaders of old and new versions in turn break no rule for jobs with dependencies`(seed: Long) {
         val faults =
             FaultRates(
                 lost = 0.05, held = 0.05, takeovers = 0.06, outages = 0.02, deaths = 0.01, cuts = 0.02, olds = 0.5,
             )
-        RandomDay(seed, faults, hasDependencies = true).play()
+        RandomizedSimulation(seed, faults, hasDependencies = true).run()
     }
 }
--- a/src/test/kotlin/glenspool/core/FailoverSimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/FailoverSimulationTest.kt
@@ -17,15 +17,18 @@
             FaultRates(
                 lost = 0.05, held = 0.08, takeovers = 0.03, outages = 0.02, cuts = 0.02, hangs = 0.02, deaths = 0.01,
             )
-        RandomDay(seed, faults).play()
+        RandomizedSimulation(seed, faults).run()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [131, 132, 133, 134])
-    fun `placements in parts of their own break no rule amid failovers`(seed: Long) {
+    fun `split records break no rule amid failovers`(seed: Long) {
         // So small a value that hardly any placement fits into a record.
         val faults = FaultRates(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01)
-        val day = RandomDay(seed, faults, hasDependencies = seed % 2 == 0L, allNew = true, valueBytes = 800).play()
+        val day =
+            RandomizedSimulation(
+                seed, faults, hasDependencies = seed % 2 == 0L, allControllersNew = true, valueBytes = 800,
+            ).run()
         assertEquals(0, day.refusedForSize)
         assertTrue(day.state.log.any { it.first.startsWith("g/p/") }, "no part was stored")
     }
@@ -38,7 +41,7 @@
             alone.copy(
                 lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, outages = 0.01, hangs = 0.02, restarts = 0.01,
             )
-        RandomDay(seed, if (seed % 2 == 0L) alone else withOthers).play()
+        RandomizedSimulation(seed, if (seed % 2 == 0L) alone else withOthers).run()
     }
 
     @ParameterizedTest
@@ -47,7 +50,7 @@
         val alone = FaultRates(zoneCuts = 0.03)
         val withOthers =
             alone.copy(lost = 0.05, held = 0.05, copies = 0.1, takeovers = 0.02, deaths = 0.01, hangs = 0.02)
-        RandomDay(seed, if (seed % 2 == 0L) alone else withOthers).play()
+        RandomizedSimulation(seed, if (seed % 2 == 0L) alone else withOthers).run()
     }
 
     @ParameterizedTest
@@ -61,7 +64,9 @@
             )
         val faults = if (seed % 2 == 0L) alone else withOthers
         val day =
-            RandomDay(seed, faults, hasDependencies = seed % 3 == 0L, allNew = true, coldStarts = true).play()
+            RandomizedSimulation(
+                seed, faults, hasDependencies = seed % 3 == 0L, allControllersNew = true, coldStarts = true,
+            ).run()
         val phases = day.recoveryNotices.filterIsInstance<RecoveryNotice.PhaseEntered>().map { it.state.phase }
         assertTrue(phases.any { it >= RecoveryPhase.GATHERING }, "no recovery was begun")
     }
--- a/src/test/kotlin/glenspool/core/FailoverTest.kt
+++ b/src/test/kotlin/glenspool/core/FailoverTest.kt
@@ -12,7 +12,7 @@
 /** What a new leader takes over, and which machines it takes for lost. */
 class FailoverTest : SchedulerTestBase() {
     @Test
-    fun `a new leader knows the image locations that the last one stored`() {
+    fun `a new leader uses the image locations that the previous leader stored`() {
         busy(2)
         val stored =
             wait(9.seconds)
@@ -22,7 +22,7 @@
         assertEquals(mapOf("m1" to mapOf("img" to 2.0), "m2" to mapOf("img" to 2.0)), stored)
         val next = Scheduler(config(), TOKEN + 1, now)
         next.step(now, now) {
-            machineTypesKnown(listOf(bigType))
+            machineTypesRead(listOf(bigType))
             imageLocationsRead(stored)
             heartbeatReceived(heartbeat("m1", token = TOKEN + 1))
         }
@@ -32,8 +32,8 @@
     }
 
     @Test
-    fun `a new leader does not take workers that have not found it yet for lost machines`() {
-        step { machineTypesKnown(listOf(bigType)) }
+    fun `a new leader does not declare machines lost whose workers have not contacted it yet`() {
+        step { machineTypesRead(listOf(bigType)) }
         val machines = (1..6).map { "m$it" }
         val placements = machines.mapIndexed { index, machine -> StoredPlacement(index, index + 1L, machine) }
         submit(job("a", tasks = 6), placements, last = 6)
@@ -50,8 +50,8 @@
     }
 
     @Test
-    fun `a new leader does not wait a whole lease for a machine that no list of the cloud names`() {
-        step { machineTypesKnown(listOf(bigType)) }
+    fun `a new leader declares a machine that no list of the cloud contains lost in less than a lease`() {
+        step { machineTypesRead(listOf(bigType)) }
         val placements = (0..3).map { StoredPlacement(it, it + 1L, "m${it + 1}") }
         submit(job("a", tasks = 4, resourceRequest = wholeMachine), placements, last = 4)
         val alive = (1..3).associate { "m$it" to runningTask("a", it - 1, it.toLong()) }
--- a/src/test/kotlin/glenspool/core/FaultSimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/FaultSimulationTest.kt
@@ -9,11 +9,11 @@
 
 /** Whole days in simulated time with faults of machines and of the network. */
 class FaultSimulationTest {
-    private fun play(seed: Long, faults: FaultRates) = RandomDay(seed, faults).play()
+    private fun play(seed: Long, faults: FaultRates) = RandomizedSimulation(seed, faults).run()
 
     @ParameterizedTest
     @ValueSource(longs = [1, 1056, 2, 3])
-    fun `without faults everything runs`(seed: Long) {
+    fun `without faults all jobs end and more than 30 tasks start`(seed: Long) {
         assertTrue(play(seed, FaultRates()).starts > 30)
     }
 
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54, 55, 56])
-    fun `machines with heartbeats but unreachable break no rule`(seed: Long) {
+    fun `machines that send heartbeats but are unreachable break no rule`(seed: Long) {
         play(seed, FaultRates(oneWay = 0.05, lost = 0.03, takeovers = 0.01))
     }
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `the same seed gives the same day`() {
+    fun `two runs with the same seed end at the same store revision`() {
         val faults = FaultRates(lost = 0.05, held = 0.05, takeovers = 0.02, deaths = 0.01)
         assertEquals(play(41, faults).state.revision, play(41, faults).state.revision)
     }
--- a/src/test/kotlin/glenspool/core/HeartbeatCostTest.kt
+++ b/src/test/kotlin/glenspool/core/HeartbeatCostTest.kt
@@ -14,9 +14,9 @@
         fleet.fill(machines, jobs)
         val counters = fleet.core.workCounters
         val workBefore = counters.total
-        val roundsBefore = counters.rounds
+        val roundsBefore = counters.placementRounds
         repeat(100) { fleet.sendHeartbeat("m${it + 1}") }
-        assertEquals(roundsBefore, counters.rounds, "a heartbeat without news starts no placement round")
+        assertEquals(roundsBefore, counters.placementRounds, "a heartbeat without news starts no placement round")
         return counters.total - workBefore
     }
 
--- a/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
@@ -56,7 +56,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
-    fun `random chains are released, aborted and given priority as in a plain model`(seed: Long) {
+    fun `random dependency chains are released, aborted and prioritized as in the reference model`(seed: Long) {
         val model = Model(seed)
         // Some jobs were stored before this leader came, and are read in the order of names, not of acceptance.
         val storedBefore = ArrayList<String>()
@@ -77,7 +77,7 @@
     private fun readJob(model: Model, id: String) {
         val spec = job(id, priority = model.priorities.getValue(id))
         val record = JobRecord(spec, now, 0, BitSet(), emptyList(), model.dependencies.getValue(id))
-        step { jobStored(record, ++revision) }
+        step { jobRecordRead(record, ++revision) }
     }
 
     private fun readStoredJobs(model: Model, ids: List<String>) {
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -41,7 +41,7 @@
         assertTrue(
             waiting != null &&
                 waiting.waitsForDependencies &&
-                waiting.waitingCount() == 0 &&
+                waiting.waitingTaskCount() == 0 &&
                 waiting.waitingTasks(1).isEmpty(),
         )
         assertTrue(beforeStored.writes().none { it.id == "b" })
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `a removed live record proves nothing, and the job's final state is read until it is known`() {
+    fun `a removed live record does not release dependents, and the job's final state is read until it is known`() {
         started()
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
@@ -68,12 +68,12 @@
     }
 
     @Test
-    fun `what depends on a cancelled job is closed with it, however long the chain`() {
+    fun `all direct and indirect dependents of a cancelled job are aborted, also in a long chain`() {
         val jobs = 600
         for (number in 0 until jobs) {
             val dependencies = if (number == 0) emptyList() else listOf("j${number - 1}")
             val record = JobRecord(job("j$number"), now, 0, BitSet(), emptyList(), dependencies)
-            step { jobStored(record, ++revision) }
+            step { jobRecordRead(record, ++revision) }
         }
         val closed = HashSet<String>()
         var actions = cancel("j0") + wait(1.seconds)
@@ -92,7 +92,7 @@
     }
 
     @Test
-    fun `a job that was done before its cancellation releases those that depend on it`() {
+    fun `a job that was done before its cancellation releases its dependents`() {
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
         // The cancellation was answered with done: it was never stored.
--- a/src/test/kotlin/glenspool/core/LargeFleet.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleet.kt
@@ -53,7 +53,7 @@
 
     private fun store(changes: StoreChanges): List<Action> {
         storedChanges += changes.writes.sumOf { write -> if (write is StoreFinalState) 2 else 1 }
-        return core.step(now, now) { storeEnded(StoreOutcome.Stored(nextRevision())) }
+        return core.step(now, now) { transactionEnded(StoreOutcome.Stored(nextRevision())) }
     }
 
     private fun execute(request: SendCommands): List<Action> {
@@ -77,12 +77,12 @@
 
     fun sendHeartbeat(machine: String) = step { heartbeatReceived(heartbeat(machine)) }
 
-    fun submit(spec: JobSpec) = step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), nextRevision()) }
+    fun submit(spec: JobSpec) = step { jobRecordRead(JobRecord(spec, now, 0, BitSet(), emptyList()), nextRevision()) }
 
     /** The job is stored with one task running on each of [machines]. */
     fun submitRunning(spec: JobSpec, machines: List<String>) {
         val placements = machines.mapIndexed { index, machine -> StoredPlacement(index, index + 1L, machine) }
-        step { jobStored(JobRecord(spec, now, machines.size.toLong(), BitSet(), placements), nextRevision()) }
+        step { jobRecordRead(JobRecord(spec, now, machines.size.toLong(), BitSet(), placements), nextRevision()) }
         for (placement in placements) {
             val key = TaskKey(spec.id, placement.task)
             val status = TaskStatus(key, placement.attempt, TaskState.RUNNING, null, false)
@@ -92,7 +92,7 @@
 
     /** Half a minute with jobs whose tasks take a quarter of a machine each, and are twice as many as fit. */
     fun fill(machines: Int, jobs: Int) {
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         for (number in 1..machines) sendHeartbeat("m$number")
         for (number in 1..jobs) {
             submit(
--- a/src/test/kotlin/glenspool/core/LargeFleetFailoverTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetFailoverTest.kt
@@ -19,7 +19,7 @@
     /** The work of a whole fleet of which each machine sends a heartbeat within a second to a leader that is new. */
     private fun workOfFirstHeartbeats(machines: Int): Long {
         val fleet = LargeFleet()
-        fleet.step { machineTypesKnown(listOf(bigType)) }
+        fleet.step { machineTypesRead(listOf(bigType)) }
         for (number in 0 until machines / 8) {
             val spec = job("j$number", tasks = 8, resourceRequest = wholeMachine, estimatedDuration = 1000.seconds)
             fleet.submitRunning(spec, (0 until 8).map { "m${number * 8 + it}" })
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `four thousand first heartbeats within a second cost in proportion to their number, and order nothing`() {
+    fun `the work of four thousand first heartbeats in a second is linear in their number, and gives no orders`() {
         val small = workOfFirstHeartbeats(400)
         val large = workOfFirstHeartbeats(4000)
         assertTrue(large <= small * 12, "$small for 400 machines, $large for 4,000")
@@ -44,7 +44,7 @@
     fun `a failover of two thousand machines starts, stores and deletes nothing`() {
         val fleet = LargeFleet()
         val machines = (1..2000).map { "m$it" }
-        fleet.step { machineTypesKnown(listOf(bigType)) }
+        fleet.step { machineTypesRead(listOf(bigType)) }
         for ((number, machinesOfJob) in machines.chunked(8).withIndex()) {
             val spec =
                 job(
--- a/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
@@ -31,8 +31,8 @@
                 estimatedDuration = 1000.seconds,
             )
         fleet.step {
-            membersChecked(true)
-            machineTypesKnown(listOf(bigType))
+            splitRecordSupportChecked(true)
+            machineTypesRead(listOf(bigType))
         }
         fleet.submit(wide)
         repeat(8) {
@@ -108,11 +108,11 @@
         fleet.now += 3.seconds
         val service = job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL)
         core.step(fleet.now, fleet.now) {
-            jobStored(JobRecord(service, now, 0, BitSet(), emptyList()), fleet.nextRevision())
+            jobRecordRead(JobRecord(service, now, 0, BitSet(), emptyList()), fleet.nextRevision())
         }
         // One transaction was in flight. The next one has to begin with the change that somebody is waiting for.
         val actions =
-            core.step(fleet.now, fleet.now) { storeEnded(StoreOutcome.Stored(fleet.nextRevision())) }
+            core.step(fleet.now, fleet.now) { transactionEnded(StoreOutcome.Stored(fleet.nextRevision())) }
         val changes = actions.filterIsInstance<StoreChanges>().single()
         assertEquals("s", changes.writes.first().id)
     }
--- a/src/test/kotlin/glenspool/core/LeaderIsolationTest.kt
+++ b/src/test/kotlin/glenspool/core/LeaderIsolationTest.kt
@@ -21,9 +21,9 @@
         // The leader's lease is uncertain for 12 s. Calls still end meanwhile, so the core's clock advances.
         repeat(12) {
             now += 1.seconds
-            step { machineTypesKnown(listOf(bigType)) }
+            step { machineTypesRead(listOf(bigType)) }
         }
-        step { resumed(12.seconds) }
+        step { processResumed(12.seconds) }
         val actions = live(4.seconds, running, emptySet())
         assertTrue(actions.none { it is Resign || it is DeleteMachines })
     }
--- a/src/test/kotlin/glenspool/core/OrderCountsTest.kt
+++ b/src/test/kotlin/glenspool/core/OrderCountsTest.kt
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `machines scaled out are counted by what they are needed for, and a repeated request is not counted again`() {
+    fun `rented machines are counted by cause, and a repeated request is not counted again`() {
         started(0)
         submit(job("s", JobKind.SERVICE, 2, wholeMachine, priority = Priority.CRITICAL))
         val requests = wait(2.seconds).scaleOuts()
--- a/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
@@ -11,14 +11,14 @@
  * PROTOCOL: "Direct commands do not renew the lease." Tests that workers that can't send heartbeats get no work, since
  * it would be lost when their lease expires.
  */
-class OwnHeartbeatTest : SchedulerTestBase(config(), SchedulerHooks(newWorkNeedsOwnHeartbeat = true)) {
+class OwnHeartbeatTest : SchedulerTestBase(config(), SchedulerHooks(newWorkRequiresWorkerHeartbeat = true)) {
     private fun submitForTwoMachines() = submit(job("a", tasks = 2, resourceRequest = wholeMachine))
 
     private fun machinesWithWork() = scheduledJob("a").placements.values.map { it.machine }.toSet()
 
     @Test
     fun `a machine that only answers probes gets no work until its own heartbeat comes`() {
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         list(listOf("m1", "m2"))
         heartbeatReply("m1")
         step { probeEnded("m2", heartbeat("m2")) }
--- a/src/test/kotlin/glenspool/core/PlacementPartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementPartsTest.kt
@@ -11,17 +11,17 @@
 /** Placements that do not fit into their job's record are stored in parts of their own. */
 class PlacementPartsTest : SmallValuesTestBase() {
     @Test
-    fun `a job on as many machines as it has tasks is stored in values that fit, and starts whole`() {
-        step { membersChecked(true) }
+    fun `a job with one machine per task is stored in values within the limit, and all its tasks start`() {
+        step { splitRecordSupportChecked(true) }
         startFleet(160)
-        val actions = storeAll(submit(wide) + wait(2.seconds))
+        val actions = storeAll(submit(wideJob) + wait(2.seconds))
         assertEquals(0, sizeRefusals)
         assertEquals(160, actions.starts().size)
         val record = storedRecord()
         assertEquals((0 until 160).toSet(), record.allPlacements().map { it.task }.toSet())
         // A later leader reads the same placements.
         val next = Scheduler(core.config, TOKEN + 1, now)
-        next.step(now, now) { jobStored(record, 1) }
+        next.step(now, now) { jobRecordRead(record, 1) }
         assertEquals(machinesOfWide(core), machinesOfWide(next))
     }
 
@@ -30,9 +30,9 @@
 
     @Test
     fun `no start is sent for a placement whose part is not stored`() {
-        step { membersChecked(true) }
+        step { splitRecordSupportChecked(true) }
         startFleet(400)
-        val first = store(submit(wide.copy(tasks = 400)) + wait(2.seconds)).writes.single() as UpdateJobRecord
+        val first = store(submit(wideJob.copy(tasks = 400)) + wait(2.seconds)).writes.single() as UpdateJobRecord
         val placementParts = first.record.placementParts
         assertTrue(first.parts.size == 3 && placementParts.size > 3, "all of it went into the first transaction")
         val placementsInFirst =
@@ -41,13 +41,13 @@
     }
 
     @Test
-    fun `while an old controller may lead, no more is placed than a record holds`() {
+    fun `while a controller of an old version may lead, no more tasks are placed than fit into the record`() {
         startFleet(160)
-        storeAll(submit(wide) + wait(1.seconds), rounds = 2)
+        storeAll(submit(wideJob) + wait(1.seconds), rounds = 2)
         val record = storedRecord()
         val placed = record.placements.size
         assertTrue(record.placementParts.isEmpty() && placed in 30..159, "placed $placed")
-        step { membersChecked(true) }
+        step { splitRecordSupportChecked(true) }
         heartbeatsOfIdleMachines(160, busy = record.placements.map { it.machine })
         storeAll(wait(2.seconds))
         assertEquals(160, storedRecord().allPlacements().size)
@@ -55,13 +55,18 @@
     }
 
     @Test
-    fun `of two stored placements of a task the one of the later attempt counts, whichever part it is in`() {
+    fun `of two stored placements of a task the one with the later attempt is used, whichever part it is in`() {
         val placementParts =
             mapOf(
                 0 to listOf(StoredPlacement(3, 1, "i-000001"), StoredPlacement(4, 9, "i-000004")),
                 1 to listOf(StoredPlacement(3, 7, "i-000002"), StoredPlacement(4, 2, "i-000003")),
             )
-        step { jobStored(JobRecord(wide, now, 9, BitSet(), emptyList(), placementParts = placementParts), ++revision) }
+        step {
+            jobRecordRead(
+                JobRecord(wideJob, now, 9, BitSet(), emptyList(), placementParts = placementParts),
+                ++revision,
+            )
+        }
         val placements = scheduledJob("wide").placements
         assertEquals(mapOf(3 to "i-000002", 4 to "i-000004"), placements.mapValues { it.value.machine })
         val machinesInUse = core.machines.values.filter { it.placements.isNotEmpty() }
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -51,7 +51,7 @@
 
         override fun place(job: Job, task: Int, machine: Machine, attempt: Long?) {
             val placement = Placement(job, task, attempt ?: 1, machine.id, Duration.ZERO)
-            job.place(placement, maySplit = false)
+            job.addPlacement(placement, maySplit = false)
             machine.workload.addPlacement(placement)
             placed.add(PlacedTask(job, task, machine))
         }
@@ -64,7 +64,7 @@
 
         override fun recordCapacity(job: Job) = 50
 
-        override fun isAvoided(job: Job, machine: Machine) = machine.id in job.failedOn
+        override fun isAvoided(job: Job, machine: Machine) = machine.id in job.failedMachines
 
         override fun costPenalty(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
     }
@@ -78,7 +78,7 @@
         init {
             for (number in 0 until 1 + random.nextInt(8)) view.machines.add(randomMachine("m$number"))
             jobs = List(1 + random.nextInt(12)) { newJob(randomSpec("j$it")) }
-            if (random.nextInt(4) == 0) jobs[0].failedOn.add("m0")
+            if (random.nextInt(4) == 0) jobs[0].failedMachines.add("m0")
             PlacementRound(view, view.machines, jobs).run { false }
         }
 
@@ -117,7 +117,7 @@
                 .map { it.job.resourceRequest }
                 .fold(Resources.ZERO, Resources::plus)
         return isAllowed(spec, machine) &&
-            machine.id !in job.failedOn &&
+            machine.id !in job.failedMachines &&
             (used + spec.resourceRequest).fitsIn(view.types.getValue(machine.type).capacity) &&
             (!spec.sameZone || zones.all { it == machine.zone }) &&
             (!spec.spread || zones.count { it == machine.zone } + 1 <= (spec.tasks + 1) / 2) &&
@@ -145,7 +145,7 @@
         if (job.spec.kind == JobKind.GANG) {
             val placed = job.placements.size
             assertTrue(placed == 0 || placed == job.spec.tasks, "$context: gang placed incompletely")
-        } else if (job.waitingCount() > 0) {
+        } else if (job.waitingTaskCount() > 0) {
             val missed = view.machines.firstOrNull { isLegal(view, job, it, view.placed) }
             assertEquals(null, missed?.id, "$context: ${job.spec} could have been placed")
         }
--- a/src/test/kotlin/glenspool/core/RandomDay.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -25,11 +25,11 @@
  * A day in simulated time with random jobs and faults, which checks every rule at every start and every tick, and that
  * each job comes to its end once the faults are over.
  */
-class RandomDay(
+class RandomizedSimulation(
     private val seed: Long,
     private val faults: FaultRates,
     private val hasDependencies: Boolean = false,
-    private val allNew: Boolean = false,
+    private val allControllersNew: Boolean = false,
     private val valueBytes: Int = 4096,
     private val coldStarts: Boolean = false,
 ) {
@@ -56,8 +56,8 @@
         return simulation
     }
 
-    fun play(): ClusterSimulation {
-        simulation.allNew = allNew
+    fun run(): ClusterSimulation {
+        simulation.allNew = allControllersNew
         repeat(30, ::submitRandomJob)
         simulation.run(simulation.now + 200.seconds)
         simulation.allNew = true
--- a/src/test/kotlin/glenspool/core/RecordSplittingTest.kt
+++ b/src/test/kotlin/glenspool/core/RecordSplittingTest.kt
@@ -47,13 +47,13 @@
 
     @Test
     fun `placements are merged into the record as results free space, within the write rate, and none is lost`() {
-        step { membersChecked(true) }
+        step { splitRecordSupportChecked(true) }
         startFleet(160)
-        storeAll(submit(wide) + wait(2.seconds), 60)
+        storeAll(submit(wideJob) + wait(2.seconds), 60)
         assertTrue(isStoredSplit())
         val before = storedMachines()
         assertEquals(160, before.size)
-        val maxChanges = storeAll(step { splittingForbidden(true) }, 20)
+        val maxChanges = storeAll(step { setSplittingForbidden(true) }, 20)
         assertTrue(maxChanges <= 8, "$maxChanges changes in a second")
         // Not all of them fit as long as they all run.
         assertEquals(before, storedMachines())
@@ -73,24 +73,24 @@
     }
 
     @Test
-    fun `a placement that may not be stored any more is decided anew, and no record is split meanwhile`() {
-        step { membersChecked(true) }
+    fun `once splitting is forbidden, unstored split placements are planned again and no record is split`() {
+        step { splitRecordSupportChecked(true) }
         startFleet(160)
-        submit(wide)
+        submit(wideJob)
         val decided = wait(2.seconds)
         assertTrue(decided.any { it is StoreChanges })
         assertTrue(scheduledJob("wide").isSplit)
-        step { splittingForbidden(true) }
+        step { setSplittingForbidden(true) }
         assertFalse(scheduledJob("wide").isSplit)
-        step { storeEnded(StoreOutcome.Refused(emptySet())) }
+        step { transactionEnded(StoreOutcome.Refused(emptySet())) }
         storeAll(wait(2.seconds), 2)
         assertFalse(isStoredSplit())
         assertTrue(storedMachines().size in 30..159, "${storedMachines().size}")
         // Nor does a value that is refused for its size lead to a split one now.
-        step { storeEnded(StoreOutcome.TooLarge()) }
-        assertFalse(core.maySplitRecords)
-        step { splittingForbidden(false) }
-        assertTrue(core.maySplitRecords)
+        step { transactionEnded(StoreOutcome.TooLarge()) }
+        assertFalse(core.canSplitRecords)
+        step { setSplittingForbidden(false) }
+        assertTrue(core.canSplitRecords)
         heartbeatsOfIdleMachines(160, busy = storedMachines().values)
         storeAll(wait(2.seconds), 60)
         assertEquals(160, storedMachines().size)
@@ -100,12 +100,12 @@
     fun `a record that an earlier leader split is merged after a failover`() {
         val placementParts = mapOf(0 to (3..9).map { StoredPlacement(it, 1, "i-00000$it") })
         val placements = listOf(StoredPlacement(1, 1, "i-000001"))
-        val record = JobRecord(wide, now, 9, BitSet(), placements, placementParts = placementParts)
-        step { machineTypesKnown(listOf(bigType)) }
+        val record = JobRecord(wideJob, now, 9, BitSet(), placements, placementParts = placementParts)
+        step { machineTypesRead(listOf(bigType)) }
         val actions =
             step {
-                jobStored(record, ++revision)
-                splittingForbidden(true)
+                jobRecordRead(record, ++revision)
+                setSplittingForbidden(true)
             }
         storeAll(actions, 10)
         assertFalse(isStoredSplit())
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 private val RESTORING_HOOKS =
-    SchedulerHooks(newWorkNeedsOwnHeartbeat = true, missingTaskPolicy = { MissingTaskPolicy.RESTORE })
+    SchedulerHooks(newWorkRequiresWorkerHeartbeat = true, missingTaskPolicy = { MissingTaskPolicy.RESTORE })
 
 /**
  * Tests that a task that is missing on its machine is started there again under its stored placement, if the worker
@@ -21,7 +21,7 @@
     private val restoringStart = StartTask(TaskKey("a", 0), 3, StartCause.RESTORED)
 
     private fun submitWithStoredPlacement() {
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         submit(job("a"), listOf(StoredPlacement(0, 3, "m1")), last = 3)
     }
 
--- a/src/test/kotlin/glenspool/core/ScaleOutTest.kt
+++ b/src/test/kotlin/glenspool/core/ScaleOutTest.kt
@@ -15,7 +15,7 @@
 class ScaleOutTest : SchedulerTestBase() {
     @Test
     fun `a machine is rented for an array that fits no machine, however short its run time`() {
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         submit(job("a"))
         assertEquals(listOf(1), wait(4.seconds).scaleOuts().map { it.count })
     }
--- a/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-/** A scheduler and a key-value store in memory, with values so small that the record of the job [wide] is split. */
-abstract class SplitRecordTestBase(settings: SchedulerConfig, protected val wide: JobSpec) :
+/** A scheduler and a key-value store in memory, with values so small that the record of the job [wideJob] is split. */
+abstract class SplitRecordTestBase(settings: SchedulerConfig, protected val wideJob: JobSpec) :
     SchedulerTestBase(settings) {
     protected val state = InMemoryStore()
 
     protected fun machineId(number: Int): String = "i-%06d".format(number)
 
     protected fun startFleet(size: Int) {
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         for (number in 1..size) heartbeatReply(machineId(number))
     }
 
@@ -32,9 +32,9 @@
         for (machine in (1..size).map(::machineId)) if (machine !in busy) heartbeatReply(machine)
     }
 
-    protected fun storedValue(): Fields = state.entries.getValue(Keys.job(wide.id)).value
+    protected fun storedValue(): Fields = state.entries.getValue(Keys.job(wideJob.id)).value
 
-    protected fun storedRecord(): JobRecord = JobRecordReader(state).read(wide.id, storedValue())
+    protected fun storedRecord(): JobRecord = JobRecordReader(state).read(wideJob.id, storedValue())
 
     /** The placements in the record and in all its parts. */
     protected fun JobRecord.allPlacements(): List<StoredPlacement> = placements + placementParts.values.flatten()
@@ -74,7 +74,7 @@
         assertTrue(transaction.puts.size + transaction.removes.size <= 4)
         if (transaction.puts.any(state::tooLarge)) {
             sizeRefusals++
-            return step { storeEnded(StoreOutcome.TooLarge()) }
+            return step { transactionEnded(StoreOutcome.TooLarge()) }
         }
         state.transact(emptyMap(), transaction.puts, transaction.removes)
         return confirm()
--- a/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
@@ -51,9 +51,9 @@
         val service = job("a", JobKind.SERVICE, priority = Priority.CRITICAL)
         val firstActions =
             next.step(now, now) {
-                machineTypesKnown(listOf(bigType))
+                machineTypesRead(listOf(bigType))
                 heartbeatReceived(last)
-                jobStored(JobRecord(service, now, 0, BitSet(), emptyList()), 1)
+                jobRecordRead(JobRecord(service, now, 0, BitSet(), emptyList()), 1)
             }
         val actions = firstActions + tickAfter(2, next)
         assertTrue(next.jobs.getValue("a").placements.isEmpty())
--- a/src/test/kotlin/glenspool/core/StartFencingTest.kt
+++ b/src/test/kotlin/glenspool/core/StartFencingTest.kt
@@ -32,7 +32,7 @@
         val write = store(submit(job("a")) + wait(1.seconds)).writes.single() as UpdateJobRecord
         assertTrue(write.requiresUncancelled)
         cancel("a")
-        val afterRefusal = step { storeEnded(StoreOutcome.Refused(setOf("g/c/a"))) } + wait(3.seconds)
+        val afterRefusal = step { transactionEnded(StoreOutcome.Refused(setOf("g/c/a"))) } + wait(3.seconds)
         assertTrue(afterRefusal.starts().isEmpty())
         assertEquals(revision, (store(afterRefusal).writes.single() as StoreFinalState).cancelVersion)
     }
@@ -40,7 +40,7 @@
     @Test
     fun `a task missing in a heartbeat without this leader's fencing token keeps its placement`() {
         // An earlier leader's start may still be in flight while the worker would accept it.
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         submit(job("a"), listOf(StoredPlacement(0, 1, "m1")), last = 1)
         say(heartbeat("m1", token = TOKEN - 1))
         say(heartbeat("m2"))
--- a/src/test/kotlin/glenspool/core/TaskResultsTest.kt
+++ b/src/test/kotlin/glenspool/core/TaskResultsTest.kt
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `a job is done only when each of its tasks is`() {
+    fun `the final state of a job is stored only when all of its tasks are done`() {
         started()
         submit(job("a", tasks = 2))
         placeAndStore()
@@ -72,7 +72,7 @@
         commands.filterIsInstance<StartTask>().map { exitedTask("bad", it.key.task, it.attempt, ExitReason.ERROR) }
 
     @Test
-    fun `a machine that runs its tasks slowly is noticed`() {
+    fun `a machine that runs its tasks slowly gets a higher slowness`() {
         started(2)
         runPairOfJobs("a", 10.seconds)
         runPairOfJobs("b", 10.seconds)
--- a/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
+++ b/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
@@ -19,7 +19,7 @@
     @Test
     fun `a result of a large job may be forgotten only when its own chunk of done bits is stored`() {
         val tasks = listOf(0, 9_000, 18_000, 27_000)
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         submit(job("large", tasks = 30_000), tasks.map { StoredPlacement(it, 1, "i-000001") }, last = 1)
         val exited = tasks.map { exitedTask("large", it, 1, ExitReason.DONE) }.toTypedArray()
         heartbeatReply("i-000001", *exited)
@@ -31,20 +31,20 @@
     }
 
     @Test
-    fun `a record that an old controller left too large is split when it is written again`() {
+    fun `a too large record stored by an old version is split when it is written again`() {
         val placements = (0 until 120).map { StoredPlacement(it, 100L + it, machineId(it + 1)) }
-        step { jobStored(JobRecord(wide, now, 400, BitSet(), placements), ++revision) }
+        step { jobRecordRead(JobRecord(wideJob, now, 400, BitSet(), placements), ++revision) }
         // Refused once: that is how the new limit shows.
-        scheduledJob("wide").storeSoon()
+        scheduledJob("wide").addUrgentChange()
         storeAll(wait(1.seconds))
         assertEquals(1, sizeRefusals)
         assertEquals((0 until 120).associateWith { machineId(it + 1) }, storedRecord().machinesByTask())
     }
 
     @Test
-    fun `a change too large for the key-value store delays no other, and is not retried without end`() {
+    fun `a change too large for the key-value store delays no other change, and is retried at a limited rate`() {
         val types = List(300) { "some-type-$it" } + "big"
-        step { membersChecked(true) }
+        step { splitRecordSupportChecked(true) }
         startFleet(4)
         submit(job("huge").copy(types = types))
         val actions = storeAll(submit(job("small")) + wait(2.seconds))
@@ -55,10 +55,10 @@
         // Its description was stored in parts, so that the record fits.
         now += 60.seconds
         val retry = store(wait(1.seconds))
-        step { storeEnded(StoreOutcome.TooLarge(mapOf("huge" to 3))) }
+        step { transactionEnded(StoreOutcome.TooLarge(mapOf("huge" to 3))) }
         assertEquals(listOf("huge"), retry.writes.map { it.id })
         val write = store(wait(1.seconds)).writes.single() as UpdateJobRecord
-        assertEquals(3, write.record.descriptionParts)
+        assertEquals(3, write.record.descriptionPartCount)
         assertTrue(Cbor.jsonSizeBytes(RecordWire.encode(write.record)) < VALUE_BYTES)
     }
 }
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -66,7 +66,7 @@
 
     fun workCounters(counters: WorkCounters) {
         val scans = "${counters.placementScores} ${counters.storeScans} ${counters.commandScans}"
-        add(Duration.ZERO, "effort $scans ${counters.rounds}")
+        add(Duration.ZERO, "effort $scans ${counters.placementRounds}")
     }
 
     private fun spelled(commands: List<Command>) =
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -214,7 +214,7 @@
                 trace.action(now, action) { transactionOf(1, it) }
                 if (action is StoreChanges) {
                     open
-                        .addAll(core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) })
+                        .addAll(core.step(now, now) { transactionEnded(StoreOutcome.Stored(++revision)) })
                 }
                 if (action !is SendCommands) continue
                 for (start in action.commands.filterIsInstance<StartTask>()) {
@@ -229,7 +229,7 @@
                     )
             }
         }
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         for (number in 1..400) {
             val spec =
                 job(
@@ -240,7 +240,7 @@
                                 2,
                         ],
                 )
-            step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
+            step { jobRecordRead(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
         }
         repeat(8) { turn ->
             for (number in 1..4000) {
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -125,7 +125,7 @@
     private val split =
         record.copy(
             placementParts = mapOf(1 to places.take(1), 2 to places.drop(1)),
-            descriptionParts = 2,
+            descriptionPartCount = 2,
             placements = emptyList(),
         )
 
--- a/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
@@ -40,7 +40,7 @@
     }
 
     private fun answerLater(scheduler: Scheduler, outcome: StoreOutcome) {
-        context.after(context.networkDelay()) { leader.stepIfLeading(scheduler) { storeEnded(outcome) } }
+        context.after(context.networkDelay()) { leader.stepIfLeading(scheduler) { transactionEnded(outcome) } }
     }
 
     /** The transaction is carried out at once, much later if its conditions still hold then, or never. */
@@ -52,7 +52,7 @@
         }
         context.after(1500.milliseconds) {
             leader.readChanges()
-            leader.stepIfLeading(scheduler) { storeEnded(StoreOutcome.Unknown) }
+            leader.stepIfLeading(scheduler) { transactionEnded(StoreOutcome.Unknown) }
         }
     }
 
@@ -63,7 +63,7 @@
             context.after(context.networkDelay()) {
                 if (failedKeys != null) leader.readChanges()
                 val outcome = failedKeys?.let { StoreOutcome.Refused(it.toSet()) } ?: StoreOutcome.Stored(revision)
-                leader.stepIfLeading(scheduler) { storeEnded(outcome) }
+                leader.stepIfLeading(scheduler) { transactionEnded(outcome) }
             }
         }
 
--- a/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
+++ b/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
@@ -100,11 +100,11 @@
         placements: List<StoredPlacement> = emptyList(),
         last: Long = 0,
         dependencies: List<String> = emptyList(),
-    ) = step { jobStored(JobRecord(spec, now, last, BitSet(), placements, dependencies), ++revision) }
+    ) = step { jobRecordRead(JobRecord(spec, now, last, BitSet(), placements, dependencies), ++revision) }
 
     /** Machines of zone a, and [others] of zone b, where this node's controllers have another, report. */
     protected fun started(machines: Int = 1, others: Int = 0): Scheduler {
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         for (number in 1..machines) say(heartbeat("m$number"))
         for (number in 1..others) say(heartbeat("z$number"))
         return core
@@ -113,7 +113,7 @@
     protected fun store(actions: List<Action>) = actions.filterIsInstance<StoreChanges>().single()
 
     /** The transaction under way is carried out. */
-    protected fun confirm(): List<Action> = step { storeEnded(StoreOutcome.Stored(++revision)) }
+    protected fun confirm(): List<Action> = step { transactionEnded(StoreOutcome.Stored(++revision)) }
 
     /** One machine, one job of one task, and the request that starts it there. */
     protected fun commanded(): SendCommands {
--- a/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
@@ -53,7 +53,7 @@
     /** Draws how long a machine takes to boot; a few never come up. */
     private fun bootTime(type: MachineType): Duration {
         if (context.chance(0.05)) return NEVER
-        return type.boot * (0.6 + context.random.nextDouble())
+        return type.bootTime * (0.6 + context.random.nextDouble())
     }
 
     fun delete(request: DeleteMachines, scheduler: Scheduler) {
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -68,8 +68,8 @@
         recovery = recoveryFactory?.takeIf { isRecoveryDue }?.invoke(token, context.now, startKind())
         scheduler = Scheduler(context.config, token, context.now, recovery?.hooks ?: SchedulerHooks())
         step {
-            membersChecked(areAllNew)
-            machineTypesKnown(context.machineTypes)
+            splitRecordSupportChecked(areAllNew)
+            machineTypesRead(context.machineTypes)
             storedEntries(Keys.JOB).forEach { applyChange(it) }
             storedEntries(Keys.CANCEL).forEach { applyChange(it) }
         }
@@ -151,7 +151,7 @@
         if (scheduler == null || store.isDown) return
         readChanges()
         step {
-            membersChecked(areAllNew && !isOldVersion)
+            splitRecordSupportChecked(areAllNew && !isOldVersion)
             tick()
         }
         tickRecovery()
@@ -181,7 +181,7 @@
                 jobRemoved(job)
             } else {
                 val readable = if (isOldVersion) OldVersion.reads(value) else value
-                if (readable != null) jobStored(store.records.read(job, readable), change.version)
+                if (readable != null) jobRecordRead(store.records.read(job, readable), change.version)
             }
         } else if (change.key.startsWith(Keys.CANCEL) && value != null) {
             jobCancelled(change.key.removePrefix(Keys.CANCEL), change.version, (value["at"] as Long).milliseconds)
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -158,7 +158,7 @@
 
     @Test
     fun `a job with its description in parts is unreadable to it`() {
-        val inParts = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), descriptionParts = 2)
+        val inParts = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), descriptionPartCount = 2)
 
         assertNull(OldVersion.reads(RecordWire.encode(inParts)))
     }
