--- a/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
+++ b/src/main/kotlin/glenspool/reconcile/CircuitBreaker.kt
@@ -11,8 +11,8 @@
  * @property isOpen whether destructive orders are held back
  * @property affectedCount the number of machines that would receive destructive orders
  * @property fleetSize the number of machines in the fleet
- * @property openSince when the breaker opened, in the term's monotonic time; null if it never did
- * @property release why it closed again; null if it has not opened, or is still open
+ * @property openSince when the breaker opened, in the term's monotonic time; null if it has never opened
+ * @property release why the breaker closed again; null if it has not opened or is still open
  */
 data class BreakerState(
     val isOpen: Boolean,
@@ -27,9 +27,9 @@
 }
 
 /**
- * Holds back destructive orders while they concern more than a configured share of the fleet: that many machines are
- * seldom wrong at once, and it is more likely that the leader's knowledge is incomplete. Once released it never opens
- * again.
+ * Holds back destructive orders while they concern more than a configured share of the fleet. That many machines are
+ * seldom faulty at the same time; it is more likely that the leader's information is incomplete. Once released, the
+ * breaker never opens again.
  */
 class CircuitBreaker(private val policy: RecoveryPolicy) {
     var state = BreakerState.CLOSED
@@ -38,20 +38,20 @@
     /** Evaluates the breaker. [affectedCount]: how many machines would receive destructive orders now. */
     fun evaluate(affectedCount: Int, fleetSize: Int, isApproved: Boolean, now: Duration): BreakerState {
         if (state.release != null) return state
-        val isTooMany = fleetSize >= MIN_FLEET && affectedCount > fleetSize * policy.breakerShare
+        val isShareExceeded = fleetSize >= MIN_FLEET_SIZE && affectedCount > fleetSize * policy.breakerShare
         val openSince = state.openSince
         state =
             when {
                 openSince == null ->
                     BreakerState(
-                        isTooMany, affectedCount, fleetSize,
+                        isShareExceeded, affectedCount, fleetSize,
                         now.takeIf {
-                            isTooMany
+                            isShareExceeded
                         },
                         release = null,
                     )
                 isApproved -> released(BreakerRelease.APPROVED, affectedCount, fleetSize)
-                !isTooMany -> released(BreakerRelease.FEWER_DIFFERENCES, affectedCount, fleetSize)
+                !isShareExceeded -> released(BreakerRelease.FEWER_DIFFERENCES, affectedCount, fleetSize)
                 now - openSince >= policy.breakerWait -> released(BreakerRelease.TIME_OVER, affectedCount, fleetSize)
                 else -> state.copy(affectedCount = affectedCount, fleetSize = fleetSize)
             }
@@ -64,7 +64,7 @@
     }
 
     private companion object {
-        /** In a smaller fleet a single machine is a large share, so the breaker never opens. */
-        const val MIN_FLEET = 4
+        /** The breaker never opens in a smaller fleet, because there a single machine is a large share. */
+        const val MIN_FLEET_SIZE = 4
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/ClusterViews.kt
+++ b/src/main/kotlin/glenspool/reconcile/ClusterViews.kt
@@ -6,6 +6,6 @@
     val observed: ObservedView = ObservedView(),
     val rented: RentedView = RentedView(),
 ) {
-    /** All machines that any of the views knows. */
+    /** All machines that occur in any of the views. */
     fun machines(): Set<String> = desired.tasksByMachine.keys + observed.machines.keys + rented.machines.keys
 }
--- a/src/main/kotlin/glenspool/reconcile/ContinuityEvidence.kt
+++ b/src/main/kotlin/glenspool/reconcile/ContinuityEvidence.kt
@@ -3,13 +3,14 @@
 import kotlin.time.Duration
 
 /**
- * Observes which leaders' terms this controller process has lived through. A process that was alive during an earlier
- * term proves that not all controllers have been down since. The proof rests on process identity and monotonic time;
- * comparing wall clocks of different machines could not give it.
+ * Determines the first leadership term during which this controller process was running. A process that was running
+ * during an earlier term proves that not all controllers have been down since. The evidence rests on process identity
+ * and monotonic time, because wall clocks of different machines can't be compared reliably.
  *
- * A leadership record that exists when the process first reads the store may be stale: its lease outlives the leader by
- * a moment. It counts only once it has persisted for [staleLeaseLimit] while the store was read without a gap, since
- * only a living leader renews the lease, and an outage of the store extends every lease by its full time.
+ * A leadership record that exists when the process first reads the store may be stale, because the lease outlives the
+ * leader for a short time. The record counts only after persisting for [staleLeaseLimit], since only a running leader
+ * renews the lease. In that time the store must have been read without a gap, since an outage of the store extends
+ * every lease by its full duration.
  */
 class ContinuityEvidence(private val staleLeaseLimit: Duration) {
     private var hasReadStore = false
@@ -17,35 +18,35 @@
     /** The token of a leadership record that may be stale; null if there is none. */
     private var possiblyStaleToken: Long? = null
 
-    /** Since when the store has been read without a gap. */
-    private var readSince = Duration.ZERO
+    /** The time since which the store has been read without a gap. */
+    private var uninterruptedSince = Duration.ZERO
 
-    /** The fencing token of the first term that this process has lived through; null if there is none yet. */
+    /** The fencing token of the first term during which this process was running; null if there is no evidence yet. */
     var firstToken: Long? = null
         private set
 
     /**
-     * The store was read at [at], in monotonic time; [leader] is the token of the leadership record, null if there is
-     * no record.
+     * Records that the store was read at [at], in monotonic time. [leaderToken] is the token of the leadership record,
+     * null if there is no record.
      */
-    fun recordStoreRead(leader: Long?, at: Duration) {
+    fun recordStoreRead(leaderToken: Long?, at: Duration) {
         if (firstToken != null) return
         val isFirstRead = !hasReadStore
         hasReadStore = true
         when {
-            leader == null -> possiblyStaleToken = null
+            leaderToken == null -> possiblyStaleToken = null
             isFirstRead -> {
-                possiblyStaleToken = leader
-                readSince = at
+                possiblyStaleToken = leaderToken
+                uninterruptedSince = at
             }
-            // The record appeared while this process was reading: its leader was elected in this process's lifetime.
-            leader != possiblyStaleToken -> firstToken = leader
-            at - readSince >= staleLeaseLimit -> firstToken = leader
+            // The record appeared between two reads of this process, so the leader was elected in its lifetime.
+            leaderToken != possiblyStaleToken -> firstToken = leaderToken
+            at - uninterruptedSince >= staleLeaseLimit -> firstToken = leaderToken
         }
     }
 
-    /** The store could not be read for a while: a record from before the gap may be stale now. */
+    /** Records that the store could not be read for some time, so that a record from before may be stale now. */
     fun recordReadGap(at: Duration) {
-        readSince = at
+        uninterruptedSince = at
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
+++ b/src/main/kotlin/glenspool/reconcile/DeferredUpdates.kt
@@ -7,9 +7,9 @@
 import kotlin.time.Duration
 
 /**
- * Queue of observations that the [tracker] has not compared yet. In the first seconds after a cold start a small
- * machine has no processor time to spare for comparisons, so they are spread over later ticks. Of several heartbeats of
- * one machine only the newest is kept.
+ * Queue of observations that the [tracker] has not compared yet. Comparisons are spread over later ticks, because a
+ * small controller machine has no spare CPU time in the first seconds after a cold start. Of several heartbeats of one
+ * machine only the newest is kept.
  */
 class DeferredUpdates(private val tracker: DifferenceTracker) {
     private class Observation(
@@ -39,18 +39,19 @@
 
     /** Queues a heartbeat in place of an older one of its machine. */
     fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration) {
-        // That the worker sent a heartbeat by itself still holds if a later reply to a request replaces it here.
+        // If a reply to a request replaces a queued heartbeat that the worker sent on its own, the source stays WORKER,
+        // because the worker's own heartbeat has arrived.
         val isQueuedFromWorker = observations[heartbeat.machine]?.source == HeartbeatSource.WORKER
         val effectiveSource = if (isQueuedFromWorker) HeartbeatSource.WORKER else source
         observations[heartbeat.machine] = Observation(heartbeat, effectiveSource, isTrusted, at)
     }
 
-    /** Queues a list of the cloud in place of an older one. */
+    /** Queues a machine list of the cloud in place of an older one. */
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
         listUpdate = { tracker.machinesListed(machines, at) }
     }
 
-    /** A deletion is certain, and is applied at once. */
+    /** Applies a deletion immediately, because it is certain. */
     fun machineDeleted(machine: String) {
         observations.remove(machine)
         tracker.machineDeleted(machine)
@@ -61,7 +62,7 @@
         repeat(limit) { if (!applyNext()) return }
     }
 
-    /** Applies one update: jobs first, then machines, then the cloud's list. False if there was none. */
+    /** Applies one update: jobs first, then machines, then the cloud's list. Returns false if none was queued. */
     private fun applyNext(): Boolean {
         val jobUpdate = jobUpdates.removeFirstOrNull()
         val observation = observations.values.firstOrNull()
--- a/src/main/kotlin/glenspool/reconcile/DesiredView.kt
+++ b/src/main/kotlin/glenspool/reconcile/DesiredView.kt
@@ -12,17 +12,17 @@
 import java.util.BitSet
 
 /**
- * A task's placement as the store has it.
+ * A stored placement of a task.
  *
- * @property isAdopted whether an earlier leader stored it, so that this leader has to find out whether the task is
- *   there; its own placements it follows by its own commands
+ * @property isAdopted whether an earlier leader stored the placement, so that this leader has to find out whether the
+ *   task is on the machine; it tracks placements that it stored itself by the commands that it sent
  */
 data class DesiredPlacement(val key: TaskKey, val attempt: Long, val machine: String, val isAdopted: Boolean)
 
 /**
- * A live job as the store has it.
+ * A stored job that has not ended.
  *
- * @property done the tasks whose result is stored; never modified once it is here
+ * @property done the tasks whose result is stored; never modified after this object was created
  * @property placements by task index
  */
 data class DesiredJob(
@@ -34,9 +34,9 @@
 )
 
 /**
- * What a newly stored job record changes.
+ * The changes that a newly stored job record makes to its job.
  *
- * @property finished indices of tasks whose result is stored now and was not before
+ * @property finished indices of tasks whose result is stored now but was not before
  */
 data class JobChange(val removed: List<DesiredPlacement>, val added: List<DesiredPlacement>, val finished: Set<Int>)
 
@@ -45,16 +45,16 @@
     val jobs: PersistentMap<String, DesiredJob> = persistentHashMapOf(),
     val tasksByMachine: PersistentMap<String, PersistentSet<TaskKey>> = persistentHashMapOf(),
 ) {
-    /** The task's placement; null if it has none. */
+    /** Returns the task's placement, or null if it has none. */
     fun placementOf(key: TaskKey): DesiredPlacement? = jobs[key.job]?.placements?.get(key.task)
 
-    /** The placements of all tasks on the machine. */
+    /** Returns the placements of all tasks on the machine. */
     fun placementsOn(machine: String): List<DesiredPlacement> {
         val tasks = tasksByMachine[machine].orEmpty()
         return tasks.mapNotNull { placementOf(it) }
     }
 
-    /** What [record] changes of its job. [isAdopted]: whether an earlier leader stored its new placements. */
+    /** Returns what [record] changes in its job. [isAdopted]: whether an earlier leader stored its new placements. */
     fun changeOf(record: JobRecord, isAdopted: Boolean): JobChange {
         val id = record.spec.id
         val before = jobs[id]
@@ -72,7 +72,7 @@
         return JobChange(removed, added, newlyFinished(before, record))
     }
 
-    /** The view after [record] was stored, which makes the [change]. */
+    /** Returns the view after [record] was stored. [change]: the result of [changeOf] for the record. */
     fun with(record: JobRecord, change: JobChange): DesiredView {
         val id = record.spec.id
         val before = jobs[id]
@@ -90,13 +90,13 @@
         return DesiredView(jobs.put(id, job), tasks)
     }
 
-    /** The view after the job was cancelled. */
+    /** Returns the view after the job was cancelled. */
     fun withCancelled(job: String): DesiredView {
         val known = jobs[job] ?: return this
         return copy(jobs = jobs.put(job, known.copy(isCancelled = true)))
     }
 
-    /** The view after the job's record was removed. */
+    /** Returns the view after the job's record was removed. */
     fun without(job: String): DesiredView {
         val known = jobs[job] ?: return this
         val tasks =
@@ -107,8 +107,8 @@
     }
 
     /**
-     * The placements of a record by task. The parts of a record are not all stored at the same moment: of two
-     * placements of a task the one with the higher attempt counts.
+     * Returns the placements of a record by task. The parts of a record are not all stored at the same time, so a task
+     * may have two placements, of which the one with the higher attempt counts.
      */
     private fun newestPlacements(record: JobRecord): Map<Int, StoredPlacement> {
         val result = HashMap<Int, StoredPlacement>()
--- a/src/main/kotlin/glenspool/reconcile/Difference.kt
+++ b/src/main/kotlin/glenspool/reconcile/Difference.kt
@@ -3,10 +3,10 @@
 import glenspool.core.model.TaskKey
 import kotlin.time.Duration
 
-/** The origin of the knowledge behind a difference. [ANSWER] is a worker's reply to a request of the leader. */
+/** The source of the information behind a difference. [ANSWER] is a worker's reply to a request of the leader. */
 enum class EvidenceSource { STATE_SERVICE, REPORT, ANSWER, CLOUD_LIST }
 
-/** What a difference rests on. [at]: when it was observed, in the term's monotonic time. */
+/** The observation that a difference is based on. [at]: when it was made, in the term's monotonic time. */
 data class Evidence(val source: EvidenceSource, val at: Duration)
 
 /** A deviation of one machine's observed state from the stored state. */
@@ -26,7 +26,7 @@
     override val evidence: Evidence,
 ) : Difference
 
-/** A task that runs without a stored placement on its machine. [isJobRecorded]: whether the store knows its job. */
+/** A task that runs without a stored placement on its machine. [isJobRecorded]: whether its job is stored. */
 data class OrphanTask(
     override val machine: String,
     override val task: TaskKey,
@@ -35,7 +35,7 @@
     override val evidence: Evidence,
 ) : Difference
 
-/** A task that several [machines] report at once. */
+/** A task that several [machines] report at the same time. */
 data class DuplicateTask(
     override val machine: String,
     override val task: TaskKey,
@@ -65,17 +65,17 @@
 data class DelistedMachine(override val machine: String, override val evidence: Evidence) : Difference
 
 /**
- * A machine that should be up and has not reported in this term: nothing is known of its tasks.
+ * A machine that should be up but has not reported in this term, so that the state of its tasks is unknown.
  *
  * @property placements the number of placements stored for it
  */
 data class SilentMachine(override val machine: String, val placements: Int, override val evidence: Evidence) :
     Difference
 
-/** A machine that answers requests but whose own heartbeats do not arrive: its lease will expire. */
+/** A machine that answers requests but whose own heartbeats do not arrive, so that its lease will expire. */
 data class UnreportingMachine(override val machine: String, override val evidence: Evidence) : Difference
 
-/** The kinds of difference, for counting. Operators are shown the constants' names. */
+/** The kinds of differences, for counting. The constants' names are shown to operators. */
 enum class DifferenceKind {
     MISSING_TASK,
     ORPHAN_TASK,
@@ -89,8 +89,8 @@
     ;
 
     /**
-     * Whether the recovery lasts until no difference of this kind is left: orders remove them, and they do not occur in
-     * ordinary operation.
+     * Whether the recovery lasts until no difference of this kind remains. This applies to kinds that orders remove and
+     * that do not occur in ordinary operation.
      */
     val isRepairable: Boolean get() =
         this == MISSING_TASK ||
@@ -98,7 +98,7 @@
             this == DUPLICATE_TASK ||
             this == OBSOLETE_PLACE
 
-    /** The name that operators are shown. */
+    /** The name shown to operators. */
     val label: String get() = name.lowercase().replace('_', '-')
 }
 
--- a/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
+++ b/src/main/kotlin/glenspool/reconcile/DifferenceTracker.kt
@@ -14,7 +14,7 @@
  * @property byKind only kinds that occur
  */
 data class DifferenceTotals(val byKind: Map<DifferenceKind, Int>, val confirmed: Int, val adopted: Int) {
-    /** Adopted placements of which it is not known whether their task still runs. */
+    /** The number of adopted placements for which it is unknown whether their task still runs. */
     val unconfirmed: Int get() = adopted - confirmed
 
     /** The number of differences of one kind. */
@@ -22,8 +22,8 @@
 }
 
 /**
- * Maintains the views and their differences incrementally: an event causes a new comparison only of the machines that
- * it concerns. The result always equals [MachineComparison.all] of the views.
+ * Maintains the views and their differences incrementally. An event causes a new comparison only of the machines that
+ * it affects. The result always equals [MachineComparison.all] of the views.
  */
 class DifferenceTracker {
     var views = ClusterViews()
@@ -37,34 +37,34 @@
     /** Machines whose newest heartbeat names a task of the job, by job. */
     private val machinesByObservedJob = HashMap<String, MutableSet<String>>()
 
-    /** The number of machine comparisons so far, for tests: an event's cost must not grow with the fleet. */
+    /** The number of machine comparisons so far, for tests that an event's cost does not grow with the fleet. */
     var comparisonCount = 0L
         private set
 
-    /** The numbers of differences and confirmed placements as of the last comparison. */
+    /** Returns the numbers of differences and confirmed placements as of the last comparison. */
     fun totals(): DifferenceTotals {
         val occurring = DifferenceKind.entries.filter { counts[it.ordinal] > 0 }
         return DifferenceTotals(occurring.associateWith { counts[it.ordinal] }, confirmed, adopted)
     }
 
-    /** The job's record was read or stored. [isAdopted]: whether an earlier leader stored it. */
+    /** Applies a job record that was read or stored. [isAdopted]: whether an earlier leader stored it. */
     fun jobStored(record: JobRecord, isAdopted: Boolean) {
         val job = record.spec.id
         val isNew = job !in views.desired.jobs
         val change = views.desired.changeOf(record, isAdopted)
         views = views.copy(desired = views.desired.with(record, change))
-        // A new job concerns every machine that reports a task of it; a known job only the machines that its change
-        // concerns.
-        compareAll(if (isNew) machinesOf(job) else machinesConcernedBy(change, record))
+        // A new job affects every machine that reports a task of it. A record of a known job affects only the machines
+        // that the change names.
+        compareAll(if (isNew) machinesOf(job) else machinesAffectedBy(change, record))
     }
 
-    /** The job's cancellation was read or stored. */
+    /** Applies a job's cancellation that was read or stored. */
     fun jobCancelled(job: String) = changeJob(job) { it.withCancelled(job) }
 
-    /** The job's record is no longer in the store. */
+    /** Removes a job whose record is no longer in the store. */
     fun jobEnded(job: String) = changeJob(job) { it.without(job) }
 
-    /** [isTrusted]: whether the worker has seen this leader's token. */
+    /** Applies a heartbeat. [isTrusted]: whether the worker has received this leader's fencing token. */
     fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration) {
         if (!views.observed.isChange(heartbeat, source, isTrusted)) return
         val before = views.observed.machines[heartbeat.machine]
@@ -75,17 +75,17 @@
         compareAll(sharingBefore + machinesSharingTasksWith(after) + heartbeat.machine)
     }
 
-    /** The cloud listed its machines. */
+    /** Applies a list of the cloud's machines. */
     fun machinesListed(machines: List<ListedMachine>, at: Duration) {
         val before = views.rented
         views = views.copy(rented = before.with(machines, at))
-        // The first list concerns the machines that it names and those that it does not name.
+        // The first list affects all machines: those that it names and those that are missing in it.
         if (before.firstReadAt == null) return compareAll(views.machines())
         // Entries that did not change are the same objects as before.
         for ((id, machine) in views.rented.machines) if (before.machines[id] !== machine) compare(id)
     }
 
-    /** The machine is known to be deleted. */
+    /** Removes a machine that is known to be deleted. */
     fun machineDeleted(machine: String) {
         val before = views.observed.machines[machine]
         val sharing = machinesSharingTasksWith(before)
@@ -100,22 +100,22 @@
         compareAll(before + machinesOf(job))
     }
 
-    private fun machinesConcernedBy(change: JobChange, record: JobRecord): Set<String> {
+    private fun machinesAffectedBy(change: JobChange, record: JobRecord): Set<String> {
         val job = record.spec.id
-        val concerned = HashSet<String>()
-        change.removed.mapTo(concerned) { it.machine }
-        change.added.filter { mayDiffer(it, record) }.mapTo(concerned) { it.machine }
+        val affected = HashSet<String>()
+        change.removed.mapTo(affected) { it.machine }
+        change.added.filter { canCauseDifference(it, record) }.mapTo(affected) { it.machine }
         if (change.finished.isNotEmpty()) {
-            machinesOf(job).filterTo(concerned) { hasAnyOf(it, job, change.finished) }
+            machinesOf(job).filterTo(affected) { hasAnyOf(it, job, change.finished) }
         }
-        return concerned
+        return affected
     }
 
     /**
-     * Whether a new placement can cause a difference. One that this leader has just stored can't, unless the machine is
-     * not known, has the task already, or the task's result is stored.
+     * Whether a new placement can cause a difference. A placement that this leader has just stored can't, unless the
+     * machine is unknown or already reports the task, or the task's result is stored.
      */
-    private fun mayDiffer(placement: DesiredPlacement, record: JobRecord): Boolean {
+    private fun canCauseDifference(placement: DesiredPlacement, record: JobRecord): Boolean {
         val observed = views.observed.machines[placement.machine]
         return placement.isAdopted ||
             observed == null ||
@@ -123,7 +123,7 @@
             observed.tasks.any { it.key == placement.key }
     }
 
-    /** Whether any of the job's [tasks] is placed on the machine, or reported by it. */
+    /** Whether any of the job's [tasks] is placed on the machine or reported by it. */
     private fun hasAnyOf(machine: String, job: String, tasks: Set<Int>): Boolean {
         val placed = views.desired.tasksByMachine[machine].orEmpty()
         val reported =
@@ -134,7 +134,7 @@
             reported.any { it.key.job == job && it.key.task in tasks }
     }
 
-    /** Machines that have a stored placement of the job, or report a task of it. */
+    /** Returns the machines that have a stored placement of the job or report a task of it. */
     private fun machinesOf(job: String): Set<String> {
         val placements =
             views.desired.jobs[job]
@@ -157,7 +157,7 @@
         }
     }
 
-    /** The machines that claim a task which this machine and another one report. */
+    /** Returns all machines that report a task which both this machine and another one report. */
     private fun machinesSharingTasksWith(machine: ObservedMachine?): Set<String> {
         if (machine == null) return emptySet()
         val shared = machine.tasks.mapNotNull { views.observed.claims[it.key] }.filter { it.size > 1 }
@@ -174,9 +174,9 @@
         count(updated, 1)
     }
 
-    private fun count(found: MachineFindings, sign: Int) {
-        found.differences.forEach { counts[it.kind.ordinal] += sign }
-        confirmed += found.confirmed * sign
-        adopted += found.adopted * sign
+    private fun count(machineFindings: MachineFindings, sign: Int) {
+        machineFindings.differences.forEach { counts[it.kind.ordinal] += sign }
+        confirmed += machineFindings.confirmed * sign
+        adopted += machineFindings.adopted * sign
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
@@ -21,7 +21,7 @@
     val expected: Int get() = groups.sumOf { it.expected }
     val reported: Int get() = groups.sumOf { it.reported }
 
-    /** The groups of which less than [share] has reported. */
+    /** Returns the groups of which less than [share] has reported. */
     fun incompleteGroups(share: Double): List<Group> = groups.filterNot { it.reaches(share) }
 
     companion object {
@@ -29,7 +29,7 @@
 
         /**
          * @param listed the cloud's newest list of machines
-         * @param reported machines whose workers have seen this leader's token
+         * @param reported machines whose workers have received this leader's fencing token
          */
         fun of(listed: List<ListedMachine>, reported: Set<String>): GatheringProgress {
             val running = listed.filter { it.stage == MachineStage.RUNNING }
--- a/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
+++ b/src/main/kotlin/glenspool/reconcile/MachineComparison.kt
@@ -23,17 +23,17 @@
 
 /** Compares the desired, observed and rented state machine by machine. The result depends on the views only. */
 object MachineComparison {
-    /** Findings are lists whose order must not depend on the order of the observations. */
+    /** Sorts a machine's differences, because their order must not depend on the order of the observations. */
     private val findingOrder =
         compareBy<Difference>({ it.kind }, { it.task?.job.orEmpty() }, { it.task?.task ?: 0 }, { it.toString() })
 
-    /** The findings of every machine that any view knows; machines without findings are left out. */
+    /** Returns the findings of every machine in any of the views; machines without findings are omitted. */
     fun all(views: ClusterViews): Map<String, MachineFindings> {
         val findings = views.machines().associateWith { compare(it, views) }
         return findings.filterValues { !it.isEmpty }
     }
 
-    /** The findings of one machine. */
+    /** Returns the findings of one machine. */
     fun compare(machine: String, views: ClusterViews): MachineFindings {
         val placements = views.desired.placementsOn(machine)
         val adopted = placements.filter { it.isAdopted }
@@ -41,31 +41,32 @@
         val differences = ArrayList<Difference>()
         delisted(machine, adopted.isNotEmpty(), views.rented)?.let(differences::add)
         if (observed == null) {
-            unheard(machine, placements.size, views.rented)?.let(differences::add)
+            silent(machine, placements.size, views.rented)?.let(differences::add)
         } else {
             unreporting(observed)?.let(differences::add)
             observed.tasks.flatMapTo(differences) { taskDifferences(observed, it, views) }
             placements.mapNotNullTo(differences) { placementDifference(it, observed, views.desired) }
         }
-        // Most machines have no difference at all, or one.
+        // Most machines have at most one difference and need no sorting.
         val sorted = if (differences.size > 1) differences.sortedWith(findingOrder) else differences
         val confirmed = adopted.count { observed != null && observed.reports(it) }
         return MachineFindings(sorted, confirmed, adopted.size)
     }
 
     private fun evidenceOf(observed: ObservedMachine): Evidence {
-        val source = if (observed.lastHeartbeatAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER
+        val source = if (observed.firstHeartbeatAt != null) EvidenceSource.REPORT else EvidenceSource.ANSWER
         return Evidence(source, observed.observedAt)
     }
 
     private fun delisted(machine: String, hasAdoptedPlacement: Boolean, rented: RentedView): Difference? {
         val entry = rented.machines[machine]
-        // The cloud's lists lag: a machine that was never listed counts only if an earlier leader placed a task on it.
+        // The cloud's lists lag, so a machine that was never listed counts as delisted only if an earlier leader placed
+        // a task on it.
         val since = if (entry != null) entry.unlistedSince else rented.firstReadAt.takeIf { hasAdoptedPlacement }
         return since?.let { DelistedMachine(machine, Evidence(EvidenceSource.CLOUD_LIST, it)) }
     }
 
-    private fun unheard(machine: String, placements: Int, rented: RentedView): Difference? {
+    private fun silent(machine: String, placements: Int, rented: RentedView): Difference? {
         val entry = rented.machines[machine]
         val isUp = entry != null && entry.stage == MachineStage.RUNNING && entry.unlistedSince == null
         if (placements == 0 && !isUp) return null
@@ -79,14 +80,14 @@
     }
 
     private fun unreporting(observed: ObservedMachine): Difference? {
-        if (observed.lastHeartbeatAt != null) return null
+        if (observed.firstHeartbeatAt != null) return null
         return UnreportingMachine(observed.id, evidenceOf(observed))
     }
 
     private fun taskDifferences(observed: ObservedMachine, task: TaskStatus, views: ClusterViews): List<Difference> {
         val job = views.desired.jobs[task.key.job]
         if (task.state == TaskState.EXITED) return listOfNotNull(unrecordedResult(observed, task, job))
-        return listOfNotNull(misplaced(observed, task, job), duplicate(observed, task, views.observed))
+        return listOfNotNull(cancelledOrOrphaned(observed, task, job), duplicate(observed, task, views.observed))
     }
 
     private fun unrecordedResult(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
@@ -95,7 +96,7 @@
         return if (isResultExpected) UnrecordedResult(observed.id, task.key, evidenceOf(observed)) else null
     }
 
-    private fun misplaced(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
+    private fun cancelledOrOrphaned(observed: ObservedMachine, task: TaskStatus, job: DesiredJob?): Difference? {
         if (job?.isCancelled == true) return CancelledTask(observed.id, task.key, evidenceOf(observed))
         val placement = job?.placements?.get(task.key.task)
         val isPlacedHere = placement != null && placement.machine == observed.id && placement.attempt == task.attempt
@@ -120,7 +121,8 @@
             val evidence = Evidence(EvidenceSource.STATE_SERVICE, observed.observedAt)
             return ObsoletePlacement(placement.machine, key, evidence)
         }
-        // Until the worker has seen this leader's token, a start order of an earlier leader may still arrive there.
+        // Until the worker has received this leader's fencing token, a start command of an earlier leader may still
+        // reach it, so the task does not count as missing.
         val isProvedMissing = placement.isAdopted && observed.isTrusted && !observed.reports(placement)
         if (!isProvedMissing || job.isCancelled) return null
         return MissingTask(placement.machine, key, placement.attempt, evidenceOf(observed))
--- a/src/main/kotlin/glenspool/reconcile/ObservedView.kt
+++ b/src/main/kotlin/glenspool/reconcile/ObservedView.kt
@@ -12,13 +12,13 @@
 import kotlin.time.Duration
 
 /**
- * A machine as its newest heartbeat describes it. Times are the term's monotonic time.
+ * A machine as described by its newest heartbeat. Times are in the term's monotonic time.
  *
- * @property isTrusted whether the worker has seen this leader's token: only then are tasks that the heartbeat does not
- *   name known to be absent
- * @property observedAt since when the machine has been as described
- * @property lastHeartbeatAt when a heartbeat that the worker sent by itself first came; null if it has only replied to
- *   requests and commands
+ * @property isTrusted whether the worker has received this leader's fencing token; only then are tasks that the
+ *   heartbeat does not name known to be absent
+ * @property observedAt when this description of the machine was first received
+ * @property firstHeartbeatAt when the first heartbeat that the worker sent on its own was received; null if the worker
+ *   has only replied to requests and commands
  */
 data class ObservedMachine(
     val id: String,
@@ -29,14 +29,14 @@
     val isTrusted: Boolean,
     val tasks: List<TaskStatus>,
     val observedAt: Duration,
-    val lastHeartbeatAt: Duration?,
+    val firstHeartbeatAt: Duration?,
 ) {
     /** The tasks that are on the machine now. */
     val presentTasks: List<TaskStatus> get() = tasks.filter { it.state != TaskState.EXITED }
 }
 
 /**
- * The observed state: the machines that were seen in this term.
+ * The observed state: the machines from which a heartbeat was received in this term.
  *
  * @property claims the machines that report a task as present, by task
  */
@@ -44,7 +44,7 @@
     val machines: PersistentMap<String, ObservedMachine> = persistentHashMapOf(),
     val claims: PersistentMap<TaskKey, PersistentSet<String>> = persistentHashMapOf(),
 ) {
-    /** The view after a further [heartbeat]. [isTrusted]: whether the worker has seen this leader's token. */
+    /** Returns the view after [heartbeat]. [isTrusted]: whether the worker has received this leader's fencing token. */
     fun with(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean, at: Duration): ObservedView {
         val before = machines[heartbeat.machine]
         val machine =
@@ -57,22 +57,22 @@
                 isTrusted,
                 heartbeat.tasks,
                 observedAt = at,
-                lastHeartbeatAt = before?.lastHeartbeatAt ?: at.takeIf { source == HeartbeatSource.WORKER },
+                firstHeartbeatAt = before?.firstHeartbeatAt ?: at.takeIf { source == HeartbeatSource.WORKER },
             )
         return ObservedView(machines.put(machine.id, machine), claims.withoutClaimsOf(before).withClaimsOf(machine))
     }
 
-    /** Whether the heartbeat says anything that is not known of its machine yet. */
+    /** Whether the heartbeat contains anything that is not yet known of its machine. */
     fun isChange(heartbeat: Heartbeat, source: HeartbeatSource, isTrusted: Boolean): Boolean {
         val before = machines[heartbeat.machine] ?: return true
-        val isFirstFromWorker = source == HeartbeatSource.WORKER && before.lastHeartbeatAt == null
+        val isFirstFromWorker = source == HeartbeatSource.WORKER && before.firstHeartbeatAt == null
         return isFirstFromWorker ||
             before.isTrusted != isTrusted ||
             before.incarnation != heartbeat.incarnation ||
             before.tasks != heartbeat.tasks
     }
 
-    /** The view without a machine that no longer exists. */
+    /** Returns the view without a machine that no longer exists. */
     fun without(machine: String): ObservedView {
         val before = machines[machine] ?: return this
         return ObservedView(machines.remove(machine), claims.withoutClaimsOf(before))
--- a/src/main/kotlin/glenspool/reconcile/PhaseStateMachine.kt
+++ b/src/main/kotlin/glenspool/reconcile/PhaseStateMachine.kt
@@ -8,7 +8,7 @@
  * @property now the term's monotonic time
  * @property isListRead whether the cloud's list has arrived in this term
  * @property repairable the number of differences that orders can still remove
- * @property unconfirmed the number of adopted placements of which it is not known whether their task still runs
+ * @property unconfirmed the number of adopted placements for which it is unknown whether their task still runs
  * @property isCompared whether all observations have been compared
  */
 data class PhaseFacts(
@@ -27,10 +27,10 @@
 enum class PhaseEnd { COMPLETE, TIME_OVER, ORDINARY_START }
 
 /**
- * The present phase.
+ * The current phase.
  *
  * @property since when it was entered, in the term's monotonic time
- * @property end why the phase before was left; null for the first phase
+ * @property end why the previous phase was left; null for the first phase
  */
 data class PhaseState(val phase: RecoveryPhase, val since: Duration, val end: PhaseEnd? = null)
 
@@ -39,13 +39,13 @@
     var state = PhaseState(RecoveryPhase.READING, startedAt)
         private set
 
-    /** Whether the recovery still goes on. */
+    /** Whether the recovery is still in progress. */
     val isActive: Boolean get() = state.phase != RecoveryPhase.NORMAL
 
-    /** When the present phase ends at the latest; null if it has no time limit. */
+    /** When the current phase ends at the latest; null if it has no time limit. */
     val deadline: Duration? get() = timeLimit()?.let { state.since + it }
 
-    /** Enters the next phase if the facts allow it. Returns the phase entered, or null. */
+    /** Enters the next phase if the facts allow it. Returns the new phase, or null if the phase has not changed. */
     fun advance(facts: PhaseFacts): PhaseState? = next(facts)?.also { state = it }
 
     private fun next(facts: PhaseFacts): PhaseState? {
@@ -64,7 +64,7 @@
     private fun isComplete(facts: PhaseFacts): Boolean =
         when (state.phase) {
             RecoveryPhase.READING -> facts.isListRead
-            // Without a list it is not known which machines should report.
+            // Without the cloud's list it is unknown which machines should report.
             RecoveryPhase.GATHERING ->
                 facts.isListRead &&
                     facts.gathering.incompleteGroups(policy.gatherShare).isEmpty()
@@ -80,7 +80,7 @@
             RecoveryPhase.READING -> minOf(setting.heartbeatInterval, setting.listLag)
             RecoveryPhase.GATHERING -> setting.lease * policy.gatherLeaseShare
             RecoveryPhase.REPAIRING -> setting.lease * policy.repairLeaseShare
-            // The circuit breaker has a time limit of its own.
+            // ADOPTING needs no time limit, because the circuit breaker, which it waits for, has its own.
             RecoveryPhase.ADOPTING, RecoveryPhase.NORMAL -> null
         }
 }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -6,15 +6,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Recovery in one term: observes what the scheduler learns ([RecoveryObserver]), decides which of its orders have to
- * wait ([RecoveryOrderGate]), and moves through the phases ([PhaseStateMachine]). A term that began with an ordinary
- * failover has no engine.
+ * Controls the recovery in one term: collects the scheduler's observations ([RecoveryObserver]), decides which of its
+ * orders have to wait ([RecoveryOrderGate]) and advances the phases ([PhaseStateMachine]). A term that began with an
+ * ordinary failover has no engine.
  *
  * Owned by the scheduler's thread; [snapshot] and [needsStoreReads] may be read by any thread.
  *
  * @param token the term's fencing token
  * @param startedAt when the term began, in the term's monotonic time
- * @param record this term's stored record, whose operator orders stay in force
+ * @param record this term's stored record; the operators' orders in it remain in force
  */
 class RecoveryEngine(
     policy: RecoveryPolicy,
@@ -35,7 +35,7 @@
     private val resolution = ResolutionProgress()
     private var gathering = GatheringProgress.NONE
 
-    /** The hooks to be given to the term's scheduler. */
+    /** The hooks for the term's scheduler. */
     val hooks =
         SchedulerHooks(
             gate = RecoveryOrderGate(phases, overrides, unrecordedTasks, budget),
@@ -50,23 +50,23 @@
     val isApproved: Boolean get() = overrides.isApproved
     val phase: RecoveryPhase get() = phases.state.phase
 
-    /** Whether the recovery still goes on. */
+    /** Whether the recovery is still in progress. */
     val isActive: Boolean get() = phases.isActive
 
-    /** Whether [recordStoreRead] is to be called at every read of the store. */
+    /** Whether [recordStoreRead] has to be called after every read of the store. */
     val needsStoreReads: Boolean get() = unrecordedTasks.needsStoreReads
 
-    /** The state at the last evaluation; null before the first. */
+    /** The state at the last evaluation; null before the first evaluation. */
     @Volatile
     var snapshot: RecoverySnapshot? = null
         private set
 
-    /** The store was read by a request that was sent at [sentAt], and all that it returned has been applied. */
+    /** Records that the store was read by a request sent at [sentAt], and that the entire result has been applied. */
     fun recordStoreRead(sentAt: Duration) = unrecordedTasks.recordStoreRead(sentAt)
 
     /**
-     * The other controllers' answers decide how this term began, if that was unknown. An ordinary failover ends the
-     * recovery at the next evaluation.
+     * Sets how this term began, as determined by the other controllers' answers, if that was unknown. An ordinary
+     * failover ends the recovery at the next evaluation.
      */
     fun startKindDetermined(kind: StartKind) {
         if (startKind == StartKind.UNKNOWN) startKind = kind
@@ -77,21 +77,22 @@
         overrides.isPaused = true
     }
 
-    /** Lets a paused recovery go on. */
+    /** Resumes a paused recovery. */
     fun resume() {
         overrides.isPaused = false
     }
 
-    /** Admits destructive orders however much of the fleet they concern. */
+    /** Admits destructive orders regardless of how much of the fleet they concern. */
     fun approve() {
         overrides.isApproved = true
     }
 
     /**
-     * Compares queued observations, and evaluates phases and breaker at most once a second. To be called often.
+     * Compares queued observations, and evaluates the phases and the breaker at most once a second. It has to be called
+     * more often than that.
      *
      * @param at the term's monotonic time
-     * @param isOverloaded whether this process has no processor time to spare
+     * @param isOverloaded whether this process has no spare CPU time
      */
     fun tick(at: Duration, isOverloaded: Boolean = false): List<RecoveryNotice> {
         now = at
@@ -110,18 +111,18 @@
         if (observer.isCompared) {
             resolution.update(observer.totals).mapTo(notices) { RecoveryNotice.ShareResolved(it, now - startedAt) }
         }
-        val current = takeSnapshot()
+        val current = createSnapshot()
         snapshot = current
         entered.mapTo(notices) { RecoveryNotice.PhaseEntered(it, current) }
         if (!isActive) observer.clear()
         return notices
     }
 
-    /** Enters as many phases as the facts allow; returns them in order. */
+    /** Enters as many phases as the facts allow, and returns them in order. */
     private fun advancePhases(notices: MutableList<RecoveryNotice>): List<PhaseState> {
         val entered = ArrayList<PhaseState>()
         while (true) {
-            // No phase before admits destructive orders, and the phase after it depends on the breaker's state.
+            // Earlier phases admit no destructive orders, and entering the next phase depends on the breaker's state.
             if (phase == RecoveryPhase.ADOPTING) evaluateBreaker(notices)
             entered.add(phases.advance(facts()) ?: return entered)
         }
@@ -156,7 +157,7 @@
             else -> MissingTaskPolicy.RESTORE
         }
 
-    private fun takeSnapshot(): RecoverySnapshot {
+    private fun createSnapshot(): RecoverySnapshot {
         val totals = observer.totals
         return RecoverySnapshot(
             token,
--- a/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryObserver.kt
@@ -8,56 +8,56 @@
 import kotlin.time.Duration
 
 /**
- * Observes what the scheduler learns of the cluster while the recovery is active, and queues it for comparison. Ignores
- * everything afterwards.
+ * Queues the scheduler's observations of the cluster for comparison while the recovery is active, and ignores them
+ * afterwards.
  */
 internal class RecoveryObserver(private val phases: PhaseStateMachine, private val unrecorded: UnrecordedTasks) :
     ClusterObserver {
     private var tracker = DifferenceTracker()
     private var updates = DeferredUpdates(tracker)
 
-    /** Machines whose workers have seen this leader's token. */
+    /** Machines whose workers have received this leader's fencing token. */
     private val reportedMachines = HashSet<String>()
 
-    /** The cloud's newest list of machines; null if none has come in this term. */
-    private var listed: List<ListedMachine>? = null
+    /** The cloud's newest list of machines; null if none has been received in this term. */
+    private var newestList: List<ListedMachine>? = null
 
-    val isListRead: Boolean get() = listed != null
+    val isListRead: Boolean get() = newestList != null
 
     /** Whether all observations have been compared. */
     val isCompared: Boolean get() = updates.isEmpty
 
-    /** The fleet's size as far as it is known: the number of machines that are listed, or that have reported. */
-    val fleetSize: Int get() = maxOf(listed?.size ?: 0, reportedMachines.size)
+    /** The fleet's size as far as it is known: the number of listed or of reporting machines, whichever is larger. */
+    val fleetSize: Int get() = maxOf(newestList?.size ?: 0, reportedMachines.size)
 
     val totals: DifferenceTotals get() = tracker.totals()
     val findings get() = tracker.findings
 
-    /** Null until the cloud's first list has come. */
-    fun gatheringProgress(): GatheringProgress? = listed?.let { GatheringProgress.of(it, reportedMachines) }
+    /** Returns the progress of the gathering phase, or null before the cloud's first list of this term. */
+    fun gatheringProgress(): GatheringProgress? = newestList?.let { GatheringProgress.of(it, reportedMachines) }
 
-    /** The number of machines that would be deleted as silent, or have unexpected tasks stopped. */
+    /** Returns the number of machines that would be deleted as silent or whose unexpected tasks would be stopped. */
     fun affectedMachineCount(): Int =
-        tracker.findings.values.count { found ->
-            val kinds = found.differences.mapTo(HashSet()) { it.kind }
-            // A machine that the cloud does not list any more is lost whatever is ordered.
+        tracker.findings.values.count { machineFindings ->
+            val kinds = machineFindings.differences.mapTo(HashSet()) { it.kind }
+            // A machine that the cloud no longer lists is lost in any case, so it does not count.
             val wouldBeDeleted = DifferenceKind.UNHEARD_MACHINE in kinds && DifferenceKind.DELISTED_MACHINE !in kinds
             wouldBeDeleted || DifferenceKind.ORPHAN_TASK in kinds || DifferenceKind.DUPLICATE_TASK in kinds
         }
 
-    /** Compares some of the queued observations, fewer if [isOverloaded]: if this process has no spare CPU time. */
+    /** Compares some of the queued observations. [isOverloaded]: whether this process has no spare CPU time. */
     fun compareQueuedUpdates(isOverloaded: Boolean) {
-        val limit = if (isOverloaded) UPDATES_PER_TICK_BEHIND else UPDATES_PER_TICK
-        updates.apply(maxOf(limit, updates.size / MIN_SHARE_DIVISOR))
+        val limit = if (isOverloaded) UPDATES_PER_OVERLOADED_TICK else UPDATES_PER_TICK
+        updates.apply(maxOf(limit, updates.size / MIN_QUEUE_SHARE_DIVISOR))
     }
 
-    /** Releases everything that was learnt; nothing is kept after the recovery. */
+    /** Discards all observations, because nothing is kept after the recovery. */
     fun clear() {
         tracker = DifferenceTracker()
         updates = DeferredUpdates(tracker)
         unrecorded.clear()
         reportedMachines.clear()
-        listed = null
+        newestList = null
     }
 
     override fun jobRecordRead(record: JobRecord) =
@@ -85,7 +85,7 @@
 
     override fun machinesListed(machines: List<ListedMachine>, at: Duration) =
         whileActive {
-            listed = machines
+            newestList = machines
             updates.machinesListed(machines, at)
         }
 
@@ -101,11 +101,11 @@
     }
 
     private companion object {
-        /** The number of updates compared per tick, and the number while the process is behind. */
+        /** The numbers of updates compared per tick, normally and while the process is overloaded. */
         const val UPDATES_PER_TICK = 60
-        const val UPDATES_PER_TICK_BEHIND = 4
+        const val UPDATES_PER_OVERLOADED_TICK = 4
 
-        /** At least this part (one in so many) of the queue is compared per tick. */
-        const val MIN_SHARE_DIVISOR = 40
+        /** At least the queue's length divided by this number is compared per tick. */
+        const val MIN_QUEUE_SHARE_DIVISOR = 40
     }
 }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryOrderGate.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryOrderGate.kt
@@ -6,14 +6,14 @@
 import glenspool.core.StopCause
 
 /**
- * What operators have ordered for the recovery.
+ * The operators' orders for the recovery.
  *
- * @property isPaused whether the phases stand still and only starts are ordered
- * @property isApproved whether destructive orders are admitted however much of the fleet they concern
+ * @property isPaused whether the recovery stays in its phase and only starts are admitted
+ * @property isApproved whether destructive orders are admitted regardless of how much of the fleet they concern
  */
 internal class OperatorOverrides(var isPaused: Boolean, var isApproved: Boolean)
 
-/** Decides which of the scheduler's proposed orders have to wait during a recovery. Admits everything afterwards. */
+/** Decides which of the scheduler's proposed orders have to wait during a recovery. Admits all orders afterwards. */
 internal class RecoveryOrderGate(
     private val phases: PhaseStateMachine,
     private val overrides: OperatorOverrides,
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPhase.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPhase.kt
@@ -8,27 +8,27 @@
 import glenspool.core.StopCause
 
 /**
- * The phases of a recovery, in order. Any of them is followed by [NORMAL] at once if the start turns out to be an
- * ordinary failover. The constants' names are stored and printed.
+ * The phases of a recovery, in order. If the start turns out to be an ordinary failover, any phase is followed by
+ * [NORMAL] immediately. The constants' names are stored and printed.
  */
 enum class RecoveryPhase {
-    /** Until the cloud's first list has arrived, or for a bounded time. The stored state is known already. */
+    /** Lasts until the cloud's first list has arrived, or for a bounded time. The stored state is already known. */
     READING,
 
-    /** Until enough machines of each type in each zone have reported, or for a bounded time. */
+    /** Lasts until enough machines of each type in each zone have reported, or for a bounded time. */
     GATHERING,
 
-    /** Until the differences are evaluated and the circuit breaker admits destructive orders. */
+    /** Lasts until the differences are evaluated and the circuit breaker admits destructive orders. */
     ADOPTING,
 
-    /** Until the differences are repaired, at a limited rate, or for a bounded time. */
+    /** Lasts until the differences are repaired, which happens at a limited rate, or for a bounded time. */
     REPAIRING,
 
     /** The recovery is over; the scheduler is not restricted. */
     NORMAL,
 }
 
-/** Whether orders with this cause are admitted in the phase. Leases, cancellations and user requests always work. */
+/** Whether the phase admits orders with this cause. Leases, cancellations and user requests are never restricted. */
 fun RecoveryPhase.admits(cause: OrderCause): Boolean =
     when (cause) {
         is StartCause -> this != RecoveryPhase.READING
--- a/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryPolicy.kt
@@ -5,10 +5,10 @@
 
 /**
  * The operators' settings for the recovery after a cold start. Shares refer to the fleet or to a worker's lease, so
- * that they suit deployments of any size.
+ * that the defaults suit deployments of any size.
  */
 data class RecoveryPolicy(
-    /** The share of machines of each type in each zone that must report before tasks are taken for lost. */
+    /** The share of machines of each type in each zone that must report before tasks are declared lost. */
     val gatherShare: Double = 0.9,
     /** The time limit of the gathering phase, as a multiple of a worker's lease. */
     val gatherLeaseShare: Double = 0.5,
@@ -17,11 +17,11 @@
     val rates: RepairRates = RepairRates(),
     /** The circuit breaker opens if more than this share of the fleet would receive destructive orders. */
     val breakerShare: Double = 0.3,
-    /** How long the open circuit breaker holds destructive orders back at most. */
+    /** The longest time for which the open circuit breaker holds destructive orders back. */
     val breakerWait: Duration = 60.seconds,
 )
 
-/** Rate limits of orders: orders of a kind per second and machine of the fleet. */
+/** Rate limits by kind of order, in orders per second and machine of the fleet. */
 data class RepairRates(
     val starts: Double = 1.0,
     val stops: Double = 0.1,
@@ -30,7 +30,7 @@
 )
 
 /**
- * The deployment's settings that a recovery depends on.
+ * The times from the deployment's settings that a recovery depends on.
  *
  * @property lease how long a worker's lease lasts
  * @property listLag how far the cloud's lists may lag behind
--- a/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryRecord.kt
@@ -3,8 +3,8 @@
 import kotlin.time.Duration
 
 /**
- * The stored record of a recovery, for later leaders. It is written together with the election wherever the start is
- * not certain to be an ordinary failover, so that no leader acts before it exists.
+ * The stored record of a recovery, for later leaders. It is written together with the election unless the start is
+ * certain to be an ordinary failover, so that no leader acts before the record exists.
  *
  * @property token the fencing token of the term that stored it
  * @property startedAt when the recovery began, in wall-clock time since the epoch
@@ -17,9 +17,9 @@
     val isApproved: Boolean = false,
 )
 
-/** The stored record of the last recovery as this process could read it. */
+/** The result of reading the stored record of the last recovery. */
 sealed interface StoredRecovery {
-    /** Whether a recovery that began before the term [token] is not finished. */
+    /** Whether a recovery that began before the term [token] is unfinished. */
     fun isUnfinished(token: Long): Boolean
 
     /** There has never been a recovery. */
@@ -32,7 +32,7 @@
         override fun isUnfinished(token: Long) = record.token < token && record.phase != RecoveryPhase.NORMAL
     }
 
-    /** There is a record that can't be decoded: the recovery starts over. */
+    /** There is a record that can't be decoded, so the recovery starts over. */
     data class Unreadable(val version: Long, val problem: String) : StoredRecovery {
         override fun isUnfinished(token: Long) = true
     }
--- a/src/main/kotlin/glenspool/reconcile/RentedView.kt
+++ b/src/main/kotlin/glenspool/reconcile/RentedView.kt
@@ -8,10 +8,10 @@
 import kotlin.time.Duration
 
 /**
- * A machine as the cloud lists it.
+ * A machine as listed by the cloud.
  *
- * @property unlistedSince when a list first came without the machine after one that had it; null if the newest list has
- *   it. Lists lag behind.
+ * @property unlistedSince when the first list without the machine followed one that had it; null if the newest list has
+ *   it. Absence from a list is not certain, because lists lag behind.
  */
 data class RentedMachine(
     val id: String,
@@ -24,13 +24,13 @@
 /**
  * The rented state: the machines that the cloud lists.
  *
- * @property firstReadAt when the first list of this term came; null if none has
+ * @property firstReadAt when the first list of this term was received; null if none has been received
  */
 data class RentedView(
     val machines: PersistentMap<String, RentedMachine> = persistentHashMapOf(),
     val firstReadAt: Duration? = null,
 ) {
-    /** The view after a further [list]. Entries that did not change stay the same objects. */
+    /** Returns the view after [list]. Entries that did not change remain the same objects. */
     fun with(list: List<ListedMachine>, at: Duration): RentedView {
         val listedIds = list.mapTo(HashSet(list.size * 2)) { it.id }
         val updated =
@@ -47,6 +47,6 @@
         return RentedView(updated, firstReadAt ?: at)
     }
 
-    /** The view without a machine that was deleted. */
+    /** Returns the view without a machine that was deleted. */
     fun without(machine: String): RentedView = copy(machines = machines.remove(machine))
 }
--- a/src/main/kotlin/glenspool/reconcile/RepairBudget.kt
+++ b/src/main/kotlin/glenspool/reconcile/RepairBudget.kt
@@ -12,8 +12,8 @@
 import kotlin.time.toJavaDuration
 
 /**
- * Rate limits for the orders of a recovery: a token bucket for each kind of order, whose rate depends on the fleet's
- * size. [clock] is the term's monotonic time.
+ * Limits the rate of a recovery's orders by a token bucket for each kind of order, whose rate depends on the fleet's
+ * size. [clock] returns the term's monotonic time.
  */
 class RepairBudget(private val rates: RepairRates, clock: () -> Duration) {
     private val meter =
@@ -28,7 +28,7 @@
         private set
     private val buckets = perSecond.mapValues { (_, rate) -> bucket(rate) }
 
-    /** Adapts the limits to the fleet's size. Orders that were given already stay counted. */
+    /** Adapts the limits to the fleet's size. Orders that were already counted remain counted. */
     fun resize(fleet: Int) {
         val before = perSecond
         perSecond = limitsFor(fleet)
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Counts one more order of the kind if the limit allows it; false if it does not. */
+    /** Counts another order of the kind and returns true, or returns false if the limit does not allow it. */
     fun tryConsume(kind: OrderKind): Boolean = buckets[kind]?.tryConsume(1) ?: true
 
     private fun limitsFor(fleet: Int): Map<OrderKind, Long> =
--- a/src/main/kotlin/glenspool/reconcile/StartKind.kt
+++ b/src/main/kotlin/glenspool/reconcile/StartKind.kt
@@ -2,42 +2,42 @@
 
 /** How a leader's term began. */
 enum class StartKind {
-    /** No controller has ever led before. */
+    /** No controller has led before. */
     FIRST,
 
-    /** Some living process has lived through an earlier term: an ordinary failover. */
+    /** A running controller process was already running during an earlier term, so this is an ordinary failover. */
     TAKE_OVER,
 
-    /** Every controller answered, and none has lived through an earlier term: all controllers were down. */
+    /** Every controller answered, and none was running during an earlier term, so all controllers were down. */
     COLD,
 
     /** The recovery of an earlier cold start was not finished when its leader ended. */
     CONTINUED,
 
-    /** Some controller can't be asked. Handled like a cold start, which is the safer choice. */
+    /** Evidence is missing because a controller can't be asked. Handled like a cold start, the safer choice. */
     UNKNOWN,
     ;
 
-    /** Whether the term began without all controllers having been down, so that nothing has to be recovered. */
+    /** Whether nothing has to be recovered, because not all controllers were down or none has led before. */
     val isOrdinary: Boolean get() = this == TAKE_OVER || this == FIRST
 }
 
 /**
- * A controller's own statement about its continuity.
+ * The continuity evidence that another controller reports about its own process.
  *
  * @property answered false if the controller could not be asked
- * @property firstToken the fencing token of the first term that its process lived through; null if there is none
+ * @property firstToken the fencing token of the first term during which its process was running; null if there is none
  */
 data class MemberContinuityEvidence(val answered: Boolean, val firstToken: Long?)
 
-/** Classifies how a term began. Without proof either way the result stays [StartKind.UNKNOWN]. */
+/** Classifies how a term began. Without evidence either way the result is [StartKind.UNKNOWN]. */
 object StartClassifier {
     private const val FIRST_TOKEN = 1L
 
     /**
      * @param token the fencing token of the new term
-     * @param ownFirstToken the first term that this process lived through; null if there is none
-     * @param members the statements of all other controllers
+     * @param ownFirstToken the token of the first term during which this process was running; null if there is none
+     * @param members the evidence of all other controllers
      * @param recovery the stored record of the last recovery
      */
     fun classify(
--- a/src/main/kotlin/glenspool/reconcile/UnrecordedTasks.kt
+++ b/src/main/kotlin/glenspool/reconcile/UnrecordedTasks.kt
@@ -6,24 +6,24 @@
 import kotlin.time.Duration
 
 /**
- * The tasks that machines report and whose job the store does not know, as far as this leader has read it. Whether such
- * a job is really absent is proved by a read of the store that was sent after the task was first reported.
+ * The tasks that machines report and whose job is not stored, as far as this leader has read the store. Only a read of
+ * the store that was sent after the task was first reported proves that the job is absent.
  *
- * Used by the scheduler's thread only, but for [needsStoreReads].
+ * Used only by the scheduler's thread, except for [needsStoreReads].
  */
 internal class UnrecordedTasks(startedAt: Duration) {
     private data class ReportedTask(val machine: String, val task: TaskKey)
 
-    /** The live jobs that this leader has read. */
+    /** The jobs that this leader has read and that have not ended. */
     private val knownJobs = HashSet<String>()
 
-    /** When a task was first reported. */
+    /** When each task was first reported. */
     private val reportedSince = HashMap<ReportedTask, Duration>()
 
-    /** This leader knows everything that was stored before this moment. */
+    /** This leader has read everything that was stored before this time. */
     private var storeReadUpTo = startedAt
 
-    /** Whether it matters how recently the store was read; may be read by any thread. */
+    /** Whether [recordStoreRead] has to be called after every read of the store; may be read by any thread. */
     @Volatile
     var needsStoreReads = false
         private set
@@ -52,12 +52,12 @@
         reportedSince.keys.removeIf { it.machine == machine }
     }
 
-    /** Everything stored before [sentAt] has been read and applied. */
+    /** Records that everything stored before [sentAt] has been read and applied. */
     fun recordStoreRead(sentAt: Duration) {
         storeReadUpTo = maxOf(storeReadUpTo, sentAt)
     }
 
-    /** Whether the task's job was found absent by a read that was sent after the task was first reported. */
+    /** Whether a read that was sent after the task was first reported has shown that the task's job is absent. */
     fun isProvedUnrecorded(machine: String, task: TaskKey): Boolean {
         val since = reportedSince[ReportedTask(machine, task)] ?: return false
         return storeReadUpTo > since
