--- a/src/main/kotlin/glenspool/rollout/ActivationRule.kt
+++ b/src/main/kotlin/glenspool/rollout/ActivationRule.kt
@@ -16,10 +16,10 @@
     HEALTH,
 }
 
-/** A cause with the member concerned; null if the cause does not concern a single member. */
+/** The reason why a level is held. [member] is null if the cause does not concern a single member. */
 data class Hold(val cause: HoldCause, val member: String? = null, val detail: String? = null)
 
-/** Everything that a decision about activation depends on, at one moment. */
+/** Everything that a decision about activation depends on, at one point in time. */
 data class ActivationInput(
     val registry: FeatureRegistry,
     val policy: RolloutPolicy,
@@ -43,7 +43,7 @@
 
 /**
  * The rule for activation. Levels become active one at a time. Every configured member that is not excluded must have
- * reported lately, from a process whose build reads the level and which has been ready for the settling time. Missing
+ * reported recently, from a process whose build reads the level and which has been ready for the settling time. Missing
  * evidence always holds the level.
  */
 object ActivationRule {
@@ -62,7 +62,7 @@
         return if (hold == null) ActivationDecision.Due(target) else ActivationDecision.Held(target, hold)
     }
 
-    /** The active level; null if it is not known. */
+    /** Returns the active level, or null if it is not known. */
     fun activeLevel(level: Stored<LevelRecord>): Int? =
         when (level) {
             is Stored.Present -> level.value.level
@@ -99,7 +99,7 @@
 
     private fun holdByMembers(input: ActivationInput, target: Int): Hold? {
         val orders = input.orders.valueOrDefault()
-        // A cause that needs an operator's action takes precedence over one that passes by itself.
+        // A cause that needs an operator's action takes precedence over one that ends without any action.
         return input.members
             .filterNot { orders.excludes(it.member) }
             .mapNotNull { holdByMember(it, target, input.policy) }
--- a/src/main/kotlin/glenspool/rollout/FeatureGate.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureGate.kt
@@ -8,21 +8,21 @@
  */
 data class WritePermit(val levelVersion: Long?) {
     companion object {
-        /** For services in which levels are not managed. */
+        /** The permit in services whose levels are not managed. */
         val UNCONDITIONAL = WritePermit(null)
     }
 }
 
-/** Which stored forms may be written. Code that writes a form above the base level has to ask for a permit here. */
+/** Decides which stored forms may be written. Code that writes a form above the base level needs a permit. */
 interface FeaturePermits {
     /** Whether the level's forms are to be used where they are useful but not required. */
     fun isInUse(level: Int): Boolean
 
-    /** The permit to write a form of the level; null if it must not be written now. */
+    /** Returns the permit to write a form of the level, or null if it must not be written now. */
     fun permit(level: Int): WritePermit?
 }
 
-/** For services without managed levels: nothing is forbidden, and forms are in use once [canAllRead] says so. */
+/** Permits every write, in services without managed levels. Forms are in use once [canAllRead] returns true. */
 class UnmanagedFeatures(private val canAllRead: () -> Boolean) : FeaturePermits {
     override fun isInUse(level: Int): Boolean = canAllRead()
 
@@ -44,9 +44,9 @@
 }
 
 /**
- * What the stored level means for this process. The level is read anew at each call, so it is as recent as the store
- * cache. A permit carries the level record's version: a write that arrives after the level was left fails on that
- * condition, however late it is.
+ * Derives from the stored level what this process may do. The level is read at each call, so it is as recent as the
+ * store cache. A permit carries the level record's version, so a write that arrives after the level was left fails on
+ * that condition, regardless of its delay.
  */
 class FeatureGate(private val ownLevels: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
     override fun isInUse(level: Int): Boolean = permit(level) != null
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Why this process must not serve; null if it may. A record that can't be read names no level, so it fences nobody;
-     * it only forbids the higher forms.
+     * Returns why this process must not serve, or null if it may. A record that can't be decoded names no level, so it
+     * does not fence the process but only forbids the forms above the base level.
      */
     fun fence(): Fence? =
         when (val record = stored()) {
--- a/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
@@ -2,15 +2,16 @@
 
 /** Whether a level can be deactivated once it is active. */
 enum class Deactivation {
-    /** Its stored forms are permanent: the level can't be deactivated. */
+    /** The level can't be deactivated, because its stored forms are permanent. */
     UNSUPPORTED,
 
-    /** No new record takes on its forms, and existing records are rewritten or deleted until none is left. */
+    /** No further record is written in its forms, and existing records are rewritten or deleted until none remains. */
     REWRITE,
 }
 
 /**
- * One step of the stored forms and of behaviour. Its number and name are stored and never change their meaning.
+ * A version step of the stored forms and of the behaviour. Its number and name are stored and never change their
+ * meaning.
  *
  * @property description what the level enables
  */
@@ -34,17 +35,17 @@
 
     init {
         val numbers = levels.map { it.number }
-        require(numbers == (BASE + 1..highest).toList()) { "levels must be numbered without gaps" }
-        require(lowestRead in BASE..highest) { "the lowest level that is read must be a known one" }
+        require(numbers == (BASE + 1..highest).toList()) { "feature levels must be numbered from 1 without gaps" }
+        require(lowestRead in BASE..highest) { "the lowest level that a build reads must be one that it knows" }
     }
 
-    /** The level with this number; null if this build does not know it. */
+    /** Returns the level with this number, or null if this build does not know it. */
     fun find(number: Int): FeatureLevel? = levels.firstOrNull { it.number == number }
 
-    /** The name of the level with this number. */
+    /** Returns the name of the level with this number. */
     fun nameOf(number: Int): String = if (number == BASE) BASE_NAME else find(number)?.name ?: "unknown"
 
-    /** The levels of the build with this name. */
+    /** Returns the range of levels as that of the build with this name. */
     fun levelsOf(build: String) = BuildLevels(build, lowestRead, highest)
 
     companion object {
--- a/src/main/kotlin/glenspool/rollout/HealthGate.kt
+++ b/src/main/kotlin/glenspool/rollout/HealthGate.kt
@@ -3,9 +3,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** How often something went wrong in a process since its start. */
+/** The numbers of adverse events in a process since its start. */
 data class HealthCounts(val failovers: Long, val expiredLeases: Long, val refusals: Long, val rejectedWrites: Long) {
-    /** The sums of both, event by event. */
+    /** Returns the sums of both, by kind of event. */
     operator fun plus(other: HealthCounts) =
         HealthCounts(
             failovers + other.failovers,
@@ -14,7 +14,7 @@
             rejectedWrites + other.rejectedWrites,
         )
 
-    /** What was added since the [earlier] counts of the same process. */
+    /** Returns the increase since the [earlier] counts of the same process. */
     operator fun minus(earlier: HealthCounts) =
         HealthCounts(
             failovers - earlier.failovers,
@@ -28,7 +28,7 @@
     }
 }
 
-/** The kinds of events that are counted. Operators are shown the [label]. */
+/** The kinds of events that are counted. The [label] is shown to operators. */
 enum class HealthEvent(val label: String) {
     FAILOVER("take-overs"),
     LEASE_EXPIRY("leases that ran out"),
@@ -36,7 +36,7 @@
     REJECTED_TRANSACTION("rejected transactions"),
     ;
 
-    /** How often this event is counted in [counts]. */
+    /** Returns the number of events of this kind in [counts]. */
     fun countIn(counts: HealthCounts): Long =
         when (this) {
             FAILOVER -> counts.failovers
@@ -80,17 +80,17 @@
         while (samples.size > MAX_SAMPLES) samples.removeFirst()
     }
 
-    /** The events that are too frequent since the step at [stepAt], compared with the window before it. */
+    /** Returns the events that are too frequent since the step at [stepAt], compared with the window before it. */
     fun failures(stepAt: Duration, now: Duration): List<HealthFailure> {
         val atStep = totalAt(stepAt)
         val before = atStep - totalAt(stepAt - limits.window)
         val after = total - atStep
-        // The time after the step is seldom as long as the window before it: the limits are scaled to its length.
-        val share = ((now - stepAt) / limits.window).coerceIn(MIN_SHARE, Double.MAX_VALUE)
+        // The time after the step is seldom as long as the window before it, so the limits are scaled by the ratio.
+        val scale = ((now - stepAt) / limits.window).coerceIn(MIN_LIMIT_SCALE, Double.MAX_VALUE)
         return HealthEvent.entries
             .map { HealthFailure(it, it.countIn(before), it.countIn(after)) }
             .filter {
-                it.after > limits.toleratedEvents * maxOf(1.0, share) + limits.toleratedFactor * it.before * share
+                it.after > limits.toleratedEvents * maxOf(1.0, scale) + limits.toleratedFactor * it.before * scale
             }
     }
 
@@ -103,7 +103,7 @@
         val SAMPLE_INTERVAL = 10.seconds
         const val MAX_SAMPLES = 720
 
-        /** Just after a step a single event would otherwise look like a very high rate. */
-        const val MIN_SHARE = 0.05
+        /** Limits the scaling, because just after a step a single event would otherwise look like a very high rate. */
+        const val MIN_LIMIT_SCALE = 0.05
     }
 }
--- a/src/main/kotlin/glenspool/rollout/LevelChangeRule.kt
+++ b/src/main/kotlin/glenspool/rollout/LevelChangeRule.kt
@@ -23,25 +23,29 @@
         val lowerTo = input.orders.valueOrNull()?.lowerTo ?: return null
         if (lowerTo >= record.level || registry.find(record.level)?.deactivation != Deactivation.REWRITE) return null
         if (record.stage == LevelStage.ACTIVE) return Change(record.level, LevelStage.LEAVING)
-        // The store cache shows this stage, so it shows every write before it; no record has taken on the form since.
-        if (input.recordCountInLevel(record.level) > 0 || !areAllManaged(input, members)) return null
+        // The store cache contains this stage, so it contains every write before it, and no further record has been
+        // written in the level's forms since.
+        if (input.recordCountInLevel(record.level) > 0 || !areAllMembersManaged(input, members)) return null
         return Change(record.level - 1, LevelStage.ACTIVE)
     }
 
-    /** A build without levels would go on writing the form, without the condition that refuses it after this. */
-    private fun areAllManaged(input: RolloutInput, members: List<MemberView>): Boolean {
+    /**
+     * Whether each member is excluded, or is reachable and manages levels. A build without levels would continue to
+     * write the form, without the condition on the level record that makes such a write fail after the deactivation.
+     */
+    private fun areAllMembersManaged(input: RolloutInput, members: List<MemberView>): Boolean {
         val orders = input.orders.valueOrDefault()
         return members.all { orders.excludes(it.member) || it.isReachable && it.report?.boot != null }
     }
 
     private fun activation(input: RolloutInput, decision: ActivationDecision): Change? {
         val isLeaving = input.level.valueOrNull()?.stage == LevelStage.LEAVING
-        // A deactivation is finished or taken back before a higher level may become active.
+        // A deactivation has to be finished or cancelled before a higher level may become active.
         if (isLeaving) return cancelledDeactivation(input)
         return if (decision is ActivationDecision.Due) Change(decision.target, LevelStage.ACTIVE) else null
     }
 
-    /** Makes the level active again if the operator has taken the deactivation back. */
+    /** Makes the level active again if the operator has cancelled the deactivation. */
     private fun cancelledDeactivation(input: RolloutInput): Change? {
         val record = input.level.valueOrNull() ?: return null
         if (input.orders !is Stored.Present || input.orders.value.lowerTo != null) return null
--- a/src/main/kotlin/glenspool/rollout/MemberTracker.kt
+++ b/src/main/kotlin/glenspool/rollout/MemberTracker.kt
@@ -3,9 +3,9 @@
 import kotlin.time.Duration
 
 /**
- * What a controller reports about itself.
+ * A controller's report about its own process.
  *
- * @property boot identifies the process; null for builds that do not know levels
+ * @property boot identifies the process; null for builds without levels
  */
 data class MemberReport(
     val member: String,
@@ -15,14 +15,14 @@
     val health: HealthCounts = HealthCounts.NONE,
 )
 
-/** What is known of a member at one moment. Time spans count back from that moment. */
+/** The evidence about a member at one point in time, to which the durations refer. */
 data class MemberView(
     val member: String,
     /** The newest report; null if there is none. */
     val report: MemberReport?,
-    /** The time since the request was sent that the newest report answers; null if there is none. */
+    /** The time since the request for the newest report was sent; null if there is no report. */
     val lastReportAge: Duration?,
-    /** How long the present process has reported to be ready without interruption. */
+    /** How long the current process has reported without interruption that it is ready. */
     val readyFor: Duration,
     /** How long the member's process, build and reachability have been the same. */
     val unchangedFor: Duration,
@@ -32,8 +32,9 @@
 )
 
 /**
- * The leader's evidence about all members. Evidence counts from when the request was sent, so a delayed answer is as
- * old as its request, and one that was overtaken is ignored. The evidence about a restarted process starts over.
+ * The leader's evidence about all members. The age of evidence counts from when the request was sent, so a delayed
+ * answer is as old as its request, and an answer is ignored after the answer to a later request. The evidence about a
+ * restarted process starts over.
  */
 class MemberTracker(members: Collection<String>, private val evidenceAge: Duration, startedAt: Duration) {
     private class Evidence(var changedAt: Duration) {
@@ -45,7 +46,7 @@
 
     private val evidenceByMember = members.sorted().associateWith { Evidence(startedAt) }
 
-    /** Reports of members that are not configured are ignored. [requestSentAt]: when the request was sent. */
+    /** Adds a report; ignores it if its member is not configured. [requestSentAt]: when the request was sent. */
     fun memberReported(report: MemberReport, requestSentAt: Duration) {
         val evidence = evidenceByMember[report.member] ?: return
         val previousRequestSentAt = evidence.requestSentAt
@@ -63,7 +64,7 @@
         evidence.requestSentAt = requestSentAt
     }
 
-    /** The views of all members, in the order of their names. */
+    /** Returns the views of all members, sorted by name. */
     fun view(now: Duration): List<MemberView> =
         evidenceByMember.map { (member, evidence) -> view(member, evidence, now) }
 
@@ -71,7 +72,7 @@
         val lastReportAge = evidence.requestSentAt?.let { now - it }
         val isReachable = lastReportAge != null && lastReportAge <= evidenceAge
         val readySince = evidence.readySince?.takeIf { isReachable }
-        // A member that is not reachable any more has been so since its last report.
+        // A member that is no longer reachable counts as unreachable since its last report.
         val changedAt = if (isReachable) evidence.changedAt else evidence.requestSentAt ?: evidence.changedAt
         return MemberView(
             member,
--- a/src/main/kotlin/glenspool/rollout/OrderRule.kt
+++ b/src/main/kotlin/glenspool/rollout/OrderRule.kt
@@ -2,12 +2,12 @@
 
 import kotlin.time.Duration
 
-/** What an operator asks for. */
+/** An operator's request about the rollout. */
 sealed interface OperatorRequest {
-    /** No level is to become active until [Resume]. */
+    /** Asks that no level becomes active until [Resume]. */
     data object Hold : OperatorRequest
 
-    /** Takes [Hold] and [Deactivate] back. */
+    /** Cancels [Hold] and [Deactivate]. */
     data object Resume : OperatorRequest
 
     /** Approves the activation of a level. */
@@ -19,16 +19,16 @@
     /** Asks to activate levels without evidence about a member. */
     data class Exclude(val member: String, val by: String) : OperatorRequest
 
-    /** Takes [Exclude] back. */
+    /** Cancels [Exclude]. */
     data class Include(val member: String) : OperatorRequest
 }
 
-/** The result of a request. */
+/** The result of an operator's request. */
 sealed interface OrderOutcome {
     /** The orders to be stored. */
     data class Accepted(val orders: OperatorOrders) : OrderOutcome
 
-    /** [reason] names what would be accepted instead. */
+    /** The request is refused. [reason] names what would be accepted instead. */
     data class Refused(val reason: String) : OrderOutcome
 }
 
--- a/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutEngine.kt
@@ -2,7 +2,7 @@
 
 import kotlin.time.Duration
 
-/** The stored records and the circumstances at one moment, as the leader has them. */
+/** The stored records and the circumstances at one point in time, as known to the leader. */
 data class RolloutInput(
     /** Monotonic time. */
     val now: Duration,
@@ -18,7 +18,7 @@
     val recordCountInLevel: (level: Int) -> Int,
 )
 
-/** What the leader should do. A record's `version` is the condition of the compare-and-swap that replaces it. */
+/** An action for the leader. A record's `version` is the condition of the compare-and-swap that replaces it. */
 sealed interface RolloutAction {
     /** Replace the level record. */
     data class StoreLevel(val record: LevelRecord, val version: Long) : RolloutAction
@@ -31,7 +31,7 @@
 }
 
 /**
- * The rollout as operators are shown it.
+ * The state of the rollout as shown to operators.
  *
  * @property target the next level, or the active one if there is no higher level
  */
@@ -44,13 +44,13 @@
     val health: List<HealthFailure>,
     val plan: List<PlanStep>,
 ) {
-    /** What holds the target level; null if nothing does. */
+    /** Why the target level is held; null if it is not held. */
     val hold: Hold? = (decision as? ActivationDecision.Held)?.hold
 }
 
 /**
- * Decides about levels for the leader: evidence and time in, actions out, without side effects. One instance serves one
- * term.
+ * Decides for the leader which level is active. It derives actions from evidence and time and has no side effects. Each
+ * term has its own instance.
  *
  * @param startedAt when the term began, in monotonic time
  */
@@ -65,13 +65,13 @@
     private val levelChanges = LevelChangeRule(registry)
     private val notices = RolloutNotices(policy)
 
-    /** Takes a member's report as evidence. [requestSentAt]: when the request was sent, in monotonic time. */
+    /** Adds a member's report to the evidence. [requestSentAt]: when the request was sent, in monotonic time. */
     fun memberReported(report: MemberReport, requestSentAt: Duration) {
         tracker.memberReported(report, requestSentAt)
         health.add(report)
     }
 
-    /** Decides anew. Each action is to be tried once; after a failure the next step decides from what is stored. */
+    /** Returns the next actions. Each has to be tried once; after a failure the next step decides from the store. */
     fun step(input: RolloutInput): List<RolloutAction> {
         health.sample(input.now)
         val overview = overview(input)
@@ -80,7 +80,7 @@
         return messages + listOfNotNull(levelChange, storeState(input, overview))
     }
 
-    /** The rollout as operators are shown it now. */
+    /** Returns the current state of the rollout as shown to operators. */
     fun overview(input: RolloutInput): RolloutOverview {
         val members = tracker.view(input.now)
         val failures = failuresSinceLastRestart(members, input.now)
@@ -98,7 +98,7 @@
             ActivationDecision.NothingHigher -> ActivationRule.activeLevel(input.level) ?: FeatureRegistry.BASE
         }
 
-    /** The last step of the upgrade is when a member was last found with another process or build. */
+    /** The last step of the upgrade is the last time when a member was found with another process or build. */
     private fun failuresSinceLastRestart(members: List<MemberView>, now: Duration): List<HealthFailure> {
         val sinceStep = members.filter { it.restarts > 0 }.minOfOrNull { it.unchangedFor } ?: return emptyList()
         return health.failures(now - sinceStep, now)
@@ -107,7 +107,7 @@
     private fun storeState(input: RolloutInput, overview: RolloutOverview): RolloutAction? {
         val version = input.state.replaceableVersion() ?: return null
         val before = input.state.valueOrNull()
-        val members = overview.members.mapNotNull { memberSeen(it, input.wallClock) }
+        val members = overview.members.mapNotNull { observedMember(it, input.wallClock) }
         val hold = withoutVolatileDetail(overview.hold)
         val heldSince = if (before?.hold == hold) before?.heldSince else input.wallClock
         val next = RolloutState(overview.target, members, hold, heldSince.takeIf { hold != null })
@@ -115,11 +115,11 @@
         return RolloutAction.StoreState(next, version)
     }
 
-    /** A detail that changes by itself would cause a write at every step. */
+    /** Removes the detail of a health hold. It changes continually and would cause a write at every step. */
     private fun withoutVolatileDetail(hold: Hold?): Hold? =
         if (hold?.cause == HoldCause.HEALTH) hold.copy(detail = null) else hold
 
-    private fun memberSeen(view: MemberView, wallClock: Duration): ObservedMember? {
+    private fun observedMember(view: MemberView, wallClock: Duration): ObservedMember? {
         val levels = view.report?.levels ?: return null
         return ObservedMember(view.member, levels.build, levels.highest, wallClock - view.unchangedFor)
     }
--- a/src/main/kotlin/glenspool/rollout/RolloutNotices.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutNotices.kt
@@ -2,14 +2,14 @@
 
 import kotlin.time.Duration
 
-/** Generates the rollout's log messages, each only when something changed or a warning is due again. */
+/** Generates the rollout's log messages, each only after a change or when a warning has to be repeated. */
 internal class RolloutNotices(private val policy: RolloutPolicy) {
     private val lastWarnedAt = HashMap<String, Duration>()
     private var lastHold: Hold? = null
 
     /**
-     * Warnings about members that hold the rollout back, or whose build can't read the active level, for longer than
-     * the policy allows.
+     * Returns warnings about members that hold the rollout back, or whose build can't read the active level, for longer
+     * than the policy allows.
      */
     fun membersLeftBehind(input: RolloutInput, overview: RolloutOverview): List<RolloutAction.Notice> =
         overview.members.mapNotNull { view ->
@@ -23,8 +23,8 @@
 
     private fun isWarningDue(view: MemberView, now: Duration): Boolean {
         val last = lastWarnedAt[view.member]
-        val wasWarnedLately = last != null && now - last < policy.leftBehindAfter
-        return view.unchangedFor >= policy.leftBehindAfter && !wasWarnedLately
+        val wasWarnedRecently = last != null && now - last < policy.leftBehindAfter
+        return view.unchangedFor >= policy.leftBehindAfter && !wasWarnedRecently
     }
 
     private fun problemOf(view: MemberView, input: RolloutInput, overview: RolloutOverview): String? {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A message if the cause that holds the target level has changed. */
+    /** Returns a message if the cause that holds the target level has changed. */
     fun changedHold(overview: RolloutOverview): RolloutAction.Notice? {
         val hold = overview.hold
         if (hold == lastHold) return null
--- a/src/main/kotlin/glenspool/rollout/RolloutPlan.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutPlan.kt
@@ -1,6 +1,6 @@
 package glenspool.rollout
 
-/** What an operator should do next. */
+/** A step that an operator should take next. */
 sealed interface PlanStep {
     /** Replace the member's build with a newer one. */
     data class Replace(val member: String, val isLeader: Boolean) : PlanStep
@@ -15,9 +15,11 @@
     data class Activate(val level: Int) : PlanStep
 }
 
-/** The order in which controllers are replaced: one at a time, the leader last, and none while another is unhealthy. */
+/** Plans upgrades: controllers are replaced one at a time, the leader last, and none while another is unhealthy. */
 object RolloutPlan {
     /**
+     * Returns the next steps.
+     *
      * @param leader the leader's name; null if there is no leader
      * @param target the next level, or the active one if there is no higher level
      */
--- a/src/main/kotlin/glenspool/rollout/StoredRecords.kt
+++ b/src/main/kotlin/glenspool/rollout/StoredRecords.kt
@@ -2,7 +2,7 @@
 
 import kotlin.time.Duration
 
-/** A stored record as the store cache has it. */
+/** A stored record as read from the store cache. */
 sealed interface Stored<out T> {
     /** The store has not been read yet. */
     data object NotRead : Stored<Nothing>
@@ -17,13 +17,13 @@
     data class Present<T>(val value: T, val version: Long) : Stored<T>
 }
 
-/** The record; null if there is none that can be decoded. */
+/** Returns the record, or null if there is none that can be decoded. */
 fun <T> Stored<T>.valueOrNull(): T? = (this as? Stored.Present)?.value
 
-/** The operators' orders; the default if there are none that can be decoded. */
+/** Returns the operators' orders, or the default if there are none that can be decoded. */
 internal fun Stored<OperatorOrders>.valueOrDefault(): OperatorOrders = valueOrNull() ?: OperatorOrders()
 
-/** The version for a compare-and-swap that replaces the record; null if it must not be replaced. */
+/** Returns the version for a compare-and-swap that replaces the record, or null if it must not be replaced. */
 fun Stored<*>.replaceableVersion(): Long? =
     when (this) {
         Stored.NotRead, is Stored.Unreadable -> null
@@ -35,7 +35,7 @@
 enum class LevelStage {
     ACTIVE,
 
-    /** The level is being deactivated: its forms are read and rewritten, but no record takes them on. */
+    /** The level is being deactivated: its forms are read and rewritten, but no further record is written in them. */
     LEAVING,
 }
 
@@ -79,10 +79,10 @@
 }
 
 /**
- * A member as the leader last saw it.
+ * A member as last observed by the leader.
  *
  * @property highest the highest level that its build reads
- * @property since when its present process was first seen, in wall-clock time since the epoch
+ * @property since when its current process was first observed, in wall-clock time since the epoch
  */
 data class ObservedMember(val member: String, val build: String, val highest: Int, val since: Duration)
 
@@ -94,7 +94,7 @@
     /** When [hold] came into force, in wall-clock time since the epoch; null if there is no hold. */
     val heldSince: Duration?,
 ) {
-    /** Whether the other state differs in nothing but times. */
+    /** Whether the other state differs only in times. */
     fun equalsExceptTimes(other: RolloutState): Boolean =
         target == other.target && hold == other.hold && members.withoutTimes() == other.members.withoutTimes()
 
