--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -23,28 +23,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * All controllers are down and come back. Each scenario plants differences and faults, and says which orders workers
- * and cloud may receive after the return: none without a difference. Every invariant is checked throughout.
+ * Stops all controllers and restarts them. Each scenario plants differences and faults and defines which orders workers
+ * and the cloud may receive after the restart. Without a difference no order is allowed. Every invariant is checked
+ * throughout.
  */
 class ColdStartScenariosTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoveryTimings(config().lease, config().heartbeatInterval, config().listLag)
+    private val timings = RecoveryTimings(config().lease, config().heartbeatInterval, config().listLag)
     private val teams = listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 0.0, null, 4.0))
 
     /**
      * @property downtime how long all controllers are down
-     * @property orders how many orders may be received after the return, by kind; none of kinds that are missing
-     * @property found kinds of differences that the recovery must find
-     * @property plant what happens just before the controllers end
-     * @property afterReturn what happens just after they are back
+     * @property orders how many orders may be received after the restart, by kind; none of kinds that are missing
+     * @property expectedDifferences kinds of differences that the recovery must find
+     * @property plant called just before the controllers stop
+     * @property afterRestart called just after they have restarted
      */
     private class Scenario(
         val name: String,
         val downtime: Duration = 4.seconds,
         val orders: Map<OrderKind, IntRange> = emptyMap(),
-        val found: Set<DifferenceKind> = emptySet(),
+        val expectedDifferences: Set<DifferenceKind> = emptySet(),
         val plant: ClusterSimulation.() -> Unit = {},
-        val afterReturn: ClusterSimulation.() -> Unit = {},
+        val afterRestart: ClusterSimulation.() -> Unit = {},
     )
 
     private val wholeMachine = Resources(14.0, 4.0, 50.0)
@@ -62,7 +63,7 @@
     /** A fleet in which every task of [jobs] runs. */
     private fun runningCluster(): ClusterSimulation {
         val recoverer = { token: Long, at: Duration, kind: StartKind ->
-            RecoveryEngine(policy, setting, token, at, kind)
+            RecoveryEngine(policy, timings, token, at, kind)
         }
         val config = config(teams, peerZones = setOf("b"))
         val simulation = ClusterSimulation(7, config, listOf(bigType), FaultRates(), recoverer = recoverer)
@@ -112,7 +113,7 @@
             Scenario(
                 "a task runs whose job was never recorded",
                 orders = exactly(OrderKind.STOP, 1),
-                found = setOf(DifferenceKind.ORPHAN_TASK),
+                expectedDifferences = setOf(DifferenceKind.ORPHAN_TASK),
                 plant = { plantUnrecordedTask() },
             ),
             Scenario(
@@ -124,14 +125,14 @@
                         OrderKind.SCALE_OUT to 0..1,
                         OrderKind.DELETION to 0..1,
                     ),
-                found = setOf(DifferenceKind.ORPHAN_TASK),
+                expectedDifferences = setOf(DifferenceKind.ORPHAN_TASK),
                 plant = { plantUnrecordedTask() },
-                afterReturn = { submit(unrecorded) },
+                afterRestart = { submit(unrecorded) },
             ),
             Scenario(
-                "two machines claim one task",
+                "two machines report the same task",
                 orders = exactly(OrderKind.STOP, 1),
-                found = setOf(DifferenceKind.DUPLICATE_TASK, DifferenceKind.ORPHAN_TASK),
+                expectedDifferences = setOf(DifferenceKind.DUPLICATE_TASK, DifferenceKind.ORPHAN_TASK),
                 plant = { plantTask(machineWithout(array), array, 0, 9) },
             ),
             Scenario("a machine reports late", plant = { cut(machineWith(array), 10.seconds) }),
@@ -144,21 +145,21 @@
                 plant = { machineNames.forEachIndexed { index, machine -> cut(machine, (5 + index).seconds) } },
             ),
             Scenario(
-                "a machine only answers requests",
+                "a machine answers requests but sends no heartbeats",
                 plant = { mute(machineWith(quotaLimited), 12.seconds) },
             ),
             Scenario(
-                "a job was cancelled just before the end",
+                "a job was cancelled just before the controllers stopped",
                 orders = exactly(OrderKind.STOP, 6),
                 plant = { assertTrue(cancel(array.id)) },
             ),
             Scenario(
-                "part of a gang survived",
+                "part of a gang was lost",
                 orders = mapOf(OrderKind.STOP to 0..1, OrderKind.START to 2..8, OrderKind.DELETION to 0..1),
                 plant = { endLease(machineWith(gang)) },
             ),
             Scenario(
-                "a spot machine was taken",
+                "a spot machine was preempted",
                 orders =
                     mapOf(
                         OrderKind.START to 1..8,
@@ -166,16 +167,16 @@
                         OrderKind.DELETION to 1..1,
                         OrderKind.SCALE_OUT to 0..4,
                     ),
-                found = setOf(DifferenceKind.UNHEARD_MACHINE),
+                expectedDifferences = setOf(DifferenceKind.UNHEARD_MACHINE),
                 plant = { take(machineWith(array)) },
             ),
-            Scenario("the controllers end again at once", afterReturn = { allAway(1.seconds) }),
+            Scenario("the controllers stop again immediately", afterRestart = { allAway(1.seconds) }),
             Scenario(
-                "the controllers end again after the orphan was seen",
+                "the controllers stop again after the orphaned task was reported",
                 orders = exactly(OrderKind.STOP, 1),
-                found = setOf(DifferenceKind.ORPHAN_TASK),
+                expectedDifferences = setOf(DifferenceKind.ORPHAN_TASK),
                 plant = { plantUnrecordedTask() },
-                afterReturn = {
+                afterRestart = {
                     runFor(5.seconds)
                     allAway(2.seconds)
                 },
@@ -184,22 +185,22 @@
                 "the leader ends while all leases have expired and half of the tasks are restored",
                 downtime = 30.seconds,
                 orders = exactly(OrderKind.START, taskCount),
-                afterReturn = {
+                afterRestart = {
                     runFor(3.seconds)
                     changeLeader(1.seconds)
                 },
             ),
-            Scenario("the state service is unavailable just after the return", afterReturn = { outage(8.seconds) }),
+            Scenario("the state service is unavailable just after the restart", afterRestart = { outage(8.seconds) }),
             Scenario(
-                "most of the fleet is silent for longer than gathering lasts",
+                "most of the fleet is silent for longer than the gathering phase lasts",
                 plant = {
                     machineNames.filterNot { hasTaskOf(gang, it) }.take(5).forEach { cut(it, 12500.milliseconds) }
                 },
             ),
             Scenario(
-                "a team is at its quota while an orphan of it occupies resources",
+                "a team is at its quota while an orphaned task of the team occupies resources",
                 orders = exactly(OrderKind.STOP, 1),
-                found = setOf(DifferenceKind.ORPHAN_TASK),
+                expectedDifferences = setOf(DifferenceKind.ORPHAN_TASK),
                 plant = { plantTask(machineWithout(quotaLimited), quotaLimited, 0, 9) },
             ),
         )
@@ -216,7 +217,7 @@
         scenario.plant(simulation)
         simulation.restartControllers(scenario.downtime)
         simulation.received.clear()
-        scenario.afterReturn(simulation)
+        scenario.afterRestart(simulation)
         val found = HashSet<DifferenceKind>()
         repeat(60) {
             simulation.runFor(1.seconds)
@@ -233,7 +234,7 @@
             val problem = "$name: $kind: $number received, $allowed allowed; ${simulation.recoveryNotices}"
             assertTrue(number in allowed, problem)
         }
-        assertTrue(found.containsAll(scenario.found), "$name: found only $found")
+        assertTrue(found.containsAll(scenario.expectedDifferences), "$name: found only $found")
         assertTrue(simulation.recovery?.isActive != true, "$name: the recovery did not end")
         assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, fleet).faults(simulation.received))
     }
@@ -246,7 +247,7 @@
         simulation.runFor(10.seconds)
         assertEquals(emptyList<Any>(), simulation.received)
 
-        // A needless stop and start of the same task, as a scheduler would order them that takes the task for lost.
+        // An unnecessary stop and start of the same task, as ordered by a scheduler that treats the task as lost.
         val machine = simulation.machineWith(array)
         val task = simulation.tasksOn(machine).first { it.job == array.id }
         simulation.restart(machine, task)
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -28,7 +28,7 @@
     return Heartbeat(machine, "addr", "big", "a", false, incarnation, sequence, confirmedToken, null, tasks)
 }
 
-/** Differences as the reference model names them: kind, machine, task. */
+/** Returns the differences by the names that the reference model uses, made of kind, machine and task. */
 private fun namesOf(findings: Map<String, MachineFindings>): List<String> =
     findings.values
         .flatMap { it.differences }
@@ -37,7 +37,7 @@
             "${difference.kind} ${difference.machine}$task"
         }.sorted()
 
-/** The incremental comparison against comparing everything anew and against a slow reference model. */
+/** Checks the incremental comparison against a full comparison and against a slow reference model. */
 class DifferenceTrackerTest {
     /** Gives the same random events to the tracker and to the reference model. */
     private class Scenario(private val random: Random) {
@@ -67,9 +67,9 @@
         private fun storeJob(id: String, isAdopted: Boolean) {
             val kind = if (id == "j0") JobKind.SERVICE else JobKind.ARRAY
             val done = BitSet()
-            if (kind == JobKind.ARRAY && isOneIn(3)) done.set(random.nextInt(TASKS))
+            if (kind == JobKind.ARRAY && isOneIn(3)) done.set(random.nextInt(TASKS_PER_JOB))
             val placements =
-                (0 until TASKS)
+                (0 until TASKS_PER_JOB)
                     .filter { random.nextBoolean() }
                     .map { StoredPlacement(it, 1L + random.nextInt(2), machines[random.nextInt(machines.size)]) }
             val before =
@@ -77,7 +77,7 @@
                     ?.placements
                     .orEmpty()
                     .toSet()
-            val record = JobRecord(job(id, kind, TASKS), now, 2, done, placements)
+            val record = JobRecord(job(id, kind, TASKS_PER_JOB), now, 2, done, placements)
             reference.records[id] = record
             for (placement in placements - before) {
                 val name = "$id/${placement.task}#${placement.attempt}@${placement.machine}"
@@ -87,7 +87,7 @@
         }
 
         private fun observe(machine: String) {
-            val keys = jobs.flatMap { job -> (0 until TASKS).map { TaskKey(job, it) } }
+            val keys = jobs.flatMap { job -> (0 until TASKS_PER_JOB).map { TaskKey(job, it) } }
             val tasks =
                 keys.filter { isOneIn(5) }.map { key ->
                     val hasEnded = isOneIn(3)
@@ -140,7 +140,7 @@
             tracker.machineDeleted(machine)
         }
 
-        /** Gives the tracker once more everything that it knows already. */
+        /** Repeats all current records and observations to the tracker. */
         fun repeatAllObservations() {
             reference.records.values.forEach { tracker.jobStored(it, isAdopted = false) }
             for (seen in reference.seen.values) {
@@ -182,7 +182,7 @@
         assertEquals(before, namesOf(scenario.tracker.findings), "seed $seed")
     }
 
-    /** The comparisons caused by one changed heartbeat in a fleet whose machines run four tasks each. */
+    /** Returns the comparisons per changed heartbeat in a fleet whose machines run four tasks each. */
     private fun comparisonsPerHeartbeat(fleet: Int): Long {
         val tracker = DifferenceTracker()
         for (number in 0 until fleet) {
@@ -236,6 +236,6 @@
     }
 
     private companion object {
-        const val TASKS = 3
+        const val TASKS_PER_JOB = 3
     }
 }
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -27,13 +27,13 @@
 /** The rules of a recovery, one by one, in simulated time. */
 class RecoveryRulesTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoveryTimings(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
+    private val timings = RecoveryTimings(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
 
-    /** The first token that a process witnesses whose reads of the store return these leaders' tokens. */
+    /** Returns the first token of the evidence after reads of the store that returned these leaders' tokens. */
     private fun firstTokenAfter(vararg reads: Pair<Long?, Duration>): Long? {
-        val witness = ContinuityEvidence(staleLeaseLimit = 4.seconds)
-        reads.forEach { (leader, at) -> witness.recordStoreRead(leader, at) }
-        return witness.firstToken
+        val evidence = ContinuityEvidence(staleLeaseLimit = 4.seconds)
+        reads.forEach { (leader, at) -> evidence.recordStoreRead(leader, at) }
+        return evidence.firstToken
     }
 
     @Test
@@ -41,36 +41,36 @@
         assertEquals(3L, firstTokenAfter(null to 0.seconds, 3L to 1.seconds))
         assertEquals(3L, firstTokenAfter(3L to 0.seconds, 3L to 2.seconds, 3L to 4.seconds))
         assertEquals(4L, firstTokenAfter(3L to 0.seconds, 4L to 1.seconds))
-        // A record that exists at the first read may be stale: its leader may have ended.
+        // A record that exists at the first read may be stale, because its leader may have ended.
         assertNull(firstTokenAfter(3L to 0.seconds, 3L to 3.seconds, null to 3.seconds))
     }
 
     @Test
     fun `a gap in reading the store extends the time until a term counts as continuity evidence`() {
-        val witness = ContinuityEvidence(staleLeaseLimit = 4.seconds)
-        witness.recordStoreRead(3L, 0.seconds)
+        val evidence = ContinuityEvidence(staleLeaseLimit = 4.seconds)
+        evidence.recordStoreRead(3L, 0.seconds)
 
-        witness.recordReadGap(9.seconds)
-        witness.recordStoreRead(3L, 9.seconds)
+        evidence.recordReadGap(9.seconds)
+        evidence.recordStoreRead(3L, 9.seconds)
 
-        assertNull(witness.firstToken)
+        assertNull(evidence.firstToken)
     }
 
     @Test
     fun `a start is cold only if every controller answered and none has evidence of an earlier term`() {
         fun answered(firstToken: Long?) = MemberContinuityEvidence(answered = true, firstToken)
-        val silent = MemberContinuityEvidence(answered = false, firstToken = null)
+        val unanswered = MemberContinuityEvidence(answered = false, firstToken = null)
 
         fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberContinuityEvidence): StartKind {
             val noRecord = StoredRecovery.Absent
             return StartClassifier.classify(token, ownFirstToken, members.toList(), noRecord)
         }
-        assertEquals(StartKind.FIRST, classify(1, null, silent, silent))
-        assertEquals(StartKind.TAKE_OVER, classify(5, 4, silent, silent))
-        assertEquals(StartKind.TAKE_OVER, classify(5, null, silent, answered(2)))
-        assertEquals(StartKind.UNKNOWN, classify(5, null, silent, answered(null)))
+        assertEquals(StartKind.FIRST, classify(1, null, unanswered, unanswered))
+        assertEquals(StartKind.TAKE_OVER, classify(5, 4, unanswered, unanswered))
+        assertEquals(StartKind.TAKE_OVER, classify(5, null, unanswered, answered(2)))
+        assertEquals(StartKind.UNKNOWN, classify(5, null, unanswered, answered(null)))
         assertEquals(StartKind.COLD, classify(5, null, answered(null), answered(null)))
-        // That other processes saw this very term begin proves nothing about the time before it.
+        // Evidence of the new term itself proves nothing about the time before it.
         assertEquals(StartKind.COLD, classify(5, 5, answered(5), answered(null)))
     }
 
@@ -131,7 +131,7 @@
         isPaused,
     )
 
-    private fun phaseMachine() = PhaseStateMachine(policy, setting, startedAt = 0.seconds)
+    private fun phaseMachine() = PhaseStateMachine(policy, timings, startedAt = 0.seconds)
 
     @Test
     fun `a phase ends when it is complete or its time limit is over, but not while the recovery is paused`() {
@@ -173,14 +173,14 @@
             return breaker.evaluate(machines, fleet, isApproved, at)
         }
 
-        fun opened() = CircuitBreaker(policy).also { assertTrue(evaluated(it, 4, 1.seconds).isOpen) }
+        fun newOpenBreaker() = CircuitBreaker(policy).also { assertTrue(evaluated(it, 4, 1.seconds).isOpen) }
         assertFalse(evaluated(CircuitBreaker(policy), 3, 1.seconds).isOpen)
-        assertTrue(evaluated(opened(), 4, 60.seconds).isOpen)
-        assertEquals(BreakerRelease.FEWER_DIFFERENCES, evaluated(opened(), 3, 2.seconds).release)
-        assertEquals(BreakerRelease.APPROVED, evaluated(opened(), 9, 2.seconds, isApproved = true).release)
-        val expired = opened()
-        assertEquals(BreakerRelease.TIME_OVER, evaluated(expired, 9, 61.seconds).release)
-        assertFalse(evaluated(expired, 10, 62.seconds).isOpen, "a released breaker never opens again")
+        assertTrue(evaluated(newOpenBreaker(), 4, 60.seconds).isOpen)
+        assertEquals(BreakerRelease.FEWER_DIFFERENCES, evaluated(newOpenBreaker(), 3, 2.seconds).release)
+        assertEquals(BreakerRelease.APPROVED, evaluated(newOpenBreaker(), 9, 2.seconds, isApproved = true).release)
+        val timedOut = newOpenBreaker()
+        assertEquals(BreakerRelease.TIME_OVER, evaluated(timedOut, 9, 61.seconds).release)
+        assertFalse(evaluated(timedOut, 10, 62.seconds).isOpen, "a released breaker never opens again")
     }
 
     @Test
@@ -190,7 +190,7 @@
 
         fun consumeAll() = generateSequence { budget.tryConsume(OrderKind.STOP) }.takeWhile { it }.count()
         budget.resize(fleet = 50)
-        assertEquals(1, consumeAll(), "the budget begins with the smallest fleet's")
+        assertEquals(1, consumeAll(), "the initial budget is that of the smallest fleet")
         now += 1.seconds
         assertEquals(5, consumeAll())
         budget.resize(fleet = 100)
@@ -202,7 +202,7 @@
 
     @Test
     fun `a task of an unknown job is stopped only if a store read sent after its first report found no such job`() {
-        val engine = RecoveryEngine(policy, setting, token = 2, startedAt = 0.seconds, StartKind.COLD)
+        val engine = RecoveryEngine(policy, timings, token = 2, startedAt = 0.seconds, StartKind.COLD)
         val gate = engine.hooks.gate
         val observer = engine.hooks.observer
         val task = TaskKey("u", 0)
@@ -221,7 +221,7 @@
         assertFalse(gate.admits(order))
         engine.resume()
         assertTrue(gate.admits(order))
-        assertFalse(gate.admits(order), "so small a fleet admits one stop per second")
+        assertFalse(gate.admits(order), "a fleet of this size admits one stop per second")
     }
 
     @Test
@@ -235,6 +235,6 @@
         for (name in fields.keys) {
             assertThrows(MalformedMessage::class.java, { RecoveryWire.decode(fields - name) }, name)
         }
-        assertThrows(MalformedMessage::class.java) { RecoveryWire.decode(fields + ("phase" to "dreaming")) }
+        assertThrows(MalformedMessage::class.java) { RecoveryWire.decode(fields + ("phase" to "undefined")) }
     }
 }
--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Deactivation of a level: each stage, and what happens when it is interrupted there. */
+/** Tests the deactivation of a level and its interruption at each stage. */
 class DeactivationTest {
     private val simulation = RolloutSimulation()
 
@@ -40,7 +40,7 @@
         assertEquals(1, simulation.active)
     }
 
-    /** Stores the record under the permit's condition; returns the keys whose conditions failed, null if none did. */
+    /** Stores the record under the permit's condition. Returns the keys whose conditions failed, null if none did. */
     private fun store(record: JobRecord, permit: WritePermit?): List<String>? {
         val put = Put(Keys.job(record.spec.id), RecordWire.encode(record))
         return simulation.state.transact(permit?.conditions().orEmpty(), listOf(put), emptyList())
@@ -75,7 +75,7 @@
         simulation.assertLevel(0)
         assertEquals(listOf(Keys.LEVEL), store(splitRecord, permit))
 
-        // The permit stays void when the level is active again: the level record has another version.
+        // The permit remains invalid when the level is active again, because the level record has another version.
         simulation.order(OperatorRequest.Activate(1))
         simulation.run(30.seconds)
         simulation.assertLevel(1)
--- a/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
+++ b/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** What stops an upgrade, and which controller is replaced next. */
+/** Tests what stops an upgrade and which controller is replaced next. */
 class HealthAndPlanTest {
     private val oldBuild = BuildLevels("old", 0, 0)
     private val newBuild = BuildLevels("new", 0, 1)
@@ -85,7 +85,7 @@
         simulation.run(10.seconds)
         assertEquals(replacements("b"), simulation.overview().plan)
 
-        // A still newer build makes the leader's build an old one as well.
+        // An even newer build at another member makes the leader's build an old one as well.
         simulation.member("c").restart(2)
         simulation.run(4.seconds)
         assertEquals(HoldCause.MEMBER_OLD_BUILD, simulation.hold?.cause)
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Activation and its edge cases, one by one, in simulated time. */
+/** Tests activation and its edge cases in simulated time. */
 class RolloutCasesTest {
     private val simulation = RolloutSimulation()
 
@@ -40,7 +40,7 @@
         assertEquals(Hold(HoldCause.MEMBER_OLD_BUILD, "c", "unmanaged"), simulation.hold)
         assertEquals(0, simulation.active)
         val warnings = simulation.notices.filter { "member c is left behind" in it }
-        // The first report comes two seconds after the start; then one warning every ten minutes.
+        // The first report arrives two seconds after the start; then there is one warning every ten minutes.
         assertEquals(17, warnings.size)
         assertTrue(warnings.last().contains("for 10"), warnings.last())
         val stored = simulation.records.state().valueOrNull()
@@ -118,7 +118,7 @@
         tracker.memberReported(report("b-4"), requestSentAt = 30.seconds)
         assertEquals(1.seconds, tracker.view(31.seconds).single().readyFor)
 
-        // During the gap it may have been another process.
+        // Another process may have been running during the gap.
         tracker.memberReported(report("b-4"), requestSentAt = 41.seconds)
         assertEquals(0.seconds, tracker.view(41.seconds).single().readyFor)
         assertEquals(0.seconds, tracker.view(60.seconds).single().readyFor)
@@ -127,7 +127,7 @@
     @Test
     fun `a report of a member that is not configured is ignored`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
-        tracker.memberReported(report("x", member = "stranger"), requestSentAt = 61.seconds)
+        tracker.memberReported(report("x", member = "unconfigured"), requestSentAt = 61.seconds)
         assertEquals(listOf("b"), tracker.view(61.seconds).map { it.member })
     }
 
--- a/src/test/kotlin/glenspool/rollout/RolloutFixtures.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutFixtures.kt
@@ -4,10 +4,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertInstanceOf
 
-/** What holds the next level now. */
+/** Why the next level is held; null if it is not held. */
 internal val RolloutSimulation.hold: Hold? get() = overview().hold
 
-/** Restarts the members with a build that does not know levels. */
+/** Restarts the members with a build without levels. */
 internal fun RolloutSimulation.restartWithOldBuild(vararg members: String) =
     members.forEach { member(it).restart(highest = 0, unmanaged = true) }
 
@@ -15,7 +15,7 @@
 
 internal fun RolloutSimulation.permitOf(member: String, level: Int): WritePermit? = member(member).gate.permit(level)
 
-/** The reason why the request is refused. */
+/** Returns the reason why the request is refused. */
 internal fun RolloutSimulation.refusalOf(request: OperatorRequest): String =
     assertInstanceOf(OrderOutcome.Refused::class.java, order(request)).reason
 
--- a/src/test/kotlin/glenspool/rollout/RolloutModel.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModel.kt
@@ -13,10 +13,10 @@
 
 internal fun formValue(level: Int) = mapOf("form" to level.toLong())
 
-/** The level of a form record. */
+/** Returns the level of a form record. */
 internal fun Map<String, Any?>.formLevel(): Int = (getValue("form") as Long).toInt()
 
-/** A controller process of a [RolloutModelRun]. Its view of the store lags behind. */
+/** A controller process of a [RolloutModelRun]. Its store cache lags behind the store. */
 internal class ModelProcess(
     val member: String,
     val boot: String,
@@ -25,12 +25,12 @@
     store: InMemoryStore,
 ) {
     var endedAt: Duration? = null
-    val view = LaggingView(store)
-    val records = RolloutRecords(view) { view.loaded }
+    val storeCache = LaggingView(store)
+    val records = RolloutRecords(storeCache) { storeCache.loaded }
     val levels = registry.levelsOf("build-${registry.highest}")
     val gate = FeatureGate(levels, records::level)
 
-    fun forms() = view.withPrefix(FORM_PREFIX)
+    fun forms() = storeCache.withPrefix(FORM_PREFIX)
 
     fun formsOf(level: Int) = forms().filter { it.value.formLevel() == level }
 }
@@ -38,8 +38,8 @@
 internal class ModelTransaction(val conditions: Map<String, Long>, val put: Put)
 
 /**
- * The reference model: remembers every process that ever ran, and checks each level change, each write of a form and
- * each reader by that alone.
+ * The reference model. It records every process and checks each level change, each write of a form and each reader only
+ * by these records and the store.
  */
 internal class RolloutModel(
     private val store: InMemoryStore,
@@ -59,16 +59,16 @@
     /** The stored level record; null if there is none. */
     fun storedLevel(): LevelRecord? = store.entries[Keys.LEVEL]?.let { RolloutWire.decodeLevel(it.value) }
 
-    /** A process must not meet a form beyond its build unless it is fenced. */
+    /** Checks that the process reads no form above its build's levels unless it is fenced. */
     fun checkReader(process: ModelProcess, now: Duration) {
-        if (!process.view.loaded) return
+        if (!process.storeCache.loaded) return
         val highest = process.forms().maxOfOrNull { it.value.formLevel() } ?: return
         if (highest > process.levels.highest && process.gate.fence() == null) {
-            violations.add("$now ${process.boot} meets form $highest with build ${process.levels} unfenced")
+            violations.add("$now ${process.boot} is not fenced and reads form $highest with build ${process.levels}")
         }
     }
 
-    /** Checks a transaction that was carried out; [before] is the level record that it met. */
+    /** Checks a committed transaction. [before]: the level record before it. */
     fun checkTransaction(before: LevelRecord?, transaction: ModelTransaction, now: Duration) {
         val put = transaction.put
         when {
@@ -81,13 +81,13 @@
         val form = transaction.put.value.formLevel()
         formWrites++
         val isNew = transaction.conditions.values.any { it == 0L }
-        if (isNew && form > (level?.highestWritable ?: 0)) violations.add("$now form $form is written anew at $level")
-        if (form > (level?.level ?: 0)) violations.add("$now form $form is stored at $level")
+        if (isNew && form > (level?.highestWritable ?: 0)) violations.add("$now form $form was newly written at $level")
+        if (form > (level?.level ?: 0)) violations.add("$now form $form was stored at $level")
     }
 
     private fun checkLevel(before: LevelRecord?, after: LevelRecord, now: Duration) {
         val leaderToken = store.entries.getValue(Keys.LEADERSHIP).value["token"]
-        if (leaderToken != after.token) violations.add("$now $after is not of the leader")
+        if (leaderToken != after.token) violations.add("$now $after was not stored by the leader")
         val from = before?.level ?: 0
         when (after.level) {
             from + 1 -> checkActivation(after, now)
@@ -105,21 +105,21 @@
         }
     }
 
-    /** Every member must have had one process that reads the level, ran lately and for the settling time. */
+    /** Checks that every member had one process that reads the level, ran recently and for the settling time. */
     private fun checkActivation(after: LevelRecord, now: Duration) {
         activations.merge(after.level, 1, Int::plus)
-        // A transaction may be carried out later than it was decided; its conditions ensure that nothing else was
-        // decided in between.
+        // A transaction may be committed later than the decision; its conditions ensure that there was no other
+        // decision in between.
         val decidedAt = after.changedAt
         for (member in members) {
-            val hasProof =
+            val hasEvidence =
                 processes.any {
                     it.member == member &&
                         it.levels.reads(after.level) &&
                         it.startedAt <= decidedAt - policy.settlingTime &&
                         it.endedAt.let { end -> end == null || end >= decidedAt - policy.evidenceAge }
                 }
-            if (!hasProof) violations.add("$now $after without $member")
+            if (!hasEvidence) violations.add("$now $after was activated without evidence about $member")
         }
     }
 }
--- a/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
@@ -28,7 +28,7 @@
     private val store = InMemoryStore()
     private val policy = RolloutPolicy(settlingTime = 8.seconds, evidenceAge = 5.seconds)
     private val members = listOf("a", "b", "c")
-    private val live = HashMap<String, ModelProcess>()
+    private val runningProcesses = HashMap<String, ModelProcess>()
     private val partitioned = HashSet<String>()
     private val lateTransactions = ArrayList<ModelTransaction>()
     private var now = 100.seconds
@@ -45,16 +45,16 @@
 
     fun step() {
         now += random.nextLong(200, 2500).milliseconds
-        if (++steps % (2 * PERIOD) == PERIOD) repairAll()
-        // Without periods in which every member is well, no level would ever become active.
-        val isCalm = steps / PERIOD % 2 == 1
+        if (++steps % (2 * PERIOD_STEPS) == PERIOD_STEPS) repairAll()
+        // Without periods in which every member is healthy, no level would become active.
+        val isCalm = steps / PERIOD_STEPS % 2 == 1
         val event = random.nextInt(18)
-        when (if (isCalm && event < FAULT_EVENTS) FAULT_EVENTS else event) {
+        when (if (isCalm && event < FAULT_EVENT_COUNT) FAULT_EVENT_COUNT else event) {
             0 -> start(members.random(random), random.nextInt(1, 4))
             1 -> end(members.random(random))
             2 -> members.random(random).let { if (!partitioned.remove(it)) partitioned.add(it) }
             3 -> unavailableUntil = now + random.nextLong(1, 8).seconds
-            4 -> carryOutLateTransaction()
+            4 -> commitLateTransaction()
             5 -> requestOrder()
             6 -> if (chance(30)) elect()
             7, 8, 9, 10 -> writeForm()
@@ -62,13 +62,13 @@
             else -> leaderRound()
         }
         if (leader == null && chance(30)) elect()
-        live.values.forEach(::followStore)
-        live.values.forEach { model.checkReader(it, now) }
+        runningProcesses.values.forEach(::updateStoreCache)
+        runningProcesses.values.forEach { model.checkReader(it, now) }
     }
 
     private fun chance(percent: Int) = random.nextInt(100) < percent
 
-    private fun anyLive(): ModelProcess? = live.values.sortedBy { it.member }.randomOrNull(random)
+    private fun anyRunningProcess(): ModelProcess? = runningProcesses.values.sortedBy { it.member }.randomOrNull(random)
 
     private fun start(member: String, highest: Int) {
         end(member)
@@ -76,37 +76,39 @@
         val boot = "$member-${model.processes.size}"
         val process = ModelProcess(member, boot, registryUpTo(highest, lowest), now, store)
         model.processes.add(process)
-        live[member] = process
-        process.view.beginLoad()
+        runningProcesses[member] = process
+        process.storeCache.beginLoad()
     }
 
     private fun end(member: String) {
-        live.remove(member)?.let { it.endedAt = now }
+        runningProcesses.remove(member)?.let { it.endedAt = now }
         if (leader?.process?.member == member) leader = null
     }
 
-    /** All members run, mostly with the same build, and reach each other and the store. */
+    /** Makes all members run, mostly with the same build, and reach each other and the store. */
     private fun repairAll() {
         partitioned.clear()
         unavailableUntil = now
         val highest = random.nextInt(1, 4)
-        members.forEach { if (it !in live || chance(60)) start(it, highest) }
+        members.forEach { if (it !in runningProcesses || chance(60)) start(it, highest) }
     }
 
-    private fun followStore(process: ModelProcess) {
+    private fun updateStoreCache(process: ModelProcess) {
         if (now < unavailableUntil || process.member in partitioned && chance(50)) return
-        if (process.view.loadPage(1 + random.nextInt(4))) return
-        process.view.advance(process.view.revision + random.nextLong(0, store.revision - process.view.revision + 1))
+        if (process.storeCache.loadPage(1 + random.nextInt(4))) return
+        process.storeCache.advance(
+            process.storeCache.revision + random.nextLong(0, store.revision - process.storeCache.revision + 1),
+        )
     }
 
     private fun catchUp(process: ModelProcess) {
-        while (process.view.loadPage(PAGE)) Unit
-        process.view.advance(store.revision)
+        while (process.storeCache.loadPage(PAGE_SIZE)) Unit
+        process.storeCache.advance(store.revision)
     }
 
     private fun elect() {
         if (now < unavailableUntil) return
-        val process = anyLive() ?: return
+        val process = anyRunningProcess() ?: return
         catchUp(process)
         if (process.gate.fence() != null) return
         lastToken++
@@ -123,8 +125,8 @@
 
         fun isReachable(other: ModelProcess) =
             other === process || other.member !in partitioned && process.member !in partitioned
-        for (other in live.values.filter(::isReachable)) {
-            // The answer of a process that has ended since is never newer than its request.
+        for (other in runningProcesses.values.filter(::isReachable)) {
+            // The answer of a process that has since ended is never newer than its request.
             val isReady = other.gate.fence() == null && chance(95)
             current.engine.memberReported(MemberReport(other.member, other.boot, other.levels, isReady), now)
         }
@@ -157,7 +159,7 @@
     }
 
     private fun requestOrder() {
-        val process = anyLive() ?: return
+        val process = anyRunningProcess() ?: return
         if (process.gate.fence() != null) return
         val stored = process.records.orders()
         val level = process.records.level()
@@ -180,7 +182,7 @@
 
     /** Any process may store a new record in the highest form that it has a permit for. */
     private fun writeForm() {
-        val process = anyLive() ?: return
+        val process = anyRunningProcess() ?: return
         val form = (3 downTo 1).firstOrNull { process.gate.permit(it) != null } ?: return
         val key = "$FORM_PREFIX${formRecords++}"
         val permit = checkNotNull(process.gate.permit(form))
@@ -207,28 +209,28 @@
         when {
             now < unavailableUntil || chance(5) -> Unit
             chance(15) -> lateTransactions.add(transaction)
-            else -> carryOut(transaction)
+            else -> commit(transaction)
         }
     }
 
-    private fun carryOutLateTransaction() {
+    private fun commitLateTransaction() {
         if (lateTransactions.isEmpty()) return
-        carryOut(lateTransactions.removeAt(random.nextInt(lateTransactions.size)))
+        commit(lateTransactions.removeAt(random.nextInt(lateTransactions.size)))
     }
 
-    private fun carryOut(transaction: ModelTransaction) {
+    private fun commit(transaction: ModelTransaction) {
         val before = model.storedLevel()
         val failed = store.transact(transaction.conditions, listOf(transaction.put), emptyList())
         if (failed == null) model.checkTransaction(before, transaction, now)
     }
 
     private companion object {
-        const val PAGE = 50
+        const val PAGE_SIZE = 50
 
         /** Periods with faults and calm periods alternate; each lasts this number of steps. */
-        const val PERIOD = 40
+        const val PERIOD_STEPS = 40
 
         /** The events with lower numbers are faults. */
-        const val FAULT_EVENTS = 4
+        const val FAULT_EVENT_COUNT = 4
     }
 }
--- a/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelTest.kt
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The rollout in random runs, checked by a reference model. */
+/** Checks random runs of the rollout by a reference model. */
 class RolloutModelTest {
     private fun modelAfterRun(seed: Long): RolloutModel {
         val run = RolloutModelRun(seed)
-        repeat(STEPS) { if (run.model.violations.isEmpty()) run.step() }
+        repeat(STEPS_PER_RUN) { if (run.model.violations.isEmpty()) run.step() }
         return run.model
     }
 
@@ -23,7 +23,7 @@
         assertEquals(emptyList<String>(), modelAfterRun(seed).violations, "seed $seed")
     }
 
-    /** The property would hold of a rollout that never changes anything. */
+    /** Guards the property above, which would also hold for a rollout that never changes anything. */
     @Test
     fun `each kind of change occurs in the random runs`() {
         val models = (1L..12L).map(::modelAfterRun)
@@ -34,6 +34,6 @@
     }
 
     private companion object {
-        const val STEPS = 700
+        const val STEPS_PER_RUN = 700
     }
 }
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -28,12 +28,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The readers of stored records against damaged records. A reader may only return a value or throw [MalformedMessage]:
- * any other exception would end a service thread. A longer run than CI's: `mvn test -Dtest=StoredFormsFuzzTest
+ * Tests the readers of stored records with damaged records. A reader may only return a value or throw
+ * [MalformedMessage], because any other exception would end a service thread. A longer run than CI's: `mvn test -Dtest=StoredFormsFuzzTest
  * -DargLine=-Djqwik.tries.default=200000`.
  */
 class StoredFormsFuzzTest {
-    /** Records as the version in production stored them. */
+    /** Records stored by the version in production. */
     private val productionFiles =
         listOf(
             "g~j~run-000412",
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -19,7 +19,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Three controllers are upgraded one at a time under load, then taken back, then upgraded again. */
+/** Upgrades three controllers one at a time under load, rolls them back and upgrades them again. */
 class UpgradeUnderLoadTest {
     @TempDir
     lateinit var dir: File
@@ -52,31 +52,31 @@
 
     private fun LoopbackService.awaitLevel(level: Long) = await("level $level is active") { isLevelActive(level) }
 
-    /** Followers first, the leader last, as the plan says. */
+    /** Replaces the followers first and the leader last, as the plan requires. */
     private fun LoopbackService.replaceAll(build: FeatureRegistry) {
         val order = names.filter { it != leader } + listOfNotNull(leader)
         order.forEach { replace(it, build) }
     }
 
-    /** Two members are upgraded and one is not: that alone activates nothing, whatever fails meanwhile. */
+    /** Upgrades all members but one, and verifies that this activates nothing even if members and the store fail. */
     private fun LoopbackService.upgradeAllButOne() {
-        val leftBehind = checkNotNull(leader)
+        val oldMember = checkNotNull(leader)
 
-        fun buildOf(name: String) = if (name == leftBehind) oldBuild else newBuild
-        names.filter { it != leftBehind }.forEach { replace(it, newBuild) }
+        fun buildOf(name: String) = if (name == oldMember) oldBuild else newBuild
+        names.filter { it != oldMember }.forEach { replace(it, newBuild) }
         repeat(4) { endOne(::buildOf) }
         outage(1.seconds)
         endOne(::buildOf)
-        val begun = now
-        await("two seconds have passed") { now - begun > 2.seconds }
+        val startedAt = now
+        await("two seconds have passed") { now - startedAt > 2.seconds }
         assertTrue(isLevelActive(1))
     }
 
-    /** A member that comes back with an old build does not serve, and says why. */
+    /** Verifies that a member that restarts with an old build does not serve and reports the reason. */
     private fun LoopbackService.verifyOldBuildIsFenced(member: String) {
         kill(member)
         start(member, oldBuild)
-        await("it is fenced") { (readiness(member) as? CallResult.Response)?.body?.get("needs_level") == 2L }
+        await("the member is fenced") { (readiness(member) as? CallResult.Response)?.body?.get("needs_level") == 2L }
         val fence = ask(member).status?.fence.orEmpty()
         assertTrue(fence.contains("level 2 (next-form) is active"), fence)
         assertFalse(ask(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
@@ -98,7 +98,7 @@
             val follower = names.first { it != service.leader }
             service.verifyOldBuildIsFenced(follower)
 
-            // An operator may order the deactivation at any controller; the leader ends on the way.
+            // An operator may order the deactivation at any controller. The leader is replaced before it is complete.
             assertTrue(service.ask(follower, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
             service.leader?.let { service.replace(it, newBuild) }
             service.awaitLevel(1)
@@ -111,7 +111,7 @@
             service.finish()
             val faults = HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(service.history)
             assertEquals(emptyList<String>(), faults)
-            assertEquals(4, service.fleetSize, "a machine was given up")
+            assertEquals(4, service.fleetSize, "a machine was declared lost")
             phases.forEach { println("upgrade under load: ${it.name} ${describe(it, service.history)}") }
         }
     }
@@ -126,32 +126,32 @@
     fun `the checker finds a planted duplicate, loss, stall, contradiction and late start`() {
         val accepted = HistoryEvent.Accepted(1.seconds, "a")
         val started = HistoryEvent.Started(2.seconds, "a", "i-1")
-        val left = HistoryEvent.Left(3.seconds, "a", "i-1", true)
-        val told = HistoryEvent.Told(4.seconds, "a", "done")
-        assertEquals(emptyList<String>(), faultsOf(accepted, started, left, told))
+        val ended = HistoryEvent.Left(3.seconds, "a", "i-1", true)
+        val finalState = HistoryEvent.Told(4.seconds, "a", "done")
+        assertEquals(emptyList<String>(), faultsOf(accepted, started, ended, finalState))
 
         val duplicate = HistoryEvent.Started(2.seconds, "a", "i-2")
         val duplicateFaults = listOf("a started on i-2 while on [i-1]")
-        assertEquals(duplicateFaults, faultsOf(accepted, started, duplicate, left, told))
+        assertEquals(duplicateFaults, faultsOf(accepted, started, duplicate, ended, finalState))
 
         val lossFaults = listOf("a was accepted and has no final state")
-        assertEquals(lossFaults, faultsOf(accepted, started, left))
+        assertEquals(lossFaults, faultsOf(accepted, started, ended))
 
-        val contradiction = told.copy(stage = "aborted")
+        val contradiction = finalState.copy(stage = "aborted")
         val contradictionFaults = listOf("a has several final states: [done, aborted]")
-        assertEquals(contradictionFaults, faultsOf(accepted, started, left, told, contradiction))
+        assertEquals(contradictionFaults, faultsOf(accepted, started, ended, finalState, contradiction))
 
         val incompleteFaults = listOf("a is called done and never completed")
-        assertEquals(incompleteFaults, faultsOf(accepted, told))
+        assertEquals(incompleteFaults, faultsOf(accepted, finalState))
 
-        val late = HistoryEvent.Accepted(10.seconds, "b")
-        val lateTold = HistoryEvent.Told(10.seconds, "b", "aborted")
+        val lateAccepted = HistoryEvent.Accepted(10.seconds, "b")
+        val lateFinalState = HistoryEvent.Told(10.seconds, "b", "aborted")
         val stallFaults = listOf("no accepted submission for 9.0 s")
-        assertEquals(stallFaults, faultsOf(accepted, started, left, told, late, lateTold))
+        assertEquals(stallFaults, faultsOf(accepted, started, ended, finalState, lateAccepted, lateFinalState))
 
         val cancelled = HistoryEvent.CancelConfirmed(0.seconds, "a")
         val lateStart = started.copy(at = 25.seconds)
         val lateStartFaults = listOf("a started long after it was cancelled")
-        assertEquals(lateStartFaults, faultsOf(accepted, cancelled, lateStart, left, told))
+        assertEquals(lateStartFaults, faultsOf(accepted, cancelled, lateStart, ended, finalState))
     }
 }
