--- a/src/main/kotlin/glenspool/reconcile/ClusterViews.kt
+++ b/src/main/kotlin/glenspool/reconcile/ClusterViews.kt
@@ -1,6 +1,6 @@
 package glenspool.reconcile
 
-/** The desired, observed and rented state at one moment. Immutable, so it may be read by any thread. */
+/** The desired, observed and rented state at one point in time. Immutable, so it may be read by any thread. */
 data class ClusterViews(
     val desired: DesiredView = DesiredView(),
     val observed: ObservedView = ObservedView(),
--- a/src/main/kotlin/glenspool/reconcile/DesiredView.kt
+++ b/src/main/kotlin/glenspool/reconcile/DesiredView.kt
@@ -92,16 +92,16 @@
 
     /** Returns the view after the job was cancelled. */
     fun withCancelled(job: String): DesiredView {
-        val known = jobs[job] ?: return this
-        return copy(jobs = jobs.put(job, known.copy(isCancelled = true)))
+        val existing = jobs[job] ?: return this
+        return copy(jobs = jobs.put(job, existing.copy(isCancelled = true)))
     }
 
     /** Returns the view after the job's record was removed. */
     fun without(job: String): DesiredView {
-        val known = jobs[job] ?: return this
+        val existing = jobs[job] ?: return this
         val tasks =
             tasksByMachine.mutate { result ->
-                known.placements.values.forEach { result.removeFrom(it.machine, it.key) }
+                existing.placements.values.forEach { result.removeFrom(it.machine, it.key) }
             }
         return DesiredView(jobs.remove(job), tasks)
     }
@@ -114,8 +114,8 @@
         val result = HashMap<Int, StoredPlacement>()
 
         fun add(placement: StoredPlacement) {
-            val known = result[placement.task]
-            if (known == null || placement.attempt > known.attempt) result[placement.task] = placement
+            val existing = result[placement.task]
+            if (existing == null || placement.attempt > existing.attempt) result[placement.task] = placement
         }
         record.placements.forEach(::add)
         record.placementParts.values.forEach { part -> part.forEach(::add) }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -72,7 +72,7 @@
         if (startKind == StartKind.UNKNOWN) startKind = kind
     }
 
-    /** Holds the recovery in its present phase until [resume]. */
+    /** Holds the recovery in its current phase until [resume]. */
     fun pause() {
         overrides.isPaused = true
     }
--- a/src/main/kotlin/glenspool/reconcile/RentedView.kt
+++ b/src/main/kotlin/glenspool/reconcile/RentedView.kt
@@ -39,9 +39,9 @@
                     val entry = RentedMachine(machine.id, machine.type, machine.zone, machine.stage, null)
                     if (result[machine.id] != entry) result[machine.id] = entry
                 }
-                for (known in machines.values) {
-                    val isNewlyUnlisted = known.unlistedSince == null && known.id !in listedIds
-                    if (isNewlyUnlisted) result[known.id] = known.copy(unlistedSince = at)
+                for (existing in machines.values) {
+                    val isNewlyUnlisted = existing.unlistedSince == null && existing.id !in listedIds
+                    if (isNewlyUnlisted) result[existing.id] = existing.copy(unlistedSince = at)
                 }
             }
         return RentedView(updated, firstReadAt ?: at)
--- a/src/main/kotlin/glenspool/rollout/RolloutNotices.kt
+++ b/src/main/kotlin/glenspool/rollout/RolloutNotices.kt
@@ -43,7 +43,7 @@
         val hold = overview.hold
         if (hold == lastHold) return null
         lastHold = hold
-        if (hold == null) return RolloutAction.Notice("nothing holds level ${overview.target}")
+        if (hold == null) return RolloutAction.Notice("level ${overview.target} is no longer held")
         val member = hold.member?.let { " member=$it" }.orEmpty()
         return RolloutAction.Notice("level ${overview.target} is held: ${hold.cause}$member")
     }
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -248,7 +248,7 @@
     }
 
     @Test
-    fun `an exclusion can be taken back, and needs a configured member`() {
+    fun `an exclusion can be cancelled, and needs a configured member`() {
         simulation.elect("a")
         assertTrue(simulation.order(OperatorRequest.Exclude("x", "an operator")) is OrderOutcome.Refused)
 
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -29,8 +29,8 @@
 
 /**
  * Tests the readers of stored records with damaged records. A reader may only return a value or throw
- * [MalformedMessage], because any other exception would end a service thread. A longer run than CI's: `mvn test -Dtest=StoredFormsFuzzTest
- * -DargLine=-Djqwik.tries.default=200000`.
+ * [MalformedMessage], because any other exception would end a service thread. A longer run than CI's:
+ * `mvn test -Dtest=StoredFormsFuzzTest -DargLine=-Djqwik.tries.default=200000`.
  */
 class StoredFormsFuzzTest {
     /** Records stored by the version in production. */
