--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -102,7 +102,13 @@
     private fun readJobRecord(fields: Fields): Any? = JobRecordReader(InMemoryStore()).read("a", fields)
 
     private val readers: List<(Fields) -> Any?> =
-        listOf(RolloutWire::decodeLevel, RolloutWire::decodeOrders, RolloutWire::decodeState, ::readJobRecord, OldVersion::reads)
+        listOf(
+            RolloutWire::decodeLevel,
+            RolloutWire::decodeOrders,
+            RolloutWire::decodeState,
+            ::readJobRecord,
+            OldVersion::reads,
+        )
 
     private fun readOrNull(reader: (Fields) -> Any?, fields: Fields): Any? =
         try {
