--- a/src/main/kotlin/glenspool/core/Actions.kt
+++ b/src/main/kotlin/glenspool/core/Actions.kt
@@ -5,10 +5,10 @@
 import glenspool.core.model.FinalState
 import glenspool.core.model.JobRecord
 
-/** What the scheduler wants done outside. */
+/** An action that the scheduler asks the rest of the controller to carry out. */
 sealed interface Action
 
-/** Commands for one machine, to be sent at once. */
+/** Sends commands to one machine without delay. */
 data class SendCommands(
     val machine: String,
     val addr: String,
@@ -17,10 +17,10 @@
     val commands: List<Command>,
 ) : Action
 
-/** Ask a silent machine for the status of its tasks. */
+/** Requests the status of its tasks from a silent machine. */
 data class Probe(val machine: String, val addr: String) : Action
 
-/** Rent machines. [request]: a name that is never used twice; [causes]: how many of them are wanted for what. */
+/** Rents machines. [request]: a unique name; [causes]: the number of machines by cause. */
 data class ScaleOut(
     val request: String,
     val type: String,
@@ -32,44 +32,47 @@
     val count: Int get() = causes.values.sum()
 }
 
-/** Delete machines, each for its cause. */
+/** Deletes machines, each with its cause. */
 data class DeleteMachines(val causes: Map<String, DeletionCause>) : Action {
     val machines: List<String> get() = causes.keys.toList()
 
     companion object {
-        /** How many machines the cloud deletes at one request. */
+        /** The maximum number of machines that the cloud deletes in one request. */
         const val MAX_MACHINES = 100
     }
 }
 
-/** Advance the fencing token, so that commands on their way become void. */
+/** Advances the fencing token, which invalidates commands that are in flight. */
 data object AdvanceFencingToken : Action
 
-/** Give the leadership to another node: this one can't do the work. */
+/** Resigns the leadership so that another node can lead, because this node can't do the work. */
 data class Resign(val reason: String) : Action
 
-/** Keep for a later leader which machine has which images, with their sizes in GB. A hint: no rule rests on it. */
+/**
+ * Stores for a later leader which machine has which images, with their sizes in GB. This is only a hint; no correctness
+ * rule depends on it.
+ */
 data class StoreImageLocations(val part: Int, val images: ImagesByMachine) : Action
 
-/** Read the final states of these jobs: others depend on them, and their live records are gone. */
+/** Reads the final states of jobs on which other jobs depend, and whose live records no longer exist. */
 data class ReadFinalStates(val jobs: List<String>) : Action
 
-/** Something an operator may want to read in the log: one line with stable keys. */
+/** A line with stable keys for the operators' log. */
 data class LogMessage(val text: String, val isImportant: Boolean) : Action
 
-/** Store these changes in one transaction that holds only while this node leads. */
+/** Stores these changes in one transaction, on the condition that this node still leads. */
 data class StoreChanges(val writes: List<JobWrite>) : Action
 
-/** One job's part of a transaction. [version]: the record's version on which it is conditioned. */
+/** One job's part of a transaction. [version]: the version of the record on which the write is conditional. */
 sealed interface JobWrite {
     val id: String
     val version: Long
 }
 
 /**
- * Replaces the job's record. With [requiresUncancelled] it must not be stored once the job is cancelled. [chunks]: the
- * chunks of its done bits that changed; [parts]: the parts of its placements that changed, each with the number of its
- * last change; [lastChange]: the number of the job's last change that it holds.
+ * Replaces the job's record. With [requiresUncancelled] the record must not be stored once the job is cancelled.
+ * [chunks]: the chunks of done bits that changed; [parts]: the parts of the placements that changed, each with the
+ * number of its last change; [lastChange]: the number of the last change of the job that the record includes.
  */
 data class UpdateJobRecord(
     override val id: String,
@@ -79,13 +82,13 @@
     val lastChange: Long,
     val requiresUncancelled: Boolean,
     val parts: Map<Int, Long> = emptyMap(),
-    /** Whether nothing is left that this job would still have to store. */
+    /** Whether no change of the job remains to be stored after this write. */
     val includesAllChanges: Boolean = true,
 ) : JobWrite
 
 /**
- * Moves a job to its final state. [cancelVersion]: of its own cancellation, if there is one. [abortedBy]: the cancelled
- * job that it depended on, directly or through others. With neither, the job is done.
+ * Moves a job to its final state. [cancelVersion]: the version of the job's own cancellation, if there is one.
+ * [abortedBy]: the cancelled job on which this job depended, directly or indirectly. If both are null, the job is done.
  */
 data class StoreFinalState(
     override val id: String,
@@ -108,29 +111,32 @@
 
     /**
      * A value or the transaction as a whole exceeds the key-value store's limits; nothing was written.
-     * [descriptionParts]: jobs whose descriptions were then stored in so many parts, so that their records become
-     * shorter.
+     * [descriptionParts]: the number of parts by job, for jobs whose descriptions were then stored in parts, so that
+     * their records become shorter.
      */
     data class TooLarge(val descriptionParts: Map<String, Int> = emptyMap()) : StoreOutcome
 
-    /** It may or may not have been written, or will be; the jobs' current versions were read again. */
+    /** The transaction may have been written, or may still be written. The jobs' current versions were read again. */
     data object Unknown : StoreOutcome
 }
 
 /** How a request with commands ended. */
 enum class CommandOutcome {
-    /** Carried out; the heartbeat in the answer shows it. */
+    /** The commands were executed; the heartbeat in the answer shows it. */
     DONE,
 
-    /** Nothing was carried out, and won't be. */
+    /** No command was executed, and none will be. */
     REFUSED,
 
-    /** The connection never came about. */
+    /** No connection was established. */
     NOT_SENT,
 
-    /** No answer: it may be carried out at any later time. */
+    /** No answer was received; the commands may be executed at any later time. */
     UNKNOWN,
 
-    /** It was not even tried, for want of threads or of the leadership, which says nothing of the machine. */
+    /**
+     * The request was not attempted, because no thread was free or this node does not lead. That says nothing about
+     * the machine.
+     */
     NOT_TRIED,
 }
--- a/src/main/kotlin/glenspool/core/ClusterObserver.kt
+++ b/src/main/kotlin/glenspool/core/ClusterObserver.kt
@@ -5,30 +5,30 @@
 import glenspool.core.model.ListedMachine
 import kotlin.time.Duration
 
-/** How a heartbeat came. */
+/** How a heartbeat was received. */
 enum class HeartbeatSource {
-    /** The worker sent it by itself, and is answered: its lease is renewed. */
+    /** The worker sent the heartbeat periodically; the answer renews its lease. */
     WORKER,
 
-    /** It answers a command or a probe, which renews no lease. */
+    /** The heartbeat is the reply to a command or a probe, which does not renew the lease. */
     REPLY,
 }
 
-/** Told of what the scheduler learns, as it learns it. */
+/** Receives the events that the scheduler processes, in the same order. */
 interface ClusterObserver {
     /** A live job was read from the key-value store. */
     fun jobRecordRead(record: JobRecord) = Unit
 
-    /** A record of this leader's own was stored. */
+    /** A record that this leader wrote was stored. */
     fun jobRecordStored(record: JobRecord) = Unit
 
-    /** The job has its final state. */
+    /** The job reached its final state. */
     fun jobEnded(job: String) = Unit
 
     /** The job's cancellation is stored. */
     fun jobCancelled(job: String) = Unit
 
-    /** A heartbeat that is newer than all before. [trusted]: the worker has seen this leader's token. */
+    /** A heartbeat newer than all earlier ones was processed. [trusted]: the worker has seen this leader's token. */
     fun machineObserved(heartbeat: Heartbeat, source: HeartbeatSource, trusted: Boolean, at: Duration) = Unit
 
     /** The cloud listed its machines. */
--- a/src/main/kotlin/glenspool/core/FencingTokenAdvancer.kt
+++ b/src/main/kotlin/glenspool/core/FencingTokenAdvancer.kt
@@ -3,12 +3,15 @@
 import glenspool.core.cluster.CommandQueue
 import kotlin.time.Duration.Companion.seconds
 
-/** Advances the fencing token when a start has no answer for too long, so that it becomes void wherever it is. */
+/**
+ * Advances the fencing token when a start command has been unanswered for too long, so that the command becomes invalid
+ * wherever it is in flight.
+ */
 class FencingTokenAdvancer(private val context: SchedulingContext, private val commands: CommandQueue) {
     private var isAdvancing = false
-    private var advancedAt = context.startedAt - LONG_AGO
+    private var advancedAt = context.startedAt - INITIAL_ADVANCE_AGE
 
-    /** Looks for starts without an answer. */
+    /** Advances the token if a start command has been unanswered for too long. */
     fun tick() {
         if (commands.hasStaleStart()) advance()
     }
@@ -19,7 +22,7 @@
         context.addAction(AdvanceFencingToken)
     }
 
-    /** The outcome: the new token, or null if it was not advanced. */
+    /** An advance has ended; [newToken] is null if it failed. */
     fun advanceEnded(newToken: Long?) {
         isAdvancing = false
         if (newToken == null || newToken <= context.token) return
@@ -28,6 +31,7 @@
     }
 
     private companion object {
-        val LONG_AGO = 1000.seconds
+        /** Dates the last advance so far back that the first one is not delayed. */
+        val INITIAL_ADVANCE_AGE = 1000.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/OrderCause.kt
+++ b/src/main/kotlin/glenspool/core/OrderCause.kt
@@ -1,6 +1,6 @@
 package glenspool.core
 
-/** What kind of order leaves a controller. [label]: its name as operators read it. */
+/** The kind of an order that a controller sends. [label]: the name that operators see. */
 enum class OrderKind(val label: String) {
     START("start"),
     STOP("stop"),
@@ -10,29 +10,29 @@
 }
 
 /**
- * Why an order was given. Every order carries one, so that all that a leader did can be counted by kind and cause, and
- * a new way to give an order does not compile without saying why.
+ * Why an order was given. Every order carries a cause, so that all orders of a leader can be counted by kind and cause,
+ * and code that gives a new kind of order does not compile without one.
  */
 sealed interface OrderCause {
     val kind: OrderKind
     val name: String
 
-    /** The cause as operators read it. */
+    /** The name of the cause that operators see. */
     val label: String get() = name.lowercase().replace('_', '-')
 
-    /** Kind and cause as operators read them, such as `stop.cancelled`. */
+    /** Kind and cause in the form that operators see, such as `stop.cancelled`. */
     val qualifiedLabel: String get() = "${kind.label}.$label"
 }
 
 /** Why a task is started. */
 enum class StartCause : OrderCause {
-    /** It was placed in this term. */
+    /** The task was placed in this term. */
     PLACED,
 
-    /** Its stored placement still holds, and its machine showed that it is not running there. */
+    /** The stored placement is still valid, and the machine showed that the task is not running there. */
     RESTORED,
 
-    /** An earlier start of the same attempt had no answer, or was refused for the moment. */
+    /** An earlier start of the same attempt was not answered, or was refused temporarily. */
     RETRIED,
     ;
 
@@ -47,7 +47,7 @@
     /** The cloud preempts the machine. */
     NOTICE,
 
-    /** Other tasks of its gang are gone. */
+    /** Other tasks of its gang are lost. */
     GANG_BROKEN,
 
     /** The task has no stored placement on that machine, though its job is known. */
@@ -65,7 +65,7 @@
     /** Its result is stored. */
     RECORDED,
 
-    /** It has no result that anybody needs. */
+    /** The task has no result that is still needed. */
     NO_RESULT,
     ;
 
@@ -77,10 +77,10 @@
     /** Services and gangs wait to be placed. */
     WAITING_WORK,
 
-    /** Arrays have more work than the fleet gets through in time. */
+    /** Arrays have more work than the fleet can finish in time. */
     BACKLOG,
 
-    /** Spare capacity for critical services that are likely to come. */
+    /** Spare capacity for critical services that are likely to be submitted. */
     HEADROOM,
     ;
 
@@ -89,25 +89,25 @@
 
 /** Why a machine is deleted. */
 enum class DeletionCause : OrderCause {
-    /** The cloud says that it stopped by itself. */
+    /** The cloud reports that the machine stopped on its own. */
     FAILED,
 
-    /** The cloud preempts it, and nothing is left on it. */
+    /** The cloud preempts the machine, and no work remains on it. */
     NOTICE,
 
-    /** It has been booting for too long. */
+    /** The machine has been booting for too long. */
     NEVER_CAME_UP,
 
-    /** Cancelled work is still on it, and its time is nearly over. */
+    /** Cancelled work is still on the machine, and the deadline for its removal is close. */
     CANCELLED_WORK,
 
-    /** It is heard, and no request reaches it. */
+    /** Heartbeats of the machine arrive, but requests do not reach it. */
     UNREACHABLE,
 
-    /** It was not heard for too long. */
+    /** No heartbeat was received from the machine for too long. */
     SILENT,
 
-    /** Nothing is on it, and nothing is expected to need it. */
+    /** The machine is idle, and no work is expected to need it. */
     NOT_NEEDED,
     ;
 
@@ -115,19 +115,19 @@
 }
 
 /**
- * How many orders a leader has given in its term, by cause. Machines are counted where an order names several. Any
- * thread may read it.
+ * Counts the orders that a leader has given in its term, by cause. An order for several machines counts once per
+ * machine. This class is thread-safe.
  */
 class OrderCounts {
     private val counts = LinkedHashMap<OrderCause, Long>()
 
-    /** Counts [orders] of the cause. */
+    /** Adds [orders] to the count of [cause]. */
     @Synchronized
     fun add(cause: OrderCause, orders: Int = 1) {
         counts.merge(cause, orders.toLong(), Long::plus)
     }
 
-    /** A copy, by kind and cause; causes that never came up are left out. */
+    /** Returns a copy sorted by kind and cause, without causes that have no orders. */
     @Synchronized
     fun snapshot(): Map<OrderCause, Long> =
         counts.entries
@@ -137,7 +137,7 @@
     override fun toString(): String = describe(snapshot())
 
     companion object {
-        /** As one line of the log: `start.placed=12 stop.cancelled=3`. */
+        /** Returns the counts as text for one log line, such as `start.placed=12 stop.cancelled=3`. */
         fun describe(counts: Map<OrderCause, Long>): String =
             counts.entries.joinToString(" ") { (cause, number) -> "${cause.qualifiedLabel}=$number" }
     }
--- a/src/main/kotlin/glenspool/core/OverloadMonitor.kt
+++ b/src/main/kotlin/glenspool/core/OverloadMonitor.kt
@@ -4,29 +4,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells whether this process is too slow for what comes in, or was a short while ago. Its workers may have turned to
- * other controllers meanwhile, and answers may have come too late: neither silence nor a request without an answer says
- * much then.
+ * Detects whether this process is too slow for its incoming events, or was a short while ago. During an overload
+ * workers may switch to other controllers, and answers may be processed too late. Neither a silent machine nor an
+ * unanswered request is reliable evidence of a failure then.
  */
 class OverloadMonitor(private val context: SchedulingContext) {
-    /** How long what is handled now has waited in this process. */
+    /** How long the event that is being processed has waited in this process. */
     var backlog: Duration = Duration.ZERO
         private set
     private var overloadedUntil = context.startedAt
 
     val isOverloaded: Boolean get() = context.now < overloadedUntil
 
-    /** Records how far this process is behind. */
+    /** Records the current backlog; a large one counts as an overload for a share of a lease. */
     fun backlogMeasured(backlog: Duration) {
         this.backlog = backlog
-        if (backlog >= OVERLOADED_BACKLOG) overloadedUntil = context.now + context.config.lease * LEASE_SHARE
+        if (backlog >= OVERLOAD_BACKLOG) overloadedUntil = context.now + context.config.lease * EFFECT_LEASE_SHARE
     }
 
     private companion object {
-        /** A worker turns to another controller after 4 s without an answer; such a backlog is not far from that. */
-        val OVERLOADED_BACKLOG = 1.seconds
+        /** A worker switches to another controller after 4 s without an answer; such a backlog is close to that. */
+        val OVERLOAD_BACKLOG = 1.seconds
 
-        /** The share of a lease for which the consequences last: by then a worker has found its leader again. */
-        const val LEASE_SHARE = 0.6
+        /** The share of a lease for which an overload has effects; by then a worker has found its leader again. */
+        const val EFFECT_LEASE_SHARE = 0.6
     }
 }
--- a/src/main/kotlin/glenspool/core/Scheduler.kt
+++ b/src/main/kotlin/glenspool/core/Scheduler.kt
@@ -34,11 +34,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's scheduling core: events and the time go in, [Action]s come out. It does no input or output and starts no
- * thread; one thread owns it. It is made anew at each failover from the stored jobs. It only passes events on and says
- * in which order the parts act; what is known has one owner each: [ClusterState] (machines, jobs, placements, usage),
- * [CommandQueue] (commands on their way), [JobDependencies] (waiting jobs), [RecordWriteScheduler] (what is to be
- * stored).
+ * The leader's scheduling core, which takes events and the time, and returns [Action]s. It does no input or output,
+ * starts no thread, and is confined to one thread. A new instance is built from the stored jobs at each failover. The
+ * class only dispatches events and defines the order in which its components act. Each kind of state has one owner:
+ * [ClusterState] (machines, jobs, placements, usage), [CommandQueue] (commands in flight), [JobDependencies] (jobs that
+ * wait for others), [RecordWriteScheduler] (changes to be stored).
  */
 class Scheduler(
     val config: SchedulerConfig,
@@ -72,34 +72,34 @@
     private val jobEvents: JobEventHandler =
         JobEventHandler(context, cluster, splitting, orphans, commands, autoscaler) { job -> writes.markDirty(job) }
 
-    /** Jobs that wait for others. */
+    /** Jobs that wait for their dependencies. */
     val dependencies: JobDependencies = JobDependencies(context, cluster, deadlines, jobEvents::dependenciesDone)
     private val writes = RecordWriteScheduler(context, cluster, commands, dependencies, splitting, ::jobRemoved)
 
-    /** Jobs whose tasks may run; those that wait for others are in [dependencies]. */
+    /** Jobs whose tasks may run. Jobs that wait for their dependencies are in [dependencies]. */
     val jobs: Map<String, Job> get() = cluster.jobs
     val machines: Map<String, Machine> get() = cluster.machines
 
     /** The fencing token with which commands are sent. */
     val token: Long get() = context.token
 
-    /** The steady time of the last step. */
+    /** The monotonic time of the last step. */
     val now: Duration get() = context.now
     val workCounters: WorkCounters get() = context.workCounters
 
     /** The orders that were given in this term. */
     val orderCounts: OrderCounts get() = context.orderCounts
 
-    /** Whether placements may be stored apart from their job's record. */
+    /** Whether placements may be stored outside their job's record. */
     val canSplitRecords: Boolean get() = splitting.isAllowed
 
     /**
-     * Runs [event] at the given steady time and time of day (since the epoch), and returns what has to be done.
+     * Runs [event] at the given monotonic and wall-clock time (since the epoch), and returns the resulting actions.
      */
     fun step(now: Duration, wallTime: Duration, event: Scheduler.() -> Unit): List<Action> {
         val gap = now - context.now
         context.beginStep(now, wallTime)
-        if (gap > STALL) processResumed(gap)
+        if (gap > STALL_THRESHOLD) processResumed(gap)
         event()
         if (placement.runIfDue()) autoscaler.plan()
         commands.flush()
@@ -108,7 +108,7 @@
         return context.takeActions()
     }
 
-    /** Time has passed: everything that depends on it is looked at. */
+    /** Runs all periodic checks. */
     fun tick() {
         failureDetector.tick()
         jobSupervisor.tick()
@@ -121,7 +121,7 @@
 
     // Jobs.
 
-    /** A job that is not over, whether it waits for others or not. */
+    /** Returns a job without a final state, whether or not it waits for its dependencies. */
     fun job(id: String): Job? = dependencies.findJob(id)
 
     /** A job record was read from the key-value store. */
@@ -134,53 +134,53 @@
         }
     }
 
-    /** The job's cancellation is stored under [version] since [at], a time of day. */
+    /** The job's cancellation was stored under [version] at [at], a wall-clock time. */
     fun jobCancelled(id: String, version: Long, at: Duration) {
         job(id)?.let { jobEvents.jobCancelled(it, version, at, dependencies) }
     }
 
-    /** The job's record is gone from the live jobs: it has its final state. */
+    /** The job's record was removed from the live jobs because the job has its final state. */
     fun jobRemoved(id: String) {
         dependencies.jobRemoved(id)
         jobEvents.jobEnded(id)
     }
 
-    /** The final states of jobs as far as they could be read. */
-    fun finalStatesRead(asked: List<String>, found: Map<String, FinalState>) =
-        dependencies.finalStatesRead(asked, found)
+    /** The final states of the [requested] jobs were read; [found] holds those that could be read. */
+    fun finalStatesRead(requested: List<String>, found: Map<String, FinalState>) =
+        dependencies.finalStatesRead(requested, found)
 
     /** A transaction has ended. */
     fun transactionEnded(outcome: StoreOutcome) = writes.transactionEnded(outcome)
 
     // Stored forms.
 
-    /** Whether every controller was found to read split records. */
+    /** The controllers were asked whether all of them can read split records. */
     fun splitRecordSupportChecked(allReadSplitRecords: Boolean) {
         if (allReadSplitRecords) splitting.markSupportedByAll()
     }
 
-    /** Whether records must not be split, whatever else is known. */
+    /** Forbids or allows split records, regardless of what the controllers can read. */
     fun setSplittingForbidden(forbidden: Boolean) = splitting.setForbidden(forbidden)
 
-    /** What an earlier leader knew of the machines' image caches; used as each machine is heard. */
+    /** The image locations that an earlier leader stored were read; each is used once its machine sends a heartbeat. */
     fun imageLocationsRead(images: ImagesByMachine) = imageLocations.loadStored(images)
 
     // Machines.
 
-    /** A worker sent a heartbeat by itself; the commands for the answer. */
+    /** A worker sent a periodic heartbeat. Returns the commands for the answer. */
     fun heartbeatReceived(heartbeat: Heartbeat): List<Command> {
         val machine = heartbeats.process(heartbeat, HeartbeatSource.WORKER) ?: return emptyList()
         return if (machine.isTrusted) heartbeatReplyCommands.commandsFor(machine) else emptyList()
     }
 
-    /** A request with commands has ended; [heartbeat]: the worker's answer, if it gave one. */
+    /** A request with commands has ended. [heartbeat]: the worker's answer, if there was one. */
     fun commandsEnded(machine: String, request: SendCommands, outcome: CommandOutcome, heartbeat: Heartbeat?) {
         val known = machines[machine] ?: return
         commands.requestEnded(known, request, outcome)
         if (heartbeat != null) heartbeats.process(heartbeat, HeartbeatSource.REPLY)
     }
 
-    /** A probe has ended; [wasSent]: false if it was never sent, which says nothing of the machine. */
+    /** A probe has ended. [wasSent]: false if the probe was never sent, which says nothing about the machine. */
     fun probeEnded(machine: String, heartbeat: Heartbeat?, wasSent: Boolean = true) {
         val reachability = machines[machine]?.reachability
         if (heartbeat == null || heartbeat.machine != machine) {
@@ -189,7 +189,7 @@
         }
         reachability?.recordReachable(now)
         val processed = heartbeats.process(heartbeat, HeartbeatSource.REPLY) ?: return
-        // A worker that sends its heartbeats to another node learns of this leader's token here.
+        // A worker that sends its heartbeats to another node receives this leader's token in this request.
         val isIdle = !processed.requests.isInFlight && !processed.isDeleting
         if (processed.token < token && isIdle) commands.send(processed, emptyList())
     }
@@ -197,7 +197,7 @@
     /** The cloud's machine types were read. */
     fun machineTypesRead(types: List<MachineType>) = cluster.updateTypes(types)
 
-    /** The whole list of machines as the cloud gave it; it lags. */
+    /** The cloud returned its complete list of machines, which may lag behind their real state. */
     fun machinesListed(list: List<ListedMachine>) {
         cluster.applyList(list).forEach { deleter.delete(it, DeletionCause.FAILED) }
         hooks.observer.machinesListed(list, now)
@@ -213,13 +213,13 @@
         autoscaler.scaleOutAnswered(request, names.size)
     }
 
-    /** The cloud rented nothing. */
+    /** The cloud refused the request and rented nothing. */
     fun scaleOutRefused(request: ScaleOut) = autoscaler.scaleOutAnswered(request, 0)
 
-    /** No answer: the same request is sent again, which rents nothing twice. */
+    /** The request was not answered. The same request is sent again, which can't rent the machines twice. */
     fun scaleOutUnanswered(request: ScaleOut) = autoscaler.scaleOutUnanswered(request)
 
-    /** A request to delete machines has ended. The cloud's consent proves that they and all on them are gone. */
+    /** A deletion request has ended. If [ok], the cloud confirmed that the machines and all their tasks are gone. */
     fun deletionEnded(ids: List<String>, ok: Boolean) {
         for (id in ids) machines[id]?.let { if (ok) machineDeleted(it) else it.retryDeletionAt(now + DELETION_RETRY) }
         context.requestRound()
@@ -236,25 +236,26 @@
 
     // This process.
 
-    /** The fencing token was advanced; null: it was not. */
+    /** An attempt to advance the fencing token has ended; [newToken] is null if it failed. */
     fun fencingTokenAdvanced(newToken: Long?) = tokenAdvancer.advanceEnded(newToken)
 
-    /** Tells how far this process is behind with what comes in. */
+    /** The delay with which this process handles incoming events was measured. */
     fun backlogMeasured(backlog: Duration) = overload.backlogMeasured(backlog)
 
     /**
-     * The process stood still or could not lead for that long: what was not heard meanwhile proves nothing. Without
-     * this a leader that outlived an outage of the key-value store would conclude that it hears nobody, and resign.
+     * The process was stalled or could not lead for the duration of [gap], so missing heartbeats from that time prove
+     * nothing. Without this correction a leader that survived an outage of the key-value store would conclude that it
+     * is in contact with no machine, and resign.
      */
     fun processResumed(gap: Duration) {
         for (machine in machines.values) machine.reachability.excludeGap(gap, now)
     }
 
     /**
-     * Machines whose cancelled work has to be gone at [at]. While nobody can lead for want of the key-value store, to
-     * delete them is the one thing that is safe without leading: it starts nothing, and whoever leads next, or already
-     * does, sees machines that are gone. It costs what else is on them, so only the last moment justifies it, and only
-     * if the machine itself does not say that the work is gone.
+     * Returns the machines whose cancelled work has to be gone at [at]. While no node can lead because the key-value
+     * store is unavailable, deleting these machines is the only action that is safe without leadership: it starts
+     * nothing, and the current or next leader finds the machines gone. Other work on the machines is lost, so the
+     * deletion is justified only at the last moment, and only if the machine does not report that the work is gone.
      */
     fun overdueMachines(at: Duration): List<OverdueMachine> = cancelledWork.overdueMachines(at)
 
@@ -265,8 +266,8 @@
     fun latestStart(job: Job): Duration = deadlines.latestStart(job)
 
     private companion object {
-        /** After a longer gap between two steps this process stood still. */
-        val STALL = 3.seconds
+        /** A longer gap between two steps means that the process was stalled. */
+        val STALL_THRESHOLD = 3.seconds
         val DELETION_RETRY = 1.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/SchedulerConfig.kt
+++ b/src/main/kotlin/glenspool/core/SchedulerConfig.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What the scheduler needs to know of the deployment. */
+/** The settings of the deployment that the scheduler uses. */
 data class SchedulerConfig(
     val teams: List<Team>,
     val objectives: List<Objective>,
@@ -13,7 +13,7 @@
     val heartbeatInterval: Duration,
     /** How long a worker keeps its tasks without an answer to a heartbeat. */
     val lease: Duration,
-    /** How long a task of a gang waits for the others. */
+    /** How long a task of a gang waits for the other tasks. */
     val gangWait: Duration,
     /** How long the tasks of a gang take to notice that one of them is lost. */
     val gangPeer: Duration,
@@ -23,21 +23,21 @@
     val listLag: Duration,
     /** The largest number of changes in one transaction. */
     val txnOps: Int,
-    /** The number of changes that the key-value store takes in a second. */
+    /** The number of changes that the key-value store accepts in a second. */
     val writeRps: Double,
-    /** The largest size of a value, under the limits that hold now and those that may hold at any moment. */
+    /** The largest size of a value under both the current limits and those that may take effect at any moment. */
     val valueBytes: Int,
     val tuning: Tuning,
-    /** Zones of the other controllers: while one is cut off from this node, its workers are served there. */
+    /** Zones of other controllers, which serve the workers there while the zone is partitioned from this node. */
     val peerZones: Set<String> = emptySet(),
     /** Whether each placement and stop is logged. */
     val logsDetails: Boolean = true,
 ) {
-    /** A machine that was heard within this time is up to date enough for new work. */
+    /** A machine from which a heartbeat was received within this time may get new work. */
     val heartbeatFreshness: Duration get() = heartbeatInterval * FRESH_INTERVALS + FRESHNESS_MARGIN
 
     private companion object {
-        /** One heartbeat may be lost, and each is up to a quarter of the interval late. */
+        /** Allows for one lost heartbeat, and for a delay of each by up to a quarter of the interval. */
         const val FRESH_INTERVALS = 2.2
         val FRESHNESS_MARGIN = 1.seconds
     }
--- a/src/main/kotlin/glenspool/core/SchedulerHooks.kt
+++ b/src/main/kotlin/glenspool/core/SchedulerHooks.kt
@@ -1,29 +1,30 @@
 package glenspool.core
 
-/** What becomes of a stored placement whose machine shows that the task is not there. */
+/** How a stored placement is handled when its machine shows that the task is not there. */
 enum class MissingTaskPolicy {
-    /** The placement is given up, and the task waits for another one. */
+    /** The placement is removed, and the task waits for a new one. */
     RESCHEDULE,
 
     /**
      * The task is started again on the same machine under its stored placement and attempt, if the machine's own
-     * heartbeats are answered. That changes nothing of what is stored, and the image is there.
+     * heartbeats are answered. Nothing has to be stored for that, and the machine already has the image.
      */
     RESTORE,
 
-    /** The same, and a machine that has only answered requests so far is given time to send a heartbeat by itself. */
+    /** As [RESTORE], but a machine that has only replied to requests so far gets time to send its first heartbeat. */
     RESTORE_AND_WAIT,
 }
 
-/** What is attached to a scheduler from outside. */
+/** Extension points with which other components control and observe a scheduler. */
 class SchedulerHooks(
     val gate: OrderGate = OrderGate { true },
     val observer: ClusterObserver = object : ClusterObserver {},
     /**
-     * Whether a machine is fit for new work only while its own heartbeats are answered. A worker that answers commands
-     * may be unable to send heartbeats: its lease expires again and again, with all that it was given meanwhile.
+     * Whether a machine gets new work only while its own heartbeats are answered. A worker that replies to commands may
+     * be unable to send heartbeats. Its lease then expires repeatedly, and each time it loses the tasks that it was
+     * given in the meantime.
      */
     val newWorkRequiresWorkerHeartbeat: Boolean = false,
-    /** What becomes of a task that is gone from the machine where it was placed. */
+    /** How a task is handled that is missing on the machine where it was placed. */
     val missingTaskPolicy: () -> MissingTaskPolicy = { MissingTaskPolicy.RESCHEDULE },
 )
--- a/src/main/kotlin/glenspool/core/SchedulingContext.kt
+++ b/src/main/kotlin/glenspool/core/SchedulingContext.kt
@@ -4,8 +4,8 @@
 import kotlin.time.Duration
 
 /**
- * What all parts of a [Scheduler] share within one step: the time, the leader's fencing token, the settings, and the
- * list of actions that the step comes to. It knows nothing of jobs and machines.
+ * State that all components of a [Scheduler] share within one step: the time, the leader's fencing token, the settings,
+ * and the list of resulting actions. It does not hold jobs or machines.
  */
 class SchedulingContext(
     val config: SchedulerConfig,
@@ -20,11 +20,11 @@
     /** The token of the term's election. */
     val electionToken: Long = token
 
-    /** The steady time of this step. */
+    /** The monotonic time of this step. */
     var now: Duration = startedAt
         private set
 
-    /** The time of day of this step, as the time since the epoch. */
+    /** The wall-clock time of this step, as the time since the epoch. */
     var wallTime: Duration = Duration.ZERO
         private set
 
@@ -33,7 +33,7 @@
     /** The orders that were given in this term. */
     val orderCounts = OrderCounts()
 
-    /** Whether something has changed that placement has to look at. */
+    /** Whether a change requires another placement round. */
     var isRoundRequested: Boolean = true
         private set
 
@@ -45,12 +45,12 @@
         this.wallTime = wallTime
     }
 
-    /** Adds to the actions of this step. */
+    /** Adds an action to the result of this step. */
     fun addAction(action: Action) {
         actions.add(action)
     }
 
-    /** The actions of this step, once. */
+    /** Returns the actions of this step and clears the list. */
     fun takeActions(): List<Action> {
         val taken = actions.toList()
         actions.clear()
@@ -60,12 +60,12 @@
     /** Counts commands that leave the scheduler. */
     fun countOrders(commands: List<Command>) = commands.forEach { orderCounts.add(it.cause) }
 
-    /** Asks for a placement round soon. */
+    /** Requests a placement round. */
     fun requestRound() {
         isRoundRequested = true
     }
 
-    /** A placement round looks at everything that was asked for before. */
+    /** Marks the start of a placement round, which covers all earlier requests. */
     fun beginRound() {
         isRoundRequested = false
     }
@@ -75,7 +75,7 @@
         token = newToken
     }
 
-    /** Writes a line to the log; details only if the deployment asks for them. */
+    /** Logs a line. A line that is not important is logged only if the deployment's settings ask for details. */
     fun log(isImportant: Boolean = false, text: () -> String) {
         if (isImportant || config.logsDetails) addAction(LogMessage(text(), isImportant))
     }
--- a/src/main/kotlin/glenspool/core/Tuning.kt
+++ b/src/main/kotlin/glenspool/core/Tuning.kt
@@ -4,27 +4,28 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Values that operators may set by script; all have defaults that suit any deployment. Times that depend on
- * the deployment are derived from its settings instead and are not here.
+ * Values that operators may set by script. All have defaults that suit any deployment. Times that depend on the
+ * deployment are derived from its settings instead.
  */
 data class Tuning(
     /** RUPAM's resource factor: how far a memory request must outweigh the CPU request. */
     val resourceFactor: Double = 2.0,
     val roundPeriod: Duration = 1.seconds,
-    /** After this long a gang has freed machines held for it. */
+    /** Machines that become free are reserved for a gang that has waited this long. */
     val gangWaitBound: Duration = 10.seconds,
     /**
-     * After this long a job that has not begun goes before all others of its priority; twice as long for one that has.
+     * A job that has waited this long is placed before all others of its priority. The time is doubled for a job that
+     * has already started.
      */
     val waitBound: Duration = 100.seconds,
-    /** An ordinary machine that has been empty for this long is returned. */
+    /** An ordinary machine that has been idle for this long is returned to the cloud. */
     val idleReturnDelay: Duration = 20.seconds,
-    /** Share of a lease after which a silent machine is replaced. */
+    /** The share of a lease after which a silent machine is replaced. */
     val silenceShare: Double = 0.3,
-    /** Spare places kept for critical services, as a multiple of what arrives while a machine boots. */
+    /** Spare capacity for critical services, as a multiple of the demand that arrives while a machine boots. */
     val headroom: Double = 1.0,
-    /** A machine that has not come up after this many usual boot times is replaced. */
+    /** The multiple of the usual boot time after which a machine that has not come up is replaced. */
     val bootTimeoutFactor: Double = 2.5,
-    /** How long a refused kind of machine is not asked for again. */
+    /** How long a kind of machine is not requested again after the cloud refused it. */
     val refusalRetryDelay: Duration = 15.seconds,
 )
--- a/src/main/kotlin/glenspool/core/WarmUpFleet.kt
+++ b/src/main/kotlin/glenspool/core/WarmUpFleet.kt
@@ -23,12 +23,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A simulated fleet with a [Scheduler] of its own: placements, starts, heartbeats, results, cancellations and lists, in
- * simulated time. Nothing of it leaves this object. It is there to run the code that a leader runs (see
- * `controller.WarmUp`).
+ * A simulated fleet with a separate [Scheduler] that processes placements, starts, heartbeats, results, cancellations
+ * and machine lists in simulated time, without effects outside this object. Its purpose is to warm up the code that a
+ * leader runs, see `controller.WarmUp`.
  */
 class WarmUpFleet(config: SchedulerConfig, hooks: SchedulerHooks = SchedulerHooks()) {
-    private class SimulatedTask(val attempt: Long, var turnsLeft: Int)
+    private class SimulatedTask(val attempt: Long, var remainingCycles: Int)
 
     private val team = config.teams.maxByOrNull { it.gpusMax ?: Double.MAX_VALUE }?.name ?: ""
     private val zone = config.zones.first()
@@ -44,28 +44,35 @@
     private var revision = 1L
     private var jobCount = 0
 
-    /** The last messages, to warm up the code outside the scheduler with. */
+    /** The last heartbeat, used to warm up code outside the scheduler. */
     var lastHeartbeat: Heartbeat = heartbeat(0)
         private set
+
+    /** The last changes to store, used to warm up code outside the scheduler. */
     var lastStoreChanges: StoreChanges? = null
         private set
 
-    /** Tasks that were started, and jobs whose final state was stored, so far. */
+    /** The number of tasks that were started so far. */
     var startedTasks = 0
         private set
+
+    /** The number of jobs whose final state was stored so far. */
     var endedJobs = 0
         private set
 
-    /** Jobs that are not over. */
+    /** The number of jobs without a final state. */
     val liveJobs: Int get() = scheduler.jobs.size
 
     init {
         step { machineTypesRead(listOf(type)) }
     }
 
-    /** One turn of a leader's life: a job comes, one may be cancelled, every machine sends a heartbeat, time passes. */
+    /**
+     * Runs one cycle of a leader's work: a job is submitted, one may be cancelled, every machine sends a heartbeat, and
+     * time passes.
+     */
     fun runCycle() {
-        now += TURN
+        now += CYCLE
         submit()
         if (jobCount % JOBS_PER_CANCELLATION == 0) step { jobCancelled("job-${jobCount - 2}", ++revision, now) }
         for (machine in 0 until MACHINES) sendHeartbeat(machine)
@@ -78,7 +85,7 @@
 
     private fun sendHeartbeat(machine: Int) {
         now += 1.milliseconds
-        tasks[machine].values.forEach { it.turnsLeft-- }
+        tasks[machine].values.forEach { it.remainingCycles-- }
         lastHeartbeat = heartbeat(machine)
         var commands = emptyList<Command>()
         step { commands = heartbeatReceived(lastHeartbeat) }
@@ -125,30 +132,30 @@
         )
 
     private fun status(key: TaskKey, task: SimulatedTask): TaskStatus {
-        val isRunning = task.turnsLeft > 0
+        val isRunning = task.remainingCycles > 0
         val state = if (isRunning) TaskState.RUNNING else TaskState.EXITED
         return TaskStatus(key, task.attempt, state, if (isRunning) null else ExitReason.DONE, false)
     }
 
     private fun execute(machine: Int, command: Command) {
-        val onMachine = tasks[machine]
+        val tasksOnMachine = tasks[machine]
         when (command) {
             is StartTask -> {
-                val task = SimulatedTask(command.attempt, TURNS_PER_TASK)
-                if (onMachine.putIfAbsent(command.key, task) == null) startedTasks++
+                val task = SimulatedTask(command.attempt, CYCLES_PER_TASK)
+                if (tasksOnMachine.putIfAbsent(command.key, task) == null) startedTasks++
             }
-            is StopTask -> onMachine[command.key]?.turnsLeft = 0
-            is ForgetTask -> onMachine.remove(command.key)
+            is StopTask -> tasksOnMachine[command.key]?.remainingCycles = 0
+            is ForgetTask -> tasksOnMachine.remove(command.key)
         }
     }
 
-    /** Every action is answered at once, as without any faults. */
+    /** Runs one step of the scheduler and answers all resulting actions immediately, as in a cluster without faults. */
     private fun step(event: Scheduler.() -> Unit) {
-        val open = ArrayDeque(scheduler.step(now, now, event))
-        var answersLeft = MAX_ANSWERS
-        while (open.isNotEmpty() && answersLeft-- > 0) {
-            val answer = answerTo(open.removeFirst()) ?: continue
-            open.addAll(scheduler.step(now, now, answer))
+        val pending = ArrayDeque(scheduler.step(now, now, event))
+        var remainingAnswers = MAX_ANSWERS
+        while (pending.isNotEmpty() && remainingAnswers-- > 0) {
+            val answer = answerTo(pending.removeFirst()) ?: continue
+            pending.addAll(scheduler.step(now, now, answer))
         }
     }
 
@@ -174,8 +181,8 @@
 
     private companion object {
         const val MACHINES = 12
-        val TURN = 250.milliseconds
-        const val TURNS_PER_TASK = 4
+        val CYCLE = 250.milliseconds
+        const val CYCLES_PER_TASK = 4
         const val MAX_ANSWERS = 50
         const val JOBS_PER_CANCELLATION = 5
         const val JOBS_PER_GANG = 4
--- a/src/main/kotlin/glenspool/core/WorkCounters.kt
+++ b/src/main/kotlin/glenspool/core/WorkCounters.kt
@@ -1,17 +1,17 @@
 package glenspool.core
 
 /**
- * Counts of what the scheduler has done so far. Processor time can't be asserted in a test, and differs from machine to
- * machine; these can, and show whether the work of an event grows with the fleet.
+ * Counts the scheduler's work. Processor time can't be asserted in a test, because it differs between machines. These
+ * counts can be asserted, and show whether the work per event grows with the size of the fleet.
  */
 class WorkCounters {
     /** Machines scored for a job. */
     var placementScores = 0L
 
-    /** Jobs looked at for what has to be stored. */
+    /** Jobs checked for changes to store. */
     var storeScans = 0L
 
-    /** Machines looked at for commands to send. */
+    /** Machines checked for commands to send. */
     var commandScans = 0L
 
     /** Placement rounds. */
--- a/src/main/kotlin/glenspool/core/lifecycle/DoneBits.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/DoneBits.kt
@@ -3,13 +3,13 @@
 import glenspool.core.UpdateJobRecord
 import glenspool.core.model.JobRecord
 
-/** Large jobs store their done bits in chunks of their own; others in the record. */
+/** Whether done bits are stored in separate chunks, as for large jobs, instead of in the record. */
 private val Job.storesDoneInChunks: Boolean get() = spec.tasks > JobRecord.MAX_INLINE_TASKS
 
-/** At most so many chunks go into one transaction. */
+/** The maximum number of chunks in one transaction. */
 private const val MAX_CHUNKS_PER_WRITE = 2
 
-/** Chunks with results that are not known to be stored; a few of them. */
+/** Returns up to [MAX_CHUNKS_PER_WRITE] chunks with results that are not known to be stored. */
 fun Job.dirtyChunks(): List<Int> {
     if (!storesDoneInChunks) return emptyList()
     val chunks = LinkedHashSet<Int>()
@@ -22,8 +22,8 @@
 }
 
 /**
- * The write was stored. Of a large job only the chunks that were written count: a worker may forget a result only when
- * its own bit is stored.
+ * Marks the results in a stored [write] as stored. For a large job these are only the tasks in the written chunks,
+ * because a worker may forget a result only when the bit of that task is stored.
  */
 fun Job.markDoneStored(write: UpdateJobRecord) {
     if (!storesDoneInChunks) {
@@ -40,6 +40,6 @@
     }
 }
 
-/** Whether results of a large job are left after [write] for the next one. */
+/** Whether results of a large job remain to be stored after [write]. */
 fun Job.hasUnstoredChunksAfter(write: UpdateJobRecord): Boolean =
     storesDoneInChunks && !write.record.done.isEmpty && dirtyChunks().isNotEmpty()
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -12,12 +12,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A live job as the leader knows it. [onDirty] is told of every change that may have to be stored, so that nobody has
- * to look through all jobs for those that changed.
+ * The leader's state of a live job. [onDirty] is called for every change that may have to be stored, so that changed
+ * jobs are found without a scan of all jobs.
  */
 class Job(
     record: JobRecord,
-    /** The version of its record in the key-value store. */
+    /** The version of the job's record in the key-value store. */
     var version: Long,
     val parts: PlacementParts = PlacementParts(Int.MAX_VALUE, Int.MAX_VALUE),
     private val onDirty: (Job) -> Unit = {},
@@ -25,34 +25,34 @@
     val spec: JobSpec = record.spec
     val resourceRequest: Resources get() = spec.resourceRequest
 
-    /** When it was accepted, as a time of day. */
+    /** The wall-clock time at which the job was accepted. */
     val submittedAt: Duration = record.submittedAt
 
-    /** When the job became known here, in steady time. */
+    /** The monotonic time at which this leader read the job, or its dependencies were done. */
     var knownSince: Duration = Duration.ZERO
 
-    /** The number of parts that hold its description, stored apart from the record. */
+    /** The number of parts that hold the job's description outside the record. */
     var descriptionPartCount = record.descriptionPartCount
 
     // Dependencies, see JobDependencies.
 
-    /** None of its tasks may be placed before its dependencies are done; [waitingTaskCount] holds that. */
+    /** Whether dependencies are not done yet. No task may be placed before; [waitingTaskCount] is 0 until then. */
     var waitsForDependencies = record.dependencies.isNotEmpty()
         private set
 
-    /** When the last dependency was done, by the time of day. */
+    /** The wall-clock time at which the last dependency was done. */
     var dependenciesDoneAt: Duration? = record.dependenciesDoneAt
         private set
 
-    /** The cancelled job that it depends on, directly or through others: it can only be closed. */
+    /** The cancelled job on which this job depends, directly or indirectly. An aborted job can only be closed. */
     var abortedBy: String? = null
         private set
 
-    /** The highest priority of the jobs that depend on it. */
+    /** The highest priority of the jobs that depend on this job. */
     var inheritedPriority: Priority? = null
         private set
 
-    /** By when it should be done so that its dependents can meet their deadlines, by the time of day. */
+    /** The wall-clock time by which the job should be done so that its dependents can meet their deadlines. */
     var inheritedDeadline: Duration? = null
         private set
 
@@ -62,49 +62,49 @@
     val done: BitSet = record.done.clone() as BitSet
     private var doneCount = done.cardinality()
 
-    /** Tasks that are known to be stored as done; only these may be forgotten by their workers. */
+    /** Tasks that are known to be stored as done. Workers may forget only these. */
     val storedDone: BitSet = record.done.clone() as BitSet
 
-    /** The highest attempt number so far. */
+    /** The highest attempt number of any task of the job so far. */
     var lastAttempt: Long = record.lastAttempt
         private set
     private val placed = Int2ObjectRBTreeMap<Placement>()
 
-    /** Placements of tasks that are not done; kept as a count, since every placement round asks for it. */
+    /** The number of placements of tasks that are not done. It is cached because every placement round needs it. */
     private var placedNotDone = 0
 
-    /** Placements by task, in order. */
+    /** Placements by task number, in ascending order. */
     val placements: Map<Int, Placement> get() = placed
 
-    /** Tasks that are on machines without a placement, and those machines. */
+    /** Orphaned tasks, which run without a placement, and their machines. */
     val orphans = HashMap<TaskKey, MutableSet<String>>()
 
     // Cancellation and end.
 
-    /** The version of its cancellation in the key-value store; null: it is not cancelled. */
+    /** The version of the job's cancellation in the key-value store, or null if it is not cancelled. */
     var cancelVersion: Long? = null
         private set
 
-    /** When it was cancelled, in steady time. */
+    /** The monotonic time at which the job was cancelled. */
     var cancelledAt: Duration? = null
         private set
 
-    /** Whether its final state is stored. */
+    /** Whether the job's final state is stored. */
     var isFinished = false
         private set
 
-    /** What of it is stored, and what is still to be stored. */
+    /** Which changes of the job are stored, and which remain to be stored. */
     val storeState = JobStoreState()
 
-    // Placing.
+    // Placement.
 
-    /** Machines on which a task of it failed. */
+    /** Machines on which a task of the job failed. */
     val failedMachines = LinkedHashSet<String>()
 
-    /** No task is placed before this time; null: at any time. */
+    /** The time before which no task is placed, or null if there is no retry delay. */
     var retryAfter: Duration? = null
 
-    /** Resources are being freed for it on a machine with its image until about then; set once in its life. */
+    /** The estimated time by which resources are freed for the job on a machine with its image; set at most once. */
     var resourcesExpectedBy: Duration? = null
 
     /** The attempt number that the tasks of a placed gang share. */
@@ -115,60 +115,60 @@
 
     val isCancelled: Boolean get() = cancelVersion != null
 
-    /** Whether it is neither cancelled nor over. */
+    /** Whether the job is neither cancelled nor finished. */
     val isLive: Boolean get() = !isCancelled && !isFinished
 
-    /** Whether all of its tasks are done. */
+    /** Whether all tasks of the job are done, which never holds for a service. */
     val isComplete: Boolean get() = spec.kind != JobKind.SERVICE && doneCount >= spec.tasks
 
-    /** Whether any of its tasks ever had a placement or a result. */
+    /** Whether any task of the job ever had a placement or a result. */
     val hasStarted: Boolean get() = lastAttempt > 0
 
-    /** A job counts as much as any that depends on it. */
+    /** The higher of the job's own priority and the priorities of the jobs that depend on it. */
     val effectivePriority: Priority get() = inheritedPriority?.let { maxOf(it, spec.priority) } ?: spec.priority
 
-    /** Times other than its deadline count from here. */
+    /** The start of the job's waiting time. Only its deadline counts from the submission instead. */
     val waitingSince: Duration get() = dependenciesDoneAt ?: submittedAt
 
-    /** By when it should be done, by its own deadline or that of dependents, by the time of day. */
+    /** The wall-clock time by which the job should be done, from its own deadline and those of its dependents. */
     val dueBy: Duration?
         get() {
             val own = spec.deadline?.let { submittedAt + it } ?: return inheritedDeadline
             return inheritedDeadline?.let { minOf(own, it) } ?: own
         }
 
-    /** The grace that a stopped task needs to write a checkpoint. */
-    val checkpointGrace: Duration get() = spec.checkpointDuration + GRACE_MARGIN
+    /** The grace period that a stopped task needs to write a checkpoint. */
+    val checkpointGrace: Duration get() = spec.checkpointDuration + STOP_DELIVERY_MARGIN
 
-    /** Something that must be stored before the work can go on; the number of this change. */
+    /** Adds a change that must be stored before work can continue. Returns the number of the change. */
     fun addUrgentChange(): Long {
         markDirty()
         return storeState.addUrgentChange()
     }
 
-    /** Something that should be stored within a while. */
+    /** Adds a change that may be stored with a delay. */
     fun addDeferredChange(now: Duration) {
         storeState.addDeferredChange(now)
         markDirty()
     }
 
-    /** It may have something to store. */
+    /** Reports that the job may have changes to store. */
     fun markDirty() = onDirty(this)
 
-    /** All dependencies are done: from now on it is like any other job. */
+    /** All dependencies are done, so the job's tasks may be placed from now on. */
     fun dependenciesDone(wallTime: Duration, now: Duration) {
         waitsForDependencies = false
         dependenciesDoneAt = wallTime
         knownSince = now
     }
 
-    /** A job that it depends on was cancelled. */
+    /** Aborts the job because the job [by], on which it depends directly or indirectly, was cancelled. */
     fun abort(by: String) {
         abortedBy = by
         markDirty()
     }
 
-    /** Takes over priority and deadline from dependents. True if either has changed. */
+    /** Sets the priority and deadline inherited from dependents. Returns whether either has changed. */
     fun inherit(priority: Priority?, deadline: Duration?): Boolean {
         if (priority == inheritedPriority && deadline == inheritedDeadline) return false
         inheritedPriority = priority
@@ -176,36 +176,36 @@
         return true
     }
 
-    /** Its cancellation was stored under [version], at [at] in steady time. */
+    /** Marks the job as cancelled. The cancellation is stored under [version] since [at], a monotonic time. */
     fun cancel(version: Long, at: Duration) {
         cancelVersion = version
         cancelledAt = at
     }
 
-    /** Its cancellation is now stored under [version]. */
+    /** Updates the [version] of a cancellation that was stored again. */
     fun updateCancelVersion(version: Long) {
         cancelVersion = version
     }
 
-    /** Its final state is stored. */
+    /** Marks the job's final state as stored. */
     fun markFinished() {
         isFinished = true
     }
 
-    /** A new attempt number. */
+    /** Returns a new attempt number. */
     fun newAttempt(): Long = ++lastAttempt
 
-    /** The task's placement, if it has one. */
+    /** Returns the task's placement, if it has one. */
     fun placementOf(task: Int): Placement? = placed.get(task)
 
-    /** Adds a new placement; [maySplit]: whether it may be stored apart from the record. */
+    /** Adds a new placement. [maySplit]: whether it may be stored outside the record. */
     fun addPlacement(placement: Placement, maySplit: Boolean) {
         removePlacement(placement.task)
         parts.add(placement, maySplit)
         add(placement)
     }
 
-    /** Adds a placement that is stored in [part] already. */
+    /** Adds a placement that is already stored in [part]. */
     fun restore(placement: Placement, part: Int) {
         removePlacement(placement.task)
         parts.put(placement, part)
@@ -224,13 +224,13 @@
         if (!done[task]) placedNotDone--
     }
 
-    /** Whether placements are stored apart from the record. */
+    /** Whether placements are stored outside the record. */
     val isSplit: Boolean get() = placed.values.any { it.part != PlacementParts.RECORD }
 
-    /** Brings such placements back into the record as far as it has space. Whether any was moved. */
+    /** Moves such placements back into the record as far as it has space. Returns whether any was moved. */
     fun mergeParts(): Boolean = parts.mergeIntoRecord(placed.values)
 
-    /** The task's result is known. */
+    /** Marks the task as done because its result is known. */
     fun markTaskDone(task: Int) {
         if (done[task]) return
         if (placed.containsKey(task)) placedNotDone--
@@ -238,15 +238,15 @@
         doneCount++
     }
 
-    /** The results of all tasks are known. */
+    /** Marks all tasks as done because their results are known. */
     fun markAllTasksDone() {
         for (task in 0 until spec.tasks) markTaskDone(task)
     }
 
-    /** Tasks that are neither done nor placed nor orphaned, lowest first, at most [limit]. */
+    /** Returns up to [limit] tasks that are neither done nor placed nor orphaned, in ascending order. */
     fun waitingTasks(limit: Int): List<Int> {
         if (waitingTaskCount() <= 0) return emptyList()
-        val result = ArrayList<Int>(minOf(limit, INITIAL_LIST_SIZE))
+        val result = ArrayList<Int>(minOf(limit, INITIAL_LIST_CAPACITY))
         var task = done.nextClearBit(0)
         while (task < spec.tasks && result.size < limit) {
             if (!placed.containsKey(task) && !isOrphaned(task)) result.add(task)
@@ -260,7 +260,7 @@
     /** Whether any task waits to be placed. */
     fun hasWaitingTask(): Boolean = waitingTasks(1).isNotEmpty()
 
-    /** How many tasks wait to be placed; orphaned ones count as waiting. */
+    /** Returns the number of tasks that wait to be placed. Orphaned tasks count as waiting. */
     fun waitingTaskCount(): Int =
         if (isCancelled ||
             isFinished ||
@@ -271,7 +271,7 @@
             spec.tasks - doneCount - placedNotDone
         }
 
-    /** The job as it has to be stored. */
+    /** Returns the record to be stored for the job. */
     fun record() =
         JobRecord(
             spec = spec,
@@ -289,8 +289,8 @@
         )
 
     /**
-     * What stopping the task now would lose: the fetch of its image as far as it has come, and progress without a
-     * checkpoint. [fetch]: how long a fetch usually takes.
+     * Returns the time of work that is lost if the task is stopped now: the fetch of its image up to now, and progress
+     * without a checkpoint. [fetch]: how long a fetch usually takes.
      */
     fun lostWork(placement: Placement, now: Duration, fetch: Duration): Duration {
         val runTime = placement.runningSince?.let { now - it } ?: return minOf(now - placement.createdAt, fetch)
@@ -299,8 +299,8 @@
     }
 
     private companion object {
-        /** From the decision to stop a task until its worker has been told. */
-        val GRACE_MARGIN = 2.seconds
-        const val INITIAL_LIST_SIZE = 16
+        /** The time from the decision to stop a task until its worker receives the command. */
+        val STOP_DELIVERY_MARGIN = 2.seconds
+        const val INITIAL_LIST_CAPACITY = 16
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
@@ -10,13 +10,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Jobs that wait for others. They are kept apart from the jobs that placement rounds look at, and join them only when
- * every dependency is known to be *stored* as done: by this leader's own confirmed change, or by reading the final
- * state. Nothing else counts, neither a worker's result nor a live record that is gone, which may mean done, cancelled
- * or not yet seen. A cancellation is for ever once it is stored, so that aborts all dependents at once.
+ * Jobs that wait for their dependencies. They are kept separate from the jobs that placement rounds consider, and join
+ * them only when every dependency is known to be *stored* as done: either this leader's change was confirmed, or the
+ * final state was read. Neither a worker's result nor a missing live record is sufficient, because a missing record may
+ * mean that the job is done, cancelled or not yet read. A stored cancellation is final, so it aborts all direct and
+ * indirect dependents immediately.
  *
- * A job counts as much as any that depends on it: priority and deadline go up the chain from where users set them.
- * [onReady] is told of each job whose dependencies are done.
+ * A job inherits the highest priority and the earliest deadline of the jobs that depend on it, directly or indirectly.
+ * [onReady] is called for each job whose dependencies are done.
  */
 class JobDependencies(
     private val context: SchedulingContext,
@@ -26,40 +27,40 @@
 ) {
     private class WaitingJob(val job: Job, val dependencies: List<String>) {
         /** Dependencies that are not known to be done. */
-        val open = LinkedHashSet(dependencies)
+        val unfinished = LinkedHashSet(dependencies)
     }
 
     private val waitingJobs = LinkedHashMap<String, WaitingJob>()
 
-    /** The jobs that depend on a job; kept as long as there are any. */
+    /** The jobs that depend on a job. A job without dependents has no entry. */
     private val dependents = HashMap<String, LinkedHashSet<String>>()
 
-    /** Final states of jobs that others depend on. */
+    /** Known final states of jobs that have dependents. */
     private val finalStates = HashMap<String, FinalState>()
 
-    /** Jobs whose final state has to be read. */
-    private val unknown = LinkedHashSet<String>()
+    /** Jobs whose final state is unknown and has to be read. */
+    private val unknownFinalStates = LinkedHashSet<String>()
     private var isReading = false
-    private var readAfter = context.startedAt
+    private var nextReadAt = context.startedAt
 
-    /** The number of jobs that wait. */
+    /** The number of jobs that wait for their dependencies. */
     val size: Int get() = waitingJobs.size
 
-    /** The job if it waits for others. */
+    /** Returns the job if it waits for its dependencies. */
     operator fun get(id: String): Job? = waitingJobs[id]?.job
 
-    /** A job that is not over, whether it waits for others or not. */
+    /** Returns a job without a final state, whether or not it waits for its dependencies. */
     fun findJob(id: String): Job? = cluster.jobs[id] ?: get(id)
 
-    /** A job that waits for [dependencies] was stored. */
+    /** Adds a stored job that waits for [dependencies]. */
     fun add(job: Job, dependencies: List<String>) {
         val id = job.spec.id
         val waiting = WaitingJob(job, dependencies)
         waitingJobs[id] = waiting
-        // It may have been stored, and seen, before this one: then it has its dependents already.
+        // A dependency may have been stored and read before this job.
         for (dependency in dependencies) dependents.getOrPut(dependency) { LinkedHashSet() }.add(id)
         for (dependency in dependencies) checkDependency(waiting, dependency)
-        if (waiting.open.isEmpty()) release(waiting) else updateInheritance(dependencies)
+        if (waiting.unfinished.isEmpty()) release(waiting) else updateInheritance(dependencies)
     }
 
     private fun checkDependency(waiting: WaitingJob, dependency: String) {
@@ -67,23 +68,23 @@
         val abortedBy = live?.abortedBy
         val finalState = finalStates[dependency]
         when {
-            finalState == FinalState.DONE -> waiting.open.remove(dependency)
+            finalState == FinalState.DONE -> waiting.unfinished.remove(dependency)
             finalState == FinalState.CANCELLED -> abort(listOf(waiting.job.spec.id), dependency)
-            live == null -> unknown.add(dependency)
+            live == null -> unknownFinalStates.add(dependency)
             live.isCancelled -> abort(listOf(waiting.job.spec.id), dependency)
             abortedBy != null -> abort(listOf(waiting.job.spec.id), abortedBy)
         }
     }
 
-    /** The job is live: its final state need not be read for those that were seen before it. */
+    /** A live job was added, so its final state need not be read for dependents that were read before it. */
     fun jobAdded(id: String) {
-        unknown.remove(id)
+        unknownFinalStates.remove(id)
         if (id in dependents) updateInheritance(listOf(id))
     }
 
-    /** The job's final state is stored. */
+    /** The job's final state was stored. */
     fun jobEnded(id: String, state: FinalState) {
-        unknown.remove(id)
+        unknownFinalStates.remove(id)
         val waiting = dependents[id] ?: return
         finalStates[id] = state
         if (state == FinalState.CANCELLED) {
@@ -92,59 +93,59 @@
         }
         for (dependent in waiting.toList()) {
             val waitingJob = waitingJobs[dependent] ?: continue
-            waitingJob.open.remove(id)
-            if (waitingJob.open.isEmpty() && waitingJob.job.abortedBy == null) release(waitingJob)
+            waitingJob.unfinished.remove(id)
+            if (waitingJob.unfinished.isEmpty() && waitingJob.job.abortedBy == null) release(waitingJob)
         }
     }
 
-    /** The job's cancellation is stored: it will never be done, and what it waited for counts for itself again. */
+    /** The job's cancellation was stored, so it will never be done, and its dependencies no longer inherit from it. */
     fun jobCancelled(id: String) {
         abortDependents(id)
         waitingJobs[id]?.let { updateInheritance(it.dependencies) }
     }
 
-    /** The job is not live any more; unless its final state is known, it has to be read. */
+    /** The job's live record was removed. If it has dependents and its final state is unknown, that has to be read. */
     fun jobRemoved(id: String) {
         waitingJobs.remove(id)?.let { waiting ->
             waiting.job.markFinished()
-            leave(waiting)
+            removeFromDependents(waiting)
         }
-        if (!dependents[id].isNullOrEmpty() && finalStates[id] == null) unknown.add(id)
+        if (!dependents[id].isNullOrEmpty() && finalStates[id] == null) unknownFinalStates.add(id)
     }
 
-    /** Reads final states that are not known, a few at a time: the key-value store takes few requests. */
+    /** Requests unknown final states, a few at a time because the key-value store accepts few requests. */
     fun requestFinalStates() {
-        if (isReading || unknown.isEmpty() || context.now < readAfter) return
+        if (isReading || unknownFinalStates.isEmpty() || context.now < nextReadAt) return
         isReading = true
-        context.addAction(ReadFinalStates(unknown.take(MAX_READS)))
+        context.addAction(ReadFinalStates(unknownFinalStates.take(MAX_STATES_PER_READ)))
     }
 
-    /** The final states that were found of those [asked] for; the others are asked for again after a while. */
-    fun finalStatesRead(asked: List<String>, found: Map<String, FinalState>) {
+    /** Final states of the [requested] jobs were read. Those that are not in [found] are read again after a delay. */
+    fun finalStatesRead(requested: List<String>, found: Map<String, FinalState>) {
         isReading = false
-        if (found.size < asked.size) readAfter = context.now + READ_PAUSE
-        for (id in asked) {
+        if (found.size < requested.size) nextReadAt = context.now + READ_RETRY_DELAY
+        for (id in requested) {
             val state = found[id]
             if (state != null) {
                 jobEnded(id, state)
-            } else if (unknown.remove(id)) {
-                unknown.add(id)
+            } else if (unknownFinalStates.remove(id)) {
+                unknownFinalStates.add(id)
             }
         }
     }
 
     private fun release(waiting: WaitingJob) {
         waitingJobs.remove(waiting.job.spec.id)
-        leave(waiting)
+        removeFromDependents(waiting)
         onReady(waiting.job)
     }
 
-    /** It waits no more, so what it waited for counts for itself again. */
-    private fun leave(waiting: WaitingJob) {
+    /** Removes a job that no longer waits from the dependents, so its dependencies no longer inherit from it. */
+    private fun removeFromDependents(waiting: WaitingJob) {
         for (dependency in waiting.dependencies) {
-            val others = dependents[dependency] ?: continue
-            others.remove(waiting.job.spec.id)
-            if (others.isEmpty()) forget(dependency)
+            val remaining = dependents[dependency] ?: continue
+            remaining.remove(waiting.job.spec.id)
+            if (remaining.isEmpty()) forget(dependency)
         }
         updateInheritance(waiting.dependencies)
     }
@@ -152,28 +153,28 @@
     private fun forget(dependency: String) {
         dependents.remove(dependency)
         finalStates.remove(dependency)
-        unknown.remove(dependency)
+        unknownFinalStates.remove(dependency)
     }
 
     private fun abortDependents(id: String) = abort(dependents[id].orEmpty(), id)
 
-    /** Aborts these jobs, and all that depend on them. A chain may be hundreds of jobs deep: no recursion. */
+    /** Aborts these jobs and all their dependents, without recursion because a chain may be hundreds of jobs deep. */
     private fun abort(ids: Collection<String>, cancelled: String) {
         val next = ArrayDeque(ids)
-        val freed = LinkedHashSet<String>()
+        val affected = LinkedHashSet<String>()
         while (next.isNotEmpty()) {
             val id = next.removeFirst()
             val waiting = waitingJobs[id] ?: continue
             if (waiting.job.abortedBy != null) continue
             waiting.job.abort(cancelled)
             context.log { "abort job=$id class=${waiting.job.spec.jobClass} by=$cancelled" }
-            freed.addAll(waiting.dependencies)
+            affected.addAll(waiting.dependencies)
             next.addAll(dependents[id].orEmpty())
         }
-        updateInheritance(freed)
+        updateInheritance(affected)
     }
 
-    /** Works out anew what [ids] inherit from their dependents, and so on up the chain where something changed. */
+    /** Recomputes what [ids] inherit from their dependents. A change is propagated to their own dependencies. */
     private fun updateInheritance(ids: Collection<String>) {
         val next = ArrayDeque(ids)
         while (next.isNotEmpty()) {
@@ -198,15 +199,15 @@
         return job.inherit(priority, deadline)
     }
 
-    /** When what the job waits for should be done: it has to be placed and fetch its image before it can begin. */
+    /** When the dependencies of the job should be done. The job still has to be placed and to fetch its image then. */
     private fun startBy(job: Job, dueBy: Duration): Duration =
-        deadlines.latestStart(job, dueBy) - HANDOVER - deadlines.fetchTime(job)
+        deadlines.latestStart(job, dueBy) - DEPENDENT_START_DELAY - deadlines.fetchTime(job)
 
     private companion object {
-        const val MAX_READS = 8
-        val READ_PAUSE = 1.seconds
+        const val MAX_STATES_PER_READ = 8
+        val READ_RETRY_DELAY = 1.seconds
 
-        /** From one job's last result to the next one's start, without the fetch. */
-        val HANDOVER = 2.seconds
+        /** The time from the last result of a job to the start of its dependent, without the image fetch. */
+        val DEPENDENT_START_DELAY = 2.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobEventHandler.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobEventHandler.kt
@@ -13,8 +13,8 @@
 import kotlin.time.DurationUnit
 
 /**
- * Applies what the key-value store tells of jobs: new records, cancellations, final states. [onDirty] is told of jobs
- * that may have something to store.
+ * Applies changes of jobs that were read from the key-value store: new records, cancellations and final states.
+ * [onDirty] is called for jobs that may have changes to store.
  */
 class JobEventHandler(
     private val context: SchedulingContext,
@@ -29,7 +29,7 @@
 
     private class LocatedPlacement(val placement: StoredPlacement, val part: Int)
 
-    /** A record of a job that is not known was read. */
+    /** A record of an unknown job was read. */
     fun newJobRead(record: JobRecord, version: Long, dependencies: JobDependencies) {
         val job = Job(record, version, splitting.partsFor(record.spec), onDirty)
         job.knownSince = now
@@ -44,12 +44,12 @@
         restorePlacements(job, record)
         orphans.adopt(job)
         if (job.isComplete) job.markDirty()
-        mayRun(job)
+        addRunnableJob(job)
     }
 
     /**
-     * An earlier leader may have started what is stored. The parts of a record are not all stored at the same moment:
-     * an older one may still name a task that has a newer placement by now.
+     * Restores the stored placements, which an earlier leader may have started. The parts of a record are not all
+     * written in one transaction, so an older part may still contain a task that has a newer placement in another part.
      */
     private fun restorePlacements(job: Job, record: JobRecord) {
         val outdatedParts = ArrayList<Int>()
@@ -82,7 +82,7 @@
         cluster.restore(placement, located.part)
     }
 
-    /** All dependencies of the job are done: from now on it is like any other. */
+    /** All dependencies of the job are done, so its tasks may be placed from now on. */
     fun dependenciesDone(job: Job) {
         job.dependenciesDone(context.wallTime, now)
         cluster.addJob(job)
@@ -90,15 +90,15 @@
             val waited = (context.wallTime - job.submittedAt).toDouble(DurationUnit.SECONDS)
             "dependencies-done job=${job.spec.id} class=${job.spec.jobClass} waited-s=$waited"
         }
-        mayRun(job)
+        addRunnableJob(job)
     }
 
-    private fun mayRun(job: Job) {
+    private fun addRunnableJob(job: Job) {
         autoscaler.jobArrived(job)
         context.requestRound()
     }
 
-    /** The job's cancellation is stored under [version] since [at], a time of day. */
+    /** The job's cancellation was stored under [version] at [at], a wall-clock time. */
     fun jobCancelled(job: Job, version: Long, at: Duration, dependencies: JobDependencies) {
         job.markDirty()
         if (job.isCancelled) {
@@ -109,7 +109,7 @@
         context.hooks.observer.jobCancelled(job.spec.id)
         dependencies.jobCancelled(job.spec.id)
         for (placement in job.placements.values.toList()) {
-            // No start of a placement that is neither stored nor being stored can be on its way.
+            // No start command can be in flight for a placement that is neither stored nor being stored.
             if (placement.stage == PlacementStage.PLANNED && !job.storeState.isWriteInFlight) {
                 cluster.removePlacement(placement)
             } else {
@@ -119,7 +119,7 @@
         context.requestRound()
     }
 
-    /** The job has its final state. */
+    /** The job reached its final state. */
     fun jobEnded(id: String) {
         context.hooks.observer.jobEnded(id)
         val job = cluster.removeJob(id) ?: return
--- a/src/main/kotlin/glenspool/core/lifecycle/JobStoreState.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobStoreState.kt
@@ -2,34 +2,34 @@
 
 import kotlin.time.Duration
 
-/** What of a job is stored, and what is still to be stored, see [RecordWriteScheduler]. */
+/** Tracks which changes of a job are stored and which remain to be stored, see [RecordWriteScheduler]. */
 class JobStoreState {
-    /** Counts changes that must be stored before the work can go on; [storedChanges] is the last stored one. */
+    /** The number of changes that must be stored before work can continue; [storedUrgentChanges] of them are stored. */
     var urgentChanges = 0L
         private set
-    private var storedChanges = 0L
+    private var storedUrgentChanges = 0L
 
-    /** Since when there has been something that should be stored within a while. */
+    /** Since when there has been a change that may be stored with a delay; null if there is none. */
     var deferredChangeSince: Duration? = null
         private set
     var isWriteInFlight = false
         private set
 
-    /** A change was too large for the key-value store: nothing is tried again before this. */
+    /** The time before which no write is attempted, because a change was too large for the key-value store. */
     var notBefore: Duration = Duration.ZERO
 
-    /** Whether there is something that must be stored before the work can go on. */
-    val hasUrgentChanges: Boolean get() = urgentChanges > storedChanges
+    /** Whether a change must be stored before work can continue. */
+    val hasUrgentChanges: Boolean get() = urgentChanges > storedUrgentChanges
 
-    /** Counts a change that must be stored before the work can go on; its number. */
+    /** Adds a change that must be stored before work can continue. Returns its number. */
     fun addUrgentChange(): Long = ++urgentChanges
 
-    /** Something should be stored within a while. */
+    /** Adds a change that may be stored with a delay. */
     fun addDeferredChange(now: Duration) {
         if (deferredChangeSince == null) deferredChangeSince = now
     }
 
-    /** A write is on its way; [includesResults]: it holds all that was to be stored later. */
+    /** A write was started. [includesResults]: whether it includes all deferred changes. */
     fun writeStarted(includesResults: Boolean) {
         isWriteInFlight = true
         if (includesResults) deferredChangeSince = null
@@ -40,12 +40,12 @@
         isWriteInFlight = false
     }
 
-    /** Everything up to the change is stored. */
+    /** Marks all urgent changes up to [change] as stored. */
     fun markStored(change: Long) {
-        storedChanges = change
+        storedUrgentChanges = change
     }
 
-    /** For failure messages. */
+    /** Used in test failure messages. */
     override fun toString() =
-        "changes=$storedChanges/$urgentChanges later=$deferredChangeSince inFlight=$isWriteInFlight"
+        "changes=$storedUrgentChanges/$urgentChanges later=$deferredChangeSince inFlight=$isWriteInFlight"
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobSupervisor.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Sees each job's placements through: starts and stops that had no effect are sent again, broken gangs are stopped. */
+/** Sends start and stop commands of placements again if they had no effect, and stops the tasks of broken gangs. */
 class JobSupervisor(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
@@ -21,7 +21,7 @@
 ) {
     private val now: Duration get() = context.now
 
-    /** Looks at all jobs. */
+    /** Checks all jobs. */
     fun tick() {
         for (job in cluster.jobs.values.toList()) if (job.placements.isNotEmpty()) supervise(job)
     }
@@ -37,11 +37,11 @@
     }
 
     private fun supervise(placement: Placement) {
-        // A placement that is observed and not being stopped needs nothing.
+        // A placement that is observed and not being stopped needs no action.
         if (placement.stage == PlacementStage.OBSERVED && placement.stopCause == null) return
         val machine = cluster.machines[placement.machine] ?: return
         if (isStoppedBeforeStart(placement, machine)) {
-            // No heartbeat would ever show that it ended.
+            // The task was never started, so no heartbeat would ever show that it ended.
             cluster.removePlacement(placement)
             placement.job.addDeferredChange(now)
             return
@@ -50,7 +50,7 @@
         retryStop(placement, machine)
     }
 
-    /** Its start was never sent, or surely not carried out. */
+    /** Whether a placement is stopped whose start command was never sent or was certainly not executed. */
     private fun isStoppedBeforeStart(placement: Placement, machine: Machine): Boolean {
         val isStopped = placement.stopCause != null && placement.stage == PlacementStage.STORED
         return isStopped &&
@@ -75,7 +75,7 @@
 
     private fun isStartUnanswered(placement: Placement, machine: Machine): Boolean {
         val sentAt = placement.startSentAt ?: return false
-        return now - sentAt > START_PATIENCE && machine.requests.unconfirmedStarts.any { it.key == placement.key }
+        return now - sentAt > START_TIMEOUT && machine.requests.unconfirmedStarts.any { it.key == placement.key }
     }
 
     private fun sendStart(placement: Placement, machine: Machine) =
@@ -86,9 +86,9 @@
         val cause = placement.stopCause ?: return
         if (placement.stage == PlacementStage.PLANNED) return
         val sentAt = placement.stopSentAt
-        val patience = maxOf(MIN_STOP_PATIENCE, context.config.heartbeatInterval)
-        if (sentAt != null && now - sentAt <= patience) return
-        // A task that writes its checkpoint is left alone, unless it is cancelled.
+        val timeout = maxOf(MIN_STOP_TIMEOUT, context.config.heartbeatInterval)
+        if (sentAt != null && now - sentAt <= timeout) return
+        // A task that writes a checkpoint is not stopped again unless it is cancelled.
         if (placement.taskState != TaskState.CHECKPOINTING || cause == StopCause.CANCELLED) {
             commands.add(machine, StopTask(placement.key, placement.attempt, placement.stopGrace, cause))
         }
@@ -96,8 +96,8 @@
     }
 
     /**
-     * A gang has been placed whose tasks are on machines with and without the image: those without start first, since a
-     * task that has its image gives up when the others take longer than the gang's waiting time.
+     * Defers the tasks of a newly placed gang that are on machines with the image while others have to fetch it. A task
+     * that has its image exits if the others take longer than the gang's waiting time.
      */
     fun deferTasksWithImage(gang: Job) {
         val (withImage, fetching) =
@@ -109,27 +109,27 @@
 
     private fun superviseGang(gang: Job) {
         val placements = gang.placements.values.toList()
-        val isWhole = placements.size >= gang.spec.tasks - gang.done.cardinality()
+        val isFullyPlaced = placements.size >= gang.spec.tasks - gang.done.cardinality()
         val isStopping = placements.any { it.stopCause != null }
-        if (isWhole && !isStopping) return startDeferred(placements)
-        // Placements that were only reserved are given up at once: no start was ever sent.
+        if (isFullyPlaced && !isStopping) return startDeferred(placements)
+        // Placements that were only reserved are removed immediately, because no start was ever sent for them.
         placements.filter { it.isDeferred && !it.wasStartSent }.forEach(cluster::removePlacement)
         val hasStarted = gang.gangStarted || placements.any { it.taskState.isRunning }
-        // Before the start, fetches under way are let through: stopping them would throw the image away, and the
-        // next attempt would run into the same waiting time for ever.
+        // Before the gang has started, running fetches are allowed to finish. If they were stopped, the images would be
+        // discarded, and every further attempt would exceed the gang's waiting time again.
         if (!hasStarted && !isStopping && gang.placements.values.any { it.taskState.isWithoutImage }) return
-        val grace = if (isWhole) gang.checkpointGrace else Duration.ZERO
+        val grace = if (isFullyPlaced) gang.checkpointGrace else Duration.ZERO
         for (placement in gang.placements.values) {
             val isToBeStopped = placement.stopCause == null && placement.stage != PlacementStage.PLANNED
             if (isToBeStopped) commands.stop(placement, StopCause.GANG_BROKEN, grace)
         }
     }
 
-    /** All tasks without the image have fetched it by now. */
+    /** Allows deferred tasks to start once all other tasks of the gang have fetched the image. */
     private fun startDeferred(placements: List<Placement>) {
         if (placements.none { it.isDeferred }) return
-        val isFetched = placements.all { it.isDeferred || !it.taskState.isWithoutImage }
-        if (isFetched) placements.forEach { it.isDeferred = false }
+        val allFetched = placements.all { it.isDeferred || !it.taskState.isWithoutImage }
+        if (allFetched) placements.forEach { it.isDeferred = false }
     }
 
     private val TaskState?.isRunning get() = this == TaskState.RUNNING || this == TaskState.CHECKPOINTING
@@ -137,7 +137,7 @@
     private val TaskState?.isWithoutImage get() = this == null || this == TaskState.FETCHING
 
     private companion object {
-        val START_PATIENCE = 2.seconds
-        val MIN_STOP_PATIENCE = 2.seconds
+        val START_TIMEOUT = 2.seconds
+        val MIN_STOP_TIMEOUT = 2.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/Placement.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Placement.kt
@@ -6,12 +6,12 @@
 import glenspool.core.model.TaskState
 import kotlin.time.Duration
 
-/** How far a placement has come. */
+/** The stage of a placement. */
 enum class PlacementStage {
-    /** Decided and reserved; not stored yet, so no command may be sent. */
+    /** The placement was decided and its resources are reserved. It is not stored yet, so no command may be sent. */
     PLANNED,
 
-    /** Stored; the start command may have been sent, so the task may be on its machine. */
+    /** The placement is stored. The start command may have been sent, so the task may be on its machine. */
     STORED,
 
     /** A heartbeat has shown the task on its machine. */
@@ -19,8 +19,8 @@
 }
 
 /**
- * One attempt of a task on one machine. It holds resources, quota and zone from before its start command is sent until
- * there is proof that it is gone.
+ * One attempt of a task on one machine. A placement reserves resources, quota and zone from before its start command is
+ * sent until there is proof that the task is gone from the machine.
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: String, val createdAt: Duration) {
     val key = TaskKey(job.spec.id, task)
@@ -37,54 +37,54 @@
     var requiredChange = 0L
         private set
 
-    /** When the start command was sent last; null: it was not, or it was surely not carried out. */
+    /** When the start command was last sent; null if it was never sent or was certainly not executed. */
     var startSentAt: Duration? = null
         private set
     val wasStartSent: Boolean get() = startSentAt != null
 
-    /** The start waits until the gang's other tasks have their image; a waiting task gives up after a while. */
+    /** Whether the start waits until the gang's other tasks have their image. A waiting task exits after some time. */
     var isDeferred = false
 
-    /** Why the task is stopped; null: it is not. */
+    /** Why the task is being stopped, or null if it is not. */
     var stopCause: StopCause? = null
         private set
     var stopGrace: Duration = Duration.ZERO
         private set
 
-    /** When the stop command was sent last. */
+    /** When the stop command was last sent. */
     var stopSentAt: Duration? = null
         private set
 
-    /** The part of the job's record in which it is stored, see [PlacementParts]. */
+    /** The part of the job's record in which the placement is stored, see [PlacementParts]. */
     var part = PlacementParts.RECORD
 
-    /** The placement must not be acted on before this change of the job is stored. */
+    /** Requires [change] of the job to be stored before commands for this placement are sent. */
     fun requireStoredChange(change: Long) {
         requiredChange = change
     }
 
-    /** An earlier leader stored it, and may have sent the start. */
+    /** Marks the placement as stored by an earlier leader, which may have sent the start command. */
     fun markRestored(now: Duration) {
         stage = PlacementStage.STORED
         startSentAt = now
     }
 
-    /** It is stored: the start may be sent. */
+    /** Marks the placement as stored, so that the start command may be sent. */
     fun markStored() {
         stage = PlacementStage.STORED
     }
 
-    /** The start command is on its way. */
+    /** Records that the start command was sent. */
     fun markStartSent(now: Duration) {
         startSentAt = now
     }
 
-    /** The start command was surely not carried out. */
+    /** Records that the start command was certainly not executed. */
     fun clearStartSent() {
         startSentAt = null
     }
 
-    /** The task is to be started anew under the same placement and attempt. */
+    /** Prepares another start of the task under the same placement and attempt. */
     fun resetForRestart() {
         stage = PlacementStage.STORED
         taskState = null
@@ -92,7 +92,7 @@
         startSentAt = null
     }
 
-    /** A heartbeat shows the task. True if it shows for the first time that the task runs. */
+    /** Records the state in a heartbeat. Returns whether it shows the task as running for the first time. */
     fun markObserved(state: TaskState, now: Duration): Boolean {
         stage = PlacementStage.OBSERVED
         if (startSentAt == null) startSentAt = now
@@ -102,21 +102,21 @@
         return beginsToRun
     }
 
-    /** The task is to be stopped, whatever was said before. */
+    /** Requests a stop of the task, which replaces any earlier stop request. */
     fun requestStop(cause: StopCause, grace: Duration) {
         stopCause = cause
         stopGrace = grace
         stopSentAt = null
     }
 
-    /** The stop command is on its way. */
+    /** Records that the stop command was sent. */
     fun markStopSent(now: Duration) {
         stopSentAt = now
     }
 
-    /** As it is stored. */
+    /** Returns the placement in the form in which it is stored. */
     fun toStored() = StoredPlacement(task, attempt, machine)
 
-    /** As it is named in the log. */
+    /** Identifies the placement in log lines. */
     override fun toString() = "${key.job}/$task attempt=$attempt"
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/PlacementParts.kt
@@ -1,10 +1,10 @@
 package glenspool.core.lifecycle
 
 /**
- * Where a job's placements are stored. As many as fit are kept in the record itself, in the form that every version
- * reads; the others are in numbered parts, each a value of its own, so that a job of any size stays within the
- * key-value store's limit for one value. [recordCapacity] and [partCapacity]: the bytes that a record and a part have
- * for placements.
+ * Distributes a job's placements over stored values. The record itself holds as many as fit, in the form that every
+ * version reads. The others are in numbered parts, each of which is a separate value, so that a job of any size stays
+ * within the key-value store's limit for one value. [recordCapacity] and [partCapacity]: the bytes available for
+ * placements in a record and in a part.
  */
 class PlacementParts(private val recordCapacity: Int, private val partCapacity: Int) {
     private class Part {
@@ -15,31 +15,31 @@
     private val inRecord = Part()
     private val parts = ArrayList<Part>()
 
-    /** Parts whose stored value is not what they hold, with the number of their last change. */
+    /** Parts with changes that are not stored, with the number of their last change. */
     private val dirty = LinkedHashMap<Int, Long>()
     private var changeCount = 0L
 
-    /** The bytes that the record still has for placements, at least. The record lists its parts, too. */
-    private val recordBytesLeft: Int
-        get() = recordCapacity - inRecord.bytes - maxOf(0, parts.size - PARTS_IN_OVERHEAD) * PART_NUMBER_BYTES
+    /** A lower bound of the bytes that remain in the record for placements. The record also has to list its parts. */
+    private val remainingRecordBytes: Int
+        get() = recordCapacity - inRecord.bytes - maxOf(0, parts.size - MAX_PARTS_IN_OVERHEAD) * PART_NUMBER_BYTES
 
     val dirtyCount: Int get() = dirty.size
 
-    /** How many more placements there is surely space for. */
+    /** Returns the number of further placements that certainly fit. */
     fun remainingCapacity(maySplit: Boolean): Int {
-        if (!maySplit) return recordBytesLeft / BYTES_PER_PLACEMENT
+        if (!maySplit) return remainingRecordBytes / BYTES_PER_PLACEMENT
         val inParts = parts.sumOf { maxOf(0, partCapacity - it.bytes) / BYTES_PER_PLACEMENT }
         val inNewParts = (MAX_PARTS - parts.size) * (partCapacity / BYTES_PER_PLACEMENT)
-        return maxOf(0, recordBytesLeft) / BYTES_PER_PLACEMENT + inParts + inNewParts
+        return maxOf(0, remainingRecordBytes) / BYTES_PER_PLACEMENT + inParts + inNewParts
     }
 
-    /** Puts a placement into the record if it fits, or if nothing else is allowed; else into a part with space. */
+    /** Adds a placement to the record if it fits or if splitting is not allowed, otherwise to a part with space. */
     fun add(placement: Placement, maySplit: Boolean) {
-        val fitsRecord = bytesOf(placement, inRecord) <= recordBytesLeft
+        val fitsRecord = bytesOf(placement, inRecord) <= remainingRecordBytes
         put(placement, if (!maySplit || fitsRecord) RECORD else partFor(placement))
     }
 
-    /** Puts a placement into the given part. */
+    /** Adds a placement to the given part. */
     fun put(placement: Placement, number: Int) {
         placement.part = number
         while (parts.size <= number) parts.add(Part())
@@ -52,21 +52,21 @@
     /** Removes a placement from its part. */
     fun remove(placement: Placement) {
         val part = partAt(placement.part)
-        val left = (part.machines[placement.machine] ?: return) - 1
-        if (left == 0) part.machines.remove(placement.machine) else part.machines[placement.machine] = left
+        val remaining = (part.machines[placement.machine] ?: return) - 1
+        if (remaining == 0) part.machines.remove(placement.machine) else part.machines[placement.machine] = remaining
         part.bytes -= bytesOf(placement, part)
         markDirty(placement.part)
     }
 
-    /** What is stored already is as it should be. */
+    /** Marks all parts as stored in their current form. */
     fun markAllStored() = dirty.clear()
 
-    /** Moves placements out of a record that is too large; at most [maxDirtyParts] parts are then to be stored. */
+    /** Moves placements out of a record that is too large. Not more than [maxDirtyParts] parts may become dirty. */
     fun shrinkRecord(placements: Collection<Placement>, maxDirtyParts: Int) {
-        if (recordBytesLeft >= 0) return
+        if (remainingRecordBytes >= 0) return
         val used = HashSet<Int>(dirty.keys)
         for (placement in placements) {
-            if (recordBytesLeft >= 0) return
+            if (remainingRecordBytes >= 0) return
             if (placement.part != RECORD) continue
             val target = partFor(placement)
             if (target == RECORD || target !in used && used.size >= maxDirtyParts) return
@@ -76,11 +76,11 @@
         }
     }
 
-    /** Moves placements back into the record as far as it has space. Whether any was moved. */
+    /** Moves placements back into the record as far as it has space. Returns whether any was moved. */
     fun mergeIntoRecord(placements: Collection<Placement>): Boolean {
         var wasMoved = false
         for (placement in placements) {
-            if (placement.part == RECORD || bytesOf(placement, inRecord) > recordBytesLeft) continue
+            if (placement.part == RECORD || bytesOf(placement, inRecord) > remainingRecordBytes) continue
             remove(placement)
             put(placement, RECORD)
             wasMoved = true
@@ -88,13 +88,13 @@
         return wasMoved
     }
 
-    /** Parts to be stored, at most [limit], each with the number of its last change. */
+    /** Returns up to [limit] parts to be stored, each with the number of its last change. */
     fun partsToStore(limit: Int): Map<Int, Long> = dirty.entries.take(limit).associate { it.key to it.value }
 
-    /** These parts are stored, as of the given changes. */
+    /** Marks parts as stored up to the given change of each. */
     fun markStored(changes: Map<Int, Long>) = changes.forEach { (number, change) -> dirty.remove(number, change) }
 
-    /** What is stored of the part is not what it holds. */
+    /** Marks the part as changed since it was stored. */
     fun markDirty(number: Int) {
         if (number != RECORD) dirty[number] = ++changeCount
     }
@@ -110,35 +110,37 @@
         }
     }
 
-    /** A machine is written once with all its tasks: its name for the first, two numbers for each. */
+    /** The size of a placement in [part]. A machine's name is written once, and two numbers for each of its tasks. */
     private fun bytesOf(placement: Placement, part: Part): Int {
-        val numbers = placement.task.toString().length + placement.attempt.toString().length + NUMBERS_OVERHEAD
+        val numbers = placement.task.toString().length + placement.attempt.toString().length + NUMBERS_OVERHEAD_BYTES
         val isNamed = placement.machine in part.machines
-        return numbers + if (isNamed) 0 else placement.machine.length + MACHINE_OVERHEAD
+        return numbers + if (isNamed) 0 else placement.machine.length + MACHINE_OVERHEAD_BYTES
     }
 
     companion object {
-        /** The number that stands for the record itself. */
+        /** The part number that denotes the record itself. */
         const val RECORD = -1
 
-        /** The punctuation of a task's two numbers, and of a machine's name. */
-        private const val NUMBERS_OVERHEAD = 2
-        private const val MACHINE_OVERHEAD = 6
+        /** The size of the punctuation of a task's two numbers. */
+        private const val NUMBERS_OVERHEAD_BYTES = 2
+
+        /** The size of the punctuation of a machine's name. */
+        private const val MACHINE_OVERHEAD_BYTES = 6
 
         /** The bytes that a part takes besides its placements. */
         const val PART_OVERHEAD = 64
 
-        /** A record must be able to list them all beside its description. */
+        /** The maximum number of parts, all of which a record must be able to list beside its description. */
         private const val MAX_PARTS = 256
 
-        /** So many parts are listed within [RECORD_OVERHEAD]; each further one takes space from placements. */
-        private const val PARTS_IN_OVERHEAD = 16
+        /** The number of parts that [RECORD_OVERHEAD] can list. Each further part reduces the space for placements. */
+        private const val MAX_PARTS_IN_OVERHEAD = 16
         private const val PART_NUMBER_BYTES = 4
 
-        /** The list of a record's parts and other bytes that its description does not have. */
+        /** The bytes of a record besides its description and placements, such as the list of its parts. */
         const val RECORD_OVERHEAD = 96
 
-        /** The largest size of a placement: the names of machines are short, numbers have at most seven digits. */
+        /** The largest size of a placement. Machine names are short, and numbers have at most seven digits. */
         const val BYTES_PER_PLACEMENT = 28
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordSplitting.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordSplitting.kt
@@ -5,51 +5,51 @@
 import glenspool.core.model.JobSpec
 
 /**
- * Whether placements may be stored apart from their job's record: only once no controller is of a version that reads
- * records alone, since it would take tasks whose placements it does not see for waiting ones. Once records must not be
- * split any more, what is split is brought back as far as it fits.
+ * Decides whether placements may be stored outside their job's record. This is allowed only once no controller has a
+ * version that reads records alone, because such a controller would treat tasks as waiting whose placements it can't
+ * read. When records must no longer be split, placements are moved back into them as far as they fit.
  */
 class RecordSplitting(private val context: SchedulingContext, private val cluster: ClusterState) {
     private var isSupportedByAll = false
 
-    /** The level of stored forms that allows it is not active, or is being left. */
+    /** Whether the level of stored forms that allows split records is not active or is being left. */
     private var isForbidden = false
 
-    /** Jobs that may still be split. No job is split while that is forbidden. */
+    /** Jobs that may still be split while splitting is forbidden. No other job is split then. */
     private val jobsToMerge = LinkedHashSet<Job>()
 
-    /** Whether placements may be stored apart now. */
+    /** Whether placements may currently be stored outside the record. */
     val isAllowed: Boolean get() = isSupportedByAll && !isForbidden
 
-    /** Where a new job's placements are stored. */
+    /** Creates the placement parts of a new job. */
     fun partsFor(spec: JobSpec): PlacementParts {
         val valueBytes = context.config.valueBytes
         val recordCapacity = maxOf(0, valueBytes - spec.maxRecordBytes - PlacementParts.RECORD_OVERHEAD)
         return PlacementParts(recordCapacity, valueBytes - PlacementParts.PART_OVERHEAD)
     }
 
-    /** How many more tasks of the job may be placed, so that all its values stay within the limit. */
+    /** Returns how many more tasks of the job may be placed so that all its values stay within the size limit. */
     fun remainingCapacity(job: Job): Int = job.parts.remainingCapacity(isAllowed)
 
-    /** Every controller was found to read split records; it stays so. */
+    /** Records permanently that every controller was found to read split records. */
     fun markSupportedByAll() {
         isSupportedByAll = true
     }
 
-    /** Forbids or allows it, whatever else is known. */
+    /** Forbids or allows split records, regardless of what the controllers can read. */
     fun setForbidden(forbidden: Boolean) {
         if (forbidden == isForbidden) return
         isForbidden = forbidden
-        if (forbidden) beginMerging() else jobsToMerge.clear()
+        if (forbidden) startMerging() else jobsToMerge.clear()
     }
 
-    private fun beginMerging() {
+    private fun startMerging() {
         cluster.jobs.values.filterTo(jobsToMerge) { it.isSplit }
         jobsToMerge.forEach(::dropUnstored)
         merge()
     }
 
-    /** Goes on merging where space has become free. */
+    /** Moves placements of split jobs back into their records where space has become free. */
     fun merge() {
         if (jobsToMerge.isEmpty()) return
         jobsToMerge.removeIf { job ->
@@ -59,8 +59,8 @@
     }
 
     /**
-     * A planned placement that lies apart was decided on while that was allowed, but its record can't be stored any
-     * more: it is given up, and the task is placed anew. Placements that are stored are kept.
+     * Removes planned placements outside the record, which were decided while splitting was allowed and can no longer
+     * be stored. Their tasks are placed again. Stored placements are kept.
      */
     private fun dropUnstored(job: Job) {
         job.placements.values
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
@@ -16,10 +16,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Decides what is stored when. The key-value store takes few changes a second, shared by acceptance at every
- * controller, so the leader spends a share of them by urgency: placements of critical work first, then final states,
- * other placements, and last what only saves work after a failure. All that a job has to store goes into one change.
- * [onJobEnded] is told of jobs whose final state was stored.
+ * Decides which changes are stored when. The key-value store accepts few changes a second, which the leader shares with
+ * job acceptance at every controller. The leader uses its share by urgency: placements of critical work first, then
+ * final states, then other placements, and last changes that only save work after a failure. All changes of a job are
+ * written together. [onJobEnded] is called for jobs whose final state was stored.
  */
 class RecordWriteScheduler(
     private val context: SchedulingContext,
@@ -35,12 +35,12 @@
     private val budget = WriteBudget(config, context.startedAt)
     private var isTransactionInFlight = false
     private var writesInFlight: List<JobWrite> = emptyList()
-    private var pausedUntil = context.startedAt
+    private var nextWriteAt = context.startedAt
 
-    /** A change was too large: until one has been stored again each job's goes alone, so that it holds up no other. */
+    /** Whether each job is stored alone, so that a too large change blocks no other, until a write succeeds again. */
     private var storesOneByOne = false
 
-    /** What a job has to store, most urgent first. */
+    /** The urgency of a job's changes, most urgent first. */
     private enum class Urgency { CRITICAL_PLACEMENT, FINAL_STATE, PLACEMENT, RESULT }
 
     private class DueWrite(val urgency: Urgency, val job: Job) {
@@ -48,28 +48,28 @@
             get() = if (urgency == Urgency.RESULT) job.storeState.deferredChangeSince else job.waitingSince
     }
 
-    /** The job may have something to store. */
+    /** Reports that the job may have changes to store. */
     fun markDirty(job: Job) {
         dirty.add(job)
     }
 
     private fun urgencyOf(job: Job): Urgency? {
         if (job.isFinished || job.storeState.isWriteInFlight || job.storeState.notBefore > now) return null
-        val hasPlacements = job.storeState.hasUrgentChanges
+        val hasUrgentChanges = job.storeState.hasUrgentChanges
         val isCritical = job.effectivePriority == Priority.CRITICAL && !job.isCancelled
         return when {
-            hasPlacements && isCritical -> Urgency.CRITICAL_PLACEMENT
-            mayBeClosed(job) -> Urgency.FINAL_STATE
+            hasUrgentChanges && isCritical -> Urgency.CRITICAL_PLACEMENT
+            canBeClosed(job) -> Urgency.FINAL_STATE
             job.waitsForDependencies -> null
-            hasPlacements -> Urgency.PLACEMENT
+            hasUrgentChanges -> Urgency.PLACEMENT
             job.storeState.deferredChangeSince != null && !job.isCancelled -> Urgency.RESULT
             else -> null
         }
     }
 
-    /** Stores what is most urgent, if the budget allows it. */
+    /** Stores the most urgent changes, as far as the budget allows. */
     fun flush() {
-        if (isTransactionInFlight || dirty.isEmpty() || now < pausedUntil) return
+        if (isTransactionInFlight || dirty.isEmpty() || now < nextWriteAt) return
         budget.refill(now)
         if (!budget.allowsAnyChange) return
         val writes = chooseWrites(dueWrites())
@@ -119,19 +119,19 @@
         isTransactionInFlight = false
         val writes = writesInFlight
         writesInFlight = emptyList()
-        for (write in writes) ended(write, outcome)
-        if (outcome is StoreOutcome.Stored) storesOneByOne = false else pausedUntil = now + RETRY
+        for (write in writes) writeEnded(write, outcome)
+        if (outcome is StoreOutcome.Stored) storesOneByOne = false else nextWriteAt = now + RETRY_DELAY
         if (outcome is StoreOutcome.TooLarge) tooLarge(writes, outcome.descriptionParts)
     }
 
-    private fun ended(write: JobWrite, outcome: StoreOutcome) {
+    private fun writeEnded(write: JobWrite, outcome: StoreOutcome) {
         if (write is StoreFinalState && outcome is StoreOutcome.Stored) {
             dependencies.jobEnded(write.id, write.finalState)
         }
         val job = dependencies.findJob(write.id) ?: return
         job.storeState.writeEnded()
         if (outcome !is StoreOutcome.Stored) {
-            // What it would have stored is still to be stored, its results too.
+            // The changes of the failed write, including results, remain to be stored.
             job.addDeferredChange(now)
             return
         }
@@ -142,16 +142,18 @@
         }
     }
 
-    /** Asking for the same again would never end: the job at fault is found, waits, and is logged. */
+    /** Isolates, delays and logs the job whose change is too large. Otherwise it would be retried without end. */
     private fun tooLarge(writes: List<JobWrite>, descriptionParts: Map<String, Int>) {
-        // The limits are lowered only when every controller is new.
+        // The store's limits are lowered only when every controller has the new version.
         splitting.markSupportedByAll()
         storesOneByOne = true
         for ((id, parts) in descriptionParts) dependencies.findJob(id)?.descriptionPartCount = parts
         val write = writes.singleOrNull() ?: return
         if (write.id in descriptionParts) return
-        dependencies.findJob(write.id)?.storeState?.notBefore = now + TOO_LARGE_PAUSE
-        context.log(isImportant = true) { "too-large job=${write.id}: its change exceeds the store's limits" }
+        dependencies.findJob(write.id)?.storeState?.notBefore = now + TOO_LARGE_RETRY_DELAY
+        context.log(isImportant = true) {
+            "too-large job=${write.id}: its change exceeds the store's limits and is retried later"
+        }
     }
 
     private fun recordStored(job: Job, write: UpdateJobRecord) {
@@ -181,19 +183,19 @@
         commands.add(machine, StartTask(placement.key, placement.attempt, StartCause.PLACED))
     }
 
-    private fun mayBeClosed(job: Job): Boolean {
-        val isCancelledAndGone = job.isCancelled && job.placements.isEmpty() && job.orphans.isEmpty()
-        return job.abortedBy != null || isCancelledAndGone || job.isComplete
+    private fun canBeClosed(job: Job): Boolean {
+        val isCancelledAndRemoved = job.isCancelled && job.placements.isEmpty() && job.orphans.isEmpty()
+        return job.abortedBy != null || isCancelledAndRemoved || job.isComplete
     }
 
     private fun writeFor(job: Job): JobWrite {
         val id = job.spec.id
         if (job.isComplete && !job.isCancelled) return StoreFinalState(id, job.version, null, job.spec.tasks)
-        if (mayBeClosed(job)) return StoreFinalState(id, job.version, job.cancelVersion, job.spec.tasks, job.abortedBy)
+        if (canBeClosed(job)) return StoreFinalState(id, job.version, job.cancelVersion, job.spec.tasks, job.abortedBy)
         return recordUpdate(job)
     }
 
-    /** What does not fit into one transaction follows in the next. */
+    /** Creates the update of a job's record. Parts that do not fit into one transaction follow in the next one. */
     private fun recordUpdate(job: Job): UpdateJobRecord {
         val chunks = job.dirtyChunks().take(config.txnOps - 1)
         val maxParts = config.txnOps - 1 - chunks.size
@@ -214,20 +216,20 @@
     private fun changesOf(write: JobWrite): Int =
         when (write) {
             is UpdateJobRecord -> 1 + write.chunks.size + write.parts.size
-            // The final state is put and the record removed, and the cancellation too if there is one.
+            // The final state is put, and the record is removed, as is the cancellation if there is one.
             is StoreFinalState -> if (write.cancelVersion == null) 2 else 3
         }
 
     private companion object {
-        /** Within one urgency by priority, then by how long it has waited. */
+        /** Orders by urgency, then by priority, then by waiting time. */
         val byUrgency: Comparator<DueWrite> =
             compareBy<DueWrite> { it.urgency }
                 .thenByDescending { it.job.effectivePriority }
                 .thenBy { it.waitingSince }
 
-        /** Results gather for this long, so that they go into fewer changes. */
+        /** Results are collected for this long, so that they need fewer changes. */
         val RESULT_DELAY: Duration = 1500.milliseconds
-        val RETRY: Duration = 150.milliseconds
-        val TOO_LARGE_PAUSE: Duration = 30.seconds
+        val RETRY_DELAY: Duration = 150.milliseconds
+        val TOO_LARGE_RETRY_DELAY: Duration = 30.seconds
     }
 }
--- a/src/main/kotlin/glenspool/core/lifecycle/WriteBudget.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/WriteBudget.kt
@@ -4,39 +4,39 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A token bucket for the changes that a leader may store. */
+/** A token bucket that limits the rate of changes that a leader stores. */
 class WriteBudget(private val config: SchedulerConfig, startedAt: Duration) {
-    /** The most that can have gathered; a whole transaction always fits. */
+    /** The size of the bucket, which always holds a whole transaction. */
     private val capacity = maxOf(config.writeRps * LEADER_SHARE, config.txnOps.toDouble())
     private var available = capacity
-    private var filledAt = startedAt
+    private var refilledAt = startedAt
 
     /** Whether at least one change may be stored. */
     val allowsAnyChange: Boolean get() = available >= 1.0
 
-    /** Adds what has come since the last call. */
+    /** Adds the changes that became available since the last call. */
     fun refill(now: Duration) {
-        val added = config.writeRps * LEADER_SHARE * ((now - filledAt) / 1.seconds)
+        val added = config.writeRps * LEADER_SHARE * ((now - refilledAt) / 1.seconds)
         available = minOf(capacity, available + added)
-        filledAt = now
+        refilledAt = now
     }
 
     /**
-     * Whether [cost] more changes may be stored beside [planned] ones. Results never use the last of the budget: a
-     * placement that somebody waits for may come at any moment.
+     * Returns whether [cost] more changes may be stored in addition to [planned] ones. Results leave a reserve of the
+     * budget unused, because a placement that a user waits for may be decided at any moment.
      */
     fun allows(planned: Int, cost: Int, isResult: Boolean): Boolean {
         val reserve = if (isResult) minOf(capacity / 2, capacity - cost) else 0.0
         return available - planned - cost >= reserve
     }
 
-    /** These changes are being stored. */
+    /** Takes changes that are being stored from the budget. */
     fun spend(changes: Int) {
         available -= changes
     }
 
     private companion object {
-        /** The rest is for acceptance and cancellation, which every controller stores by itself. */
+        /** The leader's share of the writes. Every controller stores accepted jobs and cancellations from the rest. */
         const val LEADER_SHARE = 0.8
     }
 }
--- a/src/main/kotlin/glenspool/core/model/Command.kt
+++ b/src/main/kotlin/glenspool/core/model/Command.kt
@@ -6,17 +6,17 @@
 import glenspool.core.StopCause
 import kotlin.time.Duration
 
-/** What a worker is told to do with one attempt of a task. */
+/** A command to a worker about one attempt of a task. */
 sealed interface Command {
     val key: TaskKey
     val attempt: Long
     val cause: OrderCause
 }
 
-/** Start the task, unless this attempt is known already. */
+/** Starts the task, unless the worker already knows this attempt. */
 data class StartTask(override val key: TaskKey, override val attempt: Long, override val cause: StartCause) : Command
 
-/** Stop the task; it may take [grace] to write a checkpoint. */
+/** Stops the task, which may take [grace] to write a checkpoint. */
 data class StopTask(
     override val key: TaskKey,
     override val attempt: Long,
@@ -24,10 +24,13 @@
     override val cause: StopCause,
 ) : Command
 
-/** Forget an exited task, which then no longer appears in heartbeats. */
+/** Makes the worker forget an exited task, which then no longer appears in heartbeats. */
 data class ForgetTask(override val key: TaskKey, override val attempt: Long, override val cause: ForgetCause) : Command
 
-/** The command as workers receive it: causes are known to controllers only, so commands may differ in them alone. */
+/**
+ * Returns the command with a fixed cause. Causes are not sent to workers, so commands that differ only in their causes
+ * are the same to a worker.
+ */
 fun Command.withoutCause(): Command =
     when (this) {
         is StartTask -> copy(cause = StartCause.PLACED)
--- a/src/main/kotlin/glenspool/core/model/Deployment.kt
+++ b/src/main/kotlin/glenspool/core/model/Deployment.kt
@@ -12,7 +12,7 @@
     val fetchGbPerS: Double,
     val price: Double,
     val spotPrice: Double,
-    /** How long a machine usually takes to start. */
+    /** How long a machine usually takes to boot. */
     val bootTime: Duration,
     val zones: List<String>,
 ) {
@@ -20,13 +20,13 @@
     fun fetchTime(gb: Double): Duration = (gb / fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_S)).seconds
 
     private companion object {
-        /** Keeps times finite for types that tell no speed. */
+        /** Keeps fetch times finite for types without a known speed. */
         const val MIN_FETCH_GB_PER_S = 0.01
     }
 }
 
 /**
- * A team's quota: what it is guaranteed of CPUs and GPUs, and what it may use at most; null where there is no limit.
+ * A team's quota: the CPUs and GPUs that it is guaranteed, and the maximum that it may use, or null without a limit.
  */
 data class Team(val name: String, val cpus: Double, val gpus: Double, val cpusMax: Double?, val gpusMax: Double?)
 
@@ -41,7 +41,7 @@
     }
 }
 
-/** The state of a machine as the cloud sees it. */
+/** The state of a machine that the cloud reports. */
 enum class MachineStage { BOOTING, RUNNING, FAILED }
 
 /** A machine as the cloud lists it. [age]: the time since it was rented. */
--- a/src/main/kotlin/glenspool/core/model/Heartbeat.kt
+++ b/src/main/kotlin/glenspool/core/model/Heartbeat.kt
@@ -13,7 +13,7 @@
     /** Another task of its gang was lost. */
     GANG_BROKEN,
 
-    /** The other tasks of its gang did not come in time. */
+    /** The other tasks of its gang were not ready in time. */
     GANG_INCOMPLETE,
     ERROR,
 
@@ -27,7 +27,7 @@
     UNKNOWN,
 }
 
-/** One task in a heartbeat. [checkpointed]: whether it saved its progress when it was stopped. */
+/** One task in a heartbeat. [checkpointed]: whether the task saved its progress when it was stopped. */
 data class TaskStatus(
     val key: TaskKey,
     val attempt: Long,
@@ -43,13 +43,13 @@
     val type: String,
     val zone: String,
     val spot: Boolean,
-    /** Grows whenever the worker's lease expires; what was sent to an earlier incarnation is void. */
+    /** Increases whenever the worker's lease expires; commands to an earlier incarnation are invalid. */
     val incarnation: Long,
     /** Orders the heartbeats of one incarnation. */
     val sequence: Long,
     /** The highest fencing token that the worker has seen. */
     val token: Long,
-    /** The time until the cloud preempts the machine; null: it does not. */
+    /** The time until the cloud preempts the machine, or null without a preemption notice. */
     val preemptionNotice: Duration?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/glenspool/core/model/JobSpec.kt
+++ b/src/main/kotlin/glenspool/core/model/JobSpec.kt
@@ -2,7 +2,7 @@
 
 import kotlin.time.Duration
 
-/** What kind of job it is: independent tasks, tasks that run together, or replicas that run until cancelled. */
+/** The kind of a job: independent tasks, tasks that run together, or replicas that run until cancelled. */
 enum class JobKind { ARRAY, GANG, SERVICE }
 
 /** Priorities, lowest first, so that they can be compared. */
@@ -19,33 +19,33 @@
     val kind: JobKind,
     val priority: Priority,
     val tasks: Int,
-    /** What each of its tasks takes of a machine. */
+    /** The resources that each task of the job uses on its machine. */
     val resourceRequest: Resources,
     val image: String,
     val imageGb: Double,
-    /** The machine types that it may use; null: all. */
+    /** The machine types that the job may use; null allows all. */
     val types: List<String>?,
-    /** The only zone that it may use; null: all. */
+    /** The only zone that the job may use; null allows all. */
     val zone: String?,
-    /** Whether all of its tasks must be in one zone. */
+    /** Whether all tasks of the job must be in one zone. */
     val sameZone: Boolean,
-    /** Whether its tasks must be spread over zones. */
+    /** Whether the tasks of the job must be spread over zones. */
     val spread: Boolean,
-    /** Whether it may use spot machines. */
+    /** Whether the job may use spot machines. */
     val spot: Boolean,
     /** How long a task is expected to run. */
     val estimatedDuration: Duration,
-    /** The time between two checkpoints; zero: it takes none. */
+    /** The time between two checkpoints; zero if the tasks write none. */
     val checkpointInterval: Duration,
     /** How long it takes to write a checkpoint. */
     val checkpointDuration: Duration,
-    /** The time after submission by which it should be done. */
+    /** The time after submission by which the job should be done. */
     val deadline: Duration?,
 ) {
-    /** At most this many tasks of a spread job may be in one zone. */
+    /** The maximum number of tasks of a spread job in one zone. */
     val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else Int.MAX_VALUE
 
-    /** The largest size of its stored description with its done bits, without the placements of its tasks. */
+    /** The largest size of the stored description and done bits, without the placements of the tasks. */
     val maxRecordBytes: Int
         get() {
             val texts = listOf(id, jobClass, team, image, zone ?: "").sumOf(::maxStoredBytes)
@@ -54,19 +54,19 @@
         }
 
     private companion object {
-        /** Field names, numbers and punctuation; texts come on top. */
+        /** The size of field names, numbers and punctuation, without the texts. */
         const val FIELDS_BYTES = 650
 
-        /** The punctuation of an entry in a list of texts. */
+        /** The size of the punctuation of an entry in a list of texts. */
         const val LIST_ENTRY_BYTES = 3
 
         /** Done bits are stored as Base64, which holds six bits in a byte. */
         const val TASKS_PER_BYTE = 6
 
-        /** An escaped character takes as much in a stored value. */
+        /** The size of an escaped character in a stored value. */
         const val ESCAPED_BYTES = 6
 
-        /** The largest size of a text in a stored value: anything but plain characters may be written as an escape. */
+        /** The largest size of a text in a stored value, in which all but plain characters may be escaped. */
         fun maxStoredBytes(text: String): Int =
             text.sumOf { character ->
                 val isPlain = character in ' '..'~' && character != '"' && character != '\\'
--- a/src/main/kotlin/glenspool/core/model/Resources.kt
+++ b/src/main/kotlin/glenspool/core/model/Resources.kt
@@ -1,6 +1,6 @@
 package glenspool.core.model
 
-/** The resource that bounds a task, see docs/design.md. Placement rounds draw from the queues in this order. */
+/** The resource that bounds a task, see docs/design.md. Placement rounds take jobs from the queues in this order. */
 enum class Resource { GPU, MEMORY, CPU }
 
 /** A vector of resources: a machine's capacity, what is free of it, or a task's request. */
@@ -11,12 +11,12 @@
     /** The difference, resource by resource. */
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
-    /** What [count] times as much takes. */
+    /** The amounts multiplied by [count]. */
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memoryGb * count)
 
     /**
-     * Whether this request fits into [available]. A little slack absorbs the rounding of sums of decimal fractions;
-     * a worker refuses a real overflow.
+     * Whether this request fits into [available]. A small tolerance absorbs rounding errors in sums of decimal
+     * fractions. If a request really exceeds a machine's resources, the worker refuses it.
      */
     fun fitsIn(available: Resources): Boolean =
         cpus <= available.cpus + EPSILON &&
@@ -42,7 +42,7 @@
             Resource.CPU -> cpus
         }
 
-    /** The share of [capacity] that this takes of the resource of which it takes most. */
+    /** The largest share of [capacity] that this uses of any resource. */
     fun dominantShareOf(capacity: Resources): Double =
         maxOf(
             cpus / capacity.cpus.coerceAtLeast(MIN_CAPACITY),
@@ -54,13 +54,12 @@
         /** Amounts that differ by less are equal. */
         const val EPSILON = 1e-6
 
-        /** More tasks than any machine holds. */
+        /** Larger than the number of tasks on any machine. */
         private const val MAX_COUNT = 64
 
-        /** Keeps shares finite. */
+        /** Keeps shares finite if a capacity is zero. */
         private const val MIN_CAPACITY = 1e-9
 
-        /** Nothing at all. */
         val ZERO = Resources(0.0, 0.0, 0.0)
     }
 }
