--- a/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Whole days in simulated time of jobs with dependencies. */
+/** Simulates whole days of jobs with dependencies. */
 class DependencySimulationTest {
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104])
--- a/src/test/kotlin/glenspool/core/FailoverSimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/FailoverSimulationTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Whole days in simulated time with failovers, isolated leaders and recoveries after cold starts. */
+/** Simulates whole days with failovers, isolated leaders and recoveries after cold starts. */
 class FailoverSimulationTest {
     @ParameterizedTest
     @ValueSource(longs = [31085, 31, 33, 34, 35, 36])
@@ -23,7 +23,7 @@
     @ParameterizedTest
     @ValueSource(longs = [131, 132, 133, 134])
     fun `split records break no rule amid failovers`(seed: Long) {
-        // So small a value that hardly any placement fits into a record.
+        // The value limit is so small that hardly any placement fits into a record.
         val faults = FaultRates(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01)
         val day =
             RandomizedSimulation(
@@ -36,38 +36,38 @@
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74, 75, 76])
     fun `a leader isolated with its workers breaks no rule, alone and with all other faults`(seed: Long) {
-        val alone = FaultRates(apart = 0.03)
-        val withOthers =
-            alone.copy(
+        val singleFaults = FaultRates(apart = 0.03)
+        val combinedFaults =
+            singleFaults.copy(
                 lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, outages = 0.01, hangs = 0.02, restarts = 0.01,
             )
-        RandomizedSimulation(seed, if (seed % 2 == 0L) alone else withOthers).run()
+        RandomizedSimulation(seed, if (seed % 2 == 0L) singleFaults else combinedFaults).run()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83, 84])
     fun `a zone cut off with its controller breaks no rule, alone and with all other faults`(seed: Long) {
-        val alone = FaultRates(zoneCuts = 0.03)
-        val withOthers =
-            alone.copy(lost = 0.05, held = 0.05, copies = 0.1, takeovers = 0.02, deaths = 0.01, hangs = 0.02)
-        RandomizedSimulation(seed, if (seed % 2 == 0L) alone else withOthers).run()
+        val singleFaults = FaultRates(zoneCuts = 0.03)
+        val combinedFaults =
+            singleFaults.copy(lost = 0.05, held = 0.05, copies = 0.1, takeovers = 0.02, deaths = 0.01, hangs = 0.02)
+        RandomizedSimulation(seed, if (seed % 2 == 0L) singleFaults else combinedFaults).run()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [141, 142, 143, 144, 145, 146, 147, 148, 149, 150])
     fun `recoveries after cold starts break no rule, alone and with all other faults`(seed: Long) {
-        val alone = FaultRates(mute = 0.02, deaths = 0.01)
-        val withOthers =
+        val singleFaults = FaultRates(mute = 0.02, deaths = 0.01)
+        val combinedFaults =
             FaultRates(
                 lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, takeovers = 0.02, deaths = 0.01, cuts = 0.02,
                 hangs = 0.02, restarts = 0.01, apart = 0.01, mute = 0.02, forNext = 0.05, zoneCuts = 0.005,
             )
-        val faults = if (seed % 2 == 0L) alone else withOthers
+        val faults = if (seed % 2 == 0L) singleFaults else combinedFaults
         val day =
             RandomizedSimulation(
                 seed, faults, hasDependencies = seed % 3 == 0L, allControllersNew = true, coldStarts = true,
             ).run()
         val phases = day.recoveryNotices.filterIsInstance<RecoveryNotice.PhaseEntered>().map { it.state.phase }
-        assertTrue(phases.any { it >= RecoveryPhase.GATHERING }, "no recovery was begun")
+        assertTrue(phases.any { it >= RecoveryPhase.GATHERING }, "no recovery was started")
     }
 }
--- a/src/test/kotlin/glenspool/core/FailoverTest.kt
+++ b/src/test/kotlin/glenspool/core/FailoverTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** What a new leader takes over, and which machines it takes for lost. */
+/** Tests what a new leader adopts from the previous one, and which machines it declares lost. */
 class FailoverTest : SchedulerTestBase() {
     @Test
     fun `a new leader uses the image locations that the previous leader stored`() {
@@ -39,13 +39,14 @@
         submit(job("a", tasks = 6), placements, last = 6)
         list(machines)
         val actions = ArrayList<Action>()
-        val found = placements.take(4).associate { it.machine to runningTask("a", it.task, it.attempt) }
-        // Four have found it and prove nothing about the others, which nodes that have just started may still answer.
-        repeat(6) { actions += live(2.seconds, found, emptySet()) }
+        val contacted = placements.take(4).associate { it.machine to runningTask("a", it.task, it.attempt) }
+        // Four workers have contacted the new leader. That proves nothing about the others, which may still get answers
+        // from nodes that have just started.
+        repeat(6) { actions += live(2.seconds, contacted, emptySet()) }
         assertTrue(actions.none { it is DeleteMachines })
-        // But a probe without an answer, twice, shows that a machine is lost.
+        // Two probes without an answer show that a machine is lost.
         step { probeEnded("m6", null) }
-        repeat(2) { actions += live(2.seconds, found, setOf("m6")) }
+        repeat(2) { actions += live(2.seconds, contacted, setOf("m6")) }
         assertEquals(setOf("m6"), actions.deletedMachines())
     }
 
@@ -54,11 +55,11 @@
         step { machineTypesRead(listOf(bigType)) }
         val placements = (0..3).map { StoredPlacement(it, it + 1L, "m${it + 1}") }
         submit(job("a", tasks = 4, resourceRequest = wholeMachine), placements, last = 4)
-        val alive = (1..3).associate { "m$it" to runningTask("a", it - 1, it.toLong()) }
+        val contacted = (1..3).associate { "m$it" to runningTask("a", it - 1, it.toLong()) }
         val actions = ArrayList<Action>()
         repeat(6) {
-            actions += list(alive.keys)
-            actions += live(2.seconds, alive, emptySet())
+            actions += list(contacted.keys)
+            actions += live(2.seconds, contacted, emptySet())
         }
         // The lists lag by up to 6 s here, and the lease is 16 s.
         assertEquals(setOf("m4"), actions.deletedMachines())
--- a/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
@@ -12,9 +12,9 @@
 import java.util.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** Random chains of dependencies against a slow plain model. */
+/** Compares random dependency chains with a simple, slow reference model. */
 class JobDependenciesModelTest : SchedulerTestBase() {
-    /** Users' jobs in the order of their acceptance, and what is stored of them. */
+    /** The submitted jobs in the order of their acceptance, and their stored state. */
     private class Model(seed: Long) {
         val random = Random(seed)
         val dependencies = LinkedHashMap<String, List<String>>()
@@ -22,7 +22,7 @@
         val cancelled = HashSet<String>()
         val priorities = HashMap<String, Priority>()
 
-        fun live(): List<String> = dependencies.keys.filter { it !in finalStates }
+        fun liveJobs(): List<String> = dependencies.keys.filter { it !in finalStates }
 
         fun isAborted(id: String): Boolean =
             when (finalStates[id]) {
@@ -34,7 +34,7 @@
         fun isReady(id: String): Boolean = dependencies.getValue(id).all { finalStates[it] == FinalState.DONE }
 
         fun effectivePriority(id: String): Priority {
-            val waiting = live().filter { id in dependencies.getValue(it) && !isAborted(it) && !isReady(it) }
+            val waiting = liveJobs().filter { id in dependencies.getValue(it) && !isAborted(it) && !isReady(it) }
             return (waiting.map(::effectivePriority) + priorities.getValue(id)).max()
         }
 
@@ -51,21 +51,22 @@
             return List(1 + random.nextInt(3)) { candidates[random.nextInt(candidates.size)] }.distinct()
         }
 
-        fun pick(ids: List<String>): String? = if (ids.isEmpty()) null else ids[random.nextInt(ids.size)]
+        fun pickRandom(ids: List<String>): String? = if (ids.isEmpty()) null else ids[random.nextInt(ids.size)]
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12])
     fun `random dependency chains are released, aborted and prioritized as in the reference model`(seed: Long) {
         val model = Model(seed)
-        // Some jobs were stored before this leader came, and are read in the order of names, not of acceptance.
+        // The first 40 jobs were stored before this leader was elected. They are read in the order of their names, not
+        // of their acceptance.
         val storedBefore = ArrayList<String>()
         repeat(120) { number ->
             val id = model.accept(number)
             if (number < 40) storedBefore.add(id) else readJob(model, id)
             if (number == 39) readStoredJobs(model, storedBefore)
             storeRandomChange(model, isLeading = number >= 39)
-            if (number >= 40) compareWith(model, "seed $seed, job $number")
+            if (number >= 40) assertMatches(model, "seed $seed, job $number")
         }
         val finalStates = model.finalStates.values
         assertTrue(
@@ -85,21 +86,21 @@
         for (id in ids) if (id in model.cancelled && id !in model.finalStates) cancel(id)
     }
 
-    /** A final state or a cancellation is stored, which the scheduler sees if it leads. */
+    /** Stores a final state or a cancellation. The scheduler receives it if it leads. */
     private fun storeRandomChange(model: Model, isLeading: Boolean) {
-        val live = model.live()
+        val live = model.liveJobs()
         when (model.random.nextInt(5)) {
             0, 1, 2 -> {
-                val id = model.pick(live.filter { model.isReady(it) && !model.isAborted(it) })
+                val id = model.pickRandom(live.filter { model.isReady(it) && !model.isAborted(it) })
                 if (id != null) storeFinalState(model, id, FinalState.DONE, isLeading)
             }
             3 -> {
-                val id = model.pick(live.filter(model::isAborted))
+                val id = model.pickRandom(live.filter(model::isAborted))
                 if (id != null) storeFinalState(model, id, FinalState.CANCELLED, isLeading)
             }
             else ->
                 if (model.random.nextInt(3) == 0) {
-                    val id = model.pick(live.filter { !model.isAborted(it) })
+                    val id = model.pickRandom(live.filter { !model.isAborted(it) })
                     if (id != null) storeCancellation(model, id, isLeading)
                 }
         }
@@ -116,12 +117,12 @@
         if (isLeading) cancel(id)
     }
 
-    /** The scheduler's requests for final states are answered. Some answers get lost; in the end all arrive. */
+    /** Answers the scheduler's requests for final states. Some answers are lost, but all of them arrive in the end. */
     private fun answerRequests(model: Model) {
         var requested = wait(1.seconds).finalStatesRequested()
         var rounds = 0
         while (requested.isNotEmpty()) {
-            assertTrue(++rounds < 200, "asked without end for $requested")
+            assertTrue(++rounds < 200, "the final states of $requested are requested without end")
             val answered = requested.filter { model.random.nextInt(4) > 0 && it in model.finalStates }
             val finalStates = answered.associateWith { model.finalStates.getValue(it) }
             val actions = step { finalStatesRead(requested, finalStates) } + wait(2.seconds)
@@ -131,8 +132,8 @@
 
     private fun List<Action>.finalStatesRequested() = filterIsInstance<ReadFinalStates>().flatMap { it.jobs }
 
-    private fun compareWith(model: Model, context: String) {
-        for (id in model.live()) {
+    private fun assertMatches(model: Model, context: String) {
+        for (id in model.liveJobs()) {
             val dependencies = model.dependencies.getValue(id)
             val waiting = core.dependencies[id]
             val shouldWait = dependencies.isNotEmpty() && !model.isReady(id)
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -15,7 +15,7 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** Jobs with dependencies: each rule with the failure that it prevents. */
+/** Tests each rule for jobs with dependencies by the failure that it prevents. */
 class JobDependenciesTest : SchedulerTestBase() {
     private fun List<Action>.finalStatesRequested() = filterIsInstance<ReadFinalStates>().flatMap { it.jobs }
 
@@ -33,7 +33,7 @@
         val start = request.commands.single()
         assertEquals("a", start.key.job)
         executed(request, runningTask("a", 0, start.attempt))
-        // Neither the worker's result nor the change in flight is enough.
+        // Neither the worker's result nor the change in flight is sufficient.
         val atResult = heartbeatActions("m1", exitedTask("a", 0, start.attempt, ExitReason.DONE))
         val beforeStored = atResult + wait(3.seconds)
         assertEquals(listOf("a"), beforeStored.finalStatesStored().map { it.id })
@@ -55,11 +55,11 @@
         started()
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
-        // As after the store cache was reloaded: the removal alone is seen, of a job that was done or cancelled.
+        // After a reload of the store cache only the removal is known. The job may have been done or cancelled.
         val afterRemoval = step { jobRemoved("a") } + wait(1.seconds)
         assertEquals(listOf("a"), afterRemoval.finalStatesRequested())
         assertNull(core.jobs["b"])
-        // No answer: it is requested again.
+        // The request is not answered, so it is sent again.
         val afterNoAnswer = step { finalStatesRead(listOf("a"), emptyMap()) } + wait(2.seconds)
         assertEquals(listOf("a"), afterNoAnswer.finalStatesRequested())
         assertNull(core.jobs["b"])
@@ -79,7 +79,7 @@
         var actions = cancel("j0") + wait(1.seconds)
         while (closed.size < jobs) {
             val stored = actions.finalStatesStored()
-            assertTrue(stored.isNotEmpty(), "stopped after ${closed.size}")
+            assertTrue(stored.isNotEmpty(), "no further job was closed after ${closed.size}")
             for (write in stored) {
                 val abortedBy = if (write.id == "j0") null else "j0"
                 assertEquals(FinalState.CANCELLED to abortedBy, write.finalState to write.abortedBy)
@@ -95,7 +95,7 @@
     fun `a job that was done before its cancellation releases its dependents`() {
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
-        // The cancellation was answered with done: it was never stored.
+        // The user's cancellation was answered with the final state DONE, so it was never stored.
         step { jobRemoved("a") }
         wait(1.seconds)
         finalStateRead("a", FinalState.DONE)
@@ -114,7 +114,7 @@
             first.effectivePriority to core.dependencies["b"]?.effectivePriority,
         )
         val latestStart = core.latestStart(first)
-        assertTrue(latestStart < latestStartBefore, "a chain's deadline comes before a job without one")
+        assertTrue(latestStart < latestStartBefore, "the inherited deadline does not advance the latest start")
         val dueBy = first.dueBy
         assertTrue(dueBy != null && dueBy < 90.seconds - 30.seconds)
         cancel("c")
--- a/src/test/kotlin/glenspool/core/LargeFleet.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleet.kt
@@ -18,12 +18,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A scheduler whose actions are carried out at once on a fleet without faults, and the counts of what it does. */
+/** A scheduler whose actions are executed immediately on a fleet without faults, with counts of these actions. */
 class LargeFleet {
     val core = Scheduler(config(), TOKEN, Duration.ZERO)
     var now = Duration.ZERO
 
-    /** What runs or has exited on each machine that was ever sent a task. */
+    /** The running and exited tasks of each machine that was ever sent one. */
     val tasksByMachine = HashMap<String, HashMap<TaskKey, TaskStatus>>()
     var storedChanges = 0
         private set
@@ -79,7 +79,7 @@
 
     fun submit(spec: JobSpec) = step { jobRecordRead(JobRecord(spec, now, 0, BitSet(), emptyList()), nextRevision()) }
 
-    /** The job is stored with one task running on each of [machines]. */
+    /** Stores a job with one task running on each of [machines]. */
     fun submitRunning(spec: JobSpec, machines: List<String>) {
         val placements = machines.mapIndexed { index, machine -> StoredPlacement(index, index + 1L, machine) }
         step { jobRecordRead(JobRecord(spec, now, machines.size.toLong(), BitSet(), placements), nextRevision()) }
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Half a minute with jobs whose tasks take a quarter of a machine each, and are twice as many as fit. */
+    /** Simulates half a minute with twice as many tasks as fit, each of which takes a quarter of a machine. */
     fun fill(machines: Int, jobs: Int) {
         step { machineTypesRead(listOf(bigType)) }
         for (number in 1..machines) sendHeartbeat("m$number")
--- a/src/test/kotlin/glenspool/core/LargeFleetFailoverTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetFailoverTest.kt
@@ -12,11 +12,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A leader that takes over a large fleet at work changes nothing, at a cost in proportion to the fleet. */
+/** Tests that after the failover of a large busy fleet the new leader changes nothing, at a cost linear in its size. */
 class LargeFleetFailoverTest {
     private val wholeMachine = Resources(14.0, 4.0, 50.0)
 
-    /** The work of a whole fleet of which each machine sends a heartbeat within a second to a leader that is new. */
+    /** Returns the work of a new leader to which each machine of a whole fleet sends a heartbeat within a second. */
     private fun workOfFirstHeartbeats(machines: Int): Long {
         val fleet = LargeFleet()
         fleet.step { machineTypesRead(listOf(bigType)) }
@@ -56,8 +56,8 @@
         val listed =
             machines.map { ListedMachine(it, "addr-$it", "big", "a", false, MachineStage.RUNNING, 100.seconds) }
         fleet.step { machinesListed(listed) }
-        // They find the new leader gradually, a tenth of them in each half second, and send a heartbeat every two
-        // seconds from then on.
+        // The workers find the new leader gradually, a tenth of them in each half second, and send a heartbeat every
+        // two seconds from then on.
         repeat(60) { round ->
             val due = machines.filterIndexed { index, _ -> index % 10 <= round && (index + round) % 4 == 0 }
             due.forEach(fleet::sendHeartbeat)
@@ -67,6 +67,6 @@
         assertEquals(listOf(0, 0, 0), listOf(fleet.startedTasks, fleet.storedChanges, fleet.deletedMachines))
         val placements = fleet.core.jobs.values.flatMap { it.placements.values }
         assertEquals(2000, placements.count { it.taskState == TaskState.RUNNING })
-        assertTrue(fleet.probes < 2000, "${fleet.probes} probes of 2,000 machines that send heartbeats by themselves")
+        assertTrue(fleet.probes < 2000, "${fleet.probes} probes of 2,000 machines that send heartbeats")
     }
 }
--- a/src/test/kotlin/glenspool/core/OrderCountsTest.kt
+++ b/src/test/kotlin/glenspool/core/OrderCountsTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.seconds
 
-/** Every order is counted once, under the cause that it was given for. */
+/** Tests that every order is counted once, under its cause. */
 class OrderCountsTest : SchedulerTestBase() {
     private val counts get() = core.orderCounts.snapshot()
 
@@ -16,7 +16,7 @@
     fun `starts, stops, permissions to forget and deletions are counted by cause`() {
         val running = busy(2)
         assertEquals(mapOf<OrderCause, Long>(StartCause.PLACED to 2), counts)
-        // A task of an unknown job, and one of a known job that has no placement there.
+        // m3 reports a task of an unknown job, and a task of a known job that has no placement there.
         heartbeatReply("m3", runningTask("unknown", 0, 1), runningTask("a", 0, 9))
         heartbeatReply("m1", running.getValue("m1").exited(ExitReason.ERROR))
         cancel("a")
--- a/src/test/kotlin/glenspool/core/PlacementPartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementPartsTest.kt
@@ -8,7 +8,7 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** Placements that do not fit into their job's record are stored in parts of their own. */
+/** Placements that do not fit into their job's record are stored in separate parts. */
 class PlacementPartsTest : SmallValuesTestBase() {
     @Test
     fun `a job with one machine per task is stored in values within the limit, and all its tasks start`() {
@@ -19,7 +19,7 @@
         assertEquals(160, actions.starts().size)
         val record = storedRecord()
         assertEquals((0 until 160).toSet(), record.allPlacements().map { it.task }.toSet())
-        // A later leader reads the same placements.
+        // The next leader reads the same placements.
         val next = Scheduler(core.config, TOKEN + 1, now)
         next.step(now, now) { jobRecordRead(record, 1) }
         assertEquals(machinesOfWide(core), machinesOfWide(next))
@@ -34,7 +34,7 @@
         startFleet(400)
         val first = store(submit(wideJob.copy(tasks = 400)) + wait(2.seconds)).writes.single() as UpdateJobRecord
         val placementParts = first.record.placementParts
-        assertTrue(first.parts.size == 3 && placementParts.size > 3, "all of it went into the first transaction")
+        assertTrue(first.parts.size == 3 && placementParts.size > 3, "all parts are in the first transaction")
         val placementsInFirst =
             first.record.placements.size + first.parts.keys.sumOf { placementParts.getValue(it).size }
         assertEquals(placementsInFirst, confirm().starts().size)
--- a/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -22,8 +22,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A day in simulated time with random jobs and faults, which checks every rule at every start and every tick, and that
- * each job comes to its end once the faults are over.
+ * Simulates a day with random jobs and faults. It checks every rule at every start and every tick, and that each job
+ * reaches its final state once the faults are over.
  */
 class RandomizedSimulation(
     private val seed: Long,
@@ -77,8 +77,8 @@
         jobs.add(spec.id)
         simulation.run(simulation.now + random.nextInt(8).seconds)
         if (random.nextInt(5) == 0) simulation.cancel(jobs[random.nextInt(jobs.size)])
-        // Without a leader nobody stops cancelled work on hung machines here: with all faults the controllers are soon
-        // back.
+        // Without a leader, cancelled work on hung machines is not stopped in this simulation. Therefore all
+        // controllers are away only for a short time if machines hang.
         if (coldStarts && random.nextInt(6) == 0) {
             simulation.allAway((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
         }
@@ -123,7 +123,7 @@
 
     private fun randomImage() = "i${random.nextInt(3)}"
 
-    /** Some earlier jobs, whatever has become of them; services are never named. */
+    /** Returns some earlier jobs in any state, except services. */
     private fun randomDependencies(): List<String> {
         val candidates =
             jobs.filter { job ->
@@ -135,16 +135,16 @@
     }
 
     private fun checkAndCancelService(id: String) {
-        // What it depends on may in turn wait for the quota of a team whose services run on.
-        val isHeld = simulation.dependenciesOf[id].orEmpty().any { simulation.end(it) == null }
+        // A dependency may in turn wait for the quota of a team whose services are still running.
+        val hasUnfinishedDependency = simulation.dependenciesOf[id].orEmpty().any { simulation.end(it) == null }
         val tasks = simulation.specs.getValue(id).tasks
-        val isWhole =
+        val isAsExpected =
             simulation.end(id) == "cancelled" ||
                 simulation.runningReplicas(id) == tasks ||
                 simulation.teamIsFull(id) ||
-                isHeld
+                hasUnfinishedDependency
         val replicas = "${simulation.runningReplicas(id)} replicas of $tasks"
-        assertTrue(isWhole, "seed $seed: $id has $replicas: ${simulation.describe(id)}")
+        assertTrue(isAsExpected, "seed $seed: $id has $replicas: ${simulation.describe(id)}")
         if (simulation.live(id)) assertTrue(simulation.cancel(id))
     }
 
--- a/src/test/kotlin/glenspool/core/RecordSplittingTest.kt
+++ b/src/test/kotlin/glenspool/core/RecordSplittingTest.kt
@@ -17,13 +17,13 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** What becomes of split records while the level of stored forms that allows them is being left. */
+/** Tests how split records are handled while the level of stored forms that allows them is being left. */
 class RecordSplittingTest :
     SplitRecordTestBase(
         config(txnOps = 4).copy(valueBytes = 2048, writeRps = 8.0),
         job("wide", tasks = 160, priority = Priority.URGENT),
     ) {
-    /** Executes what is to be stored for so many seconds; the most changes in any second. */
+    /** Stores changes for the given number of seconds. Returns the largest number of changes in any second. */
     private fun storeAll(first: List<Action>, seconds: Int): Int {
         var actions = first
         var maxChanges = 0
@@ -55,7 +55,7 @@
         assertEquals(160, before.size)
         val maxChanges = storeAll(step { setSplittingForbidden(true) }, 20)
         assertTrue(maxChanges <= 8, "$maxChanges changes in a second")
-        // Not all of them fit as long as they all run.
+        // The placements do not all fit into the record while all tasks run.
         assertEquals(before, storedMachines())
         assertTrue(isStoredSplit())
         val placements = scheduledJob("wide").placements.values.toList()
@@ -77,8 +77,8 @@
         step { splitRecordSupportChecked(true) }
         startFleet(160)
         submit(wideJob)
-        val decided = wait(2.seconds)
-        assertTrue(decided.any { it is StoreChanges })
+        val plannedActions = wait(2.seconds)
+        assertTrue(plannedActions.any { it is StoreChanges })
         assertTrue(scheduledJob("wide").isSplit)
         step { setSplittingForbidden(true) }
         assertFalse(scheduledJob("wide").isSplit)
@@ -86,7 +86,7 @@
         storeAll(wait(2.seconds), 2)
         assertFalse(isStoredSplit())
         assertTrue(storedMachines().size in 30..159, "${storedMachines().size}")
-        // Nor does a value that is refused for its size lead to a split one now.
+        // A value that is refused for its size does not lead to a split record now either.
         step { transactionEnded(StoreOutcome.TooLarge()) }
         assertFalse(core.canSplitRecords)
         step { setSplittingForbidden(false) }
--- a/src/test/kotlin/glenspool/core/SchedulerTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SchedulerTestBase.kt
@@ -13,12 +13,12 @@
 import glenspool.simulation.config
 import kotlin.time.Duration.Companion.seconds
 
-/** The scheduler driven event by event, with the events and queries that most tests of this package need. */
+/** Drives the scheduler event by event, with the events and queries that most tests of this package need. */
 abstract class SchedulerTestBase(
     settings: SchedulerConfig = config(peerZones = setOf("b")),
     hooks: SchedulerHooks = SchedulerHooks(),
 ) : SchedulerDriver(settings, hooks) {
-    /** So much that no second task fits on a machine of the big type. */
+    /** A request so large that no second task fits on a machine of the big type. */
     protected val wholeMachine = Resources(14.0, 4.0, 50.0)
 
     protected fun scheduledJob(id: String): Job = core.jobs.getValue(id)
@@ -33,34 +33,34 @@
 
     protected fun TaskStatus.exited(reason: ExitReason): TaskStatus = copy(state = TaskState.EXITED, exit = reason)
 
-    /** A heartbeat of the machine arrives; the commands in its reply. */
+    /** Delivers a heartbeat of the machine. Returns the commands in the reply. */
     protected fun heartbeatReply(machine: String, vararg tasks: TaskStatus): List<Command> =
         say(heartbeat(machine, tasks.toList())).first
 
-    /** A heartbeat of the machine arrives; what the scheduler wants done beyond the reply to it. */
+    /** Delivers a heartbeat of the machine. Returns the resulting actions besides the reply. */
     protected fun heartbeatActions(machine: String, vararg tasks: TaskStatus): List<Action> =
         say(heartbeat(machine, tasks.toList())).second
 
-    /** The machine has executed the request and answers with a heartbeat that shows these tasks. */
+    /** Ends a request that the machine has executed. Its answer is a heartbeat that shows these tasks. */
     protected fun executed(request: SendCommands, vararg tasks: TaskStatus): List<Action> =
         step {
             val reply = heartbeat(request.machine, tasks.toList())
             commandsEnded(request.machine, request, CommandOutcome.DONE, reply)
         }
 
-    /** The request ended without an answer of the machine. */
+    /** Ends a request without an answer of the machine. */
     protected fun unanswered(request: SendCommands, outcome: CommandOutcome = CommandOutcome.UNKNOWN): List<Action> =
         step { commandsEnded(request.machine, request, outcome, null) }
 
     protected fun cancel(job: String): List<Action> = step { jobCancelled(job, ++revision, now) }
 
-    /** Places the jobs submitted so far; the requests that start their tasks once the placements are stored. */
+    /** Places the submitted jobs and stores the placements. Returns the requests that then start their tasks. */
     protected fun placeAndStore(): List<SendCommands> {
         wait(1.seconds)
         return confirm().commandRequests()
     }
 
-    /** As [placeAndStore], and the tasks run: the running task of each machine that was sent one. */
+    /** Submits and places a job and starts its tasks. Returns the running task of each machine that was sent one. */
     protected fun placeAndRun(spec: JobSpec): Map<String, TaskStatus> {
         submit(spec)
         wait(1.seconds)
--- a/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-/** A scheduler and a key-value store in memory, with values so small that the record of the job [wideJob] is split. */
+/** Runs a scheduler with an in-memory store whose values are so small that the record of [wideJob] is split. */
 abstract class SplitRecordTestBase(settings: SchedulerConfig, protected val wideJob: JobSpec) :
     SchedulerTestBase(settings) {
     protected val state = InMemoryStore()
@@ -27,7 +27,7 @@
         for (number in 1..size) heartbeatReply(machineId(number))
     }
 
-    /** The first [size] machines send a heartbeat, but for those that have a task already. */
+    /** Delivers heartbeats of the first [size] machines, except those that already have a task. */
     protected fun heartbeatsOfIdleMachines(size: Int, busy: Collection<String>) {
         for (machine in (1..size).map(::machineId)) if (machine !in busy) heartbeatReply(machine)
     }
@@ -36,19 +36,19 @@
 
     protected fun storedRecord(): JobRecord = JobRecordReader(state).read(wideJob.id, storedValue())
 
-    /** The placements in the record and in all its parts. */
+    /** Returns the placements in the record and in all its parts. */
     protected fun JobRecord.allPlacements(): List<StoredPlacement> = placements + placementParts.values.flatten()
 
     protected fun JobRecord.machinesByTask(): Map<Int, String> = allPlacements().associate { it.task to it.machine }
 }
 
-/** Values of at most 2 KiB and 4 changes a transaction: the smallest limits of the sites. */
+/** Uses the smallest limits of the sites, which are values of 2 KiB and 4 changes per transaction. */
 abstract class SmallValuesTestBase :
     SplitRecordTestBase(
         config(txnOps = MAX_CHANGES, peerZones = setOf("b")).copy(valueBytes = VALUE_BYTES),
         job("wide", tasks = 160, resourceRequest = Resources(14.0, 4.0, 60.0), estimatedDuration = 1000.seconds),
     ) {
-    /** How often the key-value store refused a transaction for the size of a value. */
+    /** The number of transactions that the key-value store refused because a value was too large. */
     protected var sizeRefusals = 0
         private set
 
@@ -57,16 +57,16 @@
         state.opsLimit = MAX_CHANGES
     }
 
-    /** Executes what is to be stored in so many rounds, as the key-value store does; all other actions. */
+    /** Stores changes in the given number of rounds, as the key-value store does. Returns all other actions. */
     protected fun storeAll(first: List<Action>, rounds: Int = 60): List<Action> {
-        val others = ArrayList<Action>()
+        val otherActions = ArrayList<Action>()
         var actions = first
         repeat(rounds) {
             val changes = actions.filterIsInstance<StoreChanges>().singleOrNull()
-            others += actions.filter { it !is StoreChanges }
+            otherActions += actions.filter { it !is StoreChanges }
             actions = if (changes == null) wait(1.seconds) else transact(changes)
         }
-        return others
+        return otherActions
     }
 
     private fun transact(changes: StoreChanges): List<Action> {
--- a/src/test/kotlin/glenspool/core/TaskResultsTest.kt
+++ b/src/test/kotlin/glenspool/core/TaskResultsTest.kt
@@ -15,7 +15,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What becomes of exited tasks: results are stored before they are forgotten, failures are retried with backoff. */
+/** Tests that results are stored before exited tasks are forgotten, and that failures are retried with backoff. */
 class TaskResultsTest : SchedulerTestBase() {
     @Test
     fun `a finished task is forgotten only after its result is stored`() {
@@ -81,7 +81,7 @@
         assertTrue(knownMachine("m2").health.slowness < 1.2)
     }
 
-    /** Two jobs of one task, one on each machine: done on m2 after [duration], on m1 after four times as long. */
+    /** Runs a job of one task on each machine. It takes [duration] on m2, and four times as long on m1. */
     private fun runPairOfJobs(id: String, duration: Duration) {
         val ids = listOf(id, "$id-other")
         for (job in ids) submit(job(job, resourceRequest = wholeMachine))
--- a/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
+++ b/src/test/kotlin/glenspool/core/TooLargeValuesTest.kt
@@ -14,7 +14,7 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** Records, results and descriptions that exceed the size of a value. */
+/** Tests records, results and descriptions that exceed the size limit of a value. */
 class TooLargeValuesTest : SmallValuesTestBase() {
     @Test
     fun `a result of a large job may be forgotten only when its own chunk of done bits is stored`() {
@@ -34,7 +34,7 @@
     fun `a too large record stored by an old version is split when it is written again`() {
         val placements = (0 until 120).map { StoredPlacement(it, 100L + it, machineId(it + 1)) }
         step { jobRecordRead(JobRecord(wideJob, now, 400, BitSet(), placements), ++revision) }
-        // Refused once: that is how the new limit shows.
+        // The first write is refused, which reveals the new limit.
         scheduledJob("wide").addUrgentChange()
         storeAll(wait(1.seconds))
         assertEquals(1, sizeRefusals)
@@ -49,10 +49,10 @@
         submit(job("huge").copy(types = types))
         val actions = storeAll(submit(job("small")) + wait(2.seconds))
         assertEquals(listOf("small"), actions.starts().map { it.key.job })
-        assertTrue(sizeRefusals in 1..4, "tried $sizeRefusals times in a minute")
+        assertTrue(sizeRefusals in 1..4, "refused $sizeRefusals times in a minute")
         val messages = actions.filterIsInstance<LogMessage>()
         assertTrue(messages.any { it.isImportant && "too-large job=huge" in it.text })
-        // Its description was stored in parts, so that the record fits.
+        // The description was then stored in parts, so that the record fits.
         now += 60.seconds
         val retry = store(wait(1.seconds))
         step { transactionEnded(StoreOutcome.TooLarge(mapOf("huge" to 3))) }
