--- a/src/main/kotlin/glenspool/core/OrderCause.kt
+++ b/src/main/kotlin/glenspool/core/OrderCause.kt
@@ -53,7 +53,7 @@
     /** The task has no stored placement on that machine, though its job is known. */
     ORPHANED,
 
-    /** The key-value store knows no such job. */
+    /** The key-value store contains no such job. */
     UNRECORDED,
     ;
 
--- a/src/main/kotlin/glenspool/core/SchedulerConfig.kt
+++ b/src/main/kotlin/glenspool/core/SchedulerConfig.kt
@@ -15,7 +15,7 @@
     val lease: Duration,
     /** How long a task of a gang waits for the other tasks. */
     val gangWait: Duration,
-    /** How long the tasks of a gang take to notice that one of them is lost. */
+    /** How long the tasks of a gang take to detect that one of them is lost. */
     val gangPeer: Duration,
     /** The time within which cancelled work has to be gone. */
     val cancellationDeadline: Duration,
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -227,7 +227,7 @@
     /** Whether placements are stored outside the record. */
     val isSplit: Boolean get() = placed.values.any { it.part != PlacementParts.RECORD }
 
-    /** Moves such placements back into the record as far as it has space. Returns whether any was moved. */
+    /** Moves placements back into the record as far as it has space. Returns whether any was moved. */
     fun mergeParts(): Boolean = parts.mergeIntoRecord(placed.values)
 
     /** Marks the task as done because its result is known. */
--- a/src/main/kotlin/glenspool/core/model/Heartbeat.kt
+++ b/src/main/kotlin/glenspool/core/model/Heartbeat.kt
@@ -23,7 +23,7 @@
     /** Refused: another attempt of the task is on the machine. */
     ALREADY_PRESENT,
 
-    /** Refused: the worker knows no such job or task. */
+    /** Refused: the job or task is unknown to the worker. */
     UNKNOWN,
 }
 
