--- a/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
+++ b/src/main/kotlin/glenspool/controller/HeartbeatIntake.kt
@@ -21,9 +21,9 @@
     var readyTerm: Term? = null
 
     /**
-     * Has the heartbeat answered with the core's commands. If this node does not lead or its core is overloaded, [answer]
-     * receives null. The worker's lease is then renewed as on a node that knows no leader, and the worker's next
-     * heartbeat carries the same status. [answer] is called once, on any thread.
+     * Has the heartbeat answered with the core's commands. If this node does not lead or its core is overloaded,
+     * [answer] receives null. The worker's lease is then renewed as on a node that knows no leader, and the worker's
+     * next heartbeat carries the same status. [answer] is called once, on any thread.
      */
     fun accept(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit) {
         val current = term()
