--- a/src/main/kotlin/glenspool/api/DependencyResolver.kt
+++ b/src/main/kotlin/glenspool/api/DependencyResolver.kt
@@ -8,62 +8,66 @@
 import glenspool.wire.RecordWire
 
 /**
- * The state of jobs that depend on others, derived from the records when it is asked for. That a job was aborted by a
- * cancelled dependency need not be stored yet, so the answer holds at every node as soon as the cancellation does,
- * leader or not. It is never revoked: a cancelled job is never done, so what depends on it is never released.
+ * Derives the state of jobs that depend on others from the stored records at the time of the call. It does not require
+ * that the dependent job is already stored as aborted, so the result is valid at every node, leader or not, as soon as
+ * the cancellation of the dependency is stored. It is never revoked: a cancelled job is never done, so the jobs that
+ * depend on it are never released.
  */
 class DependencyResolver(
-    private val live: LiveKeyReader,
+    private val liveKeys: LiveKeyReader,
     private val records: JobRecordReader,
     private val finalStates: FinalStates,
 ) {
-    /** How a job stands that depends on others. */
+    /** The state of a job that depends on others. */
     sealed interface Resolution
 
-    /** [unfinishedDependencies]: those of the jobs named that are not done. */
+    /** @property unfinishedDependencies the named jobs that are not done */
     data class Waiting(val unfinishedDependencies: List<String>) : Resolution
 
-    /** [cancelledJob]: the one that was cancelled, among the dependencies or theirs. */
+    /** @property cancelledJob the cancelled job among the direct and indirect dependencies */
     data class Aborted(val cancelledJob: String) : Resolution
 
     /** The key-value store could not be read. */
     data object Undetermined : Resolution
 
-    /** The caller has brought the cache up to date. Dependencies of dependencies are followed to any depth. */
+    /**
+     * Resolves the state of a job with these [dependencies]. Dependencies of dependencies are followed to any depth.
+     * The caller must have brought the store cache up to date.
+     */
     fun resolve(dependencies: List<String>): Resolution {
         val traversal = Traversal(dependencies)
-        val cancelledJob = live.atomically { traversal.findCancelled() }
+        val cancelledJob = liveKeys.atomically { traversal.findCancelled() }
         if (cancelledJob != null) return Aborted(cancelledJob)
-        for (jobId in traversal.ended) {
-            // It was accepted before the job that names it and is not live, so its final state is stored.
+        for (jobId in traversal.endedJobs) {
+            // The dependency was accepted before the job that names it and is not live, so its final state is stored.
             val lookup = finalStates.read(jobId) as? FinalStates.Ended ?: return Undetermined
             if (lookup.outcome.state == FinalState.CANCELLED) return Aborted(jobId)
         }
-        return Waiting(traversal.open)
+        return Waiting(traversal.liveDependencies)
     }
 
-    /** A breadth-first walk over all live jobs that [dependencies] depend on, themselves included. */
+    /** A breadth-first search over all live jobs among the direct and indirect [dependencies]. */
     private inner class Traversal(private val dependencies: List<String>) {
-        /** Jobs that are not live any more, on the way up to the first cancelled one. */
-        val ended = ArrayList<String>()
+        /** Jobs that are no longer live, found before the first cancelled job. */
+        val endedJobs = ArrayList<String>()
 
         /** Live jobs among [dependencies]. */
-        val open = ArrayList<String>()
+        val liveDependencies = ArrayList<String>()
 
-        /** The first job found whose cancellation is stored; null if there is none. */
+        /** Returns the first job found whose cancellation is stored, or null if there is none. */
         fun findCancelled(): String? {
             val direct = dependencies.toHashSet()
             val seen = HashSet(dependencies)
             val queue = ArrayDeque(dependencies)
             while (queue.isNotEmpty()) {
                 val jobId = queue.removeFirst()
-                if (live.get(Keys.cancel(jobId)) != null) return jobId
-                val record = live.get(Keys.job(jobId))
+                if (liveKeys.get(Keys.cancel(jobId)) != null) return jobId
+                val record = liveKeys.get(Keys.job(jobId))
                 if (record == null) {
-                    ended.add(jobId)
+                    endedJobs.add(jobId)
                     continue
                 }
-                if (jobId in direct) open.add(jobId)
+                if (jobId in direct) liveDependencies.add(jobId)
                 if (RecordWire.waitsForDependencies(record.value)) {
                     records.read(jobId, record.value).dependencies.filterTo(queue) { seen.add(it) }
                 }
@@ -75,16 +79,23 @@
     /** Whether a new job may depend on the jobs that it names. */
     sealed interface Validation
 
-    /** All named jobs were accepted. [abortedBy]: a cancelled one among them, or among those that they depend on. */
+    /**
+     * All named jobs were accepted.
+     *
+     * @property abortedBy a cancelled job among them or among the jobs that they depend on; null if there is none
+     */
     data class Valid(val abortedBy: String?) : Validation
 
-    /** It may not, for [reason]. */
+    /** The new job may not depend on the named jobs, for the given [reason]. */
     data class Invalid(val reason: String) : Validation
 
     /** The key-value store could not be read. */
     data object Undecided : Validation
 
-    /** Whether a new job may name these. The caller has brought the cache up to date after the request came. */
+    /**
+     * Checks whether a new job may name these [dependencies]. The caller must have brought the store cache up to date
+     * after the request arrived.
+     */
     fun validate(jobId: String, dependencies: List<String>): Validation {
         if (jobId in dependencies) return Invalid("awaits: a job can't wait for itself")
         for (dependency in dependencies) {
@@ -98,9 +109,9 @@
         }
     }
 
-    /** Null: the job may be named. */
+    /** Returns null if a new job may name [jobId] as a dependency. */
     private fun validateDependency(jobId: String): Validation? {
-        val record = live.atomically { live.get(Keys.job(jobId))?.let { records.read(jobId, it.value) } }
+        val record = liveKeys.atomically { liveKeys.get(Keys.job(jobId))?.let { records.read(jobId, it.value) } }
         if (record != null) {
             val isService = record.spec.kind == JobKind.SERVICE
             return if (isService) Invalid("awaits: $jobId is a service, which is never done") else null
--- a/src/main/kotlin/glenspool/api/DescriptionPartWriter.kt
+++ b/src/main/kotlin/glenspool/api/DescriptionPartWriter.kt
@@ -11,7 +11,7 @@
 import glenspool.state.StoreResult
 import glenspool.state.conditions
 
-/** Stores the description of a job whose record is too long for one value, in parts under keys of their own. */
+/** Stores the description of a job whose record is too long for one value in parts under separate keys. */
 internal class DescriptionPartWriter(
     private val store: KeyValueStoreClient,
     private val features: FeaturePermits,
@@ -19,10 +19,10 @@
     private val limits: StoreLimits,
 ) {
     sealed interface Result {
-        /** [versions]: of each part by its key, as conditions of the transaction that stores the job. */
+        /** @property versions each part's version by its key, as conditions of the transaction that stores the job */
         data class Stored(val versions: Map<String, Long>) : Result
 
-        /** The parts are not all stored, and the submission ends with this answer. */
+        /** Not all parts were stored, and the submission ends with this [answer]. */
         data class Failed(val answer: UserAnswer) : Result
     }
 
@@ -36,7 +36,7 @@
                         puts.forEach { versions[it.key] = attempt.version }
                         break
                     }
-                    is Attempt.NotPermitted -> return notPermitted(attempt.answer, versions)
+                    is Attempt.NotPermitted -> return resultIfNotPermitted(attempt.answer, versions)
                     is Attempt.Failed -> return Result.Failed(attempt.answer)
                     Attempt.RateLimited -> Unit
                 }
@@ -46,10 +46,11 @@
     }
 
     /**
-     * Known fault: if the job's state can't be read either, the submission goes on with the parts [written] so far, and
-     * only the conditions of the transaction that stores the job keep it from being stored without the others.
+     * Known fault: if the job's state can't be read either, the submission continues with the parts [written] so far.
+     * Only the conditions of the transaction that stores the job then keep it from being stored without the other
+     * parts.
      */
-    private fun notPermitted(answer: UserAnswer, written: Map<String, Long>): Result =
+    private fun resultIfNotPermitted(answer: UserAnswer, written: Map<String, Long>): Result =
         when (answer) {
             UserAnswer.Unreachable -> Result.Stored(written)
             else -> Result.Failed(answer)
@@ -63,7 +64,7 @@
 
         data class Failed(val answer: UserAnswer) : Attempt
 
-        /** To be repeated. */
+        /** The store's rate limit refused the transaction, which is to be repeated. */
         data object RateLimited : Attempt
     }
 
@@ -71,10 +72,10 @@
         val permit =
             features.permit(FeatureRegistry.SEALED_RECORDS)
                 ?: return Attempt.NotPermitted(query.findOrRefuse(jobId, UserAnswer.TryLater))
-        // A late copy of this transaction must not change the parts of a job that was accepted since.
+        // The conditions keep a delayed copy of this transaction from changing the parts of a job accepted since.
         return when (val result = store.transact(permit.conditions() + notAcceptedConditions(jobId), puts)) {
             is StoreResult.Ok -> Attempt.Stored(result.value)
-            is StoreResult.Conflict -> Attempt.NotPermitted(conflicting(jobId, result.keys))
+            is StoreResult.Conflict -> Attempt.NotPermitted(answerConflict(jobId, result.keys))
             is StoreResult.Refused ->
                 when {
                     !result.isRateLimit -> Attempt.Failed(UserAnswer.Unreachable)
@@ -85,7 +86,7 @@
         }
     }
 
-    private fun conflicting(jobId: String, keys: List<String>): UserAnswer =
+    private fun answerConflict(jobId: String, keys: List<String>): UserAnswer =
         when {
             Keys.LEVEL in keys -> query.findOrRefuse(jobId, UserAnswer.TryLater)
             else -> query.find(jobId)
--- a/src/main/kotlin/glenspool/api/FenceFilter.kt
+++ b/src/main/kotlin/glenspool/api/FenceFilter.kt
@@ -8,8 +8,8 @@
 import org.http4k.core.Status
 
 /**
- * Refuses every request, the health probe too, while [fence] forbids this process to serve, and says which level it
- * would need.
+ * Refuses every request, including health probes, while [fence] returns a fence that forbids this process to serve. The
+ * response names the level that the process would need to support.
  */
 fun fenceFilter(fence: () -> Fence?): Filter =
     Filter { next ->
@@ -21,5 +21,5 @@
         .header("Retry-After", FENCED_RETRY_SECONDS.toString())
         .header("Connection", "close")
 
-/** Another node serves at once; this one will not for a while. */
+/** Short, because another node serves the retry immediately, whereas this one stays fenced for some time. */
 private const val FENCED_RETRY_SECONDS = 1
--- a/src/main/kotlin/glenspool/api/FinalStates.kt
+++ b/src/main/kotlin/glenspool/api/FinalStates.kt
@@ -7,9 +7,9 @@
 import glenspool.wire.StoreWire
 import glenspool.wire.UserWire
 
-/** How jobs ended, read by [get] from the key-value store. Outcomes never change, so those read are cached. */
+/** Reads the final states of jobs from the key-value store by [get] and caches them, since they never change. */
 class FinalStates(private val get: (key: String) -> StoreResult<StoreWire.Item>) {
-    /** What was found under a job's final key. */
+    /** The result of reading a job's final key. */
     sealed interface Lookup
 
     /** The job has its final state. */
@@ -21,13 +21,13 @@
     /** The key-value store did not answer. */
     data object Unreachable : Lookup
 
-    /** Created by the first user's request: loading the cache library's classes would delay the start. */
-    private val outcomes by lazy { CacheBuilder.newBuilder().maximumSize(MAX_CACHED).build<String, JobOutcome>() }
+    /** Created by the first user's request, because loading the cache library's classes would delay the start. */
+    private val outcomes by lazy { CacheBuilder.newBuilder().maximumSize(MAX_OUTCOMES).build<String, JobOutcome>() }
 
-    /** The outcome if it was read before; null otherwise. */
+    /** Returns the outcome if it is cached, otherwise null. */
     fun cached(jobId: String): JobOutcome? = outcomes.getIfPresent(jobId)
 
-    /** The final state of the job, from memory or from the key-value store. */
+    /** Returns the job's final state from the cache or from the key-value store. */
     fun read(jobId: String): Lookup {
         cached(jobId)?.let { return Ended(it) }
         return when (val result = get(Keys.final(jobId))) {
@@ -38,6 +38,6 @@
     }
 
     private companion object {
-        const val MAX_CACHED = 4000L
+        const val MAX_OUTCOMES = 4000L
     }
 }
--- a/src/main/kotlin/glenspool/api/HeartbeatReceiver.kt
+++ b/src/main/kotlin/glenspool/api/HeartbeatReceiver.kt
@@ -2,8 +2,8 @@
 
 import glenspool.core.model.Heartbeat
 
-/** Hands heartbeats to the core. */
+/** Passes heartbeats to the core. */
 fun interface HeartbeatReceiver {
-    /** [answer] is called once, by any thread; with null if this node does not lead or its core is behind. */
+    /** Calls [answer] once, on any thread, with null if this node does not lead or its core is overloaded. */
     fun receive(heartbeat: Heartbeat, answer: (WorkerCommands?) -> Unit)
 }
--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -14,10 +14,10 @@
 import org.http4k.core.Status
 
 /**
- * Stores valid submissions, each job at most once however often and wherever it is submitted.
+ * Stores valid submissions. Each job is stored at most once, no matter how often and at which nodes it is submitted.
  *
- * A record that is too long for one value has its description stored in parts before. Only the record itself accepts
- * the job, on the condition that the parts are those that it was made with.
+ * If a record is too long for one value, its description is stored in parts first. The job is accepted only when the
+ * record itself is stored, on the condition that the parts are those that the record was made with.
  */
 internal class JobAcceptance(
     private val settings: Settings,
@@ -28,7 +28,10 @@
     private val limits = settings.storeLimits.safe
     private val descriptionParts = DescriptionPartWriter(store, features, query, limits)
 
-    /** [abortedBy]: a cancelled job that this one depends on; it is accepted all the same, and its user told so. */
+    /**
+     * Stores the job. If it depends on a cancelled job, [abortedBy], it is accepted nevertheless, and the answer to the
+     * user names the cancelled job.
+     */
     fun accept(record: JobRecord, abortedBy: String?): UserAnswer {
         val retry = StoreRetry()
         var isSplit = Cbor.jsonSizeBytes(RecordWire.encode(record)) > maxValueBytes(record)
@@ -41,20 +44,25 @@
         }
     }
 
-    /** A record in the base level's form is kept whole as long as the store takes it: old controllers may lead. */
+    /**
+     * Returns the size above which the record is split. A record in the base level's form is not split as long as the
+     * store accepts it, because the leader may be an old controller, which can't read split records.
+     */
     private fun maxValueBytes(record: JobRecord): Int {
         val isBaseForm = record.dependencies.isEmpty() && !features.isInUse(FeatureRegistry.SEALED_RECORDS)
         return if (isBaseForm) settings.storeLimits.now.valueBytes else limits.valueBytes
     }
 
-    /** How one attempt to store a submission ended. */
+    /** The result of one attempt to store a submission. */
     private sealed interface Attempt {
         data class Answered(val answer: UserAnswer) : Attempt
 
-        /** The store's limit for values is lower than the settings say: to be repeated with a split record. */
+        /**
+         * The store's value limit is lower than the configured one; the attempt is to be repeated with a split record.
+         */
         data object ValueTooLarge : Attempt
 
-        /** To be repeated. */
+        /** The store's rate limit refused the transaction; the attempt is to be repeated. */
         data object RateLimited : Attempt
     }
 
@@ -87,30 +95,30 @@
         val jobId = record.spec.id
         return when (val result = store.transact(conditions, listOf(Put(Keys.job(jobId), RecordWire.encode(record))))) {
             is StoreResult.Ok -> Attempt.Answered(UserAnswer.Accepted(jobId, abortedBy))
-            is StoreResult.Conflict -> Attempt.Answered(conflicting(jobId, result.keys))
-            is StoreResult.Refused -> refused(result, isSplit, retry)
+            is StoreResult.Conflict -> Attempt.Answered(answerConflict(jobId, result.keys))
+            is StoreResult.Refused -> attemptAfterRefusal(result, isSplit, retry)
             is StoreResult.Unknown, StoreResult.Missing -> Attempt.Answered(answerFromStore(jobId))
         }
     }
 
-    private fun conflicting(jobId: String, keys: List<String>): UserAnswer =
+    private fun answerConflict(jobId: String, keys: List<String>): UserAnswer =
         when {
             keys.any { it.startsWith(Keys.DESCRIPTION_PART) } -> UserAnswer.TryLater
-            // The level was left, or this node does not know yet that it is active.
+            // The level is no longer active, or this node has not yet read that it is active.
             Keys.LEVEL in keys -> query.findOrRefuse(jobId, UserAnswer.TryLater)
             else -> query.find(jobId)
         }
 
-    private fun refused(result: StoreResult.Refused, isSplit: Boolean, retry: StoreRetry): Attempt =
+    private fun attemptAfterRefusal(result: StoreResult.Refused, isSplit: Boolean, retry: StoreRetry): Attempt =
         when {
             result.isRateLimit -> if (retry.backOff()) Attempt.RateLimited else Attempt.Answered(UserAnswer.RateLimited)
             result.status != Status.BAD_REQUEST.code -> Attempt.Answered(UserAnswer.Unreachable)
-            // Parts can't be made any smaller: if they don't fit either, nothing will.
+            // The parts can't be made smaller, so the record can't be stored if the split form does not fit either.
             isSplit -> Attempt.Answered(SubmissionValidator.DESCRIPTION_TOO_LONG)
             else -> Attempt.ValueTooLarge
         }
 
-    /** The store did not confirm the transaction: only a read tells whether it was carried out. */
+    /** Reads the job's state after an unconfirmed transaction, since only a read shows whether it was carried out. */
     private fun answerFromStore(jobId: String): UserAnswer =
         when (val state = query.find(jobId)) {
             is UserAnswer.Live, is UserAnswer.Ended -> state
--- a/src/main/kotlin/glenspool/api/JobCancellation.kt
+++ b/src/main/kotlin/glenspool/api/JobCancellation.kt
@@ -7,7 +7,7 @@
 import glenspool.state.wallClock
 import glenspool.wire.UserWire
 
-/** Cancels jobs on their users' request. */
+/** Cancels jobs at their users' request. */
 internal class JobCancellation(private val store: KeyValueStoreClient, private val query: JobQuery) {
     fun cancel(jobId: String): UserAnswer {
         val state = query.find(jobId)
@@ -15,31 +15,39 @@
         val retry = StoreRetry()
         while (true) {
             when (val result = storeCancellation(jobId)) {
-                is StoreResult.Ok -> return stored(jobId)
+                is StoreResult.Ok -> return answerStored(jobId)
                 is StoreResult.Refused -> {
                     if (!result.isRateLimit) return UserAnswer.Unreachable
                     if (!retry.backOff()) return UserAnswer.RateLimited
                 }
-                is StoreResult.Conflict, is StoreResult.Unknown, StoreResult.Missing -> return notStored(jobId)
+                is StoreResult.Conflict, is StoreResult.Unknown, StoreResult.Missing -> return answerUnconfirmed(jobId)
             }
         }
     }
 
-    /** The final key's absence means that the job is still live: it can't be both done and cancelled. */
+    /**
+     * Requires that the final key is absent, so that only a live job is cancelled and none is both done and cancelled.
+     */
     private fun storeCancellation(jobId: String): StoreResult<Long> =
         store.transact(
             mapOf(Keys.cancel(jobId) to ABSENT, Keys.final(jobId) to ABSENT),
             listOf(Put(Keys.cancel(jobId), UserWire.encodeCancellation(wallClock()))),
         )
 
-    /** Read back, so that this node knows all placements stored before the cancellation; none is stored after it. */
-    private fun stored(jobId: String): UserAnswer {
+    /**
+     * Answers after the cancellation was stored. The job is read back so that this node has read all placements stored
+     * before the cancellation; none is stored after it.
+     */
+    private fun answerStored(jobId: String): UserAnswer {
         val state = query.find(jobId)
         return if (state == UserAnswer.Unreachable) UserAnswer.TryLater else state
     }
 
-    /** The job ended meanwhile, or was cancelled by another request, or the outcome of the transaction is unknown. */
-    private fun notStored(jobId: String): UserAnswer =
+    /**
+     * Answers if the job ended in the meantime or was cancelled by another request, or if the outcome of the
+     * transaction is unknown.
+     */
+    private fun answerUnconfirmed(jobId: String): UserAnswer =
         when (val state = query.find(jobId)) {
             is UserAnswer.Live, UserAnswer.Unreachable, UserAnswer.TryLater -> UserAnswer.TryLater
             is UserAnswer.Ended, is UserAnswer.NotFound -> state
--- a/src/main/kotlin/glenspool/api/JobQuery.kt
+++ b/src/main/kotlin/glenspool/api/JobQuery.kt
@@ -8,9 +8,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Answers what state a job is in, from the store cache brought up to date.
+ * Determines the state of jobs from the store cache after bringing it up to date.
  *
- * [mayConfirmCancellation]: whether a user may be told of the job's stored cancellation by now.
+ * @property mayConfirmCancellation whether a job's stored cancellation may be reported to a user yet
  */
 internal class JobQuery(
     private val cache: StoreCache,
@@ -19,7 +19,7 @@
     private val dependencyResolver: DependencyResolver,
     private val mayConfirmCancellation: (jobId: String) -> Boolean,
 ) {
-    /** The job's state at some moment after this call began. */
+    /** Returns the job's state at some moment after this call began. */
     fun find(jobId: String): JobQueryAnswer {
         finalStates.cached(jobId)?.let { return UserAnswer.Ended(jobId, it) }
         if (!cache.sync(SYNC_TIMEOUT)) return UserAnswer.Unreachable
@@ -27,7 +27,10 @@
         return if (job.isCancelled) findCancelled(jobId) else findLive(jobId, job.record)
     }
 
-    /** The state of a job that is known already, whatever the checks of a submission say today; otherwise [refusal]. */
+    /**
+     * Returns [refusal] if the job was never accepted, otherwise the result of [find]: a job that was accepted before
+     * is not refused, even if it would fail the checks of a submission now.
+     */
     fun findOrRefuse(jobId: String, refusal: Refusal): UserAnswer {
         val state = find(jobId)
         return if (state is UserAnswer.NotFound) refusal else state
@@ -35,7 +38,10 @@
 
     private class LiveJob(val record: JobRecord, val isCancelled: Boolean)
 
-    /** Both keys at once: read one by one, a cancelled job that is just ending could look live and not cancelled. */
+    /**
+     * Reads the job's record and its cancellation atomically. With two separate reads, a cancelled job that ends
+     * between them could appear to be live and not cancelled.
+     */
     private fun readLive(jobId: String): LiveJob? =
         cache.atomically {
             val record = cache.get(Keys.job(jobId))?.let { records.read(jobId, it.value) }
@@ -43,8 +49,8 @@
         }
 
     /**
-     * A job that was not live at a moment after the request came. A record moves from live to final in one transaction
-     * and never back, so what isn't final now was not accepted at that moment.
+     * Returns the state of a job that was not live at a moment after the request arrived. A record moves from live to
+     * final in one transaction and never back, so a job that has no final state now was not accepted at that moment.
      */
     private fun findEnded(jobId: String): JobQueryAnswer =
         when (val lookup = finalStates.read(jobId)) {
@@ -54,8 +60,8 @@
         }
 
     /**
-     * While the cancellation may not be confirmed, the job may not be called live either: another node may have
-     * confirmed it.
+     * Returns the state of a job whose cancellation is stored. While the cancellation may not be confirmed, the job
+     * must not be reported as live either, because another node may have confirmed the cancellation.
      */
     private fun findCancelled(jobId: String): JobQueryAnswer =
         if (mayConfirmCancellation(jobId)) {
@@ -65,19 +71,19 @@
         }
 
     /**
-     * A job that depends on a cancelled one counts as cancelled from that moment, whether that is stored already or
-     * not.
+     * Returns the state of a live job that was not cancelled itself. A job that depends on a cancelled job counts as
+     * cancelled from the moment of that cancellation, even if this is not stored yet.
      */
     private fun findLive(jobId: String, record: JobRecord): JobQueryAnswer {
-        if (record.dependencies.isEmpty()) return live(record, emptyList())
+        if (record.dependencies.isEmpty()) return liveAnswer(record, emptyList())
         return when (val resolution = dependencyResolver.resolve(record.dependencies)) {
-            is DependencyResolver.Waiting -> live(record, resolution.unfinishedDependencies)
+            is DependencyResolver.Waiting -> liveAnswer(record, resolution.unfinishedDependencies)
             is DependencyResolver.Aborted -> UserAnswer.Ended(jobId, JobOutcome.Cancelled(resolution.cancelledJob))
             DependencyResolver.Undetermined -> UserAnswer.Unreachable
         }
     }
 
-    private fun live(record: JobRecord, unfinishedDependencies: List<String>): JobQueryAnswer {
+    private fun liveAnswer(record: JobRecord, unfinishedDependencies: List<String>): JobQueryAnswer {
         val running = record.placements.size + record.placementParts.values.sumOf { it.size }
         return UserAnswer.Live(record.spec.id, record.done.cardinality(), running, unfinishedDependencies)
     }
--- a/src/main/kotlin/glenspool/api/JobSubmission.kt
+++ b/src/main/kotlin/glenspool/api/JobSubmission.kt
@@ -10,7 +10,7 @@
 import org.http4k.core.Status
 import java.util.BitSet
 
-/** Takes submissions: decodes and checks them and has them stored. */
+/** Decodes and checks submissions, and passes valid ones to [JobAcceptance] to store them. */
 internal class JobSubmission(
     private val cache: StoreCache,
     private val features: FeaturePermits,
@@ -19,7 +19,7 @@
     private val query: JobQuery,
     private val acceptance: JobAcceptance,
 ) {
-    /** [body]: as the user sent it. */
+    /** Handles a submission; [body] is the request body that the user sent. */
     fun submit(body: ByteArray): UserAnswer {
         val submission =
             try {
@@ -42,7 +42,7 @@
 
     private fun submitDependent(record: JobRecord): UserAnswer {
         val jobId = record.spec.id
-        // It would be stored in a form that not every controller may be able to read yet.
+        // Without the permit the record would be stored in a form that some controllers may not be able to read yet.
         val permit = features.permit(FeatureRegistry.SEALED_RECORDS)
         if (permit == null) return query.findOrRefuse(jobId, UserAnswer.TryLater)
         if (!cache.sync(JobQuery.SYNC_TIMEOUT)) return UserAnswer.Unreachable
--- a/src/main/kotlin/glenspool/api/LeaseRenewalPolicy.kt
+++ b/src/main/kotlin/glenspool/api/LeaseRenewalPolicy.kt
@@ -9,102 +9,114 @@
 import kotlin.time.toJavaDuration
 
 /**
- * Whether a node that knows of no leader renews a worker's lease by answering its heartbeat.
+ * Decides whether a node that knows no leader renews a worker's lease by answering its heartbeat.
  *
- * [elapsed] is the time since the node's start.
+ * @property uptime the time since the node's start
  */
 class LeaseRenewalPolicy(
     private val workers: WorkerSettings,
     private val otherNodeCount: Int,
-    private val elapsed: () -> Duration,
+    private val uptime: () -> Duration,
 ) {
     /**
-     * Workers that were refused once, for the length of a lease. Created at the first refusal: loading the cache
-     * library's classes would delay the start.
+     * Workers that were refused, each kept for the length of a lease. Created at the first refusal, because loading the
+     * cache library's classes would delay the start.
      */
-    private val refusedOnce by lazy {
+    private val refusedWorkers by lazy {
         CacheBuilder
             .newBuilder()
             .ticker(
                 object : Ticker() {
-                    override fun read(): Long = elapsed().inWholeNanoseconds
+                    override fun read(): Long = uptime().inWholeNanoseconds
                 },
-            ).maximumSize(MAX_WORKERS)
+            ).maximumSize(MAX_TRACKED_WORKERS)
             .expireAfterWrite(workers.lease.toJavaDuration())
             .build<String, Boolean>()
     }
 
     /** When this node last answered each worker. */
-    private val answeredAt = ConcurrentHashMap<String, Duration>()
+    private val lastAnsweredAt = ConcurrentHashMap<String, Duration>()
 
-    /** The node has answered the worker, as the leader or because there is none: the worker's lease begins anew. */
+    /**
+     * To be called when the node has answered the worker, as the leader or because no leader is known, so that the
+     * worker's lease starts anew.
+     */
     fun recordAnswer(machine: String) {
-        if (answeredAt.size >= MAX_WORKERS) answeredAt.clear()
-        answeredAt[machine] = elapsed()
+        if (lastAnsweredAt.size >= MAX_TRACKED_WORKERS) lastAnsweredAt.clear()
+        lastAnsweredAt[machine] = uptime()
     }
 
     /**
-     * [cancellationsCompleteUntil]: up to which moment this node knows every confirmed cancellation, null if it can't
-     * say (see `Cancellations`). [isIsolated]: it has lost the key-value store and every other node.
+     * Returns whether to renew the worker's lease.
+     *
+     * @param cancellationsCompleteUntil the moment up to which this node has received every confirmed cancellation, or
+     *   null if it can't determine that moment (see `Cancellations`)
+     * @param isIsolated whether this node has lost the key-value store and every other node
      */
     fun renewsLease(machine: String, cancellationsCompleteUntil: Duration?, isIsolated: Boolean): Boolean {
-        val now = elapsed()
+        val now = uptime()
         return when {
-            now >= renewalEnd(cancellationsCompleteUntil) -> false
+            now >= renewalDeadline(cancellationsCompleteUntil) -> false
             cancellationsCompleteUntil == null || !isIsolated || !mayRefuseOnce() -> true
-            // A worker that comes from another node found no leader there, and much of its lease has run out meanwhile.
-            wasAnsweredRecently(machine, now) -> refusedOnce.asMap().putIfAbsent(machine, true) != null
+            // A worker that was not answered here recently found no leader at another node and used up much of its
+            // lease there, so it is not refused.
+            wasAnsweredRecently(machine, now) -> refusedWorkers.asMap().putIfAbsent(machine, true) != null
             else -> true
         }
     }
 
-    /** From this moment on a renewed lease could outlast the deadline of a cancellation that this node doesn't know. */
-    private fun renewalEnd(cancellationsCompleteUntil: Duration?): Duration =
+    /**
+     * Returns the moment from which on a renewed lease could outlast the deadline of a cancellation that this node has
+     * not received.
+     */
+    private fun renewalDeadline(cancellationsCompleteUntil: Duration?): Duration =
         if (cancellationsCompleteUntil == null) {
-            // The node has read nothing yet. The worker's lease has not expired, so a node that knew what was cancelled
-            // by then answered it within a lease, and only newer cancellations may still have to be carried out.
-            workers.cancellationDeadline - workers.lease * 2 - UNKNOWN_MARGIN
+            // The node has read nothing yet. Since the worker's lease has not expired, it was answered within the last
+            // lease by a node that had all cancellations up to that time, so that only newer cancellations may still
+            // have to be carried out.
+            workers.cancellationDeadline - workers.lease * 2 - UNREAD_STORE_MARGIN
         } else {
-            // A lease renewed now may last for all its time, and a task cancelled just after the moment up to which
-            // cancellations are known must have stopped by its deadline.
-            cancellationsCompleteUntil + workers.cancellationDeadline * (1 - CLOCK_DRIFT) - workers.lease - MARGIN
+            // A lease renewed now may last its full length, and a task cancelled just after cancellationsCompleteUntil
+            // must have stopped by its deadline.
+            cancellationsCompleteUntil + workers.cancellationDeadline * (1 - DRIFT_ALLOWANCE) - workers.lease -
+                ANSWER_MARGIN
         }
 
     private fun wasAnsweredRecently(machine: String, now: Duration): Boolean {
-        val answered = answeredAt[machine] ?: return false
-        return now - answered <= workers.heartbeatInterval * 2
+        val answeredAt = lastAnsweredAt[machine] ?: return false
+        return now - answeredAt <= workers.heartbeatInterval * 2
     }
 
     /**
-     * Whether an isolated node may refuse each worker once in a lease: a leader elsewhere could answer it, and this
-     * node must not keep it from that one. A worker that comes back found no other node and has its lease renewed, so
-     * that its tasks live on. This needs a lease that outlasts a vain round of the other nodes, each of which may time
-     * out.
+     * Returns whether an isolated node may refuse each worker once per lease. It does so because a leader elsewhere
+     * could answer the worker, which this node must not prevent by answering itself. A worker that returns has found no
+     * other node, and its lease is renewed so that its tasks keep running. A refusal therefore requires a lease that is
+     * longer than a failed round of attempts at all other nodes, each of which may time out.
      */
     private fun mayRefuseOnce(): Boolean {
-        val vainRound = (WORKER_TIMEOUT + WORKER_RETRY_PAUSE) * otherNodeCount
-        return workers.lease >= vainRound + MARGIN + workers.heartbeatInterval * LATE_HEARTBEAT
+        val failedRoundDuration = (WORKER_TIMEOUT + WORKER_RETRY_DELAY) * otherNodeCount
+        return workers.lease >= failedRoundDuration + ANSWER_MARGIN + workers.heartbeatInterval * MAX_HEARTBEAT_GAP
     }
 
     private companion object {
-        const val MAX_WORKERS = 20_000L
+        const val MAX_TRACKED_WORKERS = 20_000L
 
-        /** What the worker's clock and this one may drift apart, twice, as a share of the time. */
-        const val CLOCK_DRIFT = 0.001
+        /** Twice the relative drift that the worker's clock and this node's clock may have. */
+        const val DRIFT_ALLOWANCE = 0.001
 
-        /** How far behind the last node to answer may have been, and the margin for timers that are late. */
-        val UNKNOWN_MARGIN = 3.seconds
+        /** Covers how outdated the cancellations of the node that answered last may have been, and late timers. */
+        val UNREAD_STORE_MARGIN = 3.seconds
 
-        /** From the decision to the answer, and for timers that are late. */
-        val MARGIN = 1.seconds
+        /** Covers the time from the decision to the answer, and late timers. */
+        val ANSWER_MARGIN = 1.seconds
 
         /** How long a worker waits for an answer, see PROTOCOL. */
         val WORKER_TIMEOUT = 4.seconds
 
         /** How long a worker waits before it tries the next node. */
-        val WORKER_RETRY_PAUSE = 1.seconds
+        val WORKER_RETRY_DELAY = 1.seconds
 
-        /** When the next heartbeat after an answer is to be expected at the latest, in intervals. */
-        const val LATE_HEARTBEAT = 1.25
+        /** The longest time from an answer to the next heartbeat, in heartbeat intervals. */
+        const val MAX_HEARTBEAT_GAP = 1.25
     }
 }
--- a/src/main/kotlin/glenspool/api/NodeState.kt
+++ b/src/main/kotlin/glenspool/api/NodeState.kt
@@ -3,20 +3,23 @@
 import glenspool.core.cluster.Cancellations
 import kotlin.time.Duration
 
-/** What the answer to a heartbeat depends on at a node that does not lead. */
+/** The state on which a node's answer to a heartbeat depends while it does not lead. */
 interface NodeState {
-    /** The cancellations that the node knows. */
+    /** The cancellations that the node has received. */
     val cancellations: Cancellations
 
-    /** Since the start of the process, by the steady clock. */
+    /** Returns the time since the start of the process by the monotonic clock. */
     fun uptime(): Duration
 
-    /** Whether this build can't read the active level: the process must neither lead, accept nor confirm anything. */
+    /**
+     * Returns whether this build can't read the active level, in which case the process must neither lead nor accept or
+     * confirm anything.
+     */
     fun fenced(): Boolean
 
-    /** Whether the node has lost the key-value store and every other node. */
+    /** Returns whether the node has lost the key-value store and every other node. */
     fun isolated(): Boolean
 
-    /** The node that workers should send their heartbeats to; null if no other one is known to lead. */
+    /** Returns the node that workers should send their heartbeats to, or null if no other node is known to lead. */
     fun otherLeader(): String?
 }
--- a/src/main/kotlin/glenspool/api/PeerRelay.kt
+++ b/src/main/kotlin/glenspool/api/PeerRelay.kt
@@ -12,24 +12,24 @@
 
 /** Relays users' requests to another controller, for a node that can't reach the key-value store. */
 internal class PeerRelay(private val peers: PeerClient) {
-    /** The peer's response; null if none took the request. */
+    /** Returns the response of the first peer that accepts the request, or null if none does. */
     fun relay(request: UserRequest): Response? {
         val message = RelayRequest(request.method.name, request.path, request.body)
         return peers.relay(message, RELAY_TIMEOUT, relayPath(request))?.toResponse()
     }
 
-    /** Only versions that know dependencies may take a submission that has some. */
+    /** A submission with dependencies has its own path, because only versions that support them may accept it. */
     private fun relayPath(request: UserRequest): String {
         val isSubmission = request.method == Method.POST && request.path == UserPaths.JOBS
         return if (isSubmission && hasDependencies(request.body)) PeerPaths.RELAY_WITH_DEPENDENCIES else PeerPaths.RELAY
     }
 
-    /** A body that can't be decoded is refused wherever it is answered. */
+    /** Returns false if the body can't be decoded, since every node refuses such a submission. */
     private fun hasDependencies(body: ByteArray): Boolean =
         try {
             UserWire.hasDependencies(body)
         } catch (e: MalformedMessage) {
-            log.debug("submission not understood: {}", e.toString())
+            log.debug("submission could not be decoded, relaying it as one without dependencies: {}", e.toString())
             false
         }
 
--- a/src/main/kotlin/glenspool/api/RefusalFilter.kt
+++ b/src/main/kotlin/glenspool/api/RefusalFilter.kt
@@ -3,14 +3,14 @@
 import org.http4k.core.Filter
 import org.http4k.core.Status
 
-/** Calls [onRefusal] for each response that asks a user to come back; the health probe's are not counted. */
+/** Calls [onRefusal] for each response that asks a user to retry later, except for responses to health probes. */
 fun refusalFilter(onRefusal: () -> Unit): Filter =
     Filter { next ->
         { request ->
             val response = next(request)
-            if (response.status.code in REFUSALS && request.uri.path != UserPaths.READY) onRefusal()
+            if (response.status.code in REFUSAL_STATUS_CODES && request.uri.path != UserPaths.READY) onRefusal()
             response
         }
     }
 
-private val REFUSALS = setOf(Status.TOO_MANY_REQUESTS.code, Status.SERVICE_UNAVAILABLE.code)
+private val REFUSAL_STATUS_CODES = setOf(Status.TOO_MANY_REQUESTS.code, Status.SERVICE_UNAVAILABLE.code)
--- a/src/main/kotlin/glenspool/api/SubmissionValidator.kt
+++ b/src/main/kotlin/glenspool/api/SubmissionValidator.kt
@@ -12,9 +12,9 @@
 import org.http4k.core.Status
 
 /**
- * Checks submissions for what makes a job impossible to store or to run, apart from its dependencies.
+ * Checks whether submitted jobs can be stored and can ever run, apart from their dependencies.
  *
- * [machineTypes]: what the cloud offers; null while that is unknown.
+ * @property machineTypes returns the machine types that the cloud offers, or null while they are unknown
  */
 internal class SubmissionValidator(
     private val settings: Settings,
@@ -24,7 +24,7 @@
     private val teams = settings.teams.associateBy { it.name }
     private val limits = settings.storeLimits.safe
 
-    /** Null: the job may be accepted as far as these checks go. */
+    /** Returns the reason to refuse the job, or null if it passes these checks. */
     fun validate(record: JobRecord): Refusal? =
         checkSize(record)
             ?: checkQuota(record.spec)
@@ -40,8 +40,8 @@
         }
 
     /**
-     * The parts of a description are conditions of the transaction that accepts the job, besides the job's own two keys
-     * and the level's.
+     * Returns how many parts a description may have. Each part is a condition of the transaction that accepts the job,
+     * in addition to the conditions on the job's own two keys and on the level's key.
      */
     private fun maxDescriptionParts(): Int {
         val permit = features.permit(FeatureRegistry.SEALED_RECORDS)
@@ -50,23 +50,23 @@
     }
 
     private fun checkQuota(spec: JobSpec): Refusal? {
-        val team = teams[spec.team] ?: return impossible("unknown team ${spec.team}")
-        // The tasks of an array may run one after the other.
+        val team = teams[spec.team] ?: return unprocessable("unknown team ${spec.team}")
+        // The tasks of an array may run one after the other, so only one of them has to fit.
         val simultaneousTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         val cpus = spec.resourceRequest.cpus * simultaneousTasks
         val gpus = spec.resourceRequest.gpus * simultaneousTasks
         return when {
-            exceeds(cpus, team.cpusMax) -> impossible("more CPUs than the team's limit")
-            exceeds(gpus, team.gpusMax) -> impossible("more GPUs than the team's limit")
+            exceeds(cpus, team.cpusMax) -> unprocessable("more CPUs than the team's limit")
+            exceeds(gpus, team.gpusMax) -> unprocessable("more GPUs than the team's limit")
             else -> null
         }
     }
 
-    private fun exceeds(amount: Double, quota: Double?): Boolean = quota != null && amount > quota + TOLERANCE
+    private fun exceeds(amount: Double, quota: Double?): Boolean = quota != null && amount > quota + ROUNDING_TOLERANCE
 
     private fun checkMachineTypes(spec: JobSpec): Refusal? {
         val known = machineTypes() ?: return UserAnswer.TryLater
-        return if (known.any { fits(spec, it) }) null else impossible("no allowed machine type is large enough")
+        return if (known.any { fits(spec, it) }) null else unprocessable("no allowed machine type is large enough")
     }
 
     private fun fits(spec: JobSpec, type: MachineType): Boolean =
@@ -74,21 +74,21 @@
             spec.resourceRequest.fitsIn(type.capacity) &&
             (spec.zone == null || spec.zone in type.zones || spec.zone in settings.zones)
 
-    private fun impossible(reason: String) = UserAnswer.Refused(Status.UNPROCESSABLE_ENTITY, reason)
+    private fun unprocessable(reason: String) = UserAnswer.Refused(Status.UNPROCESSABLE_ENTITY, reason)
 
     companion object {
         val DESCRIPTION_TOO_LONG = UserAnswer.Refused(Status.BAD_REQUEST, "the job's description is too long")
 
-        /** Absorbs rounding when amounts are multiplied. */
-        private const val TOLERANCE = 1e-6
+        /** Tolerates rounding errors of multiplied amounts. */
+        private const val ROUNDING_TOLERANCE = 1e-6
 
-        /** A job id of usual length, with the quotes and the comma around it. */
+        /** The size of a job id of usual length with its quotes and comma. */
         private const val BYTES_PER_DEPENDENCY = 13
 
-        /** How many conditions the store takes in a transaction for each change that its limit allows. */
+        /** The number of conditions that the store accepts in a transaction per change that its limit allows. */
         private const val CONDITIONS_PER_OP = 4
 
-        /** The live and the final key must be absent. */
+        /** The conditions that the live key and the final key are absent. */
         private const val JOB_CONDITIONS = 2
     }
 }
--- a/src/main/kotlin/glenspool/api/UserAnswer.kt
+++ b/src/main/kotlin/glenspool/api/UserAnswer.kt
@@ -3,15 +3,21 @@
 import glenspool.wire.JobOutcome
 import org.http4k.core.Status
 
-/** What a user's request comes to, before it is turned into an HTTP response (see `toResponse`). */
+/** The result of a user's request, which `toResponse` converts to an HTTP response. */
 internal sealed interface UserAnswer {
     /**
-     * The job was stored by this request. [abortedBy]: a cancelled job that it depends on; it was accepted all the
-     * same, but will never run.
+     * The job was stored by this request.
+     *
+     * @property abortedBy a cancelled job that the job depends on; the job was accepted nevertheless, but will never
+     *   run
      */
     data class Accepted(val jobId: String, val abortedBy: String?) : UserAnswer
 
-    /** The job has not ended. [unfinishedDependencies]: the jobs it depends on that are not done yet. */
+    /**
+     * The job has not ended.
+     *
+     * @property unfinishedDependencies the jobs that it depends on and that are not done yet
+     */
     data class Live(
         val jobId: String,
         val tasksDone: Int,
@@ -21,10 +27,10 @@
 
     data class Ended(val jobId: String, val outcome: JobOutcome) : JobQueryAnswer
 
-    /** No job of this id was accepted at some moment after the request came. */
+    /** At some moment after the request arrived, no job with this id had been accepted. */
     data class NotFound(val jobId: String) : JobQueryAnswer
 
-    /** The request is wrong, and repeating it will not help. */
+    /** The request is invalid, and repeating it does not help. */
     data class Refused(val status: Status, val reason: String) : Refusal
 
     /** The request can't be decided now; the user is asked to repeat it. */
@@ -32,15 +38,15 @@
         JobQueryAnswer,
         Refusal
 
-    /** The key-value store's rate limit left no room for the request; the user is asked to repeat it. */
+    /** The key-value store's rate limit refused the request; the user is asked to repeat it. */
     data object RateLimited : UserAnswer
 
-    /** This node can't reach the key-value store; another one may answer instead. */
+    /** This node can't reach the key-value store; another node may be able to answer instead. */
     data object Unreachable : JobQueryAnswer
 }
 
-/** The state of a job, or why it can't be told. */
+/** The state of a job, or the reason why it can't be determined. */
 internal sealed interface JobQueryAnswer : UserAnswer
 
-/** Why a submission is not accepted, provided that the job is not known already. */
+/** The reason why a submission is not accepted, which applies only if the job was not accepted before. */
 internal sealed interface Refusal : UserAnswer
--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -19,14 +19,14 @@
 import org.http4k.core.Uri
 
 /**
- * Routes the users' requests. Any node answers them, and always from the key-value store or from a store cache brought
- * up to date after the request came; a node that can't do so relays the request to one that can, or asks the user at
- * once to come back.
+ * Routes the users' requests. Any node answers them, always from the key-value store or from a store cache that was
+ * brought up to date after the request arrived. A node that can't do so relays the request to a node that can, or
+ * immediately asks the user to retry later.
  *
- * [isIsolated]: whether this node has lost the key-value store and every other node.
- * [mayConfirmCancellation]: whether a user may be told of a job's stored cancellation by now: the other controllers
- * know of it, or can't be reached.
- * [machineTypes]: what the cloud offers; null while that is unknown.
+ * @property isIsolated whether this node has lost the key-value store and every other node
+ * @param mayConfirmCancellation whether a job's stored cancellation may be reported to a user yet, which is the case
+ *   when the other controllers have received it or can't be reached
+ * @param machineTypes returns the machine types that the cloud offers, or null while they are unknown
  */
 class UserApi(
     settings: Settings,
@@ -59,23 +59,24 @@
         val body = request.body.readBounded() ?: return BODY_TOO_LONG.toResponse()
         if (isIsolated()) return tryElsewhere()
         val userRequest = UserRequest(request.method, request.uri.path, body)
-        // While the store can't be reached, a peer answers sooner than another attempt would time out.
+        // While the store is unreachable, a peer answers sooner than another request to the store would time out.
         if (store.isUnreachable) relay.relay(userRequest)?.let { return it }
         val answer = answer(userRequest)
         val relayed = if (answer == UserAnswer.Unreachable) relay.relay(userRequest) else null
         return relayed ?: answer.toResponse()
     }
 
-    /** Answers a request that another node relayed; it is not relayed again. */
+    /** Answers a request that another node relayed, without relaying it again. */
     fun answerRelayed(request: RelayRequest): RelayAnswer {
         val userRequest = UserRequest(Method.valueOf(request.method), request.path, request.body)
         return answer(userRequest).toResponse().toRelayAnswer()
     }
 
     /**
-     * A node that listens can take requests: without the key-value store it relays them, or asks the user at once to
-     * come back. Calling it unready would only add the load balancer's delay to the end of an outage. But a node that
-     * has lost the other nodes as well can do nothing for anybody, while they may be well.
+     * Answers the health probe. A node that listens can accept requests: without the key-value store it relays them, or
+     * immediately asks the user to retry later. Reporting such a node as not ready would only add the load balancer's
+     * delay to the end of an outage. A node that has also lost the other nodes is not ready, because it can't process
+     * any request, whereas the other nodes may work.
      */
     private fun ready(): Response = if (isIsolated()) UserAnswer.TryLater.toResponse() else readyResponse()
 
--- a/src/main/kotlin/glenspool/api/UserResponses.kt
+++ b/src/main/kotlin/glenspool/api/UserResponses.kt
@@ -19,10 +19,10 @@
         UserAnswer.TryLater, UserAnswer.Unreachable -> retryLaterResponse()
     }
 
-/** The answer to the health probe of a node that takes requests. */
+/** The response to a health probe if the node accepts requests. */
 internal fun readyResponse(): Response = cborResponse(Status.OK, emptyMap())
 
-/** Has the user open a new connection, which the load balancer gives to another node. */
+/** Asks the user to retry on a new connection, which the load balancer assigns to another node. */
 internal fun tryElsewhere(): Response = retryLaterResponse().header("Connection", "close")
 
 internal fun Response.toRelayAnswer(): RelayAnswer =
@@ -32,7 +32,7 @@
         retryAfter = header("Retry-After"),
     )
 
-/** The response of the node that a request was relayed to, as the user gets it from this node. */
+/** Converts the answer of the node that a request was relayed to into this node's response to the user. */
 internal fun RelayAnswer.toResponse(): Response {
     val response =
         Response(Status(status, null))
--- a/src/main/kotlin/glenspool/api/WorkerApi.kt
+++ b/src/main/kotlin/glenspool/api/WorkerApi.kt
@@ -22,19 +22,19 @@
 import kotlin.time.Duration
 
 /**
- * Takes workers' heartbeats. The leader answers with commands; another node redirects the worker to the leader, or
- * renews its lease, or refuses.
+ * Processes workers' heartbeats. The leader answers with commands; another node redirects the worker to the leader,
+ * renews its lease, or refuses the heartbeat.
  */
 class WorkerApi(settings: Settings, private val node: NodeState, private val core: HeartbeatReceiver) : AsyncHandler {
     private val leaseRenewal = LeaseRenewalPolicy(settings.workers, settings.members.size, node::uptime)
     private val redirectLimiter = RedirectLimiter(settings.workers.lease, node::uptime)
     private val heartbeats = AtomicLong()
 
-    /** Called with each heartbeat's machine and incarnation, while somebody counts them; null otherwise. */
+    /** Called with each heartbeat's machine and incarnation; null while incarnations are not counted. */
     @Volatile
     var incarnationListener: ((machine: String, incarnation: Long) -> Unit)? = null
 
-    /** How many heartbeats this node has received since its start. */
+    /** Returns the number of heartbeats that this node has received since its start. */
     fun heartbeatsReceived(): Long = heartbeats.get()
 
     override fun handle(request: Request, respond: (Response) -> Unit) {
@@ -45,32 +45,32 @@
             try {
                 WorkerWire.decodeHeartbeat(Cbor.decodeMap(bytes))
             } catch (e: MalformedMessage) {
-                log.warn("heartbeat not understood: {}", e.message)
+                log.warn("heartbeat could not be decoded, answering 400: {}", e.message)
                 return respond(badRequest(e.message ?: "malformed"))
             }
         incarnationListener?.invoke(heartbeat.machine, heartbeat.incarnation)
-        core.receive(heartbeat) { orders ->
+        core.receive(heartbeat) { reply ->
             respond(
-                if (orders == null) {
-                    answerWithoutLead(heartbeat)
+                if (reply == null) {
+                    answerWithoutCore(heartbeat)
                 } else {
-                    answer(heartbeat, orders.token, orders.commands)
+                    answer(heartbeat, reply.token, reply.commands)
                 },
             )
         }
     }
 
-    /** The answer of a node that does not lead, or whose core is behind. */
-    private fun answerWithoutLead(heartbeat: Heartbeat): Response {
+    /** Returns the answer of a node that does not lead or whose core is overloaded. */
+    private fun answerWithoutCore(heartbeat: Heartbeat): Response {
         val leader = node.otherLeader()
         if (leader != null && redirectLimiter.mayRedirect(heartbeat.machine)) {
             return cborResponse(MISDIRECTED, WorkerWire.redirect(leader))
         }
-        // A build that may not understand what is stored can't say which work was cancelled.
+        // A fenced build may not be able to decode the stored data, so it can't determine which work was cancelled.
         if (node.fenced() || !renewsLease(heartbeat)) return cborResponse(Status.SERVICE_UNAVAILABLE, emptyMap())
-        // There is no known leader, or the worker may not be redirected to it now. An answer with the worker's own
-        // token starts nothing and keeps its tasks alive.
-        return answer(heartbeat, heartbeat.token, stopsOfCancelled(heartbeat))
+        // No leader is known, or the worker may not be redirected to it now. An answer with the worker's own token
+        // starts no tasks and keeps those that it has running.
+        return answer(heartbeat, heartbeat.token, stopsOfCancelledTasks(heartbeat))
     }
 
     private fun renewsLease(heartbeat: Heartbeat): Boolean {
@@ -83,8 +83,8 @@
         return cborResponse(Status.OK, WorkerWire.heartbeatReply(token, commands))
     }
 
-    /** A cancelled job stays cancelled, so any node may have its tasks stopped, whatever token is in force. */
-    private fun stopsOfCancelled(heartbeat: Heartbeat): List<Command> =
+    /** A cancelled job stays cancelled, so any node may stop its tasks, whichever fencing token is current. */
+    private fun stopsOfCancelledTasks(heartbeat: Heartbeat): List<Command> =
         heartbeat.tasks
             .filter { it.state != TaskState.EXITED && node.cancellations.contains(it.key.job) }
             .map { StopTask(it.key, it.attempt, Duration.ZERO, StopCause.CANCELLED) }
