--- a/src/main/kotlin/glenspool/peer/OperatorServer.kt
+++ b/src/main/kotlin/glenspool/peer/OperatorServer.kt
@@ -6,7 +6,7 @@
 import org.http4k.core.Response
 import org.http4k.core.Status
 
-/** Answers operators' queries and commands on the controllers' own port: one message, one reply. */
+/** Answers operators' queries and commands on the controllers' internal port, with one reply per message. */
 class OperatorServer<Q, R> private constructor(
     private val decode: (ByteArray) -> Q,
     private val encode: (R) -> ByteArray,
--- a/src/main/kotlin/glenspool/peer/PeerClient.kt
+++ b/src/main/kotlin/glenspool/peer/PeerClient.kt
@@ -9,32 +9,35 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Requests to the other controllers. They are hints and relays only: no rule depends on a peer's silence. */
+/**
+ * Sends requests to the other controllers. They only gather hints and relay users' requests: no rule depends on whether
+ * a peer answers.
+ */
 class PeerClient(private val members: List<Member>) {
     private val http = HttpClient(CONNECT_TIMEOUT)
 
-    /** The statuses of those members that answer. */
+    /** Returns the statuses of the members that answer. */
     fun statuses(): List<PeerStatus> =
         members.mapNotNull { member ->
             request(member, PeerPaths.STATUS, null, STATUS_TIMEOUT, PeerWire::decodeStatus).valueOrNull()
         }
 
-    /** How an exchange of known cancellations ended. */
+    /** The result of an exchange of cancellations. */
     sealed interface ExchangeResult {
-        /** It answered with [message]. */
+        /** The peer answered with [message]. */
         data class Answered(val message: CancellationMessage) : ExchangeResult
 
-        /** The peer runs a version that takes no part in the exchange. */
+        /** The peer runs a version that does not support the exchange. */
         data object Unsupported : ExchangeResult
 
-        /** The peer did not answer, or refused, or its answer can't be decoded. */
+        /** The peer did not answer or refused the request, or its answer can't be decoded. */
         data object Failed : ExchangeResult
     }
 
-    /** Sends what this controller knows of cancellations and reads what the other one does. */
-    fun exchange(with: Member, message: CancellationMessage): ExchangeResult {
+    /** Sends the cancellations that this controller has to a member, and returns those that the member has. */
+    fun exchange(member: Member, message: CancellationMessage): ExchangeResult {
         val body = PeerWire.encode(message)
-        val reply = request(with, PeerPaths.CANCELLATIONS, body, EXCHANGE_TIMEOUT, PeerWire::decodeCancellations)
+        val reply = request(member, PeerPaths.CANCELLATIONS, body, EXCHANGE_TIMEOUT, PeerWire::decodeCancellations)
         return when {
             reply is PeerReply.Success -> ExchangeResult.Answered(reply.value)
             reply is PeerReply.Failure && reply.status == NOT_FOUND -> ExchangeResult.Unsupported
@@ -43,14 +46,17 @@
     }
 
     /**
-     * Asks the members in turn; the first that takes the request answers for all. Null: none took it. [path] says which
-     * versions may take it, see [PeerPaths]; [timeout] is for each member.
+     * Sends the request to the members in turn and returns the first answer that is not a server error, or null if
+     * there is none.
+     *
+     * @param timeout the limit for each member's answer
+     * @param path determines which versions may accept the request, see [PeerPaths]
      */
     fun relay(request: RelayRequest, timeout: Duration, path: String = PeerPaths.RELAY): RelayAnswer? {
         val body = PeerWire.encode(request)
         for (member in members) {
             val answer = request(member, path, body, timeout, PeerWire::decodeRelayAnswer).valueOrNull() ?: continue
-            if (answer.status < SERVER_ERRORS) return answer
+            if (answer.status < FIRST_SERVER_ERROR) return answer
         }
         return null
     }
@@ -58,16 +64,16 @@
     private sealed interface PeerReply<out T> {
         data class Success<T>(val value: T) : PeerReply<T>
 
-        /** Any other [status] than 200. */
+        /** The member answered with a [status] other than 200. */
         data class Failure(val status: Int) : PeerReply<Nothing>
 
-        /** No answer, or one that can't be decoded. */
+        /** The member did not answer, or its answer can't be decoded. */
         data object None : PeerReply<Nothing>
     }
 
     private fun <T> PeerReply<T>.valueOrNull(): T? = (this as? PeerReply.Success)?.value
 
-    /** [body]: null makes it a GET, otherwise it is a POST. */
+    /** Sends a POST request with [body], or a GET request if [body] is null. */
     private fun <T> request(
         member: Member,
         path: String,
@@ -85,7 +91,7 @@
         return try {
             PeerReply.Success(decode(result.body))
         } catch (e: SerializationException) {
-            log.warn("answer of peer {} not understood: {}", member.name, e.toString())
+            log.warn("answer of peer {} could not be decoded, ignoring it: {}", member.name, e.toString())
             PeerReply.None
         }
     }
@@ -98,7 +104,7 @@
         const val OK = 200
         const val NOT_FOUND = 404
 
-        /** The first of the statuses by which a server says that it could not answer. */
-        const val SERVER_ERRORS = 500
+        /** The lowest of the statuses that report a server error. */
+        const val FIRST_SERVER_ERROR = 500
     }
 }
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -3,27 +3,31 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a controller tells another about itself. */
+/** A controller's status as it reports it to another controller. */
 @Serializable
 data class PeerStatus(
     @SerialName("node") val node: String,
     @SerialName("leading") val leading: Boolean,
     @SerialName("leader") val leader: String?,
     @SerialName("fresh") val isCacheFresh: Boolean,
-    /** Which stored forms it reads, see [SEALED_RECORDS]; versions without job dependencies don't say. */
+    /** The highest level of stored forms that the node reads; versions without job dependencies don't send it. */
     @SerialName("reads") val readableLevel: Int = 0,
-    /** Its build and the levels that it knows; null where levels are not managed. */
+    /** The node's build and the levels that the build supports; null where levels are not managed. */
     @SerialName("levels") val levels: PeerLevels? = null,
-    /** The leaders' terms that its process has witnessed; null where recovery is not managed. */
+    /** The evidence of leaders' terms that the node's process has lived through; null where recovery is not managed. */
     @SerialName("witness") val continuityEvidence: PeerContinuityEvidence? = null,
 ) {
     companion object {
-        /** Records whose description or placements are stored under keys of their own. */
+        /** The level of records whose description or placements are stored under separate keys. */
         const val SEALED_RECORDS = 1
     }
 }
 
-/** The fencing token of the first leader's term that a controller's process has witnessed; null if there is none. */
+/**
+ * Evidence of the leaders' terms that a controller's process has lived through.
+ *
+ * @property firstToken the fencing token of the first such term; null if there is none
+ */
 @Serializable
 data class PeerContinuityEvidence(
     @SerialName("firstToken") val firstToken: Long? = null,
@@ -54,7 +58,11 @@
     @SerialName("body") val body: ByteArray,
 )
 
-/** The response to a relayed request. [retryAfter]: the value of its `Retry-After` header, if it has one. */
+/**
+ * The response to a relayed request.
+ *
+ * @property retryAfter the value of the response's `Retry-After` header; null if there is none
+ */
 @Serializable
 data class RelayAnswer(
     @SerialName("status") val status: Int,
@@ -62,7 +70,10 @@
     @SerialName("retryAfter") val retryAfter: String?,
 )
 
-/** See `glenspool.core.cluster.CancellationUpdate`. Durations and times since the epoch are in milliseconds. */
+/**
+ * The serialized form of `glenspool.core.cluster.CancellationUpdate`. Durations and times since the epoch are in
+ * milliseconds.
+ */
 @Serializable
 data class CancellationMessage(
     @SerialName("node") val node: String,
@@ -77,7 +88,11 @@
     @SerialName("heardBoot") val acknowledgedBoot: String?,
     @SerialName("heardUpTo") val acknowledgedUpTo: Long,
 ) {
-    /** A stored cancellation; [at] is a time of day. */
+    /**
+     * A stored cancellation.
+     *
+     * @property at when the cancellation was stored, by the wall clock
+     */
     @Serializable
     data class Entry(
         @SerialName("job") val job: String,
--- a/src/main/kotlin/glenspool/peer/PeerPaths.kt
+++ b/src/main/kotlin/glenspool/peer/PeerPaths.kt
@@ -1,14 +1,17 @@
 package glenspool.peer
 
-/** Paths of the requests between controllers. A version that does not know a path answers 404. */
+/** Paths of the requests between controllers. A version that does not support a path answers 404. */
 object PeerPaths {
     const val STATUS = "/peer/status"
     const val RELAY = "/peer/relay"
 
-    /** Submissions with dependencies: a version that does not know them would start the jobs at once. */
+    /**
+     * For submissions with dependencies. They have a separate path because a version that does not support dependencies
+     * would start the jobs immediately.
+     */
     const val RELAY_WITH_DEPENDENCIES = "/peer/relay-chained"
 
-    /** The exchange of known cancellations. A version that does not know the path takes no part in it. */
+    /** The exchange of cancellations. A version that does not support the path takes no part in it. */
     const val CANCELLATIONS = "/peer/cancellations"
 
     /** Operators' queries and commands for the rollout; 404 where levels are not managed. */
--- a/src/main/kotlin/glenspool/peer/PeerServer.kt
+++ b/src/main/kotlin/glenspool/peer/PeerServer.kt
@@ -9,8 +9,8 @@
 /**
  * Answers the other controllers' requests.
  *
- * [cancellations] answers a message about cancellations; null if its sender is no member. [relay] answers a user's
- * request that another controller relayed.
+ * @property cancellations answers a message about cancellations, or returns null if its sender is not a member
+ * @property relay answers a user's request that another controller relayed
  */
 class PeerServer(
     private val status: () -> PeerStatus,
--- a/src/main/kotlin/glenspool/peer/PeerWire.kt
+++ b/src/main/kotlin/glenspool/peer/PeerWire.kt
@@ -7,7 +7,7 @@
 
 /**
  * The encoding of messages between controllers. Decoding ignores unknown fields, which later versions may add, and
- * throws [kotlinx.serialization.SerializationException] if the bytes are no such message.
+ * throws [kotlinx.serialization.SerializationException] if the bytes are not a message of the expected type.
  */
 @OptIn(ExperimentalSerializationApi::class)
 object PeerWire {
--- a/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RecoveryMessages.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What an operator may ask of a controller about its orders and its recovery. */
+/** The operators' queries and commands for a controller's orders and its recovery. */
 @Serializable
 enum class RecoveryVerb {
     @SerialName("STATUS")
@@ -22,7 +22,11 @@
     RESUME,
 }
 
-/** An operator's query or command. [by] names the operator in the log. */
+/**
+ * An operator's query or command.
+ *
+ * @property by the operator's name in log lines
+ */
 @Serializable
 data class RecoveryRequest(
     @SerialName("verb") val verb: RecoveryVerb,
@@ -30,8 +34,10 @@
 )
 
 /**
- * The reply to a [RecoveryRequest]. [problem]: why a command was not accepted, and what would help.
- * [retryAfterSeconds]: when to ask again.
+ * The reply to a [RecoveryRequest].
+ *
+ * @property problem why a command was not accepted, and what would help
+ * @property retryAfterSeconds the time after which to repeat the request
  */
 @Serializable
 data class RecoveryReply(
@@ -49,7 +55,7 @@
     @SerialName("leader") val leader: String?,
     /** Whether the controller was started with `--recovery`. */
     @SerialName("managed") val managed: Boolean,
-    /** How many orders this node has given in its term as leader, by kind and cause; null if it does not lead. */
+    /** Number of orders that this node has given in its term as leader, by kind and cause; null if it does not lead. */
     @SerialName("orders") val orders: Map<String, Long>?,
     /** Null if the node does not lead, or recovery is not managed. */
     @SerialName("recovery") val recovery: Recovery?,
@@ -61,7 +67,7 @@
         @SerialName("start") val start: String,
         @SerialName("phase") val phase: String,
         @SerialName("phaseSeconds") val phaseSeconds: Double,
-        /** Until the phase ends at the latest; null if it has no time limit. */
+        /** The time until the phase ends at the latest; null if it has no time limit. */
         @SerialName("leftSeconds") val leftSeconds: Double?,
         @SerialName("paused") val paused: Boolean,
         @SerialName("approved") val approved: Boolean,
@@ -79,7 +85,7 @@
     )
 }
 
-/** Differences between stored and reported state, one by one. [listed] holds the first of [total]. */
+/** Single differences between stored and reported state. [listed] holds the first of [total] differences. */
 @Serializable
 data class DifferenceList(
     @SerialName("total") val total: Int,
--- a/src/main/kotlin/glenspool/peer/RolloutMessages.kt
+++ b/src/main/kotlin/glenspool/peer/RolloutMessages.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What an operator may ask of a controller about the rollout. */
+/** The operators' queries and commands for the rollout. */
 @Serializable
 enum class RolloutVerb {
     @SerialName("STATUS")
@@ -28,7 +28,11 @@
     INCLUDE,
 }
 
-/** An operator's query or command. [by] names the operator in what is stored. */
+/**
+ * An operator's query or command.
+ *
+ * @property by the operator's name in stored records
+ */
 @Serializable
 data class RolloutRequest(
     @SerialName("verb") val verb: RolloutVerb,
@@ -38,8 +42,10 @@
 )
 
 /**
- * The reply to a [RolloutRequest]. [problem]: why a command was not accepted, and what would help.
- * [retryAfterSeconds]: when to ask again.
+ * The reply to a [RolloutRequest].
+ *
+ * @property problem why a command was not accepted, and what would help
+ * @property retryAfterSeconds the time after which to repeat the request
  */
 @Serializable
 data class RolloutReply(
@@ -57,7 +63,7 @@
     @SerialName("build") val build: String,
     @SerialName("lowest") val lowest: Int,
     @SerialName("highest") val highest: Int,
-    /** Null: no level is stored, or it can't be read, see [levelProblem]. */
+    /** The active level; null if no level is stored or it can't be read, see [levelProblem]. */
     @SerialName("level") val level: Int?,
     @SerialName("levelName") val levelName: String?,
     @SerialName("stage") val stage: String?,
@@ -76,10 +82,10 @@
     @SerialName("members") val members: List<Member>,
     @SerialName("health") val health: List<String>,
     @SerialName("plan") val plan: List<String>,
-    /** Records still stored in a form of the active level. */
+    /** The number of records that are still stored in a form of the active level. */
     @SerialName("recordsInLevel") val recordsInLevel: Int,
 ) {
-    /** Another controller as this one sees it. */
+    /** Another controller as observed by this one. */
     @Serializable
     data class Member(
         @SerialName("member") val member: String,
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -37,11 +37,11 @@
 import java.net.Socket
 import kotlin.time.Duration.Companion.seconds
 
-/** Each adapter over real sockets on loopback, against what its counterpart may answer. */
+/** Tests each client over real sockets on loopback against the possible answers of its counterpart. */
 class AdaptersTest {
     private val http = HttpClient(2.seconds)
 
-    /** What the counterpart received, in this order. */
+    /** The requests that the counterpart received, in order. */
     private val requests = ArrayList<ReceivedRequest>()
     private var answer: (Request) -> Response = { cborResponse(Status.OK, emptyMap()) }
     private val counterpart = HttpListener(InetSocketAddress("127.0.0.1", 0), "counterpart", 64, ::receive)
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Submissions with dependencies, and descriptions too long for one value, at the smallest limits of the sites. */
+/** Submissions with dependencies, and descriptions too long for one value, under the smallest limits of all sites. */
 class DependencyApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
     private fun storedRecord(id: String) = state.entries.getValue(Keys.job(id)).value
 
@@ -25,7 +25,7 @@
 
     private fun stage(id: String) = show(id).stage
 
-    /** Stores a copy of a job past the API, as another node would accept it. */
+    /** Stores a copy of a job without using the API, in the form in which another node would accept it. */
     private fun storeAsOtherNode(id: String, like: String, dependencies: List<String> = emptyList()) {
         val record = record(like).copy(spec = spec(id), dependencies = dependencies)
         state.put(Keys.job(id), RecordWire.encode(record))
@@ -49,9 +49,9 @@
         assertEquals("pending" to listOf("run-1"), show("run-2").let { it.stage to it.body["awaits"] })
         end("run-1", "done")
         assertEquals("pending" to null, show("run-2").let { it.stage to it.body["awaits"] })
-        for (nothing in listOf(null, emptyList<String>())) {
-            submit(spec("run-9$nothing"), nothing)
-            assertEquals(emptyList<String>(), dependencies("run-9$nothing"))
+        for (noDependencies in listOf(null, emptyList<String>())) {
+            submit(spec("run-9$noDependencies"), noDependencies)
+            assertEquals(emptyList<String>(), dependencies("run-9$noDependencies"))
         }
     }
 
@@ -69,7 +69,7 @@
         }
         assertEquals(404, show("run-4").status)
         assertEquals(201, submit(spec("run-4"), listOf("run-1", "run-2")).status)
-        // Accepted by another node a moment ago: a cache that was not brought up to date would not know it.
+        // Another node accepted run-5 a moment ago, so a cache that was not brought up to date would not contain it.
         storeAsOtherNode("run-5", like = "run-1")
         assertEquals(201, submit(spec("run-6"), listOf("run-5")).status)
     }
@@ -81,9 +81,10 @@
         state.down = true
         assertEquals(503, submit(spec("run-3"), listOf("run-1")).status)
         state.down = false
-        // Its dependency was never accepted, and it is too long for a new job: it is known all the same.
-        val long = spec("run-2").copy(types = List(900) { "some-type-$it" })
-        assertEquals(200, submit(long, listOf("run-77")).status)
+        // Both repeats are answered because run-2 is known, although run-77 is not and the first repeat is too long for a
+        // new job.
+        val longSpec = spec("run-2").copy(types = List(900) { "some-type-$it" })
+        assertEquals(200, submit(longSpec, listOf("run-77")).status)
         assertEquals(200, submit(spec("run-2"), listOf("run-77")).status)
     }
 
@@ -95,10 +96,10 @@
         assertEquals("pending", stage("run-3"))
         assertEquals("aborted", withdraw("run-1").stage)
         for (id in listOf("run-2", "run-3")) assertAborted("run-1", show(id))
-        // Accepted all the same, and its user told that it will not run; cancelling it leaves nothing to store.
+        // The job is accepted although the user is told that it will not run; cancelling it has nothing to store.
         assertAnswer(201, "aborted", submit(spec("run-4"), listOf("run-3")))
         assertEquals("aborted", withdraw("run-4").stage)
-        // The cancelled job has ended, and those that depend on it have not yet: the answer stays.
+        // The answer stays the same when the cancelled job has ended and those that depend on it have not yet.
         end("run-1", "cancelled")
         for (id in listOf("run-2", "run-3", "run-4")) assertEquals("aborted", stage(id))
         end("run-2", "cancelled")
@@ -135,19 +136,19 @@
 
     @Test
     fun `a description that exceeds a lowered value limit is stored in parts`() {
-        val long = specWithTypes("run-1", types = 300)
-        assertTrue(long.maxRecordBytes in 2049..8192)
-        // Old controllers may lead: it is stored in their form as long as the key-value store takes it.
+        val longSpec = specWithTypes("run-1", types = 300)
+        assertTrue(longSpec.maxRecordBytes in 2049..8192)
+        // An old controller may lead, so the record is stored in its form as long as the key-value store accepts it.
         allMembersReadSplitRecords = false
-        assertEquals(201, submit(long).status)
+        assertEquals(201, submit(longSpec).status)
         assertNotNull(OldVersion.reads(storedRecord("run-1")))
-        // The limit is lowered without notice.
+        // The key-value store's limit is lowered without notice to the controller.
         state.lowerLimits()
-        assertEquals(201, submit(long.copy(id = "run-2")).status)
+        assertEquals(201, submit(longSpec.copy(id = "run-2")).status)
         allMembersReadSplitRecords = true
-        assertEquals(201, submit(long.copy(id = "run-3")).status)
+        assertEquals(201, submit(longSpec.copy(id = "run-3")).status)
         for (id in listOf("run-2", "run-3")) {
-            assertEquals(long.copy(id = id), record(id).spec)
+            assertEquals(longSpec.copy(id = id), record(id).spec)
             assertEquals("pending", stage(id))
         }
     }
@@ -155,17 +156,18 @@
     @Test
     fun `description parts that another request has changed in the meantime are not used for a job`() {
         state.lowerLimits()
-        val long = specWithTypes("run-1", types = 300)
-        // Another attempt, with other words, rewrites a part between this one's parts and its record.
+        val longSpec = specWithTypes("run-1", types = 300)
+        // Another attempt with a different description rewrites a part after this one stored its parts, before its
+        // record.
         state.beforeTransaction = { puts ->
             if (puts.any { it.key == Keys.job("run-1") }) {
                 state.put(Keys.descriptionPart("run-1", 0), mapOf("piece" to "other"))
             }
         }
-        assertEquals(503, submit(long).status)
+        assertEquals(503, submit(longSpec).status)
         assertEquals(404, show("run-1").status)
         state.beforeTransaction = {}
-        assertEquals(201, submit(long).status)
-        assertEquals(long, record("run-1").spec)
+        assertEquals(201, submit(longSpec).status)
+        assertEquals(longSpec, record("run-1").spec)
     }
 }
--- a/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
+++ b/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
@@ -64,11 +64,11 @@
     @Test
     fun `no description parts are stored before the level is active, even if the store refuses the value`() {
         state.valueLimit = 2048
-        val long = spec("run-1").copy(types = List(150) { "some-type-$it" } + "big")
-        assertEquals(503, submit(long).status)
+        val longSpec = spec("run-1").copy(types = List(150) { "some-type-$it" } + "big")
+        assertEquals(503, submit(longSpec).status)
         assertEquals(emptyList<String>(), state.entries.keys.filter { it.startsWith(Keys.DESCRIPTION_PART) })
         storeLevel(LevelStage.ACTIVE)
-        assertEquals(201, submit(long).status)
+        assertEquals(201, submit(longSpec).status)
     }
 
     @Test
@@ -82,7 +82,7 @@
             assertEquals(listOf(503, 503), listOf("/ready", "/api/jobs/run-1").map { request(it).status })
             assertEquals(2L, request("/api/jobs/run-1").body["needs_level"])
             assertTrue((request("/ready").body["error"] as String).contains("level 2 (n) is active"))
-            // The health probe's refusals are not counted.
+            // Refused health probes are not counted.
             assertEquals(2, refusals)
         }
     }
--- a/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
+++ b/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** For how long a node without a leader renews workers' leases, in simulated time. */
+/** How long a node that knows no leader renews workers' leases, in simulated time. */
 class LeaseRenewalPolicyTest {
     private var now = Duration.ZERO
 
@@ -47,12 +47,12 @@
         assertFalse(policy.renewsIsolated("m1"))
         assertFalse(policy.renewsIsolated("m2"))
         now += 11.seconds
-        // It found no other node: its tasks must not die.
+        // The worker found no other node, and its tasks must keep running.
         assertTrue(policy.renewsIsolated("m1"))
         policy.recordAnswer("m1")
         now += 13.seconds
         policy.recordAnswer("m1")
-        // There may be a leader elsewhere by now.
+        // A leader may exist elsewhere by now.
         assertFalse(policy.renewsIsolated("m1"))
     }
 
@@ -68,7 +68,7 @@
                 longest = maxOf(longest, now - answeredAt)
                 answeredAt = now
             } else {
-                // The other two nodes never answer: 4 s each and 1 s between.
+                // The other two nodes never answer. A request to each times out after 4 s, with 1 s between attempts.
                 now += 11.seconds
             }
         }
@@ -78,7 +78,8 @@
     @Test
     fun `a worker that this node has not answered before has its lease renewed immediately`() {
         val policy = policy()
-        // Cut off with its zone it has tried two nodes in vain already; another vain round would outlast its lease.
+        // The worker is partitioned with its zone and has already tried two nodes without success. Another failed round
+        // would take longer than its lease.
         assertTrue(policy.renewsIsolated("m1"))
         policy.recordAnswer("m1")
         now += 4.seconds
@@ -104,7 +105,7 @@
 
     @Test
     fun `a node without cancellation data renews leases only while the deadline leaves time for two leases`() {
-        // 49 s for a cancellation, two leases of 24 s: none is left.
+        // A cancellation has a deadline of 49 s, of which two leases of 24 s and the margin leave no time.
         val policy = policy()
         assertFalse(policy.renewsConnected("m1", cancellationsCompleteUntil = null))
         assertTrue(policy.renewsConnected("m1", cancellationsCompleteUntil = now))
@@ -128,7 +129,7 @@
             }
         }
         assertFalse(policy.renewsConnected("m1", complete))
-        // Up to when nothing can have been confirmed unknown to this node may lie ahead.
+        // The moment up to which this node has every confirmed cancellation may lie in the future.
         assertTrue(policy.renewsConnected("m1", now + 5.seconds))
     }
 
--- a/src/test/kotlin/glenspool/api/RedirectLimiterTest.kt
+++ b/src/test/kotlin/glenspool/api/RedirectLimiterTest.kt
@@ -12,10 +12,10 @@
 
     @Test
     fun `a node that has just started spreads the redirects of a large fleet over less than half a lease`() {
-        val waiting = ArrayDeque((1..FLEET).map { "m$it" })
+        val waiting = ArrayDeque((1..FLEET_SIZE).map { "m$it" })
         redirectOnce(waiting)
-        val redirectedAtOnce = FLEET - waiting.size
-        assertTrue(redirectedAtOnce in 20..250, "$redirectedAtOnce redirected within the first second")
+        val redirectedInFirstSecond = FLEET_SIZE - waiting.size
+        assertTrue(redirectedInFirstSecond in 20..250, "$redirectedInFirstSecond redirected within the first second")
         while (waiting.isNotEmpty()) {
             now += 1.seconds
             redirectOnce(waiting)
@@ -23,7 +23,7 @@
         assertTrue(now < 12.seconds, "all redirected after $now")
     }
 
-    /** Each waiting machine sends one heartbeat; those that are not redirected wait on. */
+    /** Each machine in [waiting] sends one heartbeat; those that are not redirected stay in [waiting]. */
     private fun redirectOnce(waiting: ArrayDeque<String>) {
         repeat(waiting.size) {
             val machine = waiting.removeFirst()
@@ -32,6 +32,6 @@
     }
 
     private companion object {
-        const val FLEET = 1600
+        const val FLEET_SIZE = 1600
     }
 }
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -97,8 +97,8 @@
 
     @Test
     fun `a description that leaves no room for its tasks' placements gets 400`() {
-        val long = spec("run-1").copy(types = List(800) { "some-type-$it" } + "big")
-        assertEquals(400, submit(long).status)
+        val longSpec = spec("run-1").copy(types = List(800) { "some-type-$it" } + "big")
+        assertEquals(400, submit(longSpec).status)
         assertEquals(201, submit(spec("run-1").copy(types = List(20) { "some-type-$it" } + "big")).status)
     }
 
@@ -115,11 +115,11 @@
 
     @Test
     fun `a node that alone cannot reach the key-value store relays requests to a peer`() {
-        // The peer reaches the same key-value store, which this node alone does not.
+        // The peer reaches the same key-value store, which only this node can't reach.
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state-2", 8, state::serve).use { reachable ->
             val peersClient = KeyValueStoreClient("127.0.0.1:${reachable.port}", http)
             val peersCache = StoreCache(peersClient, 1000.0) { _, _ -> }
-            val peersSyncs = startSyncThread(peersCache)
+            val peersSyncThread = startSyncThread(peersCache)
             servePeer(peerApi(peersClient, peersCache)).use { peer ->
                 members = listOf(Member("n1", "here", InetSocketAddress("127.0.0.1", peer.port)))
                 outside.close()
@@ -127,7 +127,7 @@
                 assertEquals("pending", show("run-1").stage)
                 assertEquals("aborted", withdraw("run-1").stage)
                 assertEquals(404, show("run-2").status)
-                peersSyncs.interrupt()
+                peersSyncThread.interrupt()
             }
         }
     }
@@ -163,12 +163,13 @@
         assertEquals(201, submit(spec("run-1")).status)
         confirmable = false
         assertEquals(503, withdraw("run-1").status)
-        // Another node may have confirmed it by now: live would be an older answer.
+        // Another node may have confirmed the cancellation by now, so that a live state would be an outdated answer.
         assertEquals(503, show("run-1").status)
         assertEquals(503, submit(spec("run-1")).status)
         confirmable = true
         assertEquals("aborted", withdraw("run-1").stage)
-        // Once its end is stored, its tasks have stopped: no controller needs to know any more.
+        // Once the job's final state is stored, its tasks have stopped, so no controller needs the cancellation any
+        // more.
         confirmable = false
         end("run-1", "cancelled")
         assertEquals("aborted", show("run-1").stage)
--- a/src/test/kotlin/glenspool/api/UserApiTesting.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTesting.kt
@@ -7,25 +7,25 @@
 import glenspool.wire.Fields
 import org.junit.jupiter.api.Assertions.assertEquals
 
-/** Settings with the smallest limits of the sites: 2 KiB a value, 4 changes a transaction. */
+/** Settings with the smallest limits of all sites: 2 KiB per value and 4 changes per transaction. */
 internal val SMALL_STORE_SETTINGS =
     SettingsTest.GOOD.replace(
         "[settings.cloud]",
         "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]",
     )
 
-/** Lowers the limits that the store itself holds to those of [SMALL_STORE_SETTINGS]. */
+/** Lowers the limits that the store itself enforces to those of [SMALL_STORE_SETTINGS]. */
 internal fun InMemoryStore.lowerLimits() {
     valueLimit = 2048
     opsLimit = 4
 }
 
-/** Stores a value past the API, as another node would. */
+/** Stores a value without using the API, as another node would. */
 internal fun InMemoryStore.put(key: String, value: Fields) {
     transact(emptyMap(), listOf(Put(key, value)), emptyList())
 }
 
-/** The stage of the job that an answer to a user names. */
+/** The job's stage in an answer to a user. */
 internal val CallResult.Response.stage: Any? get() = body["stage"]
 
 internal fun assertAnswer(status: Int, stage: String, answer: CallResult.Response) {
