--- a/src/main/kotlin/glenspool/peer/PeerClient.kt
+++ b/src/main/kotlin/glenspool/peer/PeerClient.kt
@@ -10,8 +10,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Sends requests to the other controllers. They only gather hints and relay users' requests: no rule depends on whether
- * a peer answers.
+ * Sends requests to the other controllers. They only gather hints and relay users' requests: no rule draws a conclusion
+ * from a missing answer.
  */
 class PeerClient(private val members: List<Member>) {
     private val http = HttpClient(CONNECT_TIMEOUT)
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -10,11 +10,14 @@
     @SerialName("leading") val leading: Boolean,
     @SerialName("leader") val leader: String?,
     @SerialName("fresh") val isCacheFresh: Boolean,
-    /** The highest level of stored forms that the node reads; versions without job dependencies don't send it. */
+    /**
+     * The highest level of stored forms that the node reads, see [SEALED_RECORDS]; versions without job dependencies
+     * don't send it.
+     */
     @SerialName("reads") val readableLevel: Int = 0,
     /** The node's build and the levels that the build supports; null where levels are not managed. */
     @SerialName("levels") val levels: PeerLevels? = null,
-    /** The evidence of leaders' terms that the node's process has lived through; null where recovery is not managed. */
+    /** Continuity evidence: which leaders' terms the node's process observed; null where recovery is not managed. */
     @SerialName("witness") val continuityEvidence: PeerContinuityEvidence? = null,
 ) {
     companion object {
@@ -24,9 +27,9 @@
 }
 
 /**
- * Evidence of the leaders' terms that a controller's process has lived through.
+ * Evidence of the leaders' terms that a controller's process has observed.
  *
- * @property firstToken the fencing token of the first such term; null if there is none
+ * @property firstToken the fencing token of the first observed term; null if there is none
  */
 @Serializable
 data class PeerContinuityEvidence(
