--- a/src/main/kotlin/glenspool/api/UserApi.kt
+++ b/src/main/kotlin/glenspool/api/UserApi.kt
@@ -57,7 +57,7 @@
     override fun invoke(request: Request): Response {
         if (request.uri.path == UserPaths.READY && request.method == Method.GET) return ready()
         val body = request.body.readBounded() ?: return BODY_TOO_LONG.toResponse()
-        if (isIsolated()) return tryElsewhere()
+        if (isIsolated()) return retryElsewhereResponse()
         val userRequest = UserRequest(request.method, request.uri.path, body)
         // While the store is unreachable, a peer answers sooner than another request to the store would time out.
         if (store.isUnreachable) relay.relay(userRequest)?.let { return it }
--- a/src/main/kotlin/glenspool/api/UserResponses.kt
+++ b/src/main/kotlin/glenspool/api/UserResponses.kt
@@ -23,7 +23,7 @@
 internal fun readyResponse(): Response = cborResponse(Status.OK, emptyMap())
 
 /** Asks the user to retry on a new connection, which the load balancer assigns to another node. */
-internal fun tryElsewhere(): Response = retryLaterResponse().header("Connection", "close")
+internal fun retryElsewhereResponse(): Response = retryLaterResponse().header("Connection", "close")
 
 internal fun Response.toRelayAnswer(): RelayAnswer =
     RelayAnswer(
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -81,8 +81,8 @@
         state.down = true
         assertEquals(503, submit(spec("run-3"), listOf("run-1")).status)
         state.down = false
-        // Both repeats are answered because run-2 is known, although run-77 is not and the first repeat is too long for a
-        // new job.
+        // Both repeats are answered because run-2 is known, although the dependency run-77 was never accepted and the
+        // first repeat is too long for a new job.
         val longSpec = spec("run-2").copy(types = List(900) { "some-type-$it" })
         assertEquals(200, submit(longSpec, listOf("run-77")).status)
         assertEquals(200, submit(spec("run-2"), listOf("run-77")).status)
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -297,7 +297,9 @@
     @Test
     fun `messages between controllers`() {
         val status =
-            PeerStatus("n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerContinuityEvidence(7))
+            PeerStatus(
+                "n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerContinuityEvidence(7),
+            )
         val cancellations =
             CancellationMessage(
                 "n1", "boot", 5, listOf(CancellationMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12,
