--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -298,8 +298,7 @@
     fun `messages between controllers`() {
         val status =
             PeerStatus(
-                "n1", true, "n2", true, 1,
-                PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerContinuityEvidence(7),
+                "n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerContinuityEvidence(7),
             )
         val cancellations =
             CancellationMessage(
