--- a/src/main/kotlin/glenspool/api/JobAcceptance.kt
+++ b/src/main/kotlin/glenspool/api/JobAcceptance.kt
@@ -25,7 +25,7 @@
     private val features: FeaturePermits,
     private val query: JobQuery,
 ) {
-    private val limits = settings.storeLimits.safe
+    private val limits = settings.storeLimits.effective
     private val descriptionParts = DescriptionPartWriter(store, features, query, limits)
 
     /**
@@ -50,7 +50,7 @@
      */
     private fun maxValueBytes(record: JobRecord): Int {
         val isBaseForm = record.dependencies.isEmpty() && !features.isInUse(FeatureRegistry.SEALED_RECORDS)
-        return if (isBaseForm) settings.storeLimits.now.valueBytes else limits.valueBytes
+        return if (isBaseForm) settings.storeLimits.current.valueBytes else limits.valueBytes
     }
 
     /** The result of one attempt to store a submission. */
--- a/src/main/kotlin/glenspool/api/SubmissionValidator.kt
+++ b/src/main/kotlin/glenspool/api/SubmissionValidator.kt
@@ -22,7 +22,7 @@
     private val machineTypes: () -> List<MachineType>?,
 ) {
     private val teams = settings.teams.associateBy { it.name }
-    private val limits = settings.storeLimits.safe
+    private val limits = settings.storeLimits.effective
 
     /** Returns the reason to refuse the job, or null if it passes these checks. */
     fun validate(record: JobRecord): Refusal? =
@@ -32,7 +32,7 @@
 
     private fun checkSize(record: JobRecord): Refusal? =
         when {
-            record.spec.maxRecordBytes > settings.storeLimits.now.valueBytes / 2 -> DESCRIPTION_TOO_LONG
+            record.spec.maxRecordBytes > settings.storeLimits.current.valueBytes / 2 -> DESCRIPTION_TOO_LONG
             record.dependencies.size * BYTES_PER_DEPENDENCY <= limits.valueBytes / 2 -> null
             RecordWire.encodeDescriptionParts(record, limits.valueBytes).size > maxDescriptionParts() ->
                 UserAnswer.Refused(Status.BAD_REQUEST, "awaits: more jobs are named than can be kept")
--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -76,13 +76,13 @@
     }
 
     /** A controller that serves users, a worker and another controller. */
-    private fun runServing(settingsFile: File, outsidePort: Int) {
+    private fun runServing(settingsFile: File, simulatedPort: Int) {
         val apiPort = freePort()
         val internalPort = freePort()
-        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, outsidePort, freePort()))
+        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, simulatedPort, freePort()))
         ServeCommand.start(listOf("--config", settingsFile.path)).use { node ->
-            ServeCommand.closingThread(node)
-            sendUserAndWorkerRequests("$LOOPBACK:$apiPort", "$LOOPBACK:$outsidePort")
+            ServeCommand.shutdownHook(node)
+            sendUserAndWorkerRequests("$LOOPBACK:$apiPort", "$LOOPBACK:$simulatedPort")
             sendPeerRequests(Member("itself", "here", InetSocketAddress(LOOPBACK, internalPort)))
         }
     }
@@ -117,10 +117,10 @@
     }
 
     /** A controller with managed rollouts and recovery, until a leader has collected evidence. */
-    private fun runManaged(settingsFile: File, outsidePort: Int) {
+    private fun runManaged(settingsFile: File, simulatedPort: Int) {
         val apiPort = freePort()
         val internalPort = freePort()
-        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, outsidePort, freePort()))
+        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, simulatedPort, freePort()))
         val policyFile = File.createTempFile("class-loading", ".toml")
         val args =
             listOf("--config", settingsFile.path, "--rollout", policyFile.path, "--recovery", policyFile.path)
--- a/src/main/kotlin/glenspool/cli/ClassLoadingSettings.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingSettings.kt
@@ -3,11 +3,11 @@
 /** The settings file of a [ClassLoadingRun]. */
 internal object ClassLoadingSettings {
     /**
-     * @param outsidePort where the cloud, the key-value store and one other controller are simulated
+     * @param simulatedPort where the cloud, the key-value store and one other controller are simulated
      * @param closedPort where nobody listens, as if another controller were down
      */
     @Suppress("LongMethod") // It is a single text.
-    fun toml(apiPort: Int, internalPort: Int, outsidePort: Int, closedPort: Int): String =
+    fun toml(apiPort: Int, internalPort: Int, simulatedPort: Int, closedPort: Int): String =
         """
         host_name = "class-loading"
         location = "here"
@@ -20,10 +20,10 @@
         [[members]]
         host_name = "other"
         location = "here"
-        addr = "127.0.0.1:$outsidePort"
+        addr = "127.0.0.1:$simulatedPort"
         [outside]
-        cloud = "127.0.0.1:$outsidePort"
-        state = "127.0.0.1:$outsidePort"
+        cloud = "127.0.0.1:$simulatedPort"
+        state = "127.0.0.1:$simulatedPort"
         [settings]
         initial_size = 1
         zones = ["here"]
--- a/src/main/kotlin/glenspool/cli/CommandOutcome.kt
+++ b/src/main/kotlin/glenspool/cli/CommandOutcome.kt
@@ -11,7 +11,7 @@
     const val USAGE = 2
 
     /** A controller that can't go on, such as one without memory; the platform restarts it. */
-    const val UNFIT = 70
+    const val FATAL_ERROR = 70
 }
 
 /** The command line was wrong; the message says what is needed. */
--- a/src/main/kotlin/glenspool/cli/ExplainCommand.kt
+++ b/src/main/kotlin/glenspool/cli/ExplainCommand.kt
@@ -35,7 +35,7 @@
             summary.placements,
             summary.uncached,
             summary.replacements,
-            mean(summary.secondsUnplaced, summary.replacements),
+            mean(summary.secondsWithoutPlacement, summary.replacements),
             summary.stops,
         )
 
--- a/src/main/kotlin/glenspool/cli/LogSummary.kt
+++ b/src/main/kotlin/glenspool/cli/LogSummary.kt
@@ -13,7 +13,7 @@
     var replacements = 0
 
     /** Between the loss of a place and the next placement, in seconds, over all [replacements]. */
-    var secondsUnplaced = 0.0
+    var secondsWithoutPlacement = 0.0
 
     /** Tasks stopped, by reason. */
     val stops = TreeMap<String, Int>()
@@ -77,7 +77,7 @@
         if (line.field("cached") == "false") summary.uncached++
         val unplaced = unplacedAt.remove(line.task) ?: return
         summary.replacements++
-        summary.secondsUnplaced += line.seconds - unplaced
+        summary.secondsWithoutPlacement += line.seconds - unplaced
     }
 
     private fun addStop(line: LogLine) {
--- a/src/main/kotlin/glenspool/cli/OperatorClient.kt
+++ b/src/main/kotlin/glenspool/cli/OperatorClient.kt
@@ -67,13 +67,13 @@
     /**
      * Posts [body] to [path] and decodes the reply with [decode].
      *
-     * @param unknownPath the reason of failure if the controller does not know [path]
+     * @param notFoundReason the reason of failure if the controller does not know [path]
      */
-    fun <T> ask(
+    fun <T> post(
         node: String,
         path: String,
         body: ByteArray,
-        unknownPath: String,
+        notFoundReason: String,
         decode: (ByteArray) -> T,
     ): OperatorAnswer<T> =
         when (val result = http.callRaw("POST", node, path, body, REPLY_TIMEOUT)) {
@@ -83,7 +83,7 @@
             is RawResult.Response ->
                 when (result.status) {
                     OK -> decoded(result.body, decode)
-                    NOT_FOUND -> OperatorAnswer.Failed(unknownPath)
+                    NOT_FOUND -> OperatorAnswer.Failed(notFoundReason)
                     else -> OperatorAnswer.Failed("status ${result.status}")
                 }
         }
--- a/src/main/kotlin/glenspool/cli/RecoveryCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RecoveryCommand.kt
@@ -20,7 +20,7 @@
         options.requireAddress()
         val request = PeerWire.encode(RecoveryRequest(verb, options.operator))
         val answer =
-            OperatorClient.ask(options.node, PeerPaths.RECOVERY, request, NOT_KNOWN, PeerWire::decodeRecoveryReply)
+            OperatorClient.post(options.node, PeerPaths.RECOVERY, request, NOT_KNOWN, PeerWire::decodeRecoveryReply)
         return when (answer) {
             is OperatorAnswer.Failed -> reportFailure(answer.reason)
             is OperatorAnswer.Replied -> report(answer.reply, options.isJson)
--- a/src/main/kotlin/glenspool/cli/RolloutCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutCommand.kt
@@ -54,7 +54,8 @@
         options.arguments.singleOrNull() ?: throw UsageError("rollout $verb needs one MEMBER")
 
     private fun ask(node: String, request: RolloutRequest): OperatorAnswer<RolloutReply> =
-        OperatorClient.ask(node, PeerPaths.ROLLOUT, PeerWire.encode(request), NOT_MANAGED, PeerWire::decodeRolloutReply)
+        OperatorClient
+            .post(node, PeerPaths.ROLLOUT, PeerWire.encode(request), NOT_MANAGED, PeerWire::decodeRolloutReply)
 
     private fun report(reply: RolloutReply, isJson: Boolean, text: (RolloutStatus) -> List<String>): Int {
         if (isJson) OperatorClient.printJson(reply)
--- a/src/main/kotlin/glenspool/cli/ServeCommand.kt
+++ b/src/main/kotlin/glenspool/cli/ServeCommand.kt
@@ -11,7 +11,7 @@
 
     fun run(args: List<String>): Int {
         val node = start(args)
-        Runtime.getRuntime().addShutdownHook(closingThread(node))
+        Runtime.getRuntime().addShutdownHook(shutdownHook(node))
         node.join()
         return ExitCode.OK
     }
@@ -29,13 +29,13 @@
         val tuning = files.tuning(settings)
         val node =
             Node(settings, tuning, rolloutPolicy, build = version(), recoveryPolicy = recoveryPolicy) {
-                Runtime.getRuntime().halt(ExitCode.UNFIT)
+                Runtime.getRuntime().halt(ExitCode.FATAL_ERROR)
             }
         node.start()
         return node
     }
 
-    fun closingThread(node: Node) = Thread(node::close, "close")
+    fun shutdownHook(node: Node) = Thread(node::close, "close")
 }
 
 /** `glenspool check-config …`: checks the files that `serve` would read. */
--- a/src/main/kotlin/glenspool/config/PolicyTable.kt
+++ b/src/main/kotlin/glenspool/config/PolicyTable.kt
@@ -16,7 +16,7 @@
     private val path: String,
     private val problems: MutableList<String>,
 ) {
-    fun refuseUnknown(vararg known: String) {
+    fun reportUnknownNames(vararg known: String) {
         for (name in node.fieldNames()) {
             if (name !in known) report(name, "unknown; one of ${known.sorted().joinToString(", ")} is possible")
         }
--- a/src/main/kotlin/glenspool/config/RecoverySettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/RecoverySettingsReader.kt
@@ -11,7 +11,7 @@
 
     private fun policy(root: PolicyTable): RecoveryPolicy {
         val default = RecoveryPolicy()
-        root.refuseUnknown(
+        root.reportUnknownNames(
             "gather_share", "gather_lease_share", "repair_lease_share", "breaker_share", "breaker_wait_s", "rates",
         )
         return RecoveryPolicy(
@@ -25,7 +25,7 @@
     }
 
     private fun rates(table: PolicyTable, default: RepairRates): RepairRates {
-        table.refuseUnknown("starts", "stops", "rentals", "deletions")
+        table.reportUnknownNames("starts", "stops", "rentals", "deletions")
         return RepairRates(
             starts = table.number("starts", default.starts, MIN_RATE, MAX_RATE),
             stops = table.number("stops", default.stops, MIN_RATE, MAX_RATE),
--- a/src/main/kotlin/glenspool/config/RequiredTable.kt
+++ b/src/main/kotlin/glenspool/config/RequiredTable.kt
@@ -32,7 +32,7 @@
     fun isMissing(name: String): Boolean = node.path(name).isMissingNode
 
     /** Whether [name] is missing or has no value. */
-    fun isAbsent(name: String): Boolean = isMissing(name) || node.path(name).isNull
+    fun isMissingOrNull(name: String): Boolean = isMissing(name) || node.path(name).isNull
 
     fun text(name: String): String {
         val value = node.path(name)
--- a/src/main/kotlin/glenspool/config/RolloutSettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/RolloutSettingsReader.kt
@@ -13,7 +13,7 @@
 
     private fun policy(root: PolicyTable): RolloutPolicy {
         val default = RolloutPolicy()
-        root.refuseUnknown("mode", "fenced", "settle_s", "evidence_s", "left_behind_s", "health")
+        root.reportUnknownNames("mode", "fenced", "settle_s", "evidence_s", "left_behind_s", "health")
         return RolloutPolicy(
             mode = root.choice("mode", default.mode, ActivationMode.entries),
             fencedReaction = root.choice("fenced", default.fencedReaction, FencedReaction.entries),
@@ -25,7 +25,7 @@
     }
 
     private fun health(table: PolicyTable, default: HealthLimits): HealthLimits {
-        table.refuseUnknown("window_s", "tolerated", "factor")
+        table.reportUnknownNames("window_s", "tolerated", "factor")
         return HealthLimits(
             window = table.duration("window_s", default.window),
             toleratedEvents = table.number("tolerated", default.toleratedEvents.toDouble(), 0.0).toLong(),
--- a/src/main/kotlin/glenspool/config/Settings.kt
+++ b/src/main/kotlin/glenspool/config/Settings.kt
@@ -41,12 +41,12 @@
 }
 
 /**
- * The key-value store's limits as they are [now], and those announced to replace them, if any: the store changes over
- * to [next] without notice.
+ * The key-value store's [current] limits, and those [announced] to replace them, if any. The store changes over to the
+ * announced limits without notice.
  */
-data class StoreSettings(val now: StoreLimits, val next: StoreLimits?) {
+data class StoreSettings(val current: StoreLimits, val announced: StoreLimits?) {
     /** The limits to keep: both sets, since the moment of the change is not known. */
-    val safe: StoreLimits = next?.let { now.strictest(it) } ?: now
+    val effective: StoreLimits = announced?.let { current.strictest(it) } ?: current
 }
 
 /** The cloud's limit in requests a second, and how far its list of machines may lag behind. */
@@ -58,7 +58,7 @@
  * @property apiAddr where users and workers connect
  * @property internalAddr where the other controllers and operators connect
  * @property members the other controllers of the service
- * @property clockBound how far the clocks of two hosts may differ
+ * @property maxClockSkew how far the clocks of two hosts may differ
  * @property maxSockets how many sockets the process may have open
  */
 data class Settings(
@@ -67,10 +67,10 @@
     val apiAddr: InetSocketAddress,
     val internalAddr: InetSocketAddress,
     val members: List<Member>,
-    val cloud: InetSocketAddress,
-    val state: InetSocketAddress,
+    val cloudAddr: InetSocketAddress,
+    val storeAddr: InetSocketAddress,
     val zones: List<String>,
-    val clockBound: Duration,
+    val maxClockSkew: Duration,
     val teams: List<Team>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
--- a/src/main/kotlin/glenspool/config/SettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/SettingsReader.kt
@@ -24,10 +24,10 @@
             apiAddr = root.address("api_addr"),
             internalAddr = root.address("internal_addr"),
             members = root.tables("members").map(::member),
-            cloud = outside.address("cloud"),
-            state = outside.address("state"),
+            cloudAddr = outside.address("cloud"),
+            storeAddr = outside.address("state"),
             zones = zones(parameters),
-            clockBound = parameters.optionalMilliseconds("skew_ms"),
+            maxClockSkew = parameters.optionalMilliseconds("skew_ms"),
             teams = parameters.tables("teams").map(::team),
             objectives = parameters.tables("objectives").map(::objective),
             workers = workers(parameters.table("workers")),
@@ -79,7 +79,7 @@
 
     private fun storeSettings(table: RequiredTable): StoreSettings {
         val now = storeLimits(table, null)
-        if (table.isAbsent("next")) return StoreSettings(now, null)
+        if (table.isMissingOrNull("next")) return StoreSettings(now, null)
         if (!table.isTable("next")) table.report("next", "a table is needed")
         return StoreSettings(now, storeLimits(table.table("next"), now))
     }
--- a/src/main/kotlin/glenspool/controller/Clients.kt
+++ b/src/main/kotlin/glenspool/controller/Clients.kt
@@ -13,8 +13,8 @@
 internal class Clients(settings: Settings) {
     private val http = HttpClient(CONNECT_TIMEOUT)
 
-    val store = KeyValueStoreClient(settings.state.hostPort(), http)
-    val cloud = CloudClient(settings.cloud.hostPort(), http, settings.cloudLimits.rps)
+    val store = KeyValueStoreClient(settings.storeAddr.hostPort(), http)
+    val cloud = CloudClient(settings.cloudAddr.hostPort(), http, settings.cloudLimits.rps)
 
     /**
      * Keeps no connections open, since a machine rarely receives a command, and open connections to a large fleet would
--- a/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
+++ b/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
@@ -11,7 +11,7 @@
  */
 internal fun schedulerConfig(settings: Settings, tuning: Tuning, logsDetails: Boolean = false): SchedulerConfig {
     val workers = settings.workers
-    val storeLimits = settings.storeLimits.safe
+    val storeLimits = settings.storeLimits.effective
     val peerZones = settings.members.map { it.zone }.toSet() - settings.zone
     return SchedulerConfig(
         settings.teams, settings.objectives, settings.zones,
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -42,7 +42,7 @@
     private val clock = TimeSource.Monotonic.markNow()
     private val boot = newBootId()
     private val members = settings.members.map { it.name }
-    private val storeLimits = settings.storeLimits.safe
+    private val storeLimits = settings.storeLimits.effective
     private val config = schedulerConfig(settings, tuning, logsDetails = log.isDebugEnabled)
     private val health = HealthCounters()
 
--- a/src/test/kotlin/glenspool/api/UserApiTesting.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTesting.kt
@@ -9,7 +9,7 @@
 
 /** Settings with the smallest limits of all sites: 2 KiB per value and 4 changes per transaction. */
 internal val SMALL_STORE_SETTINGS =
-    SettingsTest.GOOD.replace(
+    SettingsTest.VALID_SETTINGS.replace(
         "[settings.cloud]",
         "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[settings.cloud]",
     )
--- a/src/test/kotlin/glenspool/cli/CommandLineTest.kt
+++ b/src/test/kotlin/glenspool/cli/CommandLineTest.kt
@@ -45,13 +45,13 @@
 
     @Test
     fun `check-config accepts a valid settings file`() {
-        val valid = File(dir, "good.toml").also { it.writeText(SettingsTest.GOOD) }
+        val valid = File(dir, "good.toml").also { it.writeText(SettingsTest.VALID_SETTINGS) }
         assertEquals(0, run("check-config", valid.path).code)
     }
 
     @Test
-    fun `check-config names the value of the script that is out of range`() {
-        val valid = File(dir, "good.toml").also { it.writeText(SettingsTest.GOOD) }
+    fun `check-config reports a script value that is out of range`() {
+        val valid = File(dir, "good.toml").also { it.writeText(SettingsTest.VALID_SETTINGS) }
         val script = File(dir, "tune.lua").also { it.writeText("tuning.headroom = 99") }
         val refused = run("check-config", "--script", script.path, valid.path)
         assertEquals(1, refused.code)
@@ -59,8 +59,8 @@
     }
 
     @Test
-    fun `check-config names the setting that is missing`() {
-        val text = SettingsTest.GOOD.replace("lease_s = 14.0", "")
+    fun `check-config reports a missing setting`() {
+        val text = SettingsTest.VALID_SETTINGS.replace("lease_s = 14.0", "")
         val incomplete = File(dir, "bad.toml").also { it.writeText(text) }
         assertTrue(run("check-config", incomplete.path).err.contains("settings.workers.lease_s"))
     }
--- a/src/test/kotlin/glenspool/cli/ExplainCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/ExplainCommandTest.kt
@@ -14,17 +14,17 @@
     private fun run(vararg args: String) = CapturedRun.of { execute(listOf("explain") + args) }
 
     @Test
-    fun `placements, moves and stops are summed up by class`() {
+    fun `placements, moves and stops are summarized by class`() {
         val scan = LogSummary.of(LOG.lineSequence()).placements.getValue("scan")
         assertEquals(2, scan.placements)
         assertEquals(1, scan.uncached)
         assertEquals(1, scan.replacements)
-        assertEquals(5.5, scan.secondsUnplaced, 1e-9)
+        assertEquals(5.5, scan.secondsWithoutPlacement, 1e-9)
         assertEquals(mapOf("PREEMPTED" to 1), scan.stops)
     }
 
     @Test
-    fun `jobs with dependencies are summed up by class`() {
+    fun `jobs with dependencies are summarized by class`() {
         val label = LogSummary.of(LOG.lineSequence()).dependencies.getValue("label")
         assertEquals(2, label.done)
         assertEquals(8.0, label.secondsWaited)
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `deleted machines, expired leases and the time without a leader are summed up`() {
+    fun `deleted machines, expired leases and the time without a leader are summarized`() {
         val summary = LogSummary.of(LOG.lineSequence())
         assertEquals(mapOf("silent" to 1), summary.deletedMachines)
         assertEquals(1, summary.expiredLeases)
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `explain without a log is wrong usage`() {
+    fun `explain without an argument is a usage error, and a missing log file is reported`() {
         assertEquals(2, run().code)
         assertTrue(run(File(dir, "absent").path).err.contains("no such file"))
     }
--- a/src/test/kotlin/glenspool/cli/JobCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/JobCommandTest.kt
@@ -47,7 +47,7 @@
     }
 
     @Test
-    fun `cancel and its former name withdraw ask for the same`() {
+    fun `cancel and its former name withdraw send the same request`() {
         assertEquals(0, run("cancel", "run-1").code)
         assertEquals(0, run("withdraw", "run-1").code)
         val cancel = "POST /api/jobs/run-1/withdraw"
@@ -55,7 +55,7 @@
     }
 
     @Test
-    fun `a refusal is reported with its status and exit code 1`() {
+    fun `a rejected request is reported with its status and exit code 1`() {
         val refused = run("show", "nobody")
         assertEquals(1, refused.code)
         assertTrue(refused.err.contains("404"))
--- a/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RecoveryCommandTest.kt
@@ -59,7 +59,7 @@
     private fun run(vararg args: String) = CapturedRun.of { execute(listOf("recovery") + args) }
 
     @Test
-    fun `status shows the orders, the phase, what is lacking and what is held`() {
+    fun `status shows the orders, the phase, missing machines and held orders`() {
         val expected =
             listOf(
                 "start.restored 3",
@@ -87,7 +87,7 @@
     }
 
     @Test
-    fun `a refused order is reported with its reason and when to try again`() {
+    fun `a rejected order is reported with its reason and the time until a retry`() {
         reply = RecoveryReply(false, "bobbin-1 does not lead; ask bobbin-0", 2)
         val refused = run("pause", "--node", node)
         assertEquals(1, refused.code)
@@ -96,7 +96,7 @@
     }
 
     @Test
-    fun `wrong usage is refused without a request`() {
+    fun `wrong usage is rejected without a request`() {
         val wrong =
             listOf(
                 listOf(),
--- a/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
+++ b/src/test/kotlin/glenspool/cli/RolloutCommandTest.kt
@@ -54,7 +54,7 @@
     }
 
     @Test
-    fun `plan shows the steps to come`() {
+    fun `plan shows the remaining steps`() {
         val expected = "1. replace bobbin-2\n2. replace bobbin-0 (it leads, so it comes last)\n"
         assertEquals(expected, run("plan", "--node", node).out)
         assertEquals(setOf(RolloutVerb.STATUS), requests.map { it.verb }.toSet())
@@ -81,7 +81,7 @@
     }
 
     @Test
-    fun `a refused order is reported with its reason and when to try again`() {
+    fun `a rejected order is reported with its reason and the time until a retry`() {
         reply = RolloutReply(false, "level 9 is not known", 2)
         val refused = run("deactivate", "--node", node, "9")
         assertEquals(1, refused.code)
@@ -90,7 +90,7 @@
     }
 
     @Test
-    fun `wrong usage is refused without a request`() {
+    fun `wrong usage is rejected without a request`() {
         val wrong =
             listOf(
                 listOf(),
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `a controller that does not manage rollouts is told from one that can't be reached`() {
+    fun `a controller that does not manage rollouts is distinguished from an unreachable one`() {
         HttpListener(InetSocketAddress("127.0.0.1", 0), "other", 2) { Response(Status.NOT_FOUND) }.use { other ->
             assertTrue("does not manage rollouts" in run("status", "--node", "127.0.0.1:${other.port}").err)
         }
--- a/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
+++ b/src/test/kotlin/glenspool/config/OperatorScriptTest.kt
@@ -17,7 +17,7 @@
 
     @BeforeEach
     fun readSettings() {
-        val file = File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) }
+        val file = File(dir, "s.toml").also { it.writeText(SettingsTest.VALID_SETTINGS) }
         script = OperatorScript(SettingsReader().read(file))
     }
 
@@ -27,14 +27,14 @@
         assertThrows(SettingsError::class.java) { run(source) }.problems
 
     @Test
-    fun `the values that the script sets are taken and the rest keep their defaults`() {
+    fun `values set by the script are applied and the others keep their defaults`() {
         val tuning = run("tuning.resource_factor = 3\ntuning.idle_return_s = deployment.lease_s * 2\n")
         assertEquals(Tuning(resourceFactor = 3.0, idleReturnDelay = 28.seconds), tuning)
         assertEquals(Tuning(), run(""))
     }
 
     @Test
-    fun `unknown names and values out of range are refused together`() {
+    fun `unknown names and values out of range are reported together`() {
         val problems = problemsOf("tuning.colour = 1\ntuning.headroom = -1\ntuning.silence_share = 'much'\n")
         assertEquals(3, problems.size)
         for (name in listOf("tuning.colour", "tuning.headroom", "tuning.silence_share")) {
--- a/src/test/kotlin/glenspool/config/RecoverySettingsReaderTest.kt
+++ b/src/test/kotlin/glenspool/config/RecoverySettingsReaderTest.kt
@@ -24,7 +24,7 @@
     }
 
     @Test
-    fun `every setting is taken from the file`() {
+    fun `every setting is read from the file`() {
         val text =
             """
             gather_share = 0.5
--- a/src/test/kotlin/glenspool/config/RolloutSettingsReaderTest.kt
+++ b/src/test/kotlin/glenspool/config/RolloutSettingsReaderTest.kt
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `every setting is taken from the file`() {
+    fun `every setting is read from the file`() {
         val policy =
             read(
                 """
@@ -47,7 +47,7 @@
     }
 
     @Test
-    fun `every fault is reported with its path and what is allowed`() {
+    fun `every fault is reported with its path and the allowed values`() {
         val text =
             """
             mode = "sometimes"
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `a value in place of a table and a missing file are refused`() {
+    fun `a value in place of a table and a missing file are rejected`() {
         assertTrue(problemsOf("health = 4").single().endsWith("health: a table is needed"))
         assertThrows(SettingsError::class.java) { RolloutSettingsReader().read(File(dir, "absent.toml")) }
     }
--- a/src/test/kotlin/glenspool/config/SettingsTest.kt
+++ b/src/test/kotlin/glenspool/config/SettingsTest.kt
@@ -19,24 +19,24 @@
 
     /** The valid file with a table of announced limits. */
     private fun withNextLimits(limits: String) =
-        GOOD.replace("[settings.cloud]", "[settings.state.next]\n$limits\n[settings.cloud]")
+        VALID_SETTINGS.replace("[settings.cloud]", "[settings.state.next]\n$limits\n[settings.cloud]")
 
     @Test
-    fun `without announced store limits the present ones are kept`() {
-        val limits = read(GOOD).storeLimits
-        assertEquals(null, limits.next)
-        assertEquals(limits.now, limits.safe)
+    fun `without announced store limits the current ones apply`() {
+        val limits = read(VALID_SETTINGS).storeLimits
+        assertEquals(null, limits.announced)
+        assertEquals(limits.current, limits.effective)
     }
 
     @Test
-    fun `announced store limits are kept from the start, and those they leave out stay as they are`() {
+    fun `announced store limits apply from the start, and omitted ones keep their current values`() {
         val limits = read(withNextLimits("value_kb = 2.0\ntxn_ops = 90")).storeLimits
-        assertEquals(limits.now.copy(valueBytes = 2048), limits.safe)
-        assertEquals(limits.now.copy(valueBytes = 2048, txnOps = 90), limits.next)
+        assertEquals(limits.current.copy(valueBytes = 2048), limits.effective)
+        assertEquals(limits.current.copy(valueBytes = 2048, txnOps = 90), limits.announced)
     }
 
     @Test
-    fun `announced store limits that can't be used are named by their path`() {
+    fun `invalid announced store limits are reported with their paths`() {
         val problems = problemsOf(withNextLimits("value_kb = 0.5\ntxn_ops = 2\nwrite_rps = \"x\""))
         val expected =
             listOf("settings.state.next.write_rps", "settings.state.next.value_kb", "settings.state.next.txn_ops")
@@ -45,22 +45,22 @@
 
     @Test
     fun `a valid file is read completely, and unknown names are ignored`() {
-        val settings = read(GOOD + "\n[novelty]\nx = 1\n")
+        val settings = read(VALID_SETTINGS + "\n[novelty]\nx = 1\n")
         assertEquals("bobbin-0", settings.node)
         assertEquals(listOf("bobbin-1"), settings.members.map { it.name })
         assertEquals(8080, settings.apiAddr.port)
-        assertEquals(5.milliseconds, settings.clockBound)
+        assertEquals(5.milliseconds, settings.maxClockSkew)
         assertEquals(1.5.seconds, settings.workers.heartbeatInterval)
-        assertEquals(16 * 1024, settings.storeLimits.now.valueBytes)
+        assertEquals(16 * 1024, settings.storeLimits.current.valueBytes)
         assertEquals(null, settings.teams[0].cpusMax)
         assertEquals(36.0, settings.teams[0].gpusMax)
         assertEquals(18.seconds, settings.objectives[0].within)
     }
 
     @Test
-    fun `all faults are named by their paths at once`() {
+    fun `all faults are reported together with their paths`() {
         val faulty =
-            GOOD
+            VALID_SETTINGS
                 .replace("report_s = 1.5", "report_s = \"often\"")
                 .replace("txn_ops = 24", "")
                 .replace("cloud = \"10.2.0.2:8443\"", "cloud = \"nowhere\"")
@@ -73,20 +73,20 @@
     }
 
     @Test
-    fun `a transaction limit below what one job's change takes is refused`() {
-        val problem = problemsOf(GOOD.replace("txn_ops = 24", "txn_ops = 2")).single()
+    fun `a transaction limit below the operations of one job's change is rejected`() {
+        val problem = problemsOf(VALID_SETTINGS.replace("txn_ops = 24", "txn_ops = 2")).single()
         assertTrue(problem.startsWith("settings.state.txn_ops:"), problem)
     }
 
     @Test
-    fun `a file that is not TOML or is missing is refused with a settings error`() {
+    fun `a file that is missing or is not TOML is rejected with a settings error`() {
         assertThrows(SettingsError::class.java) { read("host_name = ") }
         assertThrows(SettingsError::class.java) { SettingsReader().read(File(dir, "absent.toml")) }
     }
 
     companion object {
         /** A valid settings file. */
-        val GOOD =
+        val VALID_SETTINGS =
             """
             host_name = "bobbin-0"
             location = "here"
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -62,7 +62,7 @@
     private val faults = ConcurrentLinkedQueue<String>()
 
     private fun node(): UserApi {
-        val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
+        val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.VALID_SETTINGS) })
         val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpClient(2.seconds))
         val cache = StoreCache(client, 2000.0) { _, _ -> }
         val syncs = startSyncThread(cache)
--- a/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
+++ b/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
@@ -26,7 +26,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Requests of users over real sockets on loopback, against an [InMemoryStore]. */
-abstract class ServedUserApi(private val settingsText: String = SettingsTest.GOOD) {
+abstract class ServedUserApi(private val settingsText: String = SettingsTest.VALID_SETTINGS) {
     @TempDir
     lateinit var dir: File
     protected val state = InMemoryStore()
