--- a/src/test/kotlin/glenspool/http/CallPoolTest.kt
+++ b/src/test/kotlin/glenspool/http/CallPoolTest.kt
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.CountDownLatch
 
-/** Counterparts that do not answer block threads; calls to others must not fail, nor take threads without bound. */
+/** Servers that do not respond block threads. Calls to other servers must neither fail nor use unlimited threads. */
 class CallPoolTest {
     @Test
     fun `blocking calls use up to the maximum of threads, further ones are queued, and a full queue rejects calls`() {
@@ -23,7 +23,7 @@
                 done.countDown()
             }
             repeat(8) { assertTrue(pool.tryExecute(call)) }
-            // All eight run at once: none is queued behind one that blocks.
+            // All eight calls run at the same time: none is queued behind one that blocks.
             started.await()
             repeat(100) { assertTrue(pool.tryExecute(call)) }
             assertFalse(pool.tryExecute(call))
@@ -39,7 +39,7 @@
             val hasRun = CountDownLatch(1)
             pool.tryExecute {
                 Thread.currentThread().setUncaughtExceptionHandler { _, _ -> }
-                throw IllegalStateException("as a broken call would")
+                throw IllegalStateException("simulated failure of a call")
             }
             assertTrue(pool.tryExecute(hasRun::countDown))
             hasRun.await()
--- a/src/test/kotlin/glenspool/http/EventLoopTimerTest.kt
+++ b/src/test/kotlin/glenspool/http/EventLoopTimerTest.kt
@@ -17,7 +17,7 @@
         assertEquals(2.seconds, timer.lag())
         timer.endIteration()
         assertEquals(2.seconds, timer.lag())
-        // Idle time between two iterations is no lag.
+        // Idle time between two iterations does not count as lag.
         now += 5.seconds
         timer.startIteration()
         now += 1.seconds
--- a/src/test/kotlin/glenspool/http/HttpClientTest.kt
+++ b/src/test/kotlin/glenspool/http/HttpClientTest.kt
@@ -14,16 +14,19 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The client against a server that sends the given bytes, valid or not. */
+/** Tests the client with a server that sends given bytes, which may be invalid. */
 class HttpClientTest {
-    /** What the server does at a request: it sends [text], if any, and closes the connection or goes on. */
-    private class Reaction(val text: String?, val isClosing: Boolean)
+    /**
+     * How the server handles a request. It sends [text] and then closes the connection if [closesConnection] is set. If
+     * [text] is null, it closes the connection without a response.
+     */
+    private class ServerAction(val text: String?, val closesConnection: Boolean)
 
-    /** A request that the server got, and the number of its connection. */
-    private class Received(val connection: Int, val requestLine: String)
+    /** A request that the server has received, and the number of its connection. */
+    private class ReceivedRequest(val connection: Int, val requestLine: String)
 
-    private val reactions = LinkedBlockingQueue<Reaction>()
-    private val received = LinkedBlockingQueue<Received>()
+    private val serverActions = LinkedBlockingQueue<ServerAction>()
+    private val receivedRequests = LinkedBlockingQueue<ReceivedRequest>()
     private val server = ServerSocket(0, 50, InetAddress.getLoopbackAddress())
     private val address = "127.0.0.1:${server.localPort}"
     private val http = HttpClient(2.seconds)
@@ -39,7 +42,7 @@
                 try {
                     server.accept()
                 } catch (e: SocketException) {
-                    // The test is over.
+                    // The test has ended and has closed the server socket.
                     break
                 }
             val connection = ++number
@@ -54,20 +57,21 @@
             val fields = generateSequence { input.readLine().takeIf { it.isNotEmpty() } }.toList()
             val length = fields.firstOrNull { it.startsWith("Content-Length: ") }?.substringAfter(": ")?.toInt() ?: 0
             repeat(length) { input.read() }
-            received.add(Received(connection, requestLine))
-            val reaction = reactions.take()
-            if (reaction.text == null) return
-            socket.getOutputStream().write(reaction.text.toByteArray(Charsets.ISO_8859_1))
-            if (reaction.isClosing) return
+            receivedRequests.add(ReceivedRequest(connection, requestLine))
+            val serverAction = serverActions.take()
+            if (serverAction.text == null) return
+            socket.getOutputStream().write(serverAction.text.toByteArray(Charsets.ISO_8859_1))
+            if (serverAction.closesConnection) return
         }
     }
 
     @AfterEach
     fun close() = server.close()
 
-    private fun onNextRequest(send: String, thenClose: Boolean = false) = reactions.add(Reaction(send, thenClose))
+    private fun enqueueResponse(text: String, thenClose: Boolean = false) =
+        serverActions.add(ServerAction(text, thenClose))
 
-    private fun onNextRequestClose() = reactions.add(Reaction(null, isClosing = true))
+    private fun enqueueConnectionEnd() = serverActions.add(ServerAction(null, closesConnection = true))
 
     private fun get() = http.callRaw("GET", address, "/x", null, 5.seconds)
 
@@ -78,40 +82,40 @@
 
     @Test
     fun `reads bodies with a length, in chunks, after an interim response and up to the end of the connection`() {
-        onNextRequest(send = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+        enqueueResponse(text = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
         assertBody("hi", get())
-        onNextRequest(send = CHUNKED_HEAD + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+        enqueueResponse(text = CHUNKED_HEAD + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         assertBody("abcde", post())
-        onNextRequest(send = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
+        enqueueResponse(text = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
         assertBody("", get())
-        onNextRequest(send = "HTTP/1.1 503\r\n\r\nlater", thenClose = true)
-        val last = get() as RawResult.Response
-        assertEquals(503, last.status)
-        assertBody("later", last)
-        // All of them over one connection.
-        assertEquals(setOf(1), received.map { it.connection }.toSet())
+        enqueueResponse(text = "HTTP/1.1 503\r\n\r\nlater", thenClose = true)
+        val lastResponse = get() as RawResult.Response
+        assertEquals(503, lastResponse.status)
+        assertBody("later", lastResponse)
+        // All requests used one connection.
+        assertEquals(setOf(1), receivedRequests.map { it.connection }.toSet())
     }
 
     @Test
     fun `a connection is not reused if the server announces that it closes it`() {
-        onNextRequest(send = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+        enqueueResponse(text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
         get()
-        onNextRequest(send = EMPTY_RESPONSE)
+        enqueueResponse(text = EMPTY_RESPONSE)
         assertTrue(post() is RawResult.Response)
-        assertEquals(listOf(1, 2), received.map { it.connection })
+        assertEquals(listOf(1, 2), receivedRequests.map { it.connection })
     }
 
     @Test
     fun `when a reused connection ends without a response, a GET is repeated and a POST is not`() {
-        onNextRequest(send = EMPTY_RESPONSE)
+        enqueueResponse(text = EMPTY_RESPONSE)
         get()
-        onNextRequestClose()
-        onNextRequest(send = EMPTY_RESPONSE)
+        enqueueConnectionEnd()
+        enqueueResponse(text = EMPTY_RESPONSE)
         assertTrue(get() is RawResult.Response)
-        assertEquals(listOf(1, 1, 2), received.map { it.connection })
-        onNextRequestClose()
+        assertEquals(listOf(1, 1, 2), receivedRequests.map { it.connection })
+        enqueueConnectionEnd()
         assertTrue(post() is RawResult.NoResponse)
-        assertEquals(4, received.size)
+        assertEquals(4, receivedRequests.size)
     }
 
     @Test
@@ -123,7 +127,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
             )
         for (text in unusable) {
-            onNextRequest(send = text, thenClose = true)
+            enqueueResponse(text = text, thenClose = true)
             assertTrue(post() is RawResult.NoResponse, text)
         }
     }
@@ -135,14 +139,14 @@
 
     @Test
     fun `a request is not sent if the server is unreachable or the address or the path is invalid`() {
-        // Not the server's own port: one that is just being closed may still accept a connection.
+        // The test server's port is not used, because a port that is being closed may still accept a connection.
         val unusedPort = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         for (unreachable in listOf("127.0.0.1:$unusedPort", "nowhere", "127.0.0.1:99999", "127.0.0.1:")) {
             val result = http.callRaw("GET", unreachable, "/x", null, 5.seconds)
             assertTrue(result is RawResult.NotSent, unreachable)
         }
-        val smuggling = "/x HTTP/1.1\r\nSmuggled: 1"
-        assertTrue(http.callRaw("GET", address, smuggling, null, 5.seconds) is RawResult.NotSent)
+        val pathWithLineBreak = "/x HTTP/1.1\r\nSmuggled: 1"
+        assertTrue(http.callRaw("GET", address, pathWithLineBreak, null, 5.seconds) is RawResult.NotSent)
     }
 
     private companion object {
--- a/src/test/kotlin/glenspool/http/HttpListenerTest.kt
+++ b/src/test/kotlin/glenspool/http/HttpListenerTest.kt
@@ -19,16 +19,16 @@
             if (request.uri.path == "/slow") release.await()
             Response(Status.OK)
         }.use { server ->
-            val refused = CountDownLatch(BEYOND_QUEUE)
+            val rejected = CountDownLatch(REJECTED_REQUESTS)
             val served = AtomicInteger()
             val clients =
-                List(ONE_THREAD_AND_ITS_QUEUE + BEYOND_QUEUE) {
-                    thread { if (isAnswered(server, "/slow")) served.incrementAndGet() else refused.countDown() }
+                List(ACCEPTED_REQUESTS + REJECTED_REQUESTS) {
+                    thread { if (isAnswered(server, "/slow")) served.incrementAndGet() else rejected.countDown() }
                 }
-            refused.await()
+            rejected.await()
             release.countDown()
             clients.forEach { it.join() }
-            assertEquals(ONE_THREAD_AND_ITS_QUEUE, served.get())
+            assertEquals(ACCEPTED_REQUESTS, served.get())
             assertEquals(true, isAnswered(server, "/quick"))
         }
     }
@@ -37,13 +37,13 @@
         try {
             Socket("127.0.0.1", server.port).use { it.isAnswered(path) }
         } catch (e: IOException) {
-            // Closed by the server, which is what is counted.
+            // The server has closed the connection instead of answering.
             false
         }
 
     private companion object {
-        /** One thread, and eight requests queued for it. */
-        const val ONE_THREAD_AND_ITS_QUEUE = 9
-        const val BEYOND_QUEUE = 3
+        /** The request that the single thread handles, and the eight queued ones. */
+        const val ACCEPTED_REQUESTS = 9
+        const val REJECTED_REQUESTS = 3
     }
 }
--- a/src/test/kotlin/glenspool/http/RawHttp.kt
+++ b/src/test/kotlin/glenspool/http/RawHttp.kt
@@ -16,7 +16,7 @@
     val head = StringBuilder()
     while (!head.endsWith("\r\n\r\n")) {
         val byte = read()
-        check(byte >= 0) { "the connection ended: $head" }
+        check(byte >= 0) { "the connection ended within the header: $head" }
         head.append(byte.toChar())
     }
     val length = head.lines().first { it.startsWith("Content-Length: ") }.substringAfter(": ").toInt()
@@ -24,12 +24,12 @@
     return RawResponse(status, head.toString(), String(readNBytes(length)))
 }
 
-/** Whether a request is answered at all; false if the connection is closed instead. */
+/** Sends a GET request. Returns true if a response arrives, and false if the connection is closed instead. */
 internal fun Socket.isAnswered(path: String): Boolean =
     try {
         sendGet(path)
         getInputStream().read() >= 0
     } catch (e: IOException) {
-        // Closed by the server, which is what is asked.
+        // The server has closed the connection.
         false
     }
--- a/src/test/kotlin/glenspool/http/ReadAheadTest.kt
+++ b/src/test/kotlin/glenspool/http/ReadAheadTest.kt
@@ -15,7 +15,7 @@
 import kotlin.concurrent.thread
 import kotlin.time.Duration
 
-/** Back-pressure on a client that pipelines requests. The test takes the place of the listener's event loop. */
+/** Tests the back-pressure on a client that pipelines requests. The test acts as the listener's event loop. */
 class ReadAheadTest {
     private class Dispatched(val request: Request, val respond: (Response) -> Unit)
 
@@ -30,13 +30,13 @@
                 sender.join()
             }
         }
-        assertEquals(REQUESTS, dispatched.size)
+        assertEquals(REQUEST_COUNT, dispatched.size)
         assertTrue(dispatched.all { it.request.body.payload.remaining() == BODY_BYTES })
     }
 
     private fun sendRequests(client: SocketChannel) {
         val request = "POST /x HTTP/1.1\r\nContent-Length: $BODY_BYTES\r\n\r\n" + "y".repeat(BODY_BYTES)
-        val bytes = ByteBuffer.wrap(request.repeat(REQUESTS).toByteArray())
+        val bytes = ByteBuffer.wrap(request.repeat(REQUEST_COUNT).toByteArray())
         while (bytes.hasRemaining()) client.write(bytes)
     }
 
@@ -53,13 +53,13 @@
                 selector.selectedKeys().clear()
                 connection.receive(input)
             }
-            // More is sent than is read ahead, so the connection stops reading by itself.
+            // The client sends more than the connection reads ahead, so the connection pauses its reading.
             while (key.interestOps() and SelectionKey.OP_READ != 0) read()
             assertEquals(1, dispatched.size)
-            while (dispatched.size < REQUESTS) {
-                val before = dispatched.size
+            while (dispatched.size < REQUEST_COUNT) {
+                val previousCount = dispatched.size
                 dispatched.last().respond(Response(Status.OK))
-                while (dispatched.size == before) read()
+                while (dispatched.size == previousCount) read()
             }
         }
     }
@@ -67,6 +67,6 @@
     private companion object {
         const val READ_BUFFER_BYTES = 16 * 1024
         const val BODY_BYTES = 40_000
-        const val REQUESTS = 50
+        const val REQUEST_COUNT = 50
     }
 }
--- a/src/test/kotlin/glenspool/http/RequestParserTest.kt
+++ b/src/test/kotlin/glenspool/http/RequestParserTest.kt
@@ -11,7 +11,7 @@
 import java.nio.ByteBuffer
 import kotlin.random.Random
 
-/** Requests arrive in pieces of any size; only complete and unambiguous ones may be dispatched. */
+/** Requests arrive in pieces of any size. Only complete and unambiguous requests may be dispatched. */
 class RequestParserTest {
     private fun bytes(text: String) = ByteBuffer.wrap(text.toByteArray(Charsets.ISO_8859_1))
 
@@ -24,8 +24,8 @@
         return String(bytes)
     }
 
-    /** All requests in [stream], which arrives in random pieces of up to 39 bytes. */
-    private fun parsePieces(stream: ByteArray, random: Random): List<ParsedRequest> {
+    /** Parses all requests in [stream], which arrives in random pieces of up to 39 bytes. */
+    private fun parseInPieces(stream: ByteArray, random: Random): List<ParsedRequest> {
         val parser = RequestParser(MAX_BODY_BYTES)
         val requests = ArrayList<ParsedRequest>()
         var position = 0
@@ -52,7 +52,7 @@
         val stream = texts.joinToString("").toByteArray(Charsets.ISO_8859_1)
         val random = Random(7)
         repeat(200) {
-            val parsed = parsePieces(stream, random)
+            val parsed = parseInPieces(stream, random)
             val requests = parsed.map { it.request }
             assertEquals(listOf("/checkin", "/api/jobs/run-1", "/api/jobs", "/empty"), requests.map { it.uri.path })
             assertEquals(listOf("hello world", "", "hello world", ""), requests.map { it.text() })
@@ -82,8 +82,8 @@
 
     @Test
     fun `malformed and ambiguous requests are rejected with the matching status`() {
-        val tooLong = MAX_BODY_BYTES + 1
-        val refused =
+        val excessiveLength = MAX_BODY_BYTES + 1
+        val expectedStatuses =
             mapOf(
                 "nonsense\r\n\r\n" to 400,
                 "GET / HTTP/2.0\r\n\r\n" to 400,
@@ -93,14 +93,14 @@
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n" to 400,
                 "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n" to 501,
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n" to 400,
-                "POST / HTTP/1.1\r\nContent-Length: $tooLong\r\n\r\n" to 400,
-                "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n${tooLong.toString(16)}\r\n" to 400,
+                "POST / HTTP/1.1\r\nContent-Length: $excessiveLength\r\n\r\n" to 400,
+                "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n${excessiveLength.toString(16)}\r\n" to 400,
                 "GET / HTTP/1.1\r\nX: ${"y".repeat(17_000)}" to 431,
             )
-        for ((text, status) in refused) {
-            val start = text.take(60)
-            val refusal = assertThrows(BadMessage::class.java, { parser(text).next() }, start)
-            assertEquals(status, refusal.status, start)
+        for ((text, status) in expectedStatuses) {
+            val excerpt = text.take(60)
+            val exception = assertThrows(BadMessage::class.java, { parser(text).next() }, excerpt)
+            assertEquals(status, exception.status, excerpt)
         }
     }
 }
--- a/src/test/kotlin/glenspool/http/ResponseWriterTest.kt
+++ b/src/test/kotlin/glenspool/http/ResponseWriterTest.kt
@@ -42,15 +42,15 @@
         )
     }
 
-    /** The JDK's formatter is the model. It writes days without the leading zero that HTTP requires. */
+    /** The JDK's formatter writes days without the leading zero that HTTP requires, so the test adds the zero. */
     @Test
     fun `the date equals that of the JDK's formatter`() {
         for (day in 0L..800L) {
             now = Instant.ofEpochSecond(1_700_000_000 + day * 86_400 + day * 3_599)
             val response = write(Response(Status.OK), keepAlive = true, withBody = true)
             val date = response.lines().first { it.startsWith("Date: ") }.removePrefix("Date: ")
-            val model = DateTimeFormatter.RFC_1123_DATE_TIME.format(now.atOffset(ZoneOffset.UTC))
-            assertEquals(model.replace(Regex(", (\\d) "), ", 0$1 "), date)
+            val jdkDate = DateTimeFormatter.RFC_1123_DATE_TIME.format(now.atOffset(ZoneOffset.UTC))
+            assertEquals(jdkDate.replace(Regex(", (\\d) "), ", 0$1 "), date)
         }
     }
 }
--- a/src/test/kotlin/glenspool/http/ServerConnectionTest.kt
+++ b/src/test/kotlin/glenspool/http/ServerConnectionTest.kt
@@ -13,26 +13,26 @@
 import java.util.concurrent.LinkedBlockingQueue
 import kotlin.concurrent.thread
 
-/** The server as a client on loopback sees it. */
+/** Tests the server's behavior towards a client on loopback. */
 class ServerConnectionTest {
-    /** How to answer the requests to `/later`. */
-    private val unanswered = LinkedBlockingQueue<(Response) -> Unit>()
+    /** The functions that answer the pending requests to `/later`. */
+    private val pendingResponders = LinkedBlockingQueue<(Response) -> Unit>()
     private val server =
         HttpListener(InetSocketAddress("127.0.0.1", 0), "test", 2, ::asyncHandlerOf, {}, ::answer)
     private val socket = Socket("127.0.0.1", server.port)
 
     private fun asyncHandlerOf(request: Request): AsyncHandler? =
         when (request.uri.path) {
-            "/later" -> AsyncHandler { _, respond -> unanswered.add(respond) }
+            "/later" -> AsyncHandler { _, respond -> pendingResponders.add(respond) }
             "/at-once" -> AsyncHandler { _, respond -> respond(Response(Status.OK)) }
-            "/fails-at-once" -> AsyncHandler { _, _ -> throw IllegalStateException("as a broken handler would") }
+            "/fails-at-once" -> AsyncHandler { _, _ -> throw IllegalStateException("simulated failure of a handler") }
             else -> null
         }
 
     private fun answer(request: Request): Response =
         when (request.uri.path) {
-            "/fails" -> throw IllegalStateException("as a broken handler would")
-            "/large" -> Response(Status.OK).body("x".repeat(LARGE_BODY))
+            "/fails" -> throw IllegalStateException("simulated failure of a handler")
+            "/large" -> Response(Status.OK).body("x".repeat(LARGE_BODY_BYTES))
             else -> Response(Status.OK).body(request.bodyString())
         }
 
@@ -57,15 +57,15 @@
     @Test
     fun `thousands of pipelined requests are all answered`() {
         val request = "GET /at-once HTTP/1.1\r\n\r\n"
-        val sender = thread { socket.send(request.repeat(PIPELINED)) }
-        repeat(PIPELINED) { assertEquals(200, readResponse().status) }
+        val sender = thread { socket.send(request.repeat(PIPELINED_REQUESTS)) }
+        repeat(PIPELINED_REQUESTS) { assertEquals(200, readResponse().status) }
         sender.join()
     }
 
     @Test
     fun `a response may be sent later by another thread, and other connections are served in the meantime`() {
         socket.sendGet("/later")
-        val respond = unanswered.take()
+        val respond = pendingResponders.take()
         Socket("127.0.0.1", server.port).use { other ->
             other.send("GET /other HTTP/1.1\r\n\r\n")
             assertEquals(200, other.getInputStream().readResponse().status)
@@ -77,7 +77,7 @@
     @Test
     fun `a response larger than the socket's buffer arrives completely`() {
         socket.sendGet("/large")
-        assertEquals(LARGE_BODY, readResponse().body.length)
+        assertEquals(LARGE_BODY_BYTES, readResponse().body.length)
         socket.sendGet("/after")
         assertEquals(200, readResponse().status)
     }
@@ -109,7 +109,7 @@
     @Test
     fun `a client that has shut down its output still receives its response`() {
         socket.sendGet("/later")
-        val respond = unanswered.take()
+        val respond = pendingResponders.take()
         socket.shutdownOutput()
         val response = CompletableFuture.supplyAsync { readResponse() }
         respond(Response(Status.OK).body("still"))
@@ -118,7 +118,7 @@
     }
 
     private companion object {
-        const val LARGE_BODY = 3_000_000
-        const val PIPELINED = 5_000
+        const val LARGE_BODY_BYTES = 3_000_000
+        const val PIPELINED_REQUESTS = 5_000
     }
 }
--- a/src/test/kotlin/glenspool/http/SocketLimitTest.kt
+++ b/src/test/kotlin/glenspool/http/SocketLimitTest.kt
@@ -8,7 +8,10 @@
 import java.net.InetSocketAddress
 import java.net.Socket
 
-/** More connections than the socket limit allows. The limit holds for a whole process, so this runs in its own. */
+/**
+ * Opens more connections than the socket limit allows. The limit applies to a whole process, so the server runs in a
+ * separate process.
+ */
 class SocketLimitTest {
     @Test
     fun `connections up to the limit are served, further ones are closed, and each closed one frees a slot`() {
@@ -26,7 +29,7 @@
 object SocketLimitProcess {
     private const val MAX_SOCKETS = 40
 
-    /** The server notices a closed connection some time later; the bound is on tries, not on time. */
+    /** The server notices a closed connection after some time. The test limits its tries, not the time. */
     private const val MAX_TRIES = 100_000
 
     @JvmStatic
--- a/src/test/kotlin/glenspool/logging/LoggingTest.kt
+++ b/src/test/kotlin/glenspool/logging/LoggingTest.kt
@@ -8,7 +8,7 @@
 import java.io.PrintStream
 
 class LoggingTest {
-    /** The lines that [log] writes to standard error at [threshold]. */
+    /** Returns the lines that [log] writes to standard error at [threshold]. */
     private fun linesOf(threshold: Level, log: (Logger) -> Unit): List<String> {
         val captured = ByteArrayOutputStream()
         val original = System.err
