--- a/src/main/kotlin/glenspool/cloud/CloudClient.kt
+++ b/src/main/kotlin/glenspool/cloud/CloudClient.kt
@@ -11,46 +11,52 @@
 import glenspool.wire.MalformedMessage
 import kotlin.time.Duration.Companion.seconds
 
-/** How a scale-out request ended. */
+/** The outcome of a scale-out request. */
 sealed interface ScaleOutOutcome {
     /** The cloud has rented these [machines], by id. */
     data class Rented(val machines: List<String>) : ScaleOutOutcome
 
-    /** The cloud rented nothing, and won't on this request. */
+    /** The cloud rented nothing and will not do so for this request later. */
     data object Refused : ScaleOutOutcome
 
-    /** Perhaps rented, perhaps later; the same request may be sent again. */
+    /** The machines may have been rented, or may be rented later. The same request may be sent again. */
     data object Unknown : ScaleOutOutcome
 }
 
-/** The requests of the cloud's API. Each waits until the cloud's request rate allows it; none is retried. */
+/** A client of the cloud's API. Each request waits until the cloud's request rate allows it. None is retried. */
 @Suppress("UnstableApiUsage")
 class CloudClient(private val addr: String, private val http: HttpClient, rps: Double) {
     private val limiter by lazy { RateLimiter.create(rps * RATE_SHARE) }
 
-    /** The machine types in the protocol's form, as it is stored for other nodes; null: no usable answer. */
+    /**
+     * Reads the machine types and returns them in the protocol's form, in which they are stored for other nodes.
+     * Returns null if there was no usable response.
+     */
     fun readTypes(): Fields? = read("/flavors") { it }
 
-    /** All machines, page by page; null if any page got no usable answer. */
+    /** Reads the list of all machines page by page. Returns null if there was no usable response for a page. */
     fun listMachines(): List<ListedMachine>? {
         val machines = ArrayList<ListedMachine>()
         while (true) {
             val page = readPage(machines.lastOrNull()?.id) ?: return null
             machines.addAll(page.machines)
-            if (!page.hasNext || page.machines.isEmpty()) return machines
+            if (!page.hasNextPage || page.machines.isEmpty()) return machines
         }
     }
 
-    private class Page(val machines: List<ListedMachine>, val hasNext: Boolean)
+    private class Page(val machines: List<ListedMachine>, val hasNextPage: Boolean)
 
-    private fun readPage(after: String?): Page? {
-        val start = if (after.isNullOrEmpty()) "" else "&after=$after"
-        return read("/hosts?page=$PAGE_MACHINES$start") {
+    private fun readPage(afterMachine: String?): Page? {
+        val start = if (afterMachine.isNullOrEmpty()) "" else "&after=$afterMachine"
+        return read("/hosts?page=$MACHINES_PER_PAGE$start") {
             Page(CloudWire.decodeMachines(it), CloudWire.hasNextPage(it))
         }
     }
 
-    /** Rents machines. The request's id makes this idempotent, so that it may be sent again while unanswered. */
+    /**
+     * Rents machines. The request's id makes this idempotent, so the request may be sent again as long as it is
+     * unanswered.
+     */
     fun rent(request: ScaleOut): ScaleOutOutcome {
         limiter.acquire()
         val body = CloudWire.rentalRequest(request.request, request.type, request.zone, request.spot, request.count)
@@ -58,16 +64,20 @@
         return if (reply is CallResult.Response) outcomeOf(reply) else ScaleOutOutcome.Unknown
     }
 
-    private fun outcomeOf(answer: CallResult.Response): ScaleOutOutcome =
-        when (answer.status) {
-            OK -> ScaleOutOutcome.Rented(CloudWire.decodeMachineIds(answer.body))
+    private fun outcomeOf(response: CallResult.Response): ScaleOutOutcome =
+        when (response.status) {
+            OK -> ScaleOutOutcome.Rented(CloudWire.decodeMachineIds(response.body))
             BAD_REQUEST -> ScaleOutOutcome.Refused
             UNAVAILABLE ->
-                if (CloudWire.isOutOfCapacity(answer.body)) ScaleOutOutcome.Refused else ScaleOutOutcome.Unknown
+                if (CloudWire.isOutOfCapacity(response.body)) ScaleOutOutcome.Refused else ScaleOutOutcome.Unknown
             else -> ScaleOutOutcome.Unknown
         }
 
-    /** Deletes machines. True only once the cloud has confirmed that they are gone. */
+    /**
+     * Deletes machines.
+     *
+     * @return true only if the cloud has confirmed that the machines are deleted
+     */
     fun delete(ids: List<String>): Boolean {
         limiter.acquire()
         val reply = http.post(addr, "/hosts/delete", CloudWire.deletionRequest(ids), TIMEOUT)
@@ -81,7 +91,8 @@
         return try {
             decode(reply.body)
         } catch (e: MalformedMessage) {
-            loggerOf(CloudClient::class.java).warn("cloud response not decodable: {}", e.message)
+            loggerOf(CloudClient::class.java)
+                .warn("response of the cloud could not be decoded and is ignored: {}", e.message)
             null
         }
     }
@@ -90,9 +101,12 @@
         const val OK = 200
         const val BAD_REQUEST = 400
         const val UNAVAILABLE = 503
-        const val PAGE_MACHINES = 500
+        const val MACHINES_PER_PAGE = 500
 
-        /** Leaves some of the rate to another node that may still, or already, send requests as the leader. */
+        /**
+         * The share of the cloud's request rate that this node uses. The rest is for another node that may still, or
+         * already, send requests as the leader.
+         */
         const val RATE_SHARE = 0.8
         val TIMEOUT = 5.seconds
     }
--- a/src/main/kotlin/glenspool/state/JobRecordReader.kt
+++ b/src/main/kotlin/glenspool/state/JobRecordReader.kt
@@ -7,28 +7,32 @@
 import glenspool.wire.text
 import java.util.BitSet
 
-/** Reads whole job records: with the done bits, placements and description parts that have keys of their own. */
+/**
+ * Reads complete job records, including the done bits, placements and description parts that are stored under separate
+ * keys.
+ */
 class JobRecordReader(private val keys: LiveKeyReader) {
     /**
-     * The record of the job [id], of which [value] is stored under its main key.
+     * Returns the record of the job [id].
      *
-     * @throws MalformedMessage if any part of it can't be decoded
+     * @param value what is stored under the job's main key
+     * @throws MalformedMessage if any part of the record can't be decoded
      */
     fun read(id: String, value: Fields): JobRecord {
-        val record = RecordWire.decode(value, partsOf(id))
+        val record = RecordWire.decode(value, partReaderOf(id))
         if (record.spec.tasks <= RecordWire.MAX_INLINE_TASKS) return record
-        return record.copy(done = withChunks(id, record.done))
+        return record.copy(done = addChunks(id, record.done))
     }
 
-    private fun partsOf(id: String) =
+    private fun partReaderOf(id: String) =
         object : RecordWire.PartReader {
             override fun descriptionPart(number: Int) = keys.get(Keys.descriptionPart(id, number))?.value
 
             override fun placementPart(number: Int) = keys.get(Keys.placementPart(id, number))?.value
         }
 
-    private fun withChunks(id: String, inline: BitSet): BitSet {
-        val done = inline.clone() as BitSet
+    private fun addChunks(id: String, inlineBits: BitSet): BitSet {
+        val done = inlineBits.clone() as BitSet
         for (chunk in keys.withPrefix(Keys.chunks(id))) {
             val firstTask = chunk.key.substringAfterLast('/').toInt() * RecordWire.TASKS_PER_CHUNK
             val bits = RecordWire.decodeBits(chunk.value.text("done"))
@@ -38,7 +42,10 @@
     }
 
     companion object {
-        /** The keys that hold the description of a record for which one value of [valueBytes] is too small. */
+        /**
+         * Returns the puts that store the description of a record in parts, which is needed if the record does not fit
+         * into one value of [valueBytes].
+         */
         fun descriptionPartPuts(record: JobRecord, valueBytes: Int): List<Put> =
             RecordWire.encodeDescriptionParts(record, valueBytes).mapIndexed { number, part ->
                 Put(Keys.descriptionPart(record.spec.id, number), part)
--- a/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
+++ b/src/main/kotlin/glenspool/state/KeyValueStoreClient.kt
@@ -9,20 +9,21 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How a request to the key-value store ended. */
+/** The outcome of a request to the key-value store. */
 sealed interface StoreResult<out T> {
-    /** Carried out. */
+    /** The request was carried out. */
     data class Ok<T>(val value: T) : StoreResult<T>
 
-    /** There is no such key or lease. */
+    /** The key or lease does not exist. */
     data object Missing : StoreResult<Nothing>
 
-    /** A transaction was not carried out, as the conditions on these [keys] do not hold. */
+    /** The transaction was not carried out, because the conditions on these [keys] do not hold. */
     data class Conflict(val keys: List<String>) : StoreResult<Nothing>
 
     /**
-     * Not carried out, neither now nor later. [status] is the HTTP status of the refusal, or [NOT_SENT] if no
-     * connection came about.
+     * The request was not carried out and will not be carried out later.
+     *
+     * @property status the HTTP status of the response, or [NOT_SENT] if no connection was established
      */
     data class Refused(val status: Int) : StoreResult<Nothing> {
         companion object {
@@ -30,30 +31,33 @@
         }
     }
 
-    /** No answer that could be understood: perhaps carried out, perhaps later; only a read tells. */
+    /**
+     * No response was received that could be decoded. The request may have been carried out, or may be carried out
+     * later; only a read shows the result.
+     */
     data class Unknown(val reason: String) : StoreResult<Nothing>
 }
 
-/** A key to be set by a transaction. */
+/** A key that a transaction sets. */
 typealias Put = StoreWire.Put
 
 /**
- * The requests of the consensus-backed key-value store, one for one and without retries. Writes are compare-and-swap
- * transactions on the versions of keys.
+ * A client of the consensus-backed key-value store. Each function sends one request and does not retry it. Writes are
+ * compare-and-swap transactions on the versions of keys.
  */
 class KeyValueStoreClient(private val addr: String, private val http: HttpClient) {
     /**
-     * Whether the last conclusive request found the store unreachable or failing. Refusals that are the request's own
-     * fault are not conclusive.
+     * Whether the store was unreachable or failing at the last conclusive request. A response that rejects a request
+     * for the request's own fault is not conclusive.
      */
     @Volatile
     var isUnreachable = false
         private set
 
-    /** One page of a list, with the store's [revision] when it was read. */
+    /** One page of a list, read at the store's [revision]. */
     data class Page(val items: List<StoreWire.Item>, val hasNextPage: Boolean, val revision: Long)
 
-    /** The changes up to [revision]. */
+    /** Changes up to the store's [revision]. */
     data class Changes(val changes: List<StoreWire.Change>, val revision: Long)
 
     /** Reads one key. */
@@ -62,26 +66,27 @@
         return resultOf(reply) { StoreWire.decodeItem(it) }
     }
 
-    /** Lists the keys with this [prefix], in order, behind the key [after]. */
-    fun list(prefix: String, after: String?): StoreResult<Page> {
-        val reply = http.get(addr, StoreWire.listPath(prefix, after), LIST_TIMEOUT)
+    /** Lists the keys with this [prefix] in key order, starting after the key [afterKey]. */
+    fun list(prefix: String, afterKey: String?): StoreResult<Page> {
+        val reply = http.get(addr, StoreWire.listPath(prefix, afterKey), LIST_TIMEOUT)
         return resultOf(reply) {
             Page(StoreWire.decodeItems(it), StoreWire.hasNextPage(it), StoreWire.decodeRevision(it))
         }
     }
 
     /**
-     * Watches the keys with this [prefix]: delivers the changes after the revision [after], and waits for one as long
-     * as [wait]. Refused with 410 if the store has forgotten that revision.
+     * Returns the changes after the revision [afterRevision] to keys with this [prefix]. If there are none, the store
+     * waits up to [wait] for a change before it answers. The result is [StoreResult.Refused] with status 410 if the
+     * store no longer has the changes since that revision.
      */
-    fun watch(prefix: String, after: Long, wait: Duration): StoreResult<Changes> {
-        val reply = http.get(addr, StoreWire.watchPath(prefix, after, wait), wait + FOLLOW_TIMEOUT)
+    fun watch(prefix: String, afterRevision: Long, wait: Duration): StoreResult<Changes> {
+        val reply = http.get(addr, StoreWire.watchPath(prefix, afterRevision, wait), wait + WATCH_ANSWER_MARGIN)
         return resultOf(reply) { Changes(StoreWire.decodeChanges(it), StoreWire.decodeRevision(it)) }
     }
 
     /**
-     * Carries out all changes if every key in [conditions] has the version given (0: is absent), or none. The value is
-     * the revision.
+     * Carries out all changes if every key in [conditions] has the given version (0 if the key must be absent);
+     * otherwise it changes nothing. The result is the revision of the transaction.
      */
     fun transact(
         conditions: Map<String, Long>,
@@ -93,26 +98,26 @@
         return resultOf(reply) { StoreWire.decodeRevision(it) }
     }
 
-    /** Grants a lease that expires [ttl] after its last renewal; the value is its id. */
+    /** Requests a lease that expires [ttl] after its last renewal. The result is the lease's id. */
     fun newLease(ttl: Duration): StoreResult<Long> {
         val reply = http.post(addr, StoreWire.LEASES_PATH, StoreWire.leaseRequest(ttl), TIMEOUT)
         return resultOf(reply) { StoreWire.decodeLease(it) }
     }
 
-    /** Renews a lease; [StoreResult.Missing] once it has expired. */
+    /** Renews a lease. The result is [StoreResult.Missing] if the lease has expired. */
     fun renewLease(lease: Long): StoreResult<Unit> {
         val reply = http.post(addr, StoreWire.renewalPath(lease), emptyMap(), RENEW_TIMEOUT)
         return resultOf(reply) {}
     }
 
-    /** Ends a lease, which removes the keys that were set with it. */
+    /** Ends a lease. The store then removes the keys that were set with it. */
     fun endLease(lease: Long): StoreResult<Unit> {
         val reply = http.call("DELETE", addr, "${StoreWire.LEASES_PATH}/$lease", null, RENEW_TIMEOUT)
         return resultOf(reply) {}
     }
 
     private fun <T> resultOf(reply: CallResult, decode: (Fields) -> T): StoreResult<T> {
-        val result = convert(reply, decode)
+        val result = toResult(reply, decode)
         when (result) {
             is StoreResult.Unknown -> isUnreachable = true
             is StoreResult.Refused -> if (isOutage(result.status)) isUnreachable = true
@@ -123,24 +128,24 @@
 
     private fun isOutage(status: Int) = status == StoreResult.Refused.NOT_SENT || status >= FIRST_SERVER_ERROR
 
-    private fun <T> convert(reply: CallResult, decode: (Fields) -> T): StoreResult<T> =
+    private fun <T> toResult(reply: CallResult, decode: (Fields) -> T): StoreResult<T> =
         when (reply) {
             is CallResult.NotSent -> StoreResult.Refused(StoreResult.Refused.NOT_SENT)
             is CallResult.NoResponse -> StoreResult.Unknown(reply.reason)
             is CallResult.Response ->
                 try {
-                    convertAnswer(reply, decode)
+                    responseToResult(reply, decode)
                 } catch (e: MalformedMessage) {
                     StoreResult.Unknown(e.toString())
                 }
         }
 
-    private fun <T> convertAnswer(answer: CallResult.Response, decode: (Fields) -> T): StoreResult<T> =
-        when (answer.status) {
-            OK -> StoreResult.Ok(decode(answer.body))
+    private fun <T> responseToResult(response: CallResult.Response, decode: (Fields) -> T): StoreResult<T> =
+        when (response.status) {
+            OK -> StoreResult.Ok(decode(response.body))
             NOT_FOUND -> StoreResult.Missing
-            CONFLICT -> StoreResult.Conflict(StoreWire.decodeConflicts(answer.body))
-            else -> StoreResult.Refused(answer.status)
+            CONFLICT -> StoreResult.Conflict(StoreWire.decodeConflicts(response.body))
+            else -> StoreResult.Refused(response.status)
         }
 
     private companion object {
@@ -150,8 +155,8 @@
         const val FIRST_SERVER_ERROR = 500
         val TIMEOUT = 1500.milliseconds
 
-        /** How long the answer to a watch may take beyond its wait. */
-        val FOLLOW_TIMEOUT = 900.milliseconds
+        /** The time that the response to a watch may take in addition to the watch's wait. */
+        val WATCH_ANSWER_MARGIN = 900.milliseconds
         val RENEW_TIMEOUT = 1.seconds
         val LIST_TIMEOUT = 5.seconds
     }
--- a/src/main/kotlin/glenspool/state/Keys.kt
+++ b/src/main/kotlin/glenspool/state/Keys.kt
@@ -1,57 +1,60 @@
 package glenspool.state
 
 /**
- * The layout of keys in the key-value store. All that a failover must know is under [LIVE], which every node caches;
- * final states are kept elsewhere, for ever, and are read one by one.
+ * The layout of keys in the key-value store. Everything that a new leader needs after a failover is stored under
+ * [LIVE], which every node caches. Final states of jobs are stored outside of it, are never removed, and are read
+ * individually.
  */
 object Keys {
     /** The prefix of all live keys. */
     const val LIVE = "g/"
 
-    /** The leader's record; it is set with the leader's lease, and a leader's writes are conditioned on its version. */
+    /**
+     * The leadership record. It is set with the leader's lease, and a leader's writes are conditioned on its version.
+     */
     const val LEADERSHIP = "g/lead"
 
-    /** The counter of fencing tokens. */
+    /** The counter from which fencing tokens are issued. */
     const val TOKEN_COUNTER = "g/term"
 
-    /** The machine types that the cloud offered last. */
+    /** The machine types that the cloud offered when it was last read. */
     const val MACHINE_TYPES = "g/types"
 
-    /** Which machine has which images cached, in several parts. */
+    /** The prefix of the image locations (which machine has which images cached), stored in several parts. */
     const val IMAGES = "g/images/"
 
-    /** Job records. */
+    /** The prefix of job records. */
     const val JOB = "g/j/"
 
-    /** Cancellations of jobs. */
+    /** The prefix of job cancellations. */
     const val CANCEL = "g/c/"
 
-    /** Chunks of done bits of jobs with many tasks. */
+    /** The prefix of the chunks of done bits of jobs with many tasks. */
     const val CHUNK = "g/d/"
 
-    /** Parts of descriptions that are too long for one value. */
+    /** The prefix of the parts of descriptions that are too long for one value. */
     const val DESCRIPTION_PART = "g/s/"
 
-    /** Placements that a record has no room for. */
+    /** The prefix of the parts that hold the placements that do not fit into a job record. */
     const val PLACEMENT_PART = "g/p/"
 
-    /** The recovery record: its phase, and what operators have ordered for it. */
+    /** The recovery record: the phase, and the operators' orders for the recovery. */
     const val RECOVERY = "g/recovery"
 
-    /** Final states of jobs. */
+    /** The prefix of the final states of jobs. */
     const val FINAL = "f/"
 
     /**
-     * The rollout's records. All other live keys sort before this prefix, and that must stay so: a cache that is
-     * loaded page by page reads the active level last, so it never holds a record of a level without the record of that
-     * level.
+     * The prefix of the rollout's records. All other live keys must sort before this prefix. A cache that is loaded
+     * page by page then reads the active level last, so it never holds a record in a level's form without the record of
+     * that level.
      */
     const val ROLLOUT = "g/version/"
 
     /** The active level. */
     const val LEVEL = "g/version/level"
 
-    /** What operators have ordered for the rollout. */
+    /** The operators' orders for the rollout. */
     const val ROLLOUT_ORDERS = "g/version/orders"
 
     /** The progress of the rollout. */
--- a/src/main/kotlin/glenspool/state/LiveKeyReader.kt
+++ b/src/main/kotlin/glenspool/state/LiveKeyReader.kt
@@ -2,14 +2,14 @@
 
 import glenspool.wire.StoreWire
 
-/** A view of the live keys of the key-value store, such as a node's [StoreCache]. */
+/** Read access to the live keys of the key-value store, such as a node's [StoreCache]. */
 interface LiveKeyReader {
-    /** The key's value and version; null if it is absent. */
+    /** Returns the key's value and version, or null if the key is absent. */
     fun get(key: String): StoreWire.Item?
 
-    /** The items whose keys begin with [prefix], in the order of their keys. */
+    /** Returns the items whose keys start with [prefix], in key order. */
     fun withPrefix(prefix: String): Collection<StoreWire.Item>
 
-    /** Reads several keys at one revision: changes made by one transaction are seen together or not at all. */
+    /** Runs [read] at one revision of the store, so that it sees either all changes of a transaction or none. */
     fun <T> atomically(read: () -> T): T
 }
--- a/src/main/kotlin/glenspool/state/RolloutRecords.kt
+++ b/src/main/kotlin/glenspool/state/RolloutRecords.kt
@@ -12,24 +12,28 @@
 import glenspool.wire.RolloutWire
 import java.util.concurrent.ConcurrentHashMap
 
-/** The rollout's records as this node's cache has them. [isLoaded]: whether the cache has ever been read. */
+/**
+ * The rollout's records as this node's store cache has them.
+ *
+ * @param isLoaded whether the cache has been loaded from the store at least once
+ */
 class RolloutRecords(private val keys: LiveKeyReader, private val isLoaded: () -> Boolean) {
-    /** The versions of records that were found unreadable: each is logged once. */
+    /** The last version of each record that could not be decoded, so that each such version is logged once. */
     private val reportedVersions = ConcurrentHashMap<String, Long>()
 
-    /** The last record that was read of each key, so that a repeated read costs a look-up and no decoding. */
+    /** The last record read from each key, so that a repeated read costs a look-up and no decoding. */
     private val decoded = ConcurrentHashMap<String, Stored<*>>()
 
-    /** The active level. */
+    /** The record of the active level. */
     fun level(): Stored<LevelRecord> = read(Keys.LEVEL, RolloutWire::decodeLevel)
 
-    /** What operators have ordered. */
+    /** The operators' orders. */
     fun orders(): Stored<OperatorOrders> = read(Keys.ROLLOUT_ORDERS, RolloutWire::decodeOrders)
 
-    /** The progress that the leader has recorded. */
+    /** The progress of the rollout as the leader has stored it. */
     fun state(): Stored<RolloutState> = read(Keys.ROLLOUT_STATE, RolloutWire::decodeState)
 
-    /** How many keys hold a form of the level `sealed-records`: sealed job records and the parts of such. */
+    /** The number of keys in a form of the level `sealed-records`, which are sealed job records and their parts. */
     fun countSealedRecordKeys(): Int =
         keys.atomically {
             val sealed = keys.withPrefix(Keys.JOB).count { RecordWire.isSealed(it.value) }
@@ -39,17 +43,17 @@
     @Suppress("UNCHECKED_CAST")
     private fun <T> read(key: String, decode: (Fields) -> T): Stored<T> {
         val item = keys.get(key) ?: return if (isLoaded()) Stored.Absent else Stored.NotRead
-        val last = decoded[key]
-        if (last != null && last.isOfVersion(item.version)) return last as Stored<T>
-        val fresh =
+        val cached = decoded[key]
+        if (cached != null && cached.isOfVersion(item.version)) return cached as Stored<T>
+        val stored =
             try {
                 Stored.Present(decode(item.value), item.version)
             } catch (e: MalformedMessage) {
                 reportOnce(key, item.version, e)
                 Stored.Unreadable(item.version, e.message ?: "malformed")
             }
-        decoded[key] = fresh
-        return fresh
+        decoded[key] = stored
+        return stored
     }
 
     private fun Stored<*>.isOfVersion(version: Long): Boolean =
@@ -61,7 +65,7 @@
 
     private fun reportOnce(key: String, version: Long, error: MalformedMessage) {
         if (reportedVersions.put(key, version) == version) return
-        log.error("stored record {} is not readable: {}", key, error.message)
+        log.error("stored record {} could not be decoded and is not overwritten: {}", key, error.message)
     }
 
     private companion object {
@@ -69,5 +73,5 @@
     }
 }
 
-/** What a write under this permit is conditioned on besides its own keys. */
+/** The conditions that a write under this permit needs in addition to those on its own keys. */
 fun WritePermit.conditions(): Map<String, Long> = levelVersion?.let { mapOf(Keys.LEVEL to it) } ?: emptyMap()
--- a/src/main/kotlin/glenspool/state/StoreCache.kt
+++ b/src/main/kotlin/glenspool/state/StoreCache.kt
@@ -15,13 +15,13 @@
 import kotlin.time.TimeSource
 
 /**
- * This node's cache of the live keys. A long-polling watch ([watchChanges]) keeps it up to date, and [sync] brings it to a
- * state later than a user's request: a watch that does not wait delivers all changes up to the store's present
- * revision, which no cache can know by itself.
+ * This node's cache of the live keys. A long-polling watch ([watchChanges]) keeps it up to date. [sync] brings it to a
+ * state later than a user's request by a watch that does not wait, which delivers all changes up to the store's present
+ * revision. The request is needed because a cache can't know the store's present revision.
  *
- * [rps] is the request rate that the store allows; the cache takes a share of it. [onRead] is called after each read of
- * the present state with the time since its request was sent. [onChange] is called with changes and their revision,
- * under the cache's lock and in the order of revisions.
+ * @param rps the request rate that the store allows; the cache uses a share of it
+ * @param onRead called after each read of the present state with the time since its request was sent
+ * @param onChange called with changes and their revision, under the cache's lock and in the order of revisions
  */
 class StoreCache(
     private val client: KeyValueStoreClient,
@@ -29,19 +29,19 @@
     private val onRead: (Duration) -> Unit = {},
     private val onChange: (List<StoreWire.Change>, Long) -> Unit,
 ) : LiveKeyReader {
-    /** Written under the lock; read without it where a single key is enough. */
+    /** The cached items. They are written under the lock and read without it where a single key is enough. */
     private val entries = ConcurrentSkipListMap<String, StoreWire.Item>()
 
     /** The store's revision up to which changes are in [entries]; guarded by the lock. */
     private var revision = NEVER_LOADED
     private val syncWaiters = LinkedBlockingQueue<CompletableFuture<Boolean>>()
-    private val watchGap = (1.0 / (rps * WATCH_SHARE)).seconds
-    private val syncGap = (1.0 / (rps * SYNC_SHARE)).seconds
+    private val watchInterval = (1.0 / (rps * WATCH_SHARE)).seconds
+    private val syncInterval = (1.0 / (rps * SYNC_SHARE)).seconds
 
     @Volatile
     private var lastReadAt: TimeMark? = null
 
-    /** The time since the store last answered with the present state; null: it never has. */
+    /** Returns the time since the last response with the store's present state, or null if there was none. */
     fun age(): Duration? = lastReadAt?.elapsedNow()
 
     override fun get(key: String): StoreWire.Item? = entries[key]
@@ -53,54 +53,63 @@
         return entries.subMap(prefix, end).values
     }
 
-    /** Brings the cache to a state later than this call. False: the store did not answer in time. */
+    /**
+     * Brings the cache to a state later than this call.
+     *
+     * @return false if the store did not answer within [timeout]
+     */
     fun sync(timeout: Duration): Boolean {
         val waiter = CompletableFuture<Boolean>()
         syncWaiters.add(waiter)
         return try {
             waiter.get(timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
         } catch (e: TimeoutException) {
-            log.debug("sync timed out")
+            log.debug("sync of the store cache timed out")
             false
         } catch (e: ExecutionException) {
-            log.warn("sync failed", e)
+            log.warn("sync of the store cache failed", e)
             false
         }
     }
 
-    /** Serves [sync] until the thread is interrupted: one request for all who wait. */
+    /** Serves [sync] until the thread is interrupted. All callers that wait at the same time share one request. */
     fun serveSyncs() {
         while (!Thread.currentThread().isInterrupted) {
             val waiting = ArrayList<CompletableFuture<Boolean>>()
-            // Without waiters the state is read all the same, which soon shows whether the store is unreachable.
+            // The state is also read without waiters, so that an unreachable store is noticed early.
             syncWaiters.poll(IDLE_SYNC_INTERVAL.inWholeMilliseconds, TimeUnit.MILLISECONDS)?.let { waiting.add(it) }
             syncWaiters.drainTo(waiting)
             val isCurrent = refresh(Duration.ZERO)
             waiting.forEach { it.complete(isCurrent) }
-            pause(syncGap)
+            pause(syncInterval)
         }
     }
 
     /** Applies changes as they happen, by a long-polling watch, until the thread is interrupted. */
     fun watchChanges() {
         while (!Thread.currentThread().isInterrupted) {
-            if (refresh(WATCH_WAIT)) pause(watchGap) else pause(RETRY_GAP)
+            if (refresh(WATCH_WAIT)) pause(watchInterval) else pause(RETRY_DELAY)
         }
     }
 
     private fun pause(duration: Duration) = Thread.sleep(duration.inWholeMilliseconds)
 
-    /** Reads the changes since the last read, or everything where there was none. False: the store did not answer. */
+    /**
+     * Reads the changes since the last read, or all live keys if there was none.
+     *
+     * @return false if the store did not answer
+     */
     private fun refresh(wait: Duration): Boolean {
-        val known = synchronized(this) { revision }
-        if (known == NEVER_LOADED) return load()
+        val cachedRevision = synchronized(this) { revision }
+        if (cachedRevision == NEVER_LOADED) return load()
         val sentAt = TimeSource.Monotonic.markNow()
-        val result = client.watch(Keys.LIVE, known, wait)
+        val result = client.watch(Keys.LIVE, cachedRevision, wait)
         if (result is StoreResult.Refused && result.status == REVISION_COMPACTED) return load()
         if (result !is StoreResult.Ok) return false
         apply(result.value)
         lastReadAt = TimeSource.Monotonic.markNow()
-        // The answer to a watch that waited may be older than the next change: it counts from when it was sent.
+        // A change may be made after the store has composed its response to a waiting watch, so the state is only known
+        // to be as recent as the time at which the request was sent.
         onRead(sentAt.elapsedNow())
         return true
     }
@@ -108,19 +117,19 @@
     private fun apply(delivered: KeyValueStoreClient.Changes) {
         synchronized(this) {
             if (delivered.revision <= revision) return
-            val fresh = delivered.changes.filter { it.version > revision }
-            fresh.forEach(::applyChange)
+            val newChanges = delivered.changes.filter { it.version > revision }
+            newChanges.forEach(::applyChange)
             revision = delivered.revision
-            if (fresh.isNotEmpty()) onChange(fresh, delivered.revision)
+            if (newChanges.isNotEmpty()) onChange(newChanges, delivered.revision)
         }
     }
 
     private fun applyChange(change: StoreWire.Change) {
-        // Pages of a load are newer than the revision that the load began at. A watch on the other thread that was
-        // answered in between must not take a key back: a record could then be held without the level that it was
-        // written under.
-        val held = entries[change.key]
-        if (held != null && held.version > change.version) return
+        // Pages of a load may be newer than the revision at which the load began. A watch on the other thread that was
+        // answered in between must not set a key back to an older version, because the cache could then hold a record
+        // without the level that it was written under.
+        val cached = entries[change.key]
+        if (cached != null && cached.version > change.version) return
         val value = change.value
         if (value == null) {
             entries.remove(change.key)
@@ -129,38 +138,42 @@
         }
     }
 
-    /** Reads all live keys. Changes made meanwhile are replayed by the next [refresh]. */
+    /**
+     * Reads all live keys. Changes that are made during the load are applied by the next [refresh].
+     *
+     * @return false if the store did not answer
+     */
     private fun load(): Boolean {
         val sentAt = TimeSource.Monotonic.markNow()
         val snapshot = readSnapshot() ?: return false
-        if (!replaceBy(snapshot)) return true
+        if (!replaceWith(snapshot)) return true
         lastReadAt = TimeSource.Monotonic.markNow()
         onRead(sentAt.elapsedNow())
         log.info("state loaded keys={} revision={}", snapshot.items.size, snapshot.revision)
         return true
     }
 
-    /** Items that are complete up to [revision], and newer in part. */
+    /** Items that include all changes up to [revision] and may include later ones. */
     private class Snapshot(val items: Map<String, StoreWire.Item>, val revision: Long)
 
-    /** All pages, with the revision of the first; null if the store did not answer. */
+    /** Returns the items of all pages with the revision of the first page, or null if the store did not answer. */
     private fun readSnapshot(): Snapshot? {
         val items = HashMap<String, StoreWire.Item>()
         var firstRevision: Long? = null
-        var after: String? = null
+        var afterKey: String? = null
         while (true) {
-            val result = client.list(Keys.LIVE, after)
+            val result = client.list(Keys.LIVE, afterKey)
             val page = if (result is StoreResult.Ok) result.value else return null
             val revision = firstRevision ?: page.revision
             firstRevision = revision
             page.items.forEach { items[it.key] = it }
             if (!page.hasNextPage || page.items.isEmpty()) return Snapshot(items, revision)
-            after = page.items.last().key
+            afterKey = page.items.last().key
         }
     }
 
-    /** False: the cache is as new already. */
-    private fun replaceBy(snapshot: Snapshot): Boolean {
+    /** Returns false, and changes nothing, if the cache is at the snapshot's revision or a later one. */
+    private fun replaceWith(snapshot: Snapshot): Boolean {
         synchronized(this) {
             if (snapshot.revision <= revision) return false
             val changes = changesTo(snapshot)
@@ -177,8 +190,8 @@
             if (key !in snapshot.items) changes.add(StoreWire.Change(key, null, snapshot.revision))
         }
         for (item in snapshot.items.values) {
-            val isHeld = entries[item.key]?.version == item.version
-            if (!isHeld) changes.add(StoreWire.Change(item.key, item.value, item.version))
+            val isCached = entries[item.key]?.version == item.version
+            if (!isCached) changes.add(StoreWire.Change(item.key, item.value, item.version))
         }
         return changes
     }
@@ -187,7 +200,7 @@
         val log = loggerOf(StoreCache::class.java)
         const val NEVER_LOADED = -1L
 
-        /** The HTTP status by which the store says that it no longer has the changes since a revision. */
+        /** The HTTP status of the store's response if it no longer has the changes since a revision. */
         const val REVISION_COMPACTED = 410
 
         /** The shares of the store's request rate that the two threads may use. */
@@ -195,6 +208,6 @@
         const val SYNC_SHARE = 0.12
         val IDLE_SYNC_INTERVAL = 1.seconds
         val WATCH_WAIT = 5.seconds
-        val RETRY_GAP = 300.milliseconds
+        val RETRY_DELAY = 300.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/wire/Cbor.kt
+++ b/src/main/kotlin/glenspool/wire/Cbor.kt
@@ -11,8 +11,8 @@
 import java.math.BigInteger
 
 /**
- * CBOR by Jackson's streaming interface, to and from plain maps. Neither reflection nor a tree of nodes is
- * needed, which keeps start-up short on a machine with a fifth of a core.
+ * Converts plain maps to and from CBOR by Jackson's streaming interface. The streaming interface needs neither
+ * reflection nor a tree of nodes, which keeps start-up short on a machine with a fifth of a core.
  *
  * Whole numbers are decoded as Long (BigInteger beyond its range), other numbers as Double.
  */
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Decodes one map and nothing after it.
+     * Decodes bytes that are exactly one map.
      *
-     * @throws MalformedMessage for anything else, and for binary values, keys that are not strings and deep nesting
+     * @throws MalformedMessage for other bytes, and for binary values, keys that are not strings and deep nesting
      */
     fun decodeMap(bytes: ByteArray): Fields {
         try {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** How many bytes the value takes as JSON, which is how the key-value store counts against its limit. */
+    /** Returns the size of the value in JSON, which is what the key-value store compares with its size limit. */
     fun jsonSizeBytes(value: Any?): Int {
         val counter = ByteCounter()
         jsonFactory.createGenerator(counter).use { write(it, value) }
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Counts what is written and keeps nothing of it. */
+    /** Counts the bytes that are written and discards them. */
     private class ByteCounter : OutputStream() {
         var bytes = 0
             private set
--- a/src/main/kotlin/glenspool/wire/CloudWire.kt
+++ b/src/main/kotlin/glenspool/wire/CloudWire.kt
@@ -16,13 +16,13 @@
  * | `frame` | machine type |
  * | `hall` | zone |
  * | `spindle` | machine; its `uid` is the machine's id |
- * | `loaners` | spot machines |
+ * | `loaners` | whether a machine is a spot machine |
  * | `hire` | the id of a scale-out request, which makes it idempotent |
  * | `local_gb` | disk for images |
  * | `held_s` | age of a machine |
  */
 object CloudWire {
-    /** The machine types that the cloud offers; absent optional fields get the protocol's defaults. */
+    /** Decodes the machine types that the cloud offers. Absent optional fields get the protocol's defaults. */
     fun decodeTypes(fields: Fields): List<MachineType> = fields.maps("frames").map(::decodeType)
 
     private fun decodeType(fields: Fields) =
@@ -37,23 +37,23 @@
             zones = fields.textsOrNull("halls") ?: emptyList(),
         )
 
-    /** A request to rent [count] machines. Sent again under the same [request] id, it rents no more of them. */
-    fun rentalRequest(request: String, type: String, zone: String, spot: Boolean, count: Int): Fields =
+    /** The request to rent [count] machines. Sending it again with the same [requestId] rents no more machines. */
+    fun rentalRequest(requestId: String, type: String, zone: String, spot: Boolean, count: Int): Fields =
         linkedMapOf(
-            "hire" to request,
+            "hire" to requestId,
             "frame" to type,
             "hall" to zone,
             "loaners" to spot,
             "number" to count,
         )
 
-    /** The ids of the machines that a rental request got. */
+    /** Decodes the ids of the machines that were rented. */
     fun decodeMachineIds(fields: Fields): List<String> = fields.textsOrNull("spindles") ?: emptyList()
 
-    /** A request to delete the machines with these [ids]. */
+    /** The request to delete the machines with these [ids]. */
     fun deletionRequest(ids: List<String>): Fields = mapOf("spindles" to ids)
 
-    /** One page of the cloud's list of machines. */
+    /** Decodes one page of the cloud's list of machines. */
     fun decodeMachines(fields: Fields): List<ListedMachine> = fields.maps("spindles").map(::decodeMachine)
 
     private fun decodeMachine(fields: Fields) =
@@ -70,7 +70,7 @@
     /** Whether further pages follow this one. */
     fun hasNextPage(fields: Fields): Boolean = fields.flagOr("has_next", false)
 
-    /** Whether the cloud refused a rental because it has no such machine to offer. */
+    /** Whether the cloud rejected a rental because it has no such machine available. */
     fun isOutOfCapacity(fields: Fields): Boolean = fields["error"] == "no capacity"
 }
 
--- a/src/main/kotlin/glenspool/wire/DoneBitsWire.kt
+++ b/src/main/kotlin/glenspool/wire/DoneBitsWire.kt
@@ -2,11 +2,11 @@
 
 import java.util.BitSet
 
-/** The stored form of one chunk of a large job's done bits, under a key of its own. */
+/** The stored form of one chunk of a large job's done bits. Each chunk has its own key. */
 object DoneBitsWire {
-    /** The bits of [chunk] out of all of the job's [done] bits. */
+    /** Encodes the chunk number [chunk] of the job's [done] bits. */
     fun encode(done: BitSet, chunk: Int): Fields {
-        val from = chunk * RecordWire.TASKS_PER_CHUNK
-        return mapOf("done" to RecordWire.encodeBits(done.get(from, from + RecordWire.TASKS_PER_CHUNK)))
+        val firstTask = chunk * RecordWire.TASKS_PER_CHUNK
+        return mapOf("done" to RecordWire.encodeBits(done.get(firstTask, firstTask + RecordWire.TASKS_PER_CHUNK)))
     }
 }
--- a/src/main/kotlin/glenspool/wire/Fields.kt
+++ b/src/main/kotlin/glenspool/wire/Fields.kt
@@ -6,12 +6,17 @@
 import kotlin.time.DurationUnit
 
 /**
- * A decoded CBOR map by field name. The accessors below check the type of a field and its range; what does not fit is a
- * [MalformedMessage] that names the field. Unknown fields are ignored, so that newer peers may add some.
+ * A decoded CBOR map by field name. The accessors below check the type and the range of a field and throw a
+ * [MalformedMessage] that names the field if it does not fit. Unknown fields are ignored, so that newer peers may add
+ * fields.
  */
 typealias Fields = Map<String, Any?>
 
-/** A message or stored value that can't be decoded: [field] (null: the message as a whole) has this [problem]. */
+/**
+ * Thrown if a message or stored value can't be decoded.
+ *
+ * @property field the field that has the [problem]; null if it concerns the message as a whole
+ */
 class MalformedMessage(val field: String?, val problem: String) : IOException(messageOf(field, problem)) {
     constructor(problem: String) : this(null, problem)
 }
@@ -29,19 +34,19 @@
         else -> throw MalformedMessage(name, "a text or null is needed")
     }
 
-/** A required number that is finite and not negative; resources, sizes, prices and seconds. */
+/** A required number that is finite, not negative and at most [MAX_AMOUNT], such as a resource, size, price or time. */
 fun Fields.amount(name: String): Double {
     val amount = (this[name] as? Number)?.toDouble() ?: throw MalformedMessage(name, "a number is needed")
     if (!amount.isFinite() || amount < 0.0 || amount > MAX_AMOUNT) throw MalformedMessage(name, "out of range")
     return amount
 }
 
-/** As [amount]; null if the field is absent or null. */
+/** Same as [amount], but null if the field is absent or null. */
 fun Fields.amountOrNull(name: String): Double? = if (this[name] == null) null else amount(name)
 
 /**
- * A required whole number that is not negative: counts, versions and tokens. Those above the range of Long never occur
- * in the service's own numbers.
+ * A required whole number that is not negative, such as a count, version or token. Numbers above the range of Long are
+ * rejected; the service itself never sends such numbers.
  */
 fun Fields.count(name: String): Long = wholeNumber(name, this[name])
 
@@ -51,7 +56,7 @@
     return flag as? Boolean ?: throw MalformedMessage(name, "true or false is needed")
 }
 
-/** A boolean; [default] if the field is absent or anything else. */
+/** A boolean; [default] if the field is absent, null or of another type. */
 fun Fields.flagOr(name: String, default: Boolean): Boolean = this[name] as? Boolean ?: default
 
 /** A required list of maps. */
@@ -90,19 +95,19 @@
 
 internal fun Duration.toSeconds(): Double = toDouble(DurationUnit.SECONDS)
 
-/** The value that the protocol's [word] in field [name] stands for. */
+/** Returns the value that the protocol's [word] in the field [name] stands for. */
 internal fun <T> Map<String, T>.decodeWord(name: String, word: String): T {
     val value = this[word]
     return value ?: throw MalformedMessage(name, "unknown value")
 }
 
-/** The [value] of field [name], or of an element in it, as a whole number that is not negative. */
+/** Returns the [value] of the field [name], or of an element in it, as a whole number that is not negative. */
 internal fun wholeNumber(name: String, value: Any?): Long {
     if (value is Long && value >= 0) return value
     throw MalformedMessage(name, "a whole number is needed")
 }
 
-/** As [wholeNumber], and less than [bound]. */
+/** Same as [wholeNumber], but only numbers below [bound] are allowed. */
 internal fun boundedNumber(name: String, value: Any?, bound: Long): Int {
     val number = wholeNumber(name, value)
     if (number >= bound) throw MalformedMessage(name, "out of range")
--- a/src/main/kotlin/glenspool/wire/FinalStateWire.kt
+++ b/src/main/kotlin/glenspool/wire/FinalStateWire.kt
@@ -3,7 +3,7 @@
 import glenspool.core.model.FinalState
 
 /**
- * The stored form of a job's final state, which is kept for ever.
+ * The stored form of a job's final state, which is never removed.
  *
  * | stored | here |
  * | --- | --- |
@@ -12,24 +12,24 @@
  * | `with` | the dependency whose cancellation cancelled this job |
  */
 object FinalStateWire {
-    /** [abortedBy]: the cancelled dependency, if that is why the job ended. */
-    fun encode(end: FinalState, tasks: Int, abortedBy: String?): Fields {
+    /** @param abortedBy the dependency whose cancellation cancelled the job; null if there is none */
+    fun encode(state: FinalState, tasks: Int, abortedBy: String?): Fields {
         val fields =
             linkedMapOf<String, Any?>(
-                "end" to if (end == FinalState.DONE) "done" else "cancelled",
+                "end" to if (state == FinalState.DONE) "done" else "cancelled",
                 "tasks" to tasks.toLong(),
             )
         if (abortedBy != null) fields["with"] = abortedBy
         return fields
     }
 
-    /** How the job ended. */
+    /** Decodes the state in which the job ended. */
     fun finalState(fields: Fields): FinalState = if (fields["end"] == "done") FinalState.DONE else FinalState.CANCELLED
 
-    /** The cancelled dependency, if that is why the job ended. */
+    /** Decodes the dependency whose cancellation cancelled the job; null if there is none. */
     fun abortedBy(fields: Fields): String? = fields["with"] as? String
 
-    /** The status that users get of the job [id], which ended so. */
+    /** Returns the status that users receive for the ended job [id], from its stored final state. */
     fun status(id: String, fields: Fields): Fields =
         when (finalState(fields)) {
             FinalState.DONE -> JobWire.status(id, Stage.DONE, (fields["tasks"] as? Long ?: 0L).toInt(), 0)
--- a/src/main/kotlin/glenspool/wire/ImagesWire.kt
+++ b/src/main/kotlin/glenspool/wire/ImagesWire.kt
@@ -1,8 +1,8 @@
 package glenspool.wire
 
 /**
- * The stored form of which machine has which images cached, as one leader leaves it to the next: under `on` a map from
- * machine to image to size in GB.
+ * The stored form of the image locations, which a leader stores for the next one. The field `on` is a map from machine
+ * to a map from each image that the machine has cached to its size in GB.
  */
 object ImagesWire {
     fun encode(images: Map<String, Map<String, Double>>): Fields = mapOf("on" to images)
--- a/src/main/kotlin/glenspool/wire/JobWire.kt
+++ b/src/main/kotlin/glenspool/wire/JobWire.kt
@@ -5,9 +5,9 @@
 import glenspool.core.model.Priority
 import kotlin.time.Duration.Companion.seconds
 
-private val jobIdForm = Regex("[!-~&&[^/]]{1,120}")
+private val jobIdPattern = Regex("[!-~&&[^/]]{1,120}")
 
-/** A job has at most so many tasks. */
+/** The highest allowed number of tasks of a job. */
 const val MAX_TASKS_PER_JOB = 100_000L
 
 private val kinds = mapOf("batch" to JobKind.ARRAY, "gang" to JobKind.GANG, "daemon" to JobKind.SERVICE)
@@ -21,8 +21,8 @@
 private val kindWords = kinds.entries.associate { it.value to it.key }
 private val priorityWords = priorities.entries.associate { it.value to it.key }
 
-/** Whether this may be the id of a job: 1 to 120 visible ASCII characters without a slash. */
-fun isValidJobId(id: String): Boolean = jobIdForm.matches(id)
+/** Whether [id] is a valid job id, which consists of 1 to 120 visible ASCII characters without a slash. */
+fun isValidJobId(id: String): Boolean = jobIdPattern.matches(id)
 
 /**
  * The messages of the user API: the description of a job and its status.
@@ -48,7 +48,10 @@
  * | `aborted_with` | the dependency whose cancellation cancelled the job |
  */
 object JobWire {
-    /** A job's description, from a user or from its record; dependencies are decoded by [decodeDependencies]. */
+    /**
+     * Decodes a job's description, from a submission or from the job's record. Dependencies are decoded by
+     * [decodeDependencies].
+     */
     fun decode(fields: Fields): JobSpec {
         val id = fields.text("uid")
         if (!isValidJobId(id)) throw MalformedMessage("uid", "not a job id")
@@ -76,10 +79,10 @@
         )
     }
 
-    /** Whether a submission names dependencies at all, without checking them. */
+    /** Whether a submission names any dependencies. They are not checked. */
     fun hasDependencies(fields: Fields): Boolean = fields["awaits"] != null
 
-    /** The jobs that a submission depends on, each named once, in the order in which the user named them. */
+    /** Decodes the jobs that a submission depends on, without duplicates, in the user's order. */
     fun decodeDependencies(fields: Fields): List<String> {
         val named = fields.textsOrNull("awaits").orEmpty()
         if (!named.all(::isValidJobId)) throw MalformedMessage("awaits", "not a job id")
@@ -111,8 +114,12 @@
         )
 
     /**
-     * A job's status as users get it. [done] and [running] count tasks; [unfinishedDependencies]: the dependencies that are not done
-     * yet; [abortedBy]: the cancelled dependency, if that is why the job ended.
+     * Encodes a job's status as users receive it.
+     *
+     * @param done the number of tasks that are done
+     * @param running the number of tasks that are running
+     * @param unfinishedDependencies the dependencies that are not done yet
+     * @param abortedBy the dependency whose cancellation cancelled the job; null if there is none
      */
     fun status(
         id: String,
@@ -131,5 +138,5 @@
     }
 }
 
-/** A job's stage as users read it; [word] is the protocol's. */
+/** A job's stage in its status. [word] is the name in the protocol. */
 enum class Stage(val word: String) { QUEUED("pending"), RUNNING("running"), DONE("done"), CANCELLED("aborted") }
--- a/src/main/kotlin/glenspool/wire/LeadershipWire.kt
+++ b/src/main/kotlin/glenspool/wire/LeadershipWire.kt
@@ -1,11 +1,11 @@
 package glenspool.wire
 
 /**
- * The stored forms of the leadership record and of the fencing token's counter. The record's fields are read one by
- * one, without a decoded object: the leader is looked up for each heartbeat that a follower answers.
+ * The stored forms of the leadership record and of the counter of fencing tokens. The record's fields are read one by
+ * one, without a decoded object, because a follower looks up the leader for each heartbeat that it answers.
  */
 object LeadershipWire {
-    /** [boot]: which process of [node] leads. */
+    /** @param boot identifies the process of [node] that leads */
     fun encode(node: String, boot: String, token: Long): Fields =
         mapOf(
             "node" to node,
@@ -21,6 +21,10 @@
 
     fun encodeCounter(token: Long): Fields = mapOf("token" to token)
 
-    /** The last fencing token that was given out. Throws [MalformedMessage]. */
+    /**
+     * Decodes the last fencing token that was issued.
+     *
+     * @throws MalformedMessage if the counter is missing or invalid
+     */
     fun decodeCounter(counter: Fields): Long = counter.count("token")
 }
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -7,39 +7,42 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The stored form of a job's record: the user's description plus what has happened since. See docs/upgrade.md.
+ * The stored form of a job's record, which holds the user's description and the job's progress. See docs/upgrade.md.
  *
- * A record that a version without dependencies must neither act on nor rewrite is *sealed*: its description stands
- * under `sealed` instead of `job`. That version takes it for unreadable, starts no task of it, stores nothing over it
- * and answers users with an error, upon which they ask again.
+ * A record is *sealed* if a version without dependencies must neither act on it nor rewrite it. Its description is then
+ * stored in `sealed` instead of `job`. The older version can't read such a record. It starts no task of the job, does
+ * not overwrite the record and answers users with an error, after which they repeat their request.
  *
  * | stored | here |
  * | --- | --- |
  * | `job` | the description, see [JobWire] |
- * | `at` | time of day of the submission, in milliseconds |
- * | `last` | the last attempt number given out |
- * | `done` | the done bits in Base64; larger jobs keep them in chunks under keys of their own |
- * | `on` | placements: a map from machine to pairs of task and attempt, in one list |
- * | `ready` | time of day at which the last dependency was done, in milliseconds |
+ * | `at` | time of the submission, in milliseconds since the epoch |
+ * | `last` | the highest attempt number used so far |
+ * | `done` | the done bits in Base64; those of larger jobs are stored in chunks under separate keys |
+ * | `on` | placements: a map from machine to a flat list of pairs of task and attempt |
+ * | `ready` | time at which the last dependency was done, in milliseconds since the epoch |
  * | `waits` | in `sealed`: not all dependencies are done |
  * | `awaits` | the dependencies |
  * | `pieces` | in `sealed`: number of parts that hold the description; each has its text under `piece` |
  * | `shelves` | in `sealed`: the numbers of the parts that hold placements, each in the form of `on` |
  */
 object RecordWire {
-    /** Jobs of up to this many tasks keep their done bits in the record itself, larger ones in chunks. */
+    /** Jobs of up to this many tasks store their done bits in the record itself, larger jobs store them in chunks. */
     const val MAX_INLINE_TASKS = JobRecord.MAX_INLINE_TASKS
 
-    /** So many tasks have their done bits in one chunk. */
+    /** The number of tasks whose done bits are in one chunk. */
     const val TASKS_PER_CHUNK = JobRecord.TASKS_PER_CHUNK
 
-    /** A record has fewer parts of each kind under keys of their own; a higher number is damage. */
+    /**
+     * Every record has fewer parts of each kind under separate keys. A stored count or part number that is not below
+     * this limit means that the record is damaged.
+     */
     private const val MAX_PARTS = 10_000L
 
-    /** How many bytes a part of a description takes besides its text. */
+    /** The size in bytes of a part of a description without its text. */
     private const val DESCRIPTION_PART_OVERHEAD = 64
 
-    /** Parts of a record that are stored under keys of their own; null: there is no such part. */
+    /** Reads the parts of a record that are stored under separate keys. Returns null for a part that does not exist. */
     interface PartReader {
         fun descriptionPart(number: Int): Fields?
 
@@ -48,7 +51,7 @@
 
     fun encode(record: JobRecord): Fields {
         val fields = LinkedHashMap<String, Any?>()
-        if (needsSealing(record)) fields["sealed"] = sealed(record) else fields["job"] = JobWire.encode(record.spec)
+        if (needsSealing(record)) fields["sealed"] = toSealed(record) else fields["job"] = JobWire.encode(record.spec)
         fields["at"] = record.submittedAt.inWholeMilliseconds
         fields["last"] = record.lastAttempt
         if (record.dependenciesDoneAt != null) fields["ready"] = record.dependenciesDoneAt.inWholeMilliseconds
@@ -57,42 +60,46 @@
         return fields
     }
 
-    private fun sealed(record: JobRecord): Fields {
+    private fun toSealed(record: JobRecord): Fields {
         val fields = LinkedHashMap<String, Any?>()
         if (record.descriptionPartCount > 0) {
             fields["pieces"] = record.descriptionPartCount
         } else {
-            fields.putAll(description(record))
+            fields.putAll(encodeDescription(record))
         }
         if (record.dependencies.isNotEmpty()) fields["waits"] = true
         if (record.placementParts.isNotEmpty()) fields["shelves"] = record.placementParts.keys.toList()
         return fields
     }
 
-    private fun description(record: JobRecord): Fields {
+    private fun encodeDescription(record: JobRecord): Fields {
         val fields = linkedMapOf<String, Any?>("job" to JobWire.encode(record.spec))
         if (record.dependencies.isNotEmpty()) fields["awaits"] = record.dependencies
         return fields
     }
 
-    /** Whether a record is stored in a form that builds before sealed records can't read. */
+    /** Whether a record must be stored in the sealed form, which builds before sealed records can't read. */
     fun needsSealing(record: JobRecord): Boolean {
         val isInParts = record.placementParts.isNotEmpty() || record.descriptionPartCount > 0
         return isInParts || record.dependencies.isNotEmpty()
     }
 
-    /** Whether a stored record is in such a form. */
+    /** Whether a stored record is sealed. */
     fun isSealed(fields: Fields): Boolean = fields["sealed"] != null
 
-    /** Whether a stored record waits for dependencies; decodes no more of it than that. */
+    /** Whether a stored record waits for dependencies. The rest of the record is not decoded. */
     fun waitsForDependencies(fields: Fields): Boolean = (fields["sealed"] as? Map<*, *>)?.get("waits") == true
 
-    /** The whole record; [parts] is asked for the parts of a sealed one. Done bits in chunks are left out. */
+    /**
+     * Decodes a record, but not the done bits that are stored in chunks.
+     *
+     * @param parts reads the parts of a sealed record
+     */
     fun decode(fields: Fields, parts: PartReader): JobRecord {
         @Suppress("UNCHECKED_CAST")
         val sealed = fields["sealed"] as? Fields
-        val descriptionParts = descriptionPartCount(sealed)
-        val description = if (descriptionParts > 0) joinDescription(descriptionParts, parts) else sealed ?: fields
+        val partCount = descriptionPartCount(sealed)
+        val description = if (partCount > 0) joinDescription(partCount, parts) else sealed ?: fields
 
         @Suppress("UNCHECKED_CAST")
         val job = description["job"] as? Fields ?: throw MalformedMessage("job", "missing")
@@ -102,10 +109,11 @@
             lastAttempt = fields.count("last"),
             done = fields.textOrNull("done")?.let(::decodeBits) ?: BitSet(),
             placements = decodePlacements(fields),
-            dependencies = if (waitsForDependencies(fields)) description.textsOrNull("awaits").orEmpty() else emptyList(),
+            dependencies =
+                if (waitsForDependencies(fields)) description.textsOrNull("awaits").orEmpty() else emptyList(),
             dependenciesDoneAt = if ("ready" in fields) fields.count("ready").milliseconds else null,
             placementParts = decodePlacementParts(sealed, parts),
-            descriptionPartCount = descriptionParts,
+            descriptionPartCount = partCount,
         )
     }
 
@@ -124,12 +132,16 @@
         }
     }
 
-    /** The description cut into parts of at most [bytes] as stored, for a record that would be too long with it. */
-    fun encodeDescriptionParts(record: JobRecord, bytes: Int): List<Fields> =
+    /**
+     * Encodes the description in parts, for a record that would be too long with the description in it.
+     *
+     * @param maxBytes the highest size of a stored part
+     */
+    fun encodeDescriptionParts(record: JobRecord, maxBytes: Int): List<Fields> =
         Base64
             .getEncoder()
-            .encodeToString(Cbor.encode(description(record)))
-            .chunked(bytes - DESCRIPTION_PART_OVERHEAD)
+            .encodeToString(Cbor.encode(encodeDescription(record)))
+            .chunked(maxBytes - DESCRIPTION_PART_OVERHEAD)
             .map { mapOf("piece" to it) }
 
     private fun decodePlacementParts(sealed: Fields?, parts: PartReader): Map<Int, List<StoredPlacement>> =
@@ -138,7 +150,7 @@
             .map { boundedNumber("shelves", it, MAX_PARTS) }
             .associateWith { parts.placementPart(it)?.let(::decodePlacements).orEmpty() }
 
-    /** Placements as they are stored in a record or in a part of it. */
+    /** Encodes placements as they are stored in a record or in a part of a record. */
     fun encodePlacements(placements: List<StoredPlacement>): Fields {
         val byMachine =
             placements.groupBy { it.machine }.mapValues { (_, onMachine) ->
@@ -164,7 +176,7 @@
         }
     }
 
-    /** Done bits, of a whole job or of one chunk, as Base64. */
+    /** Encodes done bits, either of a whole job or of one chunk, in Base64. */
     fun encodeBits(bits: BitSet): String = Base64.getEncoder().encodeToString(bits.toByteArray())
 
     fun decodeBits(text: String): BitSet =
--- a/src/main/kotlin/glenspool/wire/RecoveryWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecoveryWire.kt
@@ -4,7 +4,7 @@
 import glenspool.reconcile.RecoveryRecord
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The stored form of the recovery record; `started` is a time of day in milliseconds. */
+/** The stored form of the recovery record. `started` is in milliseconds since the epoch. */
 object RecoveryWire {
     private val phases = RecoveryPhase.entries.associateBy { it.name.lowercase() }
 
--- a/src/main/kotlin/glenspool/wire/RolloutWire.kt
+++ b/src/main/kotlin/glenspool/wire/RolloutWire.kt
@@ -13,8 +13,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The stored forms of the rollout's records. Readers are strict: what is not exactly understood is a
- * [MalformedMessage]. Times are times of day in milliseconds.
+ * The stored forms of the rollout's records. Decoding is strict and throws a [MalformedMessage] for each unknown or
+ * invalid value. Times are in milliseconds since the epoch.
  */
 object RolloutWire {
     private const val MAX_LEVEL = 1_000_000L
@@ -126,7 +126,7 @@
 
     private fun Fields.levelNumberOrNull(name: String): Int? = if (this[name] == null) null else levelNumber(name)
 
-    /** A time that may also lie before the clock's zero. */
+    /** A required time, which may also be before the epoch. */
     private fun Fields.signedMilliseconds(name: String): Duration {
         val milliseconds = this[name] as? Long ?: throw MalformedMessage(name, "a whole number is needed")
         return milliseconds.milliseconds
--- a/src/main/kotlin/glenspool/wire/StoreWire.kt
+++ b/src/main/kotlin/glenspool/wire/StoreWire.kt
@@ -8,10 +8,10 @@
  * | protocol | here |
  * | --- | --- |
  * | `data` | a key's value |
- * | `mark` | the version of a key: the revision of the transaction that last set it; 0: absent |
+ * | `mark` | the version of a key, which is the revision of the transaction that last set it; 0 if it is absent |
  * | `ledger` | the store's revision |
  * | `guards` | the conditions of a compare-and-swap transaction |
- * | `apply` | its changes, each with `set` or `remove` |
+ * | `apply` | the changes of the transaction, each with `set` or `remove` |
  * | `tenure` | lease |
  * | `touch` | renewal of a lease |
  * | `log` | the changes that a watch delivers |
@@ -20,37 +20,43 @@
     /** A stored key with its value and version. */
     data class Item(val key: String, val value: Fields, val version: Long)
 
-    /** A change; [value] null means that the key was removed. */
+    /** A change of a key. [value] is null if the key was removed. */
     data class Change(val key: String, val value: Fields?, val version: Long)
 
-    /** A key to be set; with a [lease] the store removes it once that has expired or was ended. */
+    /** A key that a transaction sets. If it has a [lease], the store removes it when the lease expires or is ended. */
     data class Put(val key: String, val value: Fields, val lease: Long? = null)
 
     const val STORE_PATH = "/store"
     const val TRANSACTION_PATH = "/multi"
     const val WATCH_PATH = "/follow"
     const val LEASES_PATH = "/leases"
-    private const val PAGE_ITEMS = 1000
+    private const val ITEMS_PER_PAGE = 1000
 
-    /** The path that lists keys with this [prefix] behind the key [after], one page of them. */
-    fun listPath(prefix: String, after: String?): String {
-        val start = if (after != null) "&after=$after" else ""
-        return "$STORE_PATH?starts=$prefix$start&page=$PAGE_ITEMS"
+    /** The path that lists one page of the keys with this [prefix], starting after the key [afterKey]. */
+    fun listPath(prefix: String, afterKey: String?): String {
+        val start = if (afterKey != null) "&after=$afterKey" else ""
+        return "$STORE_PATH?starts=$prefix$start&page=$ITEMS_PER_PAGE"
     }
 
-    /** The path of a watch: changes after the revision [after], for which the store waits as long as [wait]. */
-    fun watchPath(prefix: String, after: Long, wait: Duration): String {
+    /**
+     * The path of a watch, which asks for the changes after the revision [afterRevision]. If there are none, the store
+     * waits up to [wait] for a change.
+     */
+    fun watchPath(prefix: String, afterRevision: Long, wait: Duration): String {
         val waitMs = wait.inWholeMilliseconds
-        return "$WATCH_PATH?starts=$prefix&after=$after&wait_ms=$waitMs"
+        return "$WATCH_PATH?starts=$prefix&after=$afterRevision&wait_ms=$waitMs"
     }
 
     /** The path that renews a lease. */
     fun renewalPath(lease: Long): String = "$LEASES_PATH/$lease/touch"
 
-    /** The body that asks for a lease. */
+    /** The body of a request for a lease. */
     fun leaseRequest(ttl: Duration): Fields = mapOf("life_ms" to ttl.inWholeMilliseconds)
 
-    /** The body of a compare-and-swap transaction: all changes if every key has the version given, or none. */
+    /**
+     * The body of a compare-and-swap transaction. The store carries out all changes if every key in [conditions] has
+     * the given version; otherwise it changes nothing.
+     */
     fun transaction(conditions: Map<String, Long>, puts: List<Put>, removes: List<String>): Fields {
         val guards = conditions.map { (key, version) -> mapOf("key" to key, "mark" to version) }
         val changes = ArrayList<Fields>(puts.size + removes.size)
@@ -69,22 +75,22 @@
 
     fun decodeItem(fields: Fields): Item = Item(fields.text("key"), fields.nested("data"), fields.count("mark"))
 
-    /** One page of a list. */
+    /** Decodes one page of a list. */
     fun decodeItems(fields: Fields): List<Item> = fields.maps("rows").map(::decodeItem)
 
     /** Whether further pages follow this one. */
     fun hasNextPage(fields: Fields): Boolean = fields.flagOr("has_next", false)
 
-    /** The store's revision at the time of the answer, or that of the transaction that it answers. */
+    /** Decodes the store's revision at the time of the response, or the revision of the requested transaction. */
     fun decodeRevision(fields: Fields): Long = fields.count("ledger")
 
-    /** The keys whose conditions a transaction failed on. */
+    /** Decodes the keys whose conditions made a transaction fail. */
     fun decodeConflicts(fields: Fields): List<String> = fields.textsOrNull("failed") ?: emptyList()
 
-    /** The id of a lease that was granted. */
+    /** Decodes the id of a granted lease. */
     fun decodeLease(fields: Fields): Long = fields.count("tenure")
 
-    /** What a watch delivered. */
+    /** Decodes the changes that a watch delivered. */
     fun decodeChanges(fields: Fields): List<Change> = fields.maps("log").map(::decodeChange)
 
     private fun decodeChange(fields: Fields): Change {
--- a/src/main/kotlin/glenspool/wire/WorkerWire.kt
+++ b/src/main/kotlin/glenspool/wire/WorkerWire.kt
@@ -45,14 +45,14 @@
  * | `shift` | incarnation of the worker |
  * | `stitch` | sequence number of the heartbeat within the incarnation |
  * | `baton` | fencing token |
- * | `recall_s` | time left until a spot machine is taken back (preemption notice) |
- * | `thread` | task, as job and number: `run-1/0` |
+ * | `recall_s` | remaining time until the cloud takes the spot machine back (preemption notice) |
+ * | `thread` | task, as job id and task number (`run-1/0`) |
  * | `try` | attempt |
  * | `cause` | exit reason |
  * | `stored` | whether the task was checkpointed |
  * | `orders` | commands, each with a `verb` |
  * | `wind_down_s` | grace period for stopping |
- * | `foreman` | the leader's host name, in a redirect |
+ * | `foreman` | in a redirect: the leader's host name |
  */
 object WorkerWire {
     fun decodeHeartbeat(fields: Fields): Heartbeat =
@@ -80,7 +80,7 @@
         )
     }
 
-    /** A reason that this build does not know, or none at all, counts as an error of the task. */
+    /** A missing reason, or one that this build does not know, counts as an error of the task. */
     private fun decodeExitReason(fields: Fields): ExitReason {
         val word = fields.textOrNull("cause") ?: return ExitReason.ERROR
         return exitReasons[word] ?: ExitReason.ERROR
@@ -93,7 +93,7 @@
         return TaskKey(text.substring(0, slash), number)
     }
 
-    /** The heartbeat as a worker sends it; controllers need it for warm-up. */
+    /** Encodes a heartbeat as a worker sends it. Controllers use it for the warm-up. */
     fun encode(heartbeat: Heartbeat): Fields =
         linkedMapOf(
             "spindle" to heartbeat.machine,
@@ -119,13 +119,16 @@
 
     private fun encodeTaskKey(key: TaskKey) = "${key.job}/${key.task}"
 
-    /** The answer to a heartbeat, with commands that are valid under this fencing [token]. */
+    /** The reply to a heartbeat, with commands that are valid under this fencing [token]. */
     fun heartbeatReply(token: Long, commands: List<Command>): Fields {
         val orders = commands.map(::encodeCommand)
         return mapOf("baton" to token, "orders" to orders)
     }
 
-    /** Commands sent to a worker without a heartbeat to answer, meant for this [incarnation] of it alone. */
+    /**
+     * The request that sends commands to a worker without a heartbeat to answer. Only this [incarnation] of the worker
+     * may carry them out.
+     */
     fun directCommands(token: Long, incarnation: Long, commands: List<Command>): Fields {
         val orders = commands.map(::encodeCommand)
         return linkedMapOf("baton" to token, "shift" to incarnation, "orders" to orders)
@@ -148,6 +151,10 @@
         return fields
     }
 
-    /** The refusal of a heartbeat by a controller that does not lead; [leader] null: no leader is known. */
+    /**
+     * The reply to a heartbeat that reached a controller that does not lead.
+     *
+     * @param leader the leader's host name; null if no leader is known
+     */
     fun redirect(leader: String?): Fields = if (leader == null) emptyMap() else mapOf("foreman" to leader)
 }
--- a/src/main/kotlin/glenspool/worker/WorkerClient.kt
+++ b/src/main/kotlin/glenspool/worker/WorkerClient.kt
@@ -11,12 +11,12 @@
 import glenspool.wire.WorkerWire
 import kotlin.time.Duration.Companion.seconds
 
-/** How commands ended, and the [heartbeat] that the worker answered with, if it did. */
+/** The outcome of commands, and the [heartbeat] in the worker's response; null if there was no usable one. */
 data class CommandReply(val outcome: CommandOutcome, val heartbeat: Heartbeat?)
 
-/** The requests that controllers send to workers, each to the worker's own address. None is retried. */
+/** A client for the requests of controllers to workers. Each goes to the worker's own address, and none is retried. */
 class WorkerClient(private val http: HttpClient) {
-    /** Sends commands and waits until they are carried out or refused. */
+    /** Sends commands and waits until the worker has carried them out or rejected them. */
     fun sendCommands(request: SendCommands): CommandReply {
         val body = WorkerWire.directCommands(request.token, request.incarnation, request.commands)
         return when (val reply = http.post(request.addr, "/do", body, TIMEOUT)) {
@@ -26,17 +26,17 @@
         }
     }
 
-    private fun replyOf(answer: CallResult.Response): CommandReply {
-        val heartbeat = decodeHeartbeat(answer.body)
+    private fun replyOf(reply: CallResult.Response): CommandReply {
+        val heartbeat = decodeHeartbeat(reply.body)
         return when {
-            // Without the heartbeat nothing shows that the commands are in effect.
-            answer.status == OK && heartbeat != null -> CommandReply(CommandOutcome.DONE, heartbeat)
-            answer.status == CONFLICT || answer.status == BAD_REQUEST -> CommandReply(CommandOutcome.REFUSED, heartbeat)
+            // Only the heartbeat in the response shows that the commands are in effect.
+            reply.status == OK && heartbeat != null -> CommandReply(CommandOutcome.DONE, heartbeat)
+            reply.status == CONFLICT || reply.status == BAD_REQUEST -> CommandReply(CommandOutcome.REFUSED, heartbeat)
             else -> CommandReply(CommandOutcome.UNKNOWN, null)
         }
     }
 
-    /** Asks the worker for its status; null: no usable answer. */
+    /** Requests the worker's status. Returns null if there was no usable response. */
     fun probe(addr: String): Heartbeat? {
         val reply = http.get(addr, "/show", TIMEOUT)
         return if (reply is CallResult.Response && reply.status == OK) decodeHeartbeat(reply.body) else null
@@ -46,7 +46,7 @@
         try {
             WorkerWire.decodeHeartbeat(fields)
         } catch (e: MalformedMessage) {
-            log.warn("worker heartbeat not decodable: {}", e.message)
+            log.warn("heartbeat in the response of a worker could not be decoded and is ignored: {}", e.message)
             null
         }
 
--- a/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
+++ b/src/test/kotlin/glenspool/state/KeyValueStoreClientTest.kt
@@ -16,7 +16,7 @@
 import java.net.ServerSocket
 import kotlin.time.Duration.Companion.seconds
 
-/** What the store's answers, and their absence, mean to callers. */
+/** Tests the results that callers get for the store's answers, and for requests without a usable answer. */
 class KeyValueStoreClientTest {
     @Volatile
     private var answer: Response = Response(Status.OK)
--- a/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
+++ b/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
@@ -12,9 +12,9 @@
 import kotlin.concurrent.thread
 import kotlin.time.Duration.Companion.seconds
 
-/** A cache that is loaded page by page while the store goes on changing. */
+/** Tests a cache that is loaded page by page while keys in the store change. */
 class StoreCacheLoadTest {
-    /** A page read at revision 14 that already holds a key of revision 20. */
+    /** A page that was read at revision 14 and already contains a key of revision 20. */
     private val page =
         mapOf(
             "rows" to listOf(mapOf("key" to "g/a", "data" to mapOf("n" to 20L), "mark" to 20L)),
@@ -22,7 +22,7 @@
             "ledger" to 14L,
         )
 
-    /** Changes up to revision 16, among them an older one of the same key. */
+    /** Changes up to revision 16, including an older change of the key in [page]. */
     private val changes =
         mapOf(
             "ledger" to 16L,
--- a/src/test/kotlin/glenspool/wire/WireTest.kt
+++ b/src/test/kotlin/glenspool/wire/WireTest.kt
@@ -27,15 +27,15 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** The messages as the protocol's examples give them. */
+/** Tests that messages are encoded and decoded in the form of the protocol's examples. */
 class WireTest {
     private val json = ObjectMapper()
     private val cbor = ObjectMapper(CBORFactory())
 
-    /** The message as a second, independent encoder writes it. */
+    /** Encodes a message given as JSON with a second, independent CBOR encoder and decodes it. */
     private fun decodeJson(text: String): Fields = Cbor.decodeMap(cbor.writeValueAsBytes(json.readTree(text)))
 
-    /** The message as it arrives after encoding and decoding. */
+    /** Encodes the message and decodes the result. */
     private fun roundTrip(fields: Fields): Fields = Cbor.decodeMap(Cbor.encode(fields))
 
     private fun assertEncodes(expected: String, message: Fields) {
@@ -121,7 +121,9 @@
             listOf(byteArrayOf(1), Cbor.encode(listOf("a")), byteArrayOf(0xff.toByte()), nested, complete + complete)
 
         for (size in complete.indices) {
-            assertThrows(MalformedMessage::class.java, { Cbor.decodeMap(complete.copyOf(size)) }, "cut at $size")
+            assertThrows(MalformedMessage::class.java, {
+                Cbor.decodeMap(complete.copyOf(size))
+            }, "cut to $size bytes")
         }
         for (bytes in otherInputs) assertThrows(MalformedMessage::class.java) { Cbor.decodeMap(bytes) }
     }
