--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -6,9 +6,9 @@
 import glenspool.controller.schedulerConfig
 import glenspool.core.Tuning
 import glenspool.core.WarmUpFleet
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.peer.CancellationMessage
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerPaths
@@ -18,7 +18,7 @@
 import glenspool.peer.RolloutVerb
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartKind
 import glenspool.wire.Cbor
 import org.http4k.core.Method
@@ -61,7 +61,7 @@
         // The log lines are formatted, which loads classes too, but nobody reads them.
         System.setErr(PrintStream(OutputStream.nullOutputStream()))
         // Before the first listener is made, as in `serve`: a listener reads the limit once.
-        HttpListener.configure(MAX_SOCKETS)
+        HttpListener.setSocketLimit(MAX_SOCKETS)
         val outside = HttpListener(InetSocketAddress(LOOPBACK, 0), "canned", 8, SimulatedCounterparts::answer)
         val settingsFile = File.createTempFile("class-loading", ".toml")
         try {
@@ -76,19 +76,19 @@
     }
 
     /** A controller that serves users, a worker and another controller. */
-    private fun runServing(settingsFile: File, outsidePort: Int) {
+    private fun runServing(settingsFile: File, simulatedPort: Int) {
         val apiPort = freePort()
         val internalPort = freePort()
-        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, outsidePort, freePort()))
+        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, simulatedPort, freePort()))
         ServeCommand.start(listOf("--config", settingsFile.path)).use { node ->
-            ServeCommand.closingThread(node)
-            sendUserAndWorkerRequests("$LOOPBACK:$apiPort", "$LOOPBACK:$outsidePort")
+            ServeCommand.shutdownHook(node)
+            sendUserAndWorkerRequests("$LOOPBACK:$apiPort", "$LOOPBACK:$simulatedPort")
             sendPeerRequests(Member("itself", "here", InetSocketAddress(LOOPBACK, internalPort)))
         }
     }
 
     private fun sendUserAndWorkerRequests(api: String, workerAddress: String) {
-        val http = HttpCaller(CONNECT_TIMEOUT)
+        val http = HttpClient(CONNECT_TIMEOUT)
         http.get("$LOOPBACK:${freePort()}", "/nobody-listens", 1.seconds)
         Thread.sleep(ELECTION_TIME.inWholeMilliseconds)
         val job = SimulatedCounterparts.job
@@ -117,10 +117,10 @@
     }
 
     /** A controller with managed rollouts and recovery, until a leader has collected evidence. */
-    private fun runManaged(settingsFile: File, outsidePort: Int) {
+    private fun runManaged(settingsFile: File, simulatedPort: Int) {
         val apiPort = freePort()
         val internalPort = freePort()
-        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, outsidePort, freePort()))
+        settingsFile.writeText(ClassLoadingSettings.toml(apiPort, internalPort, simulatedPort, freePort()))
         val policyFile = File.createTempFile("class-loading", ".toml")
         val args =
             listOf("--config", settingsFile.path, "--rollout", policyFile.path, "--recovery", policyFile.path)
@@ -129,7 +129,7 @@
                 Thread.sleep(MANAGED_TIME.inWholeMilliseconds)
                 val request = PeerWire.encode(RolloutRequest(RolloutVerb.STATUS))
                 val node = "$LOOPBACK:$internalPort"
-                HttpCaller(CONNECT_TIMEOUT).callRaw("POST", node, PeerPaths.ROLLOUT, request, TIMEOUT)
+                HttpClient(CONNECT_TIMEOUT).callRaw("POST", node, PeerPaths.ROLLOUT, request, TIMEOUT)
             }
         } finally {
             policyFile.deleteOnExit()
@@ -141,7 +141,7 @@
         val settings = SettingsReader().read(settingsFile)
         val config = schedulerConfig(settings, Tuning())
         val setting =
-            RecoverySetting(
+            RecoveryTimings(
                 settings.workers.lease,
                 settings.workers.heartbeatInterval,
                 settings.cloudLimits.listLag,
@@ -149,7 +149,7 @@
         val engine = RecoveryEngine(RecoveryPolicy(), setting, 2, Duration.ZERO, StartKind.COLD)
         val fleet = WarmUpFleet(config, engine.hooks)
         repeat(RECOVERY_ROUNDS) {
-            fleet.runTurn()
+            fleet.runCycle()
             engine.tick(fleet.now).forEach { it.toString() }
         }
         engine.snapshot?.let { RecoveryReplies.differences(it) }
@@ -195,12 +195,12 @@
                 path == "/multi" -> mapOf("ledger" to revision.incrementAndGet())
                 path == "/follow" -> mapOf("ledger" to revision.get(), "log" to changes())
                 path == "/store" -> mapOf("rows" to emptyList<Any>(), "has_next" to false, "ledger" to 0)
-                path.startsWith("/store/") -> return cbor(Status.NOT_FOUND, mapOf("ledger" to revision.get()))
+                path.startsWith("/store/") -> return cborResponse(Status.NOT_FOUND, mapOf("ledger" to revision.get()))
                 path == "/do" || path == "/show" -> heartbeat(revision.get() + HEARTBEAT_OFFSET, "127.0.0.1:9")
                 else -> emptyMap()
             }
         if (request.method == Method.POST) Cbor.decodeMap(request.body.stream.readAllBytes())
-        return cbor(Status.OK, body)
+        return cborResponse(Status.OK, body)
     }
 
     /** Of a worker whose task runs at first and ends later. */
--- a/src/main/kotlin/glenspool/cli/OperatorClient.kt
+++ b/src/main/kotlin/glenspool/cli/OperatorClient.kt
@@ -1,7 +1,7 @@
 package glenspool.cli
 
 import com.fasterxml.jackson.databind.ObjectMapper
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.RawResult
 import kotlinx.serialization.SerializationException
 import org.apache.commons.cli.Option
@@ -62,27 +62,28 @@
     private const val OK = 200
     private const val NOT_FOUND = 404
     private val REPLY_TIMEOUT = 8.seconds
-    private val http = HttpCaller(2.seconds)
+    private val http = HttpClient(2.seconds)
 
     /**
      * Posts [body] to [path] and decodes the reply with [decode].
      *
-     * @param unknownPath the reason of failure if the controller does not know [path]
+     * @param notFoundReason the reason of failure if the controller does not know [path]
      */
-    fun <T> ask(
+    fun <T> post(
         node: String,
         path: String,
         body: ByteArray,
-        unknownPath: String,
+        notFoundReason: String,
         decode: (ByteArray) -> T,
     ): OperatorAnswer<T> =
         when (val result = http.callRaw("POST", node, path, body, REPLY_TIMEOUT)) {
             is RawResult.NotSent -> OperatorAnswer.Failed(result.reason)
-            is RawResult.NoAnswer -> OperatorAnswer.Failed("no answer; it may have been carried out: ${result.reason}")
-            is RawResult.Answer ->
+            is RawResult.NoResponse ->
+                OperatorAnswer.Failed("no answer; it may have been carried out: ${result.reason}")
+            is RawResult.Response ->
                 when (result.status) {
                     OK -> decoded(result.body, decode)
-                    NOT_FOUND -> OperatorAnswer.Failed(unknownPath)
+                    NOT_FOUND -> OperatorAnswer.Failed(notFoundReason)
                     else -> OperatorAnswer.Failed("status ${result.status}")
                 }
         }
--- a/src/main/kotlin/glenspool/cli/ServeCommand.kt
+++ b/src/main/kotlin/glenspool/cli/ServeCommand.kt
@@ -11,7 +11,7 @@
 
     fun run(args: List<String>): Int {
         val node = start(args)
-        Runtime.getRuntime().addShutdownHook(closingThread(node))
+        Runtime.getRuntime().addShutdownHook(shutdownHook(node))
         node.join()
         return ExitCode.OK
     }
@@ -22,20 +22,20 @@
         val line = parseOptions(options, args)
         if (line.argList.isNotEmpty()) throw UsageError("unexpected argument '${line.argList.first()}'")
         val settings = SettingsReader().read(File(line.getOptionValue(CONFIG)))
-        HttpListener.configure(settings.maxSockets)
+        HttpListener.setSocketLimit(settings.maxSockets)
         val files = ConfigFiles(line)
         val rolloutPolicy = files.rolloutPolicy()
         val recoveryPolicy = files.recoveryPolicy()
         val tuning = files.tuning(settings)
         val node =
             Node(settings, tuning, rolloutPolicy, build = version(), recoveryPolicy = recoveryPolicy) {
-                Runtime.getRuntime().halt(ExitCode.UNFIT)
+                Runtime.getRuntime().halt(ExitCode.FATAL_ERROR)
             }
         node.start()
         return node
     }
 
-    fun closingThread(node: Node) = Thread(node::close, "close")
+    fun shutdownHook(node: Node) = Thread(node::close, "close")
 }
 
 /** `glenspool check-config …`: checks the files that `serve` would read. */
--- a/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
+++ b/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
@@ -3,7 +3,7 @@
 import glenspool.config.Settings
 import glenspool.core.SchedulerConfig
 import glenspool.core.Tuning
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 
 /**
  * Returns the scheduler's configuration for the deployment that [settings] describe. [logsDetails]: whether each
@@ -11,7 +11,7 @@
  */
 internal fun schedulerConfig(settings: Settings, tuning: Tuning, logsDetails: Boolean = false): SchedulerConfig {
     val workers = settings.workers
-    val storeLimits = settings.storeLimits.safe
+    val storeLimits = settings.storeLimits.effective
     val peerZones = settings.members.map { it.zone }.toSet() - settings.zone
     return SchedulerConfig(
         settings.teams, settings.objectives, settings.zones,
@@ -22,7 +22,7 @@
 }
 
 /** Returns the parameters of the deployment that a recovery depends on. */
-internal fun recoverySetting(settings: Settings): RecoverySetting {
+internal fun recoverySetting(settings: Settings): RecoveryTimings {
     val workers = settings.workers
-    return RecoverySetting(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
+    return RecoveryTimings(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
 }
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -42,7 +42,7 @@
     private val clock = TimeSource.Monotonic.markNow()
     private val boot = newBootId()
     private val members = settings.members.map { it.name }
-    private val storeLimits = settings.storeLimits.safe
+    private val storeLimits = settings.storeLimits.effective
     private val config = schedulerConfig(settings, tuning, logsDetails = log.isDebugEnabled)
     private val health = HealthCounters()
 
@@ -78,7 +78,7 @@
 
     private val rollout: RolloutManager? =
         rolloutPolicy?.let { policy ->
-            val identity = ProcessIdentity(settings.node, boot, registry.of(build))
+            val identity = ProcessIdentity(settings.node, boot, registry.levelsOf(build))
             RolloutManager(
                 identity, members, registry, policy, store, cache, leadership, peers, health,
                 ::isServing, ::uptime, onFatalError,
@@ -139,7 +139,7 @@
     }
 
     private fun startThreads() {
-        threads.start("store-watch") { cache.follow() }
+        threads.start("store-watch") { cache.watchChanges() }
         threads.start("store-sync") { cache.serveSyncs() }
         threads.start("leadership") { leadership.run() }
         threads.start("core") { loop.run() }
@@ -159,7 +159,7 @@
         }
         recovery?.let { manager -> threads.start("recovery") { manager.run() } }
         rollout?.let { manager ->
-            workerApi.incarnationSeen = health::recordIncarnation
+            workerApi.incarnationListener = health::recordIncarnation
             threads.start("rollout") { manager.run() }
         }
     }
@@ -196,7 +196,7 @@
     override fun isolated(): Boolean = monitor.isIsolated()
 
     /** See [LeaderDirectory.otherLeader]. */
-    override fun leaderToName(): String? = leaders.otherLeader()
+    override fun otherLeader(): String? = leaders.otherLeader()
 
     override fun uptime(): Duration = clock.elapsedNow()
 
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -107,9 +107,9 @@
 
     /** Runs one round: collects evidence, decides and acts. Returns the time until the next round. */
     private fun lead(term: Term): Duration {
-        val askedAt = uptime()
+        val requestSentAt = uptime()
         val statuses = peers.statuses()
-        val decision = synchronized(this) { decide(term, statuses, askedAt) }
+        val decision = synchronized(this) { decide(term, statuses, requestSentAt) }
         decision.actions.forEach { perform(it, term) }
         return if (decision.isSettled && decision.actions.isEmpty()) {
             minOf(SETTLED_INTERVAL, policy.evidenceAge / 2)
@@ -118,10 +118,10 @@
         }
     }
 
-    private fun decide(term: Term, statuses: List<PeerStatus>, askedAt: Duration): Decision {
+    private fun decide(term: Term, statuses: List<PeerStatus>, requestSentAt: Duration): Decision {
         val engine = engineOf(term)
-        engine.memberReported(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), askedAt)
-        statuses.forEach { engine.memberReported(report(it), askedAt) }
+        engine.memberReported(report(PeerStatus(identity.node, true, null, true, levels = ownLevels())), requestSentAt)
+        statuses.forEach { engine.memberReported(report(it), requestSentAt) }
         val input = input(term)
         val actions = engine.step(input)
         return Decision(actions, isSettled = engine.overview(input).hold == null)
@@ -136,14 +136,14 @@
     private fun input(term: Term) =
         RolloutInput(
             uptime(), wallClock(), term.token, identity.node, records.level(), records.orders(), records.state(),
-        ) { level -> if (level == FeatureRegistry.SEALED_RECORDS) records.sealedRecords() else 0 }
+        ) { level -> if (level == FeatureRegistry.SEALED_RECORDS) records.countSealedRecordKeys() else 0 }
 
     private fun report(status: PeerStatus): MemberReport {
         val levels = status.levels
         if (levels == null) {
             // A build without levels reports which stored forms it reads, or not even that.
-            val assumed = BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.reads)
-            return MemberReport(status.node, null, assumed, status.fresh)
+            val assumed = BuildLevels(UNMANAGED_BUILD, FeatureRegistry.BASE, status.readableLevel)
+            return MemberReport(status.node, null, assumed, status.isCacheFresh)
         }
         return MemberReport(
             status.node,
@@ -183,7 +183,7 @@
         }
         log.error("this process is fenced and must neither lead nor serve: {}", fence)
         leadership.resign("fenced", FENCED_BACKOFF)
-        if (policy.fenced == FencedReaction.EXIT) exit()
+        if (policy.fencedReaction == FencedReaction.EXIT) exit()
     }
 
     /** The rollout as the leader sees it; null if this node does not lead and so has only the stored records. */
--- a/src/main/kotlin/glenspool/core/lifecycle/JobIntake.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobEventHandler.kt
@@ -13,10 +13,10 @@
 import kotlin.time.DurationUnit
 
 /**
- * Applies what the key-value store tells of jobs: new records, cancellations, final states. [onDirty] is told of jobs
- * that may have something to store.
+ * Applies changes of jobs that were read from the key-value store: new records, cancellations and final states.
+ * [onDirty] is called for jobs that may have changes to store.
  */
-class JobIntake(
+class JobEventHandler(
     private val context: SchedulingContext,
     private val cluster: ClusterState,
     private val splitting: RecordSplitting,
@@ -29,27 +29,27 @@
 
     private class LocatedPlacement(val placement: StoredPlacement, val part: Int)
 
-    /** A record of a job that is not known was read. */
-    fun jobRead(record: JobRecord, version: Long, dependencies: JobDependencies) {
+    /** A record of an unknown job was read. */
+    fun newJobRead(record: JobRecord, version: Long, dependencies: JobDependencies) {
         val job = Job(record, version, splitting.partsFor(record.spec), onDirty)
         job.knownSince = now
-        context.hooks.observer.jobRead(record)
+        context.hooks.observer.jobRecordRead(record)
         if (record.dependencies.isNotEmpty()) {
             dependencies.add(job, record.dependencies)
-            dependencies.appeared(record.spec.id)
+            dependencies.jobAdded(record.spec.id)
             return
         }
         cluster.addJob(job)
-        dependencies.appeared(record.spec.id)
+        dependencies.jobAdded(record.spec.id)
         restorePlacements(job, record)
         orphans.adopt(job)
         if (job.isComplete) job.markDirty()
-        mayRun(job)
+        addRunnableJob(job)
     }
 
     /**
-     * An earlier leader may have started what is stored. The parts of a record are not all stored at the same moment:
-     * an older one may still name a task that has a newer placement by now.
+     * Restores the stored placements, which an earlier leader may have started. The parts of a record are not all
+     * written in one transaction, so an older part may still contain a task that has a newer placement in another part.
      */
     private fun restorePlacements(job: Job, record: JobRecord) {
         val outdatedParts = ArrayList<Int>()
@@ -78,27 +78,27 @@
     private fun restore(job: Job, located: LocatedPlacement) {
         val stored = located.placement
         val placement = Placement(job, stored.task, stored.attempt, stored.machine, now)
-        placement.restored(now)
+        placement.markRestored(now)
         cluster.restore(placement, located.part)
     }
 
-    /** All dependencies of the job are done: from now on it is like any other. */
+    /** All dependencies of the job are done, so its tasks may be placed from now on. */
     fun dependenciesDone(job: Job) {
         job.dependenciesDone(context.wallTime, now)
         cluster.addJob(job)
         context.log {
-            val waited = (context.wallTime - job.submitted).toDouble(DurationUnit.SECONDS)
+            val waited = (context.wallTime - job.submittedAt).toDouble(DurationUnit.SECONDS)
             "dependencies-done job=${job.spec.id} class=${job.spec.jobClass} waited-s=$waited"
         }
-        mayRun(job)
+        addRunnableJob(job)
     }
 
-    private fun mayRun(job: Job) {
+    private fun addRunnableJob(job: Job) {
         autoscaler.jobArrived(job)
         context.requestRound()
     }
 
-    /** The job's cancellation is stored under [version] since [at], a time of day. */
+    /** The job's cancellation was stored under [version] at [at], a wall-clock time. */
     fun jobCancelled(job: Job, version: Long, at: Duration, dependencies: JobDependencies) {
         job.markDirty()
         if (job.isCancelled) {
@@ -107,9 +107,9 @@
         }
         job.cancel(version, now - maxOf(Duration.ZERO, context.wallTime - at))
         context.hooks.observer.jobCancelled(job.spec.id)
-        dependencies.cancelled(job.spec.id)
+        dependencies.jobCancelled(job.spec.id)
         for (placement in job.placements.values.toList()) {
-            // No start of a placement that is neither stored nor being stored can be on its way.
+            // No start command can be in flight for a placement that is neither stored nor being stored.
             if (placement.stage == PlacementStage.PLANNED && !job.storeState.isWriteInFlight) {
                 cluster.removePlacement(placement)
             } else {
@@ -119,11 +119,11 @@
         context.requestRound()
     }
 
-    /** The job has its final state. */
+    /** The job reached its final state. */
     fun jobEnded(id: String) {
         context.hooks.observer.jobEnded(id)
         val job = cluster.removeJob(id) ?: return
-        job.finish()
+        job.markFinished()
         job.placements.values
             .toList()
             .forEach(cluster::removePlacement)
--- a/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
+++ b/src/main/kotlin/glenspool/reconcile/GatheringProgress.kt
@@ -21,15 +21,15 @@
     val expected: Int get() = groups.sumOf { it.expected }
     val reported: Int get() = groups.sumOf { it.reported }
 
-    /** The groups of which less than [share] has reported. */
-    fun lacking(share: Double): List<Group> = groups.filterNot { it.reaches(share) }
+    /** Returns the groups of which less than [share] has reported. */
+    fun incompleteGroups(share: Double): List<Group> = groups.filterNot { it.reaches(share) }
 
     companion object {
         val NONE = GatheringProgress(emptyList())
 
         /**
          * @param listed the cloud's newest list of machines
-         * @param reported machines whose workers have seen this leader's token
+         * @param reported machines whose workers have received this leader's fencing token
          */
         fun of(listed: List<ListedMachine>, reported: Set<String>): GatheringProgress {
             val running = listed.filter { it.stage == MachineStage.RUNNING }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -6,19 +6,19 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Recovery in one term: observes what the scheduler learns ([RecoveryObserver]), decides which of its orders have to
- * wait ([RecoveryOrderGate]), and moves through the phases ([PhaseMachine]). A term that began with an ordinary
- * failover has no engine.
+ * Controls the recovery in one term: collects the scheduler's observations ([RecoveryObserver]), decides which of its
+ * orders have to wait ([RecoveryOrderGate]) and advances the phases ([PhaseStateMachine]). A term that began with an
+ * ordinary failover has no engine.
  *
- * Owned by the scheduler's thread; [snapshot] and [awaitsStateRead] may be read by any thread.
+ * Owned by the scheduler's thread; [snapshot] and [needsStoreReads] may be read by any thread.
  *
  * @param token the term's fencing token
  * @param startedAt when the term began, in the term's monotonic time
- * @param record this term's stored record, whose operator orders stay in force
+ * @param record this term's stored record; the operators' orders in it remain in force
  */
 class RecoveryEngine(
     policy: RecoveryPolicy,
-    setting: RecoverySetting,
+    setting: RecoveryTimings,
     private val token: Long,
     private val startedAt: Duration,
     startKind: StartKind,
@@ -26,7 +26,7 @@
 ) {
     private var now = startedAt
     private var evaluatedAt = startedAt - EVALUATION_INTERVAL
-    private val phases = PhaseMachine(policy, setting, startedAt)
+    private val phases = PhaseStateMachine(policy, setting, startedAt)
     private val breaker = CircuitBreaker(policy)
     private val budget = RepairBudget(policy.rates) { now }
     private val overrides = OperatorOverrides(record?.isPaused ?: false, record?.isApproved ?: false)
@@ -35,12 +35,12 @@
     private val resolution = ResolutionProgress()
     private var gathering = GatheringProgress.NONE
 
-    /** The hooks to be given to the term's scheduler. */
+    /** The hooks for the term's scheduler. */
     val hooks =
         SchedulerHooks(
             gate = RecoveryOrderGate(phases, overrides, unrecordedTasks, budget),
             observer = observer,
-            newWorkNeedsOwnHeartbeat = true,
+            newWorkRequiresWorkerHeartbeat = true,
             missingTaskPolicy = ::missingTaskPolicy,
         )
 
@@ -50,78 +50,79 @@
     val isApproved: Boolean get() = overrides.isApproved
     val phase: RecoveryPhase get() = phases.state.phase
 
-    /** Whether the recovery still goes on. */
+    /** Whether the recovery is still in progress. */
     val isActive: Boolean get() = phases.isActive
 
-    /** Whether [stateRead] is to be called at every read of the store. */
-    val awaitsStateRead: Boolean get() = unrecordedTasks.isStoreReadAwaited
+    /** Whether [recordStoreRead] has to be called after every read of the store. */
+    val needsStoreReads: Boolean get() = unrecordedTasks.needsStoreReads
 
-    /** The state at the last evaluation; null before the first. */
+    /** The state at the last evaluation; null before the first evaluation. */
     @Volatile
     var snapshot: RecoverySnapshot? = null
         private set
 
-    /** The store was read by a request that was sent at [sentAt], and all that it returned has been applied. */
-    fun stateRead(sentAt: Duration) = unrecordedTasks.storeRead(sentAt)
+    /** Records that the store was read by a request sent at [sentAt], and that the entire result has been applied. */
+    fun recordStoreRead(sentAt: Duration) = unrecordedTasks.recordStoreRead(sentAt)
 
     /**
-     * The other controllers' answers decide how this term began, if that was unknown. An ordinary failover ends the
-     * recovery at the next evaluation.
+     * Sets how this term began, as determined by the other controllers' answers, if that was unknown. An ordinary
+     * failover ends the recovery at the next evaluation.
      */
-    fun startJudged(kind: StartKind) {
+    fun startKindDetermined(kind: StartKind) {
         if (startKind == StartKind.UNKNOWN) startKind = kind
     }
 
-    /** Holds the recovery in its present phase until [resume]. */
+    /** Holds the recovery in its current phase until [resume]. */
     fun pause() {
         overrides.isPaused = true
     }
 
-    /** Lets a paused recovery go on. */
+    /** Resumes a paused recovery. */
     fun resume() {
         overrides.isPaused = false
     }
 
-    /** Admits destructive orders however much of the fleet they concern. */
+    /** Admits destructive orders regardless of how much of the fleet they concern. */
     fun approve() {
         overrides.isApproved = true
     }
 
     /**
-     * Compares queued observations, and evaluates phases and breaker at most once a second. To be called often.
+     * Compares queued observations, and evaluates the phases and the breaker at most once a second. It has to be called
+     * more often than that.
      *
      * @param at the term's monotonic time
-     * @param isBehind whether this process has no processor time to spare
+     * @param isOverloaded whether this process has no spare CPU time
      */
-    fun tick(at: Duration, isBehind: Boolean = false): List<RecoveryNotice> {
+    fun tick(at: Duration, isOverloaded: Boolean = false): List<RecoveryNotice> {
         now = at
         if (!isActive) return emptyList()
-        observer.compareQueued(isBehind)
+        observer.compareQueuedUpdates(isOverloaded)
         if (at - evaluatedAt < EVALUATION_INTERVAL) return emptyList()
         evaluatedAt = at
         return evaluate()
     }
 
     private fun evaluate(): List<RecoveryNotice> {
-        observer.gathering()?.let { gathering = it }
+        observer.gatheringProgress()?.let { gathering = it }
         budget.resize(observer.fleetSize)
         val notices = ArrayList<RecoveryNotice>()
         val entered = advancePhases(notices)
         if (observer.isCompared) {
             resolution.update(observer.totals).mapTo(notices) { RecoveryNotice.ShareResolved(it, now - startedAt) }
         }
-        val current = takeSnapshot()
+        val current = createSnapshot()
         snapshot = current
         entered.mapTo(notices) { RecoveryNotice.PhaseEntered(it, current) }
         if (!isActive) observer.clear()
         return notices
     }
 
-    /** Enters as many phases as the facts allow; returns them in order. */
+    /** Enters as many phases as the facts allow, and returns them in order. */
     private fun advancePhases(notices: MutableList<RecoveryNotice>): List<PhaseState> {
         val entered = ArrayList<PhaseState>()
         while (true) {
-            // No phase before admits destructive orders, and the phase after it depends on the breaker's state.
+            // Earlier phases admit no destructive orders, and entering the next phase depends on the breaker's state.
             if (phase == RecoveryPhase.ADOPTING) evaluateBreaker(notices)
             entered.add(phases.advance(facts()) ?: return entered)
         }
@@ -129,7 +130,7 @@
 
     private fun evaluateBreaker(notices: MutableList<RecoveryNotice>) {
         val before = breaker.state
-        val after = breaker.evaluate(observer.threatenedMachines(), observer.fleetSize, isApproved, now)
+        val after = breaker.evaluate(observer.affectedMachineCount(), observer.fleetSize, isApproved, now)
         if (after.isOpen && !before.isOpen) notices.add(RecoveryNotice.BreakerOpened(after))
         if (after.release != null && before.release == null) notices.add(RecoveryNotice.BreakerReleased(after))
     }
@@ -156,13 +157,13 @@
             else -> MissingTaskPolicy.RESTORE
         }
 
-    private fun takeSnapshot(): RecoverySnapshot {
+    private fun createSnapshot(): RecoverySnapshot {
         val totals = observer.totals
         return RecoverySnapshot(
             token,
             startKind,
             phases.state,
-            phases.until,
+            phases.deadline,
             now,
             isPaused,
             isApproved,
--- a/src/main/kotlin/glenspool/rollout/FeatureGate.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureGate.kt
@@ -8,21 +8,21 @@
  */
 data class WritePermit(val levelVersion: Long?) {
     companion object {
-        /** For services in which levels are not managed. */
+        /** The permit in services whose levels are not managed. */
         val UNCONDITIONAL = WritePermit(null)
     }
 }
 
-/** Which stored forms may be written. Code that writes a form above the base level has to ask for a permit here. */
+/** Decides which stored forms may be written. Code that writes a form above the base level needs a permit. */
 interface FeaturePermits {
     /** Whether the level's forms are to be used where they are useful but not required. */
     fun isInUse(level: Int): Boolean
 
-    /** The permit to write a form of the level; null if it must not be written now. */
+    /** Returns the permit to write a form of the level, or null if it must not be written now. */
     fun permit(level: Int): WritePermit?
 }
 
-/** For services without managed levels: nothing is forbidden, and forms are in use once [canAllRead] says so. */
+/** Permits every write, in services without managed levels. Forms are in use once [canAllRead] returns true. */
 class UnmanagedFeatures(private val canAllRead: () -> Boolean) : FeaturePermits {
     override fun isInUse(level: Int): Boolean = canAllRead()
 
@@ -34,32 +34,32 @@
  *
  * @property neededLevel the active level
  * @property neededName the active level's name
- * @property own the levels that this process reads
+ * @property ownLevels the levels that this process reads
  */
-data class Fence(val neededLevel: Int, val neededName: String, val own: BuildLevels) {
+data class Fence(val neededLevel: Int, val neededName: String, val ownLevels: BuildLevels) {
     override fun toString(): String {
-        val readable = "build ${own.build} reads levels ${own.lowest} to ${own.highest}"
+        val readable = "build ${ownLevels.build} reads levels ${ownLevels.lowest} to ${ownLevels.highest}"
         return "level $neededLevel ($neededName) is active, and $readable"
     }
 }
 
 /**
- * What the stored level means for this process. The level is read anew at each call, so it is as recent as the store
- * cache. A permit carries the level record's version: a write that arrives after the level was left fails on that
- * condition, however late it is.
+ * Derives from the stored level what this process may do. The level is read at each call, so it is as recent as the
+ * store cache. A permit carries the level record's version, so a write that arrives after the level was left fails on
+ * that condition, regardless of its delay.
  */
-class FeatureGate(private val own: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
+class FeatureGate(private val ownLevels: BuildLevels, private val stored: () -> Stored<LevelRecord>) : FeaturePermits {
     override fun isInUse(level: Int): Boolean = permit(level) != null
 
     override fun permit(level: Int): WritePermit? {
         val record = stored() as? Stored.Present ?: return null
-        if (!own.reads(record.value.level) || level > record.value.highestWritable) return null
+        if (!ownLevels.reads(record.value.level) || level > record.value.highestWritable) return null
         return WritePermit(record.version)
     }
 
     /**
-     * Why this process must not serve; null if it may. A record that can't be read names no level, so it fences nobody;
-     * it only forbids the higher forms.
+     * Returns why this process must not serve, or null if it may. A record that can't be decoded names no level, so it
+     * does not fence the process but only forbids the forms above the base level.
      */
     fun fence(): Fence? =
         when (val record = stored()) {
@@ -68,5 +68,6 @@
             Stored.NotRead, is Stored.Unreadable -> null
         }
 
-    private fun fence(level: Int, name: String): Fence? = if (own.reads(level)) null else Fence(level, name, own)
+    private fun fence(level: Int, name: String): Fence? =
+        if (ownLevels.reads(level)) null else Fence(level, name, ownLevels)
 }
--- a/src/main/kotlin/glenspool/wire/RolloutWire.kt
+++ b/src/main/kotlin/glenspool/wire/RolloutWire.kt
@@ -6,15 +6,15 @@
 import glenspool.rollout.HoldCause
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.rollout.MemberSeen
+import glenspool.rollout.ObservedMember
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.RolloutState
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The stored forms of the rollout's records. Readers are strict: what is not exactly understood is a
- * [MalformedMessage]. Times are times of day in milliseconds.
+ * The stored forms of the rollout's records. Decoding is strict and throws a [MalformedMessage] for each unknown or
+ * invalid value. Times are in milliseconds since the epoch.
  */
 object RolloutWire {
     private const val MAX_LEVEL = 1_000_000L
@@ -31,11 +31,11 @@
         )
 
     /** Decodes a [LevelRecord]. */
-    fun level(fields: Fields) =
+    fun decodeLevel(fields: Fields) =
         LevelRecord(
             level = fields.levelNumber("level"),
             name = fields.text("name"),
-            stage = stages.pick("stage", fields.text("stage")),
+            stage = stages.decodeWord("stage", fields.text("stage")),
             token = fields.count("token"),
             changedAt = fields.count("changed").milliseconds,
         )
@@ -49,7 +49,7 @@
         )
 
     /** Decodes [OperatorOrders]. */
-    fun orders(fields: Fields) =
+    fun decodeOrders(fields: Fields) =
         OperatorOrders(
             mode = fields.textOrNull("mode")?.let { enumOf<ActivationMode>("mode", it) },
             approvedLevel = fields.levelNumberOrNull("approved"),
@@ -80,7 +80,7 @@
         )
 
     /** Decodes a [RolloutState]. */
-    fun state(fields: Fields) =
+    fun decodeState(fields: Fields) =
         RolloutState(
             target = fields.levelNumber("target"),
             members = fields.maps("members").map(::decodeMember),
@@ -88,7 +88,7 @@
             heldSince = if (fields["held_since"] == null) null else fields.count("held_since").milliseconds,
         )
 
-    private fun encodeMember(member: MemberSeen): Fields =
+    private fun encodeMember(member: ObservedMember): Fields =
         linkedMapOf(
             "member" to member.member,
             "build" to member.build,
@@ -97,7 +97,7 @@
         )
 
     private fun decodeMember(fields: Fields) =
-        MemberSeen(
+        ObservedMember(
             member = fields.text("member"),
             build = fields.text("build"),
             highest = fields.levelNumber("highest"),
@@ -126,7 +126,7 @@
 
     private fun Fields.levelNumberOrNull(name: String): Int? = if (this[name] == null) null else levelNumber(name)
 
-    /** A time that may also lie before the clock's zero. */
+    /** A required time, which may also be before the epoch. */
     private fun Fields.signedMilliseconds(name: String): Duration {
         val milliseconds = this[name] as? Long ?: throw MalformedMessage(name, "a whole number is needed")
         return milliseconds.milliseconds
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -11,9 +11,9 @@
 import glenspool.core.model.StartTask
 import glenspool.core.model.TaskKey
 import glenspool.http.CallResult
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.peer.PeerClient
 import glenspool.peer.PeerServer
 import glenspool.peer.PeerStatus
@@ -37,13 +37,13 @@
 import java.net.Socket
 import kotlin.time.Duration.Companion.seconds
 
-/** Each adapter over real sockets on loopback, against what its counterpart may answer. */
+/** Tests each client over real sockets on loopback against the possible answers of its counterpart. */
 class AdaptersTest {
-    private val http = HttpCaller(2.seconds)
+    private val http = HttpClient(2.seconds)
 
-    /** What the counterpart received, in this order. */
+    /** The requests that the counterpart received, in order. */
     private val requests = ArrayList<ReceivedRequest>()
-    private var answer: (Request) -> Response = { cbor(Status.OK, emptyMap()) }
+    private var answer: (Request) -> Response = { cborResponse(Status.OK, emptyMap()) }
     private val counterpart = HttpListener(InetSocketAddress("127.0.0.1", 0), "counterpart", 64, ::receive)
     private val addr = "127.0.0.1:${counterpart.port}"
 
@@ -59,7 +59,8 @@
     @AfterEach
     fun close() = counterpart.close()
 
-    private fun answerWith(status: Int, body: Fields): (Request) -> Response = { cbor(Status(status, null), body) }
+    private fun answerWith(status: Int, body: Fields): (Request) -> Response =
+        { cborResponse(Status(status, null), body) }
 
     private fun unusedPort() = ServerSocket(0).use { it.localPort }
 
@@ -70,7 +71,7 @@
         )
 
     @Test
-    fun `the cloud's answers to a scale-out are told apart`() {
+    fun `a scale-out is rented, refused or unknown depending on the cloud's answer`() {
         val cloud = CloudClient(addr, http, 1000.0)
         val rent = ScaleOut("r-1-1", "g8", "a", true, mapOf(ScaleOutCause.BACKLOG to 3))
         answer = answerWith(200, mapOf("spindles" to listOf("i-1", "i-2")))
@@ -88,7 +89,7 @@
     }
 
     @Test
-    fun `only the cloud's 200 proves a deletion`() {
+    fun `a deletion is confirmed only by the cloud's status 200`() {
         val cloud = CloudClient(addr, http, 1000.0)
         assertTrue(cloud.delete(listOf("i-1")))
         answer = answerWith(503, mapOf("error" to "trouble"))
@@ -106,7 +107,7 @@
                     "uid" to if (isFirstPage) "i-1" else "i-2", "addr" to "10.0.0.9:1", "frame" to "g8", "hall" to "a",
                     "loaners" to true, "stage" to "running", "held_s" to 2.5,
                 )
-            cbor(Status.OK, mapOf("spindles" to listOf(machine), "has_next" to isFirstPage))
+            cborResponse(Status.OK, mapOf("spindles" to listOf(machine), "has_next" to isFirstPage))
         }
         assertEquals(listOf("i-1", "i-2"), cloud.listMachines()?.map { it.id })
         assertEquals(listOf("/hosts?page=500", "/hosts?page=500&after=i-1"), requests.map { it.uri })
@@ -117,22 +118,27 @@
         val worker = WorkerClient(http)
         val commands = SendCommands("i-1", addr, 4, 2, listOf(StartTask(TaskKey("run-1", 0), 1, StartCause.PLACED)))
         answer = answerWith(200, heartbeat)
-        assertEquals(CommandOutcome.DONE, worker.command(commands).outcome)
+        assertEquals(CommandOutcome.DONE, worker.sendCommands(commands).outcome)
         assertEquals(4L to 2L, requests.last().body.let { it["baton"] to it["shift"] })
         answer = answerWith(200, mapOf("nonsense" to 1))
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(commands).outcome)
+        assertEquals(CommandOutcome.UNKNOWN, worker.sendCommands(commands).outcome)
         answer = answerWith(409, heartbeat)
-        assertEquals(CommandOutcome.REFUSED, worker.command(commands).outcome)
+        assertEquals(CommandOutcome.REFUSED, worker.sendCommands(commands).outcome)
         answer = answerWith(500, emptyMap())
-        assertEquals(CommandOutcome.UNKNOWN, worker.command(commands).outcome)
-        assertEquals(CommandOutcome.NOT_SENT, worker.command(commands.copy(addr = "127.0.0.1:${unusedPort()}")).outcome)
+        assertEquals(CommandOutcome.UNKNOWN, worker.sendCommands(commands).outcome)
+        assertEquals(
+            CommandOutcome.NOT_SENT,
+            worker
+                .sendCommands(commands.copy(addr = "127.0.0.1:${unusedPort()}"))
+                .outcome,
+        )
         answer = answerWith(200, heartbeat)
         assertEquals(3.5.seconds, worker.probe(addr)?.preemptionNotice)
     }
 
     @Test
-    fun `a peer answers a relayed request and says who leads, and one that is down is passed over`() {
-        val status = PeerStatus("n1", leading = true, leader = "n1", fresh = true)
+    fun `a peer answers relayed requests and reports the leader, and a peer that is down is skipped`() {
+        val status = PeerStatus("n1", leading = true, leader = "n1", isCacheFresh = true)
         var relayed: RelayRequest? = null
         val server =
             PeerServer({ status }, { null }) {
@@ -152,13 +158,13 @@
     }
 
     @Test
-    fun `clients that stall in the middle of a request do not keep others from being answered`() {
+    fun `clients that stall in the middle of a request do not block other clients`() {
         val stalled = List(20) { Socket("127.0.0.1", counterpart.port) }
         for (socket in stalled) {
             socket.getOutputStream().write("POST /api/jobs HTTP/1.1\r\nHost: x\r\nContent-Le".toByteArray())
             socket.getOutputStream().flush()
         }
-        repeat(20) { assertEquals(200, (http.get(addr, "/ready", 10.seconds) as CallResult.Answer).status) }
+        repeat(20) { assertEquals(200, (http.get(addr, "/ready", 10.seconds) as CallResult.Response).status) }
         stalled.forEach { it.close() }
     }
 }
--- a/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
+++ b/src/test/kotlin/glenspool/api/LeaseRenewalPolicyTest.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** For how long a node without a leader renews workers' leases, in simulated time. */
+/** How long a node that knows no leader renews workers' leases, in simulated time. */
 class LeaseRenewalPolicyTest {
     private var now = Duration.ZERO
 
@@ -22,7 +22,7 @@
                 gangPeer = 8.seconds,
                 cancellationDeadline = CANCELLATION_DEADLINE,
             )
-        return LeaseRenewalPolicy(workers, otherNodes = 2) { now }
+        return LeaseRenewalPolicy(workers, otherNodeCount = 2) { now }
     }
 
     private fun LeaseRenewalPolicy.renewsIsolated(machine: String): Boolean =
@@ -40,24 +40,24 @@
         )
 
     @Test
-    fun `an isolated node refuses each worker once in a lease, and renews the lease of one that comes back`() {
+    fun `an isolated node refuses each worker once per lease, and renews the lease if the worker returns`() {
         val policy = policy()
         policy.recordAnswer("m1")
         policy.recordAnswer("m2")
         assertFalse(policy.renewsIsolated("m1"))
         assertFalse(policy.renewsIsolated("m2"))
         now += 11.seconds
-        // It found no other node: its tasks must not die.
+        // The worker found no other node, and its tasks must keep running.
         assertTrue(policy.renewsIsolated("m1"))
         policy.recordAnswer("m1")
         now += 13.seconds
         policy.recordAnswer("m1")
-        // There may be a leader elsewhere by now.
+        // A leader may exist elsewhere by now.
         assertFalse(policy.renewsIsolated("m1"))
     }
 
     @Test
-    fun `a worker that was refused comes back within its lease in the worst case`() {
+    fun `a refused worker returns before its lease expires, even in the worst case`() {
         val policy = policy()
         var answeredAt = Duration.ZERO
         var longest = Duration.ZERO
@@ -68,7 +68,7 @@
                 longest = maxOf(longest, now - answeredAt)
                 answeredAt = now
             } else {
-                // The other two nodes never answer: 4 s each and 1 s between.
+                // The other two nodes never answer. A request to each times out after 4 s, with 1 s between attempts.
                 now += 11.seconds
             }
         }
@@ -76,9 +76,10 @@
     }
 
     @Test
-    fun `a worker that found nobody elsewhere has its lease renewed at once`() {
+    fun `a worker that this node has not answered before has its lease renewed immediately`() {
         val policy = policy()
-        // Cut off with its zone it has tried two nodes in vain already; another vain round would outlast its lease.
+        // The worker is partitioned with its zone and has already tried two nodes without success. Another failed round
+        // would take longer than its lease.
         assertTrue(policy.renewsIsolated("m1"))
         policy.recordAnswer("m1")
         now += 4.seconds
@@ -88,7 +89,7 @@
     }
 
     @Test
-    fun `in an outage that other nodes see too every lease is renewed`() {
+    fun `every lease is renewed in an outage if the node is not isolated`() {
         val policy = policy()
         repeat(50) {
             now += 4.seconds
@@ -97,14 +98,14 @@
     }
 
     @Test
-    fun `no worker is refused where its lease would not outlast a round of the other nodes`() {
+    fun `no worker is refused if its lease could expire during failed attempts at the other nodes`() {
         val policy = policy(lease = 12.seconds)
         assertEquals(List(9) { true }, List(9) { policy.renewsIsolated("m1") })
     }
 
     @Test
-    fun `a node that knows nothing of cancellations renews only while their deadline leaves time for two leases`() {
-        // 49 s for a cancellation, two leases of 24 s: none is left.
+    fun `a node without cancellation data renews leases only while the deadline leaves time for two leases`() {
+        // A cancellation has a deadline of 49 s, of which two leases of 24 s and the margin leave no time.
         val policy = policy()
         assertFalse(policy.renewsConnected("m1", cancellationsCompleteUntil = null))
         assertTrue(policy.renewsConnected("m1", cancellationsCompleteUntil = now))
@@ -116,7 +117,7 @@
     }
 
     @Test
-    fun `no renewed lease outlasts the deadline of a cancellation that this node may not know`() {
+    fun `no renewed lease outlasts the deadline of a cancellation that this node may not have received`() {
         val policy = policy()
         val complete = 100.seconds
         now = 123.seconds
@@ -128,7 +129,7 @@
             }
         }
         assertFalse(policy.renewsConnected("m1", complete))
-        // Up to when nothing can have been confirmed unknown to this node may lie ahead.
+        // The moment up to which this node has every confirmed cancellation may lie in the future.
         assertTrue(policy.renewsConnected("m1", now + 5.seconds))
     }
 
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -23,12 +23,13 @@
 
 /** The users' requests, one job at a time. */
 class UserApiTest : ServedUserApi() {
-    private fun ready() = http.get(addr, "/ready", 10.seconds) as CallResult.Answer
+    private fun ready() = http.get(addr, "/ready", 10.seconds) as CallResult.Response
 
-    private fun submitRaw(body: ByteArray) = http.call("POST", addr, "/api/jobs", body, 10.seconds) as CallResult.Answer
+    private fun submitRaw(body: ByteArray) =
+        http.call("POST", addr, "/api/jobs", body, 10.seconds) as CallResult.Response
 
     @Test
-    fun `a job is accepted once, and a retry is answered with its present state`() {
+    fun `a job is accepted once, and a retry is answered with its current state`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertAnswer(200, "pending", submit(spec("run-1")))
         end("run-1", "done")
@@ -37,7 +38,7 @@
     }
 
     @Test
-    fun `a job that was never accepted gets 404, and one stored by another node is known at once`() {
+    fun `a job that was never accepted gets 404, and one stored by another node is found immediately`() {
         assertEquals(404, show("run-9").status)
         assertEquals(404, withdraw("run-9").status)
         // A cache that was not brought up to date would still answer 404 here.
@@ -60,7 +61,7 @@
     }
 
     @Test
-    fun `a job that can never run gets 422, but a known job is answered as known`() {
+    fun `a job that can never run gets 422, but a job that was accepted before gets 200`() {
         assertEquals(422, submit(spec("run-1", team = "nobody")).status)
         assertEquals(422, submit(spec("run-2", resourceRequest = Resources(2.0, 5.0, 8.0))).status)
         assertEquals(422, submit(spec("run-3", tasks = 40, kind = JobKind.GANG)).status)
@@ -82,7 +83,7 @@
     }
 
     @Test
-    fun `without the key-value store every request is answered at once with a time to come back`() {
+    fun `without the key-value store every request gets 503, and the node stays ready`() {
         submit(spec("run-1"))
         state.down = true
         assertEquals(503, submit(spec("run-2")).status)
@@ -96,13 +97,13 @@
 
     @Test
     fun `a description that leaves no room for its tasks' placements gets 400`() {
-        val long = spec("run-1").copy(types = List(800) { "some-type-$it" } + "big")
-        assertEquals(400, submit(long).status)
+        val longSpec = spec("run-1").copy(types = List(800) { "some-type-$it" } + "big")
+        assertEquals(400, submit(longSpec).status)
         assertEquals(201, submit(spec("run-1").copy(types = List(20) { "some-type-$it" } + "big")).status)
     }
 
     @Test
-    fun `a short rate limit is retried, a long one is answered with a time to come back`() {
+    fun `a request is retried during a short rate limit, and gets 429 during a long one`() {
         state.throttled = 2
         assertEquals(201, submit(spec("run-1")).status)
         state.throttled = 1_000
@@ -113,12 +114,12 @@
     }
 
     @Test
-    fun `a node that has lost the key-value store alone relays requests to a peer`() {
-        // The peer reaches the same key-value store, which this node alone does not.
+    fun `a node that alone cannot reach the key-value store relays requests to a peer`() {
+        // The peer reaches the same key-value store, which only this node can't reach.
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state-2", 8, state::serve).use { reachable ->
             val peersClient = KeyValueStoreClient("127.0.0.1:${reachable.port}", http)
             val peersCache = StoreCache(peersClient, 1000.0) { _, _ -> }
-            val peersSyncs = startSyncThread(peersCache)
+            val peersSyncThread = startSyncThread(peersCache)
             servePeer(peerApi(peersClient, peersCache)).use { peer ->
                 members = listOf(Member("n1", "here", InetSocketAddress("127.0.0.1", peer.port)))
                 outside.close()
@@ -126,7 +127,7 @@
                 assertEquals("pending", show("run-1").stage)
                 assertEquals("aborted", withdraw("run-1").stage)
                 assertEquals(404, show("run-2").status)
-                peersSyncs.interrupt()
+                peersSyncThread.interrupt()
             }
         }
     }
@@ -138,13 +139,13 @@
     }
 
     private fun servePeer(api: UserApi): HttpListener {
-        val status = PeerStatus("n1", leading = false, leader = null, fresh = true)
-        val server = PeerServer({ status }, { null }, api::local)
+        val status = PeerStatus("n1", leading = false, leader = null, isCacheFresh = true)
+        val server = PeerServer({ status }, { null }, api::answerRelayed)
         return HttpListener(InetSocketAddress("127.0.0.1", 0), "peer", 4, server)
     }
 
     @Test
-    fun `a node that can ask nobody sends users elsewhere at once, and is not ready`() {
+    fun `an isolated node answers 503 without a request to the store, and is not ready`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertEquals(200, ready().status)
         cutOff = true
@@ -158,23 +159,24 @@
     }
 
     @Test
-    fun `a cancellation that other controllers do not know yet is neither confirmed nor denied`() {
+    fun `a cancellation that other controllers have not received yet is neither confirmed nor denied`() {
         assertEquals(201, submit(spec("run-1")).status)
         confirmable = false
         assertEquals(503, withdraw("run-1").status)
-        // Another node may have confirmed it by now: live would be an older answer.
+        // Another node may have confirmed the cancellation by now, so that a live state would be an outdated answer.
         assertEquals(503, show("run-1").status)
         assertEquals(503, submit(spec("run-1")).status)
         confirmable = true
         assertEquals("aborted", withdraw("run-1").stage)
-        // Once its end is stored, its tasks have stopped: no controller needs to know any more.
+        // Once the job's final state is stored, its tasks have stopped, so no controller needs the cancellation any
+        // more.
         confirmable = false
         end("run-1", "cancelled")
         assertEquals("aborted", show("run-1").stage)
     }
 
     @Test
-    fun `a job of 100,000 tasks is accepted, and no larger one`() {
+    fun `a job of 100,000 tasks is accepted, and a larger one gets 400`() {
         assertEquals(201, submit(spec("run-1", tasks = 100_000)).status)
         assertEquals(400, submit(spec("run-2", tasks = 100_001)).status)
     }
--- a/src/test/kotlin/glenspool/config/RolloutSettingsReaderTest.kt
+++ b/src/test/kotlin/glenspool/config/RolloutSettingsReaderTest.kt
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `every setting is taken from the file`() {
+    fun `every setting is read from the file`() {
         val policy =
             read(
                 """
@@ -41,13 +41,13 @@
                 factor = 1.5
                 """.trimIndent(),
             )
-        val taken = policy.run { listOf(mode, fenced, settle, evidenceAge, leftBehindAfter) }
+        val taken = policy.run { listOf(mode, fencedReaction, settlingTime, evidenceAge, leftBehindAfter) }
         assertEquals(listOf(ActivationMode.HOLD, FencedReaction.EXIT, 1.seconds, 6.5.seconds, 3.seconds), taken)
-        assertEquals(listOf(9.seconds, 4L, 1.5), policy.health.run { listOf(window, tolerated, factor) })
+        assertEquals(listOf(9.seconds, 4L, 1.5), policy.health.run { listOf(window, toleratedEvents, toleratedFactor) })
     }
 
     @Test
-    fun `every fault is reported with its path and what is allowed`() {
+    fun `every fault is reported with its path and the allowed values`() {
         val text =
             """
             mode = "sometimes"
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `a value in place of a table and a missing file are refused`() {
+    fun `a value in place of a table and a missing file are rejected`() {
         assertTrue(problemsOf("health = 4").single().endsWith("health: a table is needed"))
         assertThrows(SettingsError::class.java) { RolloutSettingsReader().read(File(dir, "absent.toml")) }
     }
--- a/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
+++ b/src/test/kotlin/glenspool/controller/FeatureLevelWritesTest.kt
@@ -6,7 +6,7 @@
 import glenspool.core.UpdateJobRecord
 import glenspool.core.model.JobRecord
 import glenspool.core.model.StoredPlacement
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
 import glenspool.rollout.FeatureGate
 import glenspool.rollout.FeatureRegistry
@@ -40,10 +40,10 @@
 class FeatureLevelWritesTest {
     private val store = InMemoryStore()
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, store::serve)
-    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+    private val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpClient(2.seconds))
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val gate =
-        FeatureGate(FeatureRegistry.CURRENT.of("build"), RolloutRecords(cache) { cache.age() != null }::level)
+        FeatureGate(FeatureRegistry.CURRENT.levelsOf("build"), RolloutRecords(cache) { cache.age() != null }::level)
     private val elected = LinkedBlockingQueue<Term>()
     private val outcomes = LinkedBlockingQueue<StoreOutcome>()
     private val leadership = Leadership("a", "boot", client, cache, { elected.add(it) }, {}) { gate.fence() == null }
@@ -118,12 +118,12 @@
     @Test
     fun `a process that can't read the active level is not elected, even as the only candidate`() {
         awaitElection()
-        val lease = checkNotNull(store.entries[Keys.LEAD]?.lease)
+        val lease = checkNotNull(store.entries[Keys.LEADERSHIP]?.lease)
         storeLevel(2, LevelStage.ACTIVE)
         leadership.resign("fenced", Duration.ZERO)
         store.endLease(lease)
         assertNull(elected.poll(1200, TimeUnit.MILLISECONDS))
-        assertNull(store.get(Keys.LEAD))
+        assertNull(store.get(Keys.LEADERSHIP))
         storeLevel(1, LevelStage.ACTIVE)
         awaitElection()
     }
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -15,7 +15,7 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** Jobs with dependencies: each rule with the failure that it prevents. */
+/** Tests each rule for jobs with dependencies by the failure that it prevents. */
 class JobDependenciesTest : SchedulerTestBase() {
     private fun List<Action>.finalStatesRequested() = filterIsInstance<ReadFinalStates>().flatMap { it.jobs }
 
@@ -33,7 +33,7 @@
         val start = request.commands.single()
         assertEquals("a", start.key.job)
         executed(request, runningTask("a", 0, start.attempt))
-        // Neither the worker's result nor the change in flight is enough.
+        // Neither the worker's result nor the change in flight is sufficient.
         val atResult = heartbeatActions("m1", exitedTask("a", 0, start.attempt, ExitReason.DONE))
         val beforeStored = atResult + wait(3.seconds)
         assertEquals(listOf("a"), beforeStored.finalStatesStored().map { it.id })
@@ -41,7 +41,7 @@
         assertTrue(
             waiting != null &&
                 waiting.waitsForDependencies &&
-                waiting.waitingCount() == 0 &&
+                waiting.waitingTaskCount() == 0 &&
                 waiting.waitingTasks(1).isEmpty(),
         )
         assertTrue(beforeStored.writes().none { it.id == "b" })
@@ -51,15 +51,15 @@
     }
 
     @Test
-    fun `a removed live record proves nothing, and the job's final state is read until it is known`() {
+    fun `a removed live record does not release dependents, and the job's final state is read until it is known`() {
         started()
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
-        // As after the store cache was reloaded: the removal alone is seen, of a job that was done or cancelled.
+        // After a reload of the store cache only the removal is known. The job may have been done or cancelled.
         val afterRemoval = step { jobRemoved("a") } + wait(1.seconds)
         assertEquals(listOf("a"), afterRemoval.finalStatesRequested())
         assertNull(core.jobs["b"])
-        // No answer: it is requested again.
+        // The request is not answered, so it is sent again.
         val afterNoAnswer = step { finalStatesRead(listOf("a"), emptyMap()) } + wait(2.seconds)
         assertEquals(listOf("a"), afterNoAnswer.finalStatesRequested())
         assertNull(core.jobs["b"])
@@ -68,18 +68,18 @@
     }
 
     @Test
-    fun `what depends on a cancelled job is closed with it, however long the chain`() {
+    fun `all direct and indirect dependents of a cancelled job are aborted, also in a long chain`() {
         val jobs = 600
         for (number in 0 until jobs) {
             val dependencies = if (number == 0) emptyList() else listOf("j${number - 1}")
             val record = JobRecord(job("j$number"), now, 0, BitSet(), emptyList(), dependencies)
-            step { jobStored(record, ++revision) }
+            step { jobRecordRead(record, ++revision) }
         }
         val closed = HashSet<String>()
         var actions = cancel("j0") + wait(1.seconds)
         while (closed.size < jobs) {
             val stored = actions.finalStatesStored()
-            assertTrue(stored.isNotEmpty(), "stopped after ${closed.size}")
+            assertTrue(stored.isNotEmpty(), "no further job was closed after ${closed.size}")
             for (write in stored) {
                 val abortedBy = if (write.id == "j0") null else "j0"
                 assertEquals(FinalState.CANCELLED to abortedBy, write.finalState to write.abortedBy)
@@ -92,10 +92,10 @@
     }
 
     @Test
-    fun `a job that was done before its cancellation releases those that depend on it`() {
+    fun `a job that was done before its cancellation releases its dependents`() {
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
-        // The cancellation was answered with done: it was never stored.
+        // The user's cancellation was answered with the final state DONE, so it was never stored.
         step { jobRemoved("a") }
         wait(1.seconds)
         finalStateRead("a", FinalState.DONE)
@@ -114,7 +114,7 @@
             first.effectivePriority to core.dependencies["b"]?.effectivePriority,
         )
         val latestStart = core.latestStart(first)
-        assertTrue(latestStart < latestStartBefore, "a chain's deadline comes before a job without one")
+        assertTrue(latestStart < latestStartBefore, "the inherited deadline does not advance the latest start")
         val dueBy = first.dueBy
         assertTrue(dueBy != null && dueBy < 90.seconds - 30.seconds)
         cancel("c")
--- a/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
+++ b/src/test/kotlin/glenspool/core/LargeFleetPlacementTest.kt
@@ -31,8 +31,8 @@
                 estimatedDuration = 1000.seconds,
             )
         fleet.step {
-            membersChecked(true)
-            machineTypesKnown(listOf(bigType))
+            splitRecordSupportChecked(true)
+            machineTypesRead(listOf(bigType))
         }
         fleet.submit(wide)
         repeat(8) {
@@ -47,8 +47,13 @@
         val placements = record.placements + record.placementParts.values.flatten()
         assertEquals((0 until 4000).toSet(), placements.map { it.task }.toSet())
         assertTrue(record.placementParts.size > 16, "${record.placementParts.size} parts")
-        val values = record.placementParts.values.map { RecordWire.encodePlaces(it) } + RecordWire.encode(record)
-        assertTrue(values.all { Cbor.jsonBytes(it) <= config().valueBytes }, "${values.map { Cbor.jsonBytes(it) }}")
+        val values = record.placementParts.values.map { RecordWire.encodePlacements(it) } + RecordWire.encode(record)
+        assertTrue(
+            values.all {
+                Cbor.jsonSizeBytes(it) <= config().valueBytes
+            },
+            "${values.map { Cbor.jsonSizeBytes(it) }}",
+        )
     }
 
     @Test
@@ -103,11 +108,11 @@
         fleet.now += 3.seconds
         val service = job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL)
         core.step(fleet.now, fleet.now) {
-            jobStored(JobRecord(service, now, 0, BitSet(), emptyList()), fleet.nextRevision())
+            jobRecordRead(JobRecord(service, now, 0, BitSet(), emptyList()), fleet.nextRevision())
         }
         // One transaction was in flight. The next one has to begin with the change that somebody is waiting for.
         val actions =
-            core.step(fleet.now, fleet.now) { storeEnded(StoreOutcome.Stored(fleet.nextRevision())) }
+            core.step(fleet.now, fleet.now) { transactionEnded(StoreOutcome.Stored(fleet.nextRevision())) }
         val changes = actions.filterIsInstance<StoreChanges>().single()
         assertEquals("s", changes.writes.first().id)
     }
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -7,7 +7,7 @@
 import glenspool.core.StoreChanges
 import glenspool.core.StoreFinalState
 import glenspool.core.model.JobSpec
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
 import glenspool.peer.PeerClient
 import glenspool.rollout.UnmanagedFeatures
@@ -62,8 +62,8 @@
     private val faults = ConcurrentLinkedQueue<String>()
 
     private fun node(): UserApi {
-        val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.GOOD) })
-        val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpCaller(2.seconds))
+        val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.VALID_SETTINGS) })
+        val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpClient(2.seconds))
         val cache = StoreCache(client, 2000.0) { _, _ -> }
         val syncs = startSyncThread(cache)
         resources.add(AutoCloseable(syncs::interrupt))
@@ -123,7 +123,7 @@
             val record = state.get(Keys.job(id)) ?: return
             val cancellation = state.get(Keys.cancel(id))
             val finalState = StoreFinalState(id, record.version, cancellation?.version, 1)
-            val leaderVersion = state.get(Keys.LEAD)?.version ?: 0
+            val leaderVersion = state.get(Keys.LEADERSHIP)?.version ?: 0
             val transaction = transactionOf(leaderVersion, StoreChanges(listOf(finalState)))
             state.transact(transaction.conditions, transaction.puts, transaction.removes)
         }
@@ -136,7 +136,7 @@
     fun `no node answers anything older, whatever happens at the same time`(seed: Long) {
         val random = Random(seed)
         loseAnswers(isLosing = seed % 2 == 0L)
-        state.transact(emptyMap(), listOf(Put(Keys.LEAD, mapOf("token" to 1L), state.newLease())), emptyList())
+        state.transact(emptyMap(), listOf(Put(Keys.LEADERSHIP, mapOf("token" to 1L), state.newLease())), emptyList())
         val ids = (1..40).map { "run-%06d".format(seed * 1000 + it) }
 
         ids.forEach { play(it, random) }
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -18,7 +18,7 @@
 import glenspool.core.model.Team
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryPolicy
-import glenspool.reconcile.RecoverySetting
+import glenspool.reconcile.RecoveryTimings
 import glenspool.reconcile.StartKind
 import glenspool.simulation.ClusterSimulation
 import glenspool.simulation.FaultRates
@@ -120,7 +120,7 @@
 
     private fun play(day: Day): String {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = day.valueBytes)
-        val setting = RecoverySetting(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
+        val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoverer = {
             token: Long,
             at: Duration,
@@ -214,7 +214,7 @@
                 trace.action(now, action) { transactionOf(1, it) }
                 if (action is StoreChanges) {
                     open
-                        .addAll(core.step(now, now) { storeEnded(StoreOutcome.Stored(++revision)) })
+                        .addAll(core.step(now, now) { transactionEnded(StoreOutcome.Stored(++revision)) })
                 }
                 if (action !is SendCommands) continue
                 for (start in action.commands.filterIsInstance<StartTask>()) {
@@ -229,7 +229,7 @@
                     )
             }
         }
-        step { machineTypesKnown(listOf(bigType)) }
+        step { machineTypesRead(listOf(bigType)) }
         for (number in 1..400) {
             val spec =
                 job(
@@ -240,7 +240,7 @@
                                 2,
                         ],
                 )
-            step { jobStored(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
+            step { jobRecordRead(JobRecord(spec, now, 0, BitSet(), emptyList()), ++revision) }
         }
         repeat(8) { turn ->
             for (number in 1..4000) {
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -31,11 +31,11 @@
 import glenspool.core.model.TaskStatus
 import glenspool.peer.CancellationMessage
 import glenspool.peer.DifferenceList
+import glenspool.peer.PeerContinuityEvidence
 import glenspool.peer.PeerLevels
 import glenspool.peer.PeerPaths
 import glenspool.peer.PeerStatus
 import glenspool.peer.PeerWire
-import glenspool.peer.PeerWitness
 import glenspool.peer.RecoveryReply
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
@@ -62,7 +62,7 @@
 import glenspool.rollout.HoldCause
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.rollout.MemberSeen
+import glenspool.rollout.ObservedMember
 import glenspool.rollout.OperatorOrders
 import glenspool.rollout.RolloutState
 import glenspool.simulation.CapturedRun
@@ -71,7 +71,7 @@
 import glenspool.wire.Cbor
 import glenspool.wire.CloudWire
 import glenspool.wire.Fields
-import glenspool.wire.FinalWire
+import glenspool.wire.FinalStateWire
 import glenspool.wire.ImagesWire
 import glenspool.wire.JobWire
 import glenspool.wire.RecordWire
@@ -125,7 +125,7 @@
     private val split =
         record.copy(
             placementParts = mapOf(1 to places.take(1), 2 to places.drop(1)),
-            descriptionParts = 2,
+            descriptionPartCount = 2,
             placements = emptyList(),
         )
 
@@ -148,11 +148,11 @@
             records.mapValues { RecordWire.encode(it.value) } +
                 mapOf(
                     "part of a description" to RecordWire.encodeDescriptionParts(waiting, 4096).single(),
-                    "part with places" to RecordWire.encodePlaces(places),
+                    "part with places" to RecordWire.encodePlacements(places),
                     "done bits" to mapOf("done" to RecordWire.encodeBits(done)),
-                    "final state done" to FinalWire.encode(FinalState.DONE, 12, null),
-                    "final state cancelled" to FinalWire.encode(FinalState.CANCELLED, 12, null),
-                    "final state cancelled with another" to FinalWire.encode(FinalState.CANCELLED, 12, "run-0"),
+                    "final state done" to FinalStateWire.encode(FinalState.DONE, 12, null),
+                    "final state cancelled" to FinalStateWire.encode(FinalState.CANCELLED, 12, null),
+                    "final state cancelled with another" to FinalStateWire.encode(FinalState.CANCELLED, 12, "run-0"),
                     "images" to ImagesWire.encode(mapOf("i-1" to mapOf("img" to 2.5))),
                     "operators' orders" to
                         RolloutWire.encode(
@@ -178,7 +178,7 @@
                         RecoveryWire.encode(RecoveryRecord(7, it, 9.seconds, isPaused = true))
                 } +
                 HoldCause.entries.associate { cause ->
-                    val members = listOf(MemberSeen("b", "1.0", 2, 3.seconds))
+                    val members = listOf(ObservedMember("b", "1.0", 2, 3.seconds))
                     val state = RolloutState(2, members, Hold(cause, "b", "why"), 4.seconds)
                     "rollout state ${cause.ordinal}" to RolloutWire.encode(state)
                 } +
@@ -193,7 +193,9 @@
     fun `keys and transactions`() {
         val keys =
             listOf(
-                Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.images(3), Keys.job("run-1"), Keys.cancel("run-1"),
+                Keys.LEADERSHIP, Keys.TOKEN_COUNTER, Keys.MACHINE_TYPES, Keys.images(3), Keys.job("run-1"),
+                Keys
+                    .cancel("run-1"),
                 Keys.chunk("run-1", 2), Keys.descriptionPart("run-1", 2), Keys.placementPart("run-1", 2),
                 Keys.final("run-1"), Keys.RECOVERY, Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE, Keys.LIVE,
             )
@@ -211,15 +213,17 @@
         val message = StoreWire.transaction(transaction.conditions, transaction.puts, transaction.removes)
         val requests =
             listOf(
-                StoreWire.list("g/", "g/j/x"), StoreWire.list("g/", null), StoreWire.follow("g/", 7, 3.seconds),
+                StoreWire.listPath("g/", "g/j/x"), StoreWire.listPath("g/", null),
                 StoreWire
-                    .renew(7),
+                    .watchPath("g/", 7, 3.seconds),
+                StoreWire
+                    .renewalPath(7),
             )
         GoldenFile("keys-and-transactions.txt").check(
             mapOf(
                 "keys" to keys.joinToString(" "), "transaction" to spelled(message),
                 "requests" to requests.joinToString(" "),
-                "new lease" to spelled(StoreWire.newLease(3.seconds)),
+                "new lease" to spelled(StoreWire.leaseRequest(3.seconds)),
             ),
         )
     }
@@ -247,11 +251,11 @@
             mapOf(
                 "report" to
                     WorkerWire.encode(Heartbeat("i-1", "10.0.0.1:9", "g8", "a", true, 2, 31, 7, 7.5.seconds, tasks)),
-                "answer to a report" to WorkerWire.answer(7, commands),
-                "commands" to WorkerWire.direct(7, 2, commands),
+                "answer to a report" to WorkerWire.heartbeatReply(7, commands),
+                "commands" to WorkerWire.directCommands(7, 2, commands),
                 "redirect" to WorkerWire.redirect("n2"),
-                "rental" to CloudWire.rent("r-7-1", "g8", "a", true, 3),
-                "deletion" to CloudWire.delete(listOf("i-1", "i-2")),
+                "rental" to CloudWire.rentalRequest("r-7-1", "g8", "a", true, 3),
+                "deletion" to CloudWire.deletionRequest(listOf("i-1", "i-2")),
             ) + statuses
         GoldenFile("messages.txt").check(messages.mapValues { spelled(it.value) })
     }
@@ -293,7 +297,9 @@
     @Test
     fun `messages between controllers`() {
         val status =
-            PeerStatus("n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerWitness(7))
+            PeerStatus(
+                "n1", true, "n2", true, 1, PeerLevels("boot", "1.0", 0, 2, true, 1, 2, 3, 4), PeerContinuityEvidence(7),
+            )
         val cancellations =
             CancellationMessage(
                 "n1", "boot", 5, listOf(CancellationMessage.Entry("run-1", 6, 7)), 8, 9, true, 10, 11, "other", 12,
@@ -317,7 +323,7 @@
                 }
         val paths =
             listOf(
-                PeerPaths.STATUS, PeerPaths.RELAY, PeerPaths.RELAY_CHAINED,
+                PeerPaths.STATUS, PeerPaths.RELAY, PeerPaths.RELAY_WITH_DEPENDENCIES,
                 PeerPaths.CANCELLATIONS, PeerPaths.ROLLOUT, PeerPaths.RECOVERY,
             )
         GoldenFile("peer-messages.txt").check(
--- a/src/test/kotlin/glenspool/http/EventLoopTimerTest.kt
+++ b/src/test/kotlin/glenspool/http/EventLoopTimerTest.kt
@@ -10,14 +10,14 @@
     private val timer = EventLoopTimer { now }
 
     @Test
-    fun `the lag is the last iteration and the time since the present one started`() {
+    fun `the lag is the duration of the last iteration plus the time since the current one started`() {
         assertEquals(Duration.ZERO, timer.lag())
         timer.startIteration()
         now += 2.seconds
         assertEquals(2.seconds, timer.lag())
         timer.endIteration()
         assertEquals(2.seconds, timer.lag())
-        // Idle time between two iterations is no lag.
+        // Idle time between two iterations does not count as lag.
         now += 5.seconds
         timer.startIteration()
         now += 1.seconds
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -27,50 +27,50 @@
 /** The rules of a recovery, one by one, in simulated time. */
 class RecoveryRulesTest {
     private val policy = RecoveryPolicy()
-    private val setting = RecoverySetting(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
+    private val timings = RecoveryTimings(lease = 16.seconds, heartbeatInterval = 2.seconds, listLag = 3.seconds)
 
-    /** The first token that a process witnesses whose reads of the store return these leaders' tokens. */
+    /** Returns the first token of the evidence after reads of the store that returned these leaders' tokens. */
     private fun firstTokenAfter(vararg reads: Pair<Long?, Duration>): Long? {
-        val witness = ContinuityWitness(staleLeaseLimit = 4.seconds)
-        reads.forEach { (leader, at) -> witness.stateRead(leader, at) }
-        return witness.firstToken
+        val evidence = ContinuityEvidence(staleLeaseLimit = 4.seconds)
+        reads.forEach { (leader, at) -> evidence.recordStoreRead(leader, at) }
+        return evidence.firstToken
     }
 
     @Test
-    fun `a process witnesses a term only if it saw it begin or saw its lease renewed`() {
+    fun `a term is continuity evidence only if the process observed its election or a renewal of its lease`() {
         assertEquals(3L, firstTokenAfter(null to 0.seconds, 3L to 1.seconds))
         assertEquals(3L, firstTokenAfter(3L to 0.seconds, 3L to 2.seconds, 3L to 4.seconds))
         assertEquals(4L, firstTokenAfter(3L to 0.seconds, 4L to 1.seconds))
-        // A record that exists at the first read may be stale: its leader may have ended.
+        // A record that exists at the first read may be stale, because its leader may have ended.
         assertNull(firstTokenAfter(3L to 0.seconds, 3L to 3.seconds, null to 3.seconds))
     }
 
     @Test
-    fun `an interruption of reading extends the time until a term counts as witnessed`() {
-        val witness = ContinuityWitness(staleLeaseLimit = 4.seconds)
-        witness.stateRead(3L, 0.seconds)
+    fun `a gap in reading the store extends the time until a term counts as continuity evidence`() {
+        val evidence = ContinuityEvidence(staleLeaseLimit = 4.seconds)
+        evidence.recordStoreRead(3L, 0.seconds)
 
-        witness.readingInterrupted(9.seconds)
-        witness.stateRead(3L, 9.seconds)
+        evidence.recordReadGap(9.seconds)
+        evidence.recordStoreRead(3L, 9.seconds)
 
-        assertNull(witness.firstToken)
+        assertNull(evidence.firstToken)
     }
 
     @Test
-    fun `a start counts as cold only if every controller answered and none witnessed an earlier term`() {
-        fun answered(firstToken: Long?) = MemberWitness(answered = true, firstToken)
-        val silent = MemberWitness(answered = false, firstToken = null)
+    fun `a start is cold only if every controller answered and none has evidence of an earlier term`() {
+        fun answered(firstToken: Long?) = MemberContinuityEvidence(answered = true, firstToken)
+        val unanswered = MemberContinuityEvidence(answered = false, firstToken = null)
 
-        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberWitness): StartKind {
+        fun classify(token: Long, ownFirstToken: Long?, vararg members: MemberContinuityEvidence): StartKind {
             val noRecord = StoredRecovery.Absent
             return StartClassifier.classify(token, ownFirstToken, members.toList(), noRecord)
         }
-        assertEquals(StartKind.FIRST, classify(1, null, silent, silent))
-        assertEquals(StartKind.TAKE_OVER, classify(5, 4, silent, silent))
-        assertEquals(StartKind.TAKE_OVER, classify(5, null, silent, answered(2)))
-        assertEquals(StartKind.UNKNOWN, classify(5, null, silent, answered(null)))
+        assertEquals(StartKind.FIRST, classify(1, null, unanswered, unanswered))
+        assertEquals(StartKind.TAKE_OVER, classify(5, 4, unanswered, unanswered))
+        assertEquals(StartKind.TAKE_OVER, classify(5, null, unanswered, answered(2)))
+        assertEquals(StartKind.UNKNOWN, classify(5, null, unanswered, answered(null)))
         assertEquals(StartKind.COLD, classify(5, null, answered(null), answered(null)))
-        // That other processes saw this very term begin proves nothing about the time before it.
+        // Evidence of the new term itself proves nothing about the time before it.
         assertEquals(StartKind.COLD, classify(5, 5, answered(5), answered(null)))
     }
 
@@ -78,7 +78,7 @@
     fun `a start continues a recovery whose record is unfinished or unreadable`() {
         val unfinished = RecoveryRecord(4, RecoveryPhase.GATHERING, 1.seconds)
         val finished = unfinished.copy(phase = RecoveryPhase.NORMAL)
-        val members = listOf(MemberWitness(answered = true, firstToken = 2))
+        val members = listOf(MemberContinuityEvidence(answered = true, firstToken = 2))
 
         fun classify(recovery: StoredRecovery) = StartClassifier.classify(5, 4, members, recovery)
         assertEquals(StartKind.CONTINUED, classify(StoredRecovery.Present(unfinished, 9)))
@@ -131,10 +131,10 @@
         isPaused,
     )
 
-    private fun phaseMachine() = PhaseMachine(policy, setting, startedAt = 0.seconds)
+    private fun phaseMachine() = PhaseStateMachine(policy, timings, startedAt = 0.seconds)
 
     @Test
-    fun `phases end when they are complete or their time is over, and not while paused`() {
+    fun `a phase ends when it is complete or its time limit is over, but not while the recovery is paused`() {
         val phases = phaseMachine()
         assertEquals(RecoveryPhase.GATHERING, phases.advance(facts(0.seconds))?.phase)
 
@@ -143,7 +143,8 @@
         assertEquals(PhaseEnd.TIME_OVER, phases.advance(facts(9.seconds, reported = 8))?.end)
         assertEquals(RecoveryPhase.ADOPTING, phases.state.phase)
 
-        val openBreaker = BreakerState(isOpen = true, machines = 9, fleet = 10, openSince = 9.seconds, release = null)
+        val openBreaker =
+            BreakerState(isOpen = true, affectedCount = 9, fleetSize = 10, openSince = 9.seconds, release = null)
         assertNull(phases.advance(facts(99.seconds, breaker = openBreaker)))
         assertEquals(RecoveryPhase.REPAIRING, phases.advance(facts(100.seconds))?.phase)
 
@@ -153,43 +154,43 @@
     }
 
     @Test
-    fun `gathering is not complete while no list says which machines should report`() {
+    fun `gathering is not complete before the cloud has listed the machines that should report`() {
         val phases = phaseMachine()
         assertEquals(PhaseEnd.TIME_OVER, phases.advance(facts(3.seconds, isListRead = false))?.end)
         assertNull(phases.advance(facts(4.seconds, isListRead = false, gathering = GatheringProgress.NONE)))
     }
 
     @Test
-    fun `an ordinary failover ends the recovery at once`() {
+    fun `an ordinary failover ends the recovery immediately`() {
         val normal = PhaseState(RecoveryPhase.NORMAL, 1.seconds, PhaseEnd.ORDINARY_START)
         assertEquals(normal, phaseMachine().advance(facts(1.seconds, StartKind.TAKE_OVER)))
     }
 
     @Test
-    fun `the breaker stays open until less is to be done, an operator approves or its time is over`() {
+    fun `the breaker stays open until fewer machines are affected, an operator approves or its time limit is over`() {
         fun evaluated(breaker: CircuitBreaker, machines: Int, at: Duration, isApproved: Boolean = false): BreakerState {
             val fleet = 10
             return breaker.evaluate(machines, fleet, isApproved, at)
         }
 
-        fun opened() = CircuitBreaker(policy).also { assertTrue(evaluated(it, 4, 1.seconds).isOpen) }
+        fun newOpenBreaker() = CircuitBreaker(policy).also { assertTrue(evaluated(it, 4, 1.seconds).isOpen) }
         assertFalse(evaluated(CircuitBreaker(policy), 3, 1.seconds).isOpen)
-        assertTrue(evaluated(opened(), 4, 60.seconds).isOpen)
-        assertEquals(BreakerRelease.FEWER_DIFFERENCES, evaluated(opened(), 3, 2.seconds).release)
-        assertEquals(BreakerRelease.APPROVED, evaluated(opened(), 9, 2.seconds, isApproved = true).release)
-        val expired = opened()
-        assertEquals(BreakerRelease.TIME_OVER, evaluated(expired, 9, 61.seconds).release)
-        assertFalse(evaluated(expired, 10, 62.seconds).isOpen, "a released breaker never opens again")
+        assertTrue(evaluated(newOpenBreaker(), 4, 60.seconds).isOpen)
+        assertEquals(BreakerRelease.FEWER_DIFFERENCES, evaluated(newOpenBreaker(), 3, 2.seconds).release)
+        assertEquals(BreakerRelease.APPROVED, evaluated(newOpenBreaker(), 9, 2.seconds, isApproved = true).release)
+        val timedOut = newOpenBreaker()
+        assertEquals(BreakerRelease.TIME_OVER, evaluated(timedOut, 9, 61.seconds).release)
+        assertFalse(evaluated(timedOut, 10, 62.seconds).isOpen, "a released breaker never opens again")
     }
 
     @Test
-    fun `the budget limits orders per second, and resizing the fleet gives no spent order back`() {
+    fun `the budget limits orders per second, and a larger fleet does not refund spent orders`() {
         var now = 0.seconds
         val budget = RepairBudget(RepairRates(stops = 0.1)) { now }
 
         fun consumeAll() = generateSequence { budget.tryConsume(OrderKind.STOP) }.takeWhile { it }.count()
         budget.resize(fleet = 50)
-        assertEquals(1, consumeAll(), "the budget begins with the smallest fleet's")
+        assertEquals(1, consumeAll(), "the initial budget is that of the smallest fleet")
         now += 1.seconds
         assertEquals(5, consumeAll())
         budget.resize(fleet = 100)
@@ -200,8 +201,8 @@
     }
 
     @Test
-    fun `a task of an unknown job is stopped only if its job was read as absent after the task was reported`() {
-        val engine = RecoveryEngine(policy, setting, token = 2, startedAt = 0.seconds, StartKind.COLD)
+    fun `a task of an unknown job is stopped only if a store read sent after its first report found no such job`() {
+        val engine = RecoveryEngine(policy, timings, token = 2, startedAt = 0.seconds, StartKind.COLD)
         val gate = engine.hooks.gate
         val observer = engine.hooks.observer
         val task = TaskKey("u", 0)
@@ -213,18 +214,18 @@
         (4..9).forEach { engine.tick(it.seconds) }
         assertEquals(RecoveryPhase.REPAIRING, engine.phase)
 
-        engine.stateRead(2.9.seconds)
+        engine.recordStoreRead(2.9.seconds)
         assertFalse(gate.admits(order))
-        engine.stateRead(3.1.seconds)
+        engine.recordStoreRead(3.1.seconds)
         engine.pause()
         assertFalse(gate.admits(order))
         engine.resume()
         assertTrue(gate.admits(order))
-        assertFalse(gate.admits(order), "so small a fleet admits one stop per second")
+        assertFalse(gate.admits(order), "a fleet of this size admits one stop per second")
     }
 
     @Test
-    fun `the stored record decodes to itself, and anything else is rejected as malformed`() {
+    fun `a recovery record decodes to itself, and incomplete or invalid fields are rejected as malformed`() {
         for (phase in RecoveryPhase.entries) {
             val isApproved = phase == RecoveryPhase.NORMAL
             val record = RecoveryRecord(7, phase, 99.seconds, isPaused = true, isApproved)
@@ -234,6 +235,6 @@
         for (name in fields.keys) {
             assertThrows(MalformedMessage::class.java, { RecoveryWire.decode(fields - name) }, name)
         }
-        assertThrows(MalformedMessage::class.java) { RecoveryWire.decode(fields + ("phase" to "dreaming")) }
+        assertThrows(MalformedMessage::class.java) { RecoveryWire.decode(fields + ("phase" to "undefined")) }
     }
 }
--- a/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
+++ b/src/test/kotlin/glenspool/rollout/HealthAndPlanTest.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** What stops an upgrade, and which controller is replaced next. */
+/** Tests what stops an upgrade and which controller is replaced next. */
 class HealthAndPlanTest {
     private val oldBuild = BuildLevels("old", 0, 0)
     private val newBuild = BuildLevels("new", 0, 1)
@@ -21,7 +21,7 @@
 
     @Test
     fun `events since a step are compared with those before it, across restarts`() {
-        val gate = HealthGate(HealthLimits(window = 10.minutes, tolerated = 5, factor = 2.0))
+        val gate = HealthGate(HealthLimits(window = 10.minutes, toleratedEvents = 5, toleratedFactor = 2.0))
         for (minute in 0..9) {
             gate.add(report("b", "one", refusals = minute * 10L))
             gate.sample(minute.minutes)
@@ -45,7 +45,7 @@
 
     @Test
     fun `too many events since the last step stop the plan and hold the level`() {
-        val simulation = RolloutSimulation(RolloutPolicy(health = HealthLimits(tolerated = 3)))
+        val simulation = RolloutSimulation(RolloutPolicy(health = HealthLimits(toleratedEvents = 3)))
         simulation.elect("a")
         val startedAt = simulation.now
         val engine = RolloutEngine(simulation.leader.registry, simulation.policy, listOf("a", "b", "c"), startedAt)
@@ -85,7 +85,7 @@
         simulation.run(10.seconds)
         assertEquals(replacements("b"), simulation.overview().plan)
 
-        // A still newer build makes the leader's build an old one as well.
+        // An even newer build at another member makes the leader's build an old one as well.
         simulation.member("c").restart(2)
         simulation.run(4.seconds)
         assertEquals(HoldCause.MEMBER_OLD_BUILD, simulation.hold?.cause)
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Activation and its edge cases, one by one, in simulated time. */
+/** Tests activation and its edge cases in simulated time. */
 class RolloutCasesTest {
     private val simulation = RolloutSimulation()
 
@@ -33,14 +33,14 @@
     }
 
     @Test
-    fun `a member left behind for hours holds the level and is named until it is replaced`() {
+    fun `a member with an old build holds the level and is named in warnings until it is replaced`() {
         simulation.restartWithOldBuild("c")
         simulation.elect("a")
         simulation.run(3.hours)
         assertEquals(Hold(HoldCause.MEMBER_OLD_BUILD, "c", "unmanaged"), simulation.hold)
         assertEquals(0, simulation.active)
         val warnings = simulation.notices.filter { "member c is left behind" in it }
-        // The first report comes two seconds after the start; then one warning every ten minutes.
+        // The first report arrives two seconds after the start; then there is one warning every ten minutes.
         assertEquals(17, warnings.size)
         assertTrue(warnings.last().contains("for 10"), warnings.last())
         val stored = simulation.records.state().valueOrNull()
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a rollback before activation fences nobody, and the upgrade can be repeated`() {
+    fun `a rollback before activation fences no member, and the upgrade can be repeated`() {
         simulation.restartWithOldBuild("b", "c")
         simulation.elect("a")
         simulation.run(1.minutes)
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `a member that alternates between builds never settles`() {
+    fun `a member that alternates between builds prevents the activation`() {
         simulation.elect("a")
         repeat(30) {
             simulation.restartWithOldBuild("b")
@@ -103,23 +103,23 @@
     fun `a delayed answer of an earlier process is ignored`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
 
-        tracker.memberReported(report("b-2", oldBuild), askedAt = 20.seconds)
-        tracker.memberReported(report("b-1", newBuild), askedAt = 19.seconds)
+        tracker.memberReported(report("b-2", oldBuild), requestSentAt = 20.seconds)
+        tracker.memberReported(report("b-1", newBuild), requestSentAt = 19.seconds)
 
         val view = tracker.view(21.seconds).single()
         assertEquals(oldBuild, view.report?.levels)
     }
 
     @Test
-    fun `the time of readiness starts over with another process and after a gap in the evidence`() {
+    fun `the readiness time restarts with a new process and after a gap in the evidence`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
 
-        tracker.memberReported(report("b-3"), askedAt = 22.seconds)
-        tracker.memberReported(report("b-4"), askedAt = 30.seconds)
+        tracker.memberReported(report("b-3"), requestSentAt = 22.seconds)
+        tracker.memberReported(report("b-4"), requestSentAt = 30.seconds)
         assertEquals(1.seconds, tracker.view(31.seconds).single().readyFor)
 
-        // During the gap it may have been another process.
-        tracker.memberReported(report("b-4"), askedAt = 41.seconds)
+        // Another process may have been running during the gap.
+        tracker.memberReported(report("b-4"), requestSentAt = 41.seconds)
         assertEquals(0.seconds, tracker.view(41.seconds).single().readyFor)
         assertEquals(0.seconds, tracker.view(60.seconds).single().readyFor)
     }
@@ -127,12 +127,12 @@
     @Test
     fun `a report of a member that is not configured is ignored`() {
         val tracker = MemberTracker(listOf("b"), evidenceAge = 10.seconds, startedAt = 0.seconds)
-        tracker.memberReported(report("x", member = "stranger"), askedAt = 61.seconds)
+        tracker.memberReported(report("x", member = "unconfigured"), requestSentAt = 61.seconds)
         assertEquals(listOf("b"), tracker.view(61.seconds).map { it.member })
     }
 
     @Test
-    fun `a leader that ends before its write changes nothing, and the next one gathers evidence of its own`() {
+    fun `a leader that ends before its write changes nothing, and the next leader collects new evidence`() {
         simulation.elect("a")
         simulation.fate = RolloutSimulation.Fate.REFUSED
         simulation.run(40.seconds)
@@ -177,7 +177,7 @@
     }
 
     @Test
-    fun `a late activation of the same leader that meets a newer record changes nothing`() {
+    fun `a delayed activation of the same leader changes nothing if the level record is newer`() {
         simulation.elect("a")
         simulation.fate = RolloutSimulation.Fate.LATE
         simulation.run(24.seconds)
@@ -214,7 +214,7 @@
     }
 
     @Test
-    fun `an excluded member is not waited for`() {
+    fun `an activation does not wait for an excluded member`() {
         simulation.member("c").up = false
         simulation.elect("a")
         simulation.run(1.minutes)
@@ -229,7 +229,7 @@
     }
 
     @Test
-    fun `an excluded member that comes back with an old build is fenced, or reported if its build knows no levels`() {
+    fun `an excluded member that restarts with an old build is fenced, or reported if its build knows no levels`() {
         simulation.member("c").up = false
         simulation.elect("a")
         simulation.run(1.minutes)
@@ -248,7 +248,7 @@
     }
 
     @Test
-    fun `an exclusion can be taken back, and needs a configured member`() {
+    fun `an exclusion can be cancelled, and needs a configured member`() {
         simulation.elect("a")
         assertTrue(simulation.order(OperatorRequest.Exclude("x", "an operator")) is OrderOutcome.Refused)
 
@@ -312,7 +312,7 @@
     }
 
     @Test
-    fun `without a level record the rollout is as before the first activation`() {
+    fun `if the level record is missing, the rollout proceeds as before the first activation`() {
         simulation.elect("a")
         simulation.run(30.seconds)
         storeUnconditionally(Put(Keys.LEVEL, futureLevel))
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -28,12 +28,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The readers of stored records against damaged records. A reader may only return a value or throw [MalformedMessage]:
- * any other exception would end a service thread. A longer run than CI's: `mvn test -Dtest=StoredFormsFuzzTest
- * -DargLine=-Djqwik.tries.default=200000`.
+ * Tests the readers of stored records with damaged records. A reader may only return a value or throw
+ * [MalformedMessage], because any other exception would end a service thread. A longer run than CI's:
+ * `mvn test -Dtest=StoredFormsFuzzTest -DargLine=-Djqwik.tries.default=200000`.
  */
 class StoredFormsFuzzTest {
-    /** Records as the version in production stored them. */
+    /** Records stored by the version in production. */
     private val productionFiles =
         listOf(
             "g~j~run-000412",
@@ -55,7 +55,7 @@
     private val state =
         RolloutState(
             target = 2,
-            members = listOf(MemberSeen("a", "b", 1, 3.milliseconds)),
+            members = listOf(ObservedMember("a", "b", 1, 3.milliseconds)),
             hold = Hold(HoldCause.HEALTH, "a", "b"),
             heldSince = 9.milliseconds,
         )
@@ -102,7 +102,13 @@
     private fun readJobRecord(fields: Fields): Any? = JobRecordReader(InMemoryStore()).read("a", fields)
 
     private val readers: List<(Fields) -> Any?> =
-        listOf(RolloutWire::level, RolloutWire::orders, RolloutWire::state, ::readJobRecord, OldVersion::reads)
+        listOf(
+            RolloutWire::decodeLevel,
+            RolloutWire::decodeOrders,
+            RolloutWire::decodeState,
+            ::readJobRecord,
+            OldVersion::reads,
+        )
 
     private fun readOrNull(reader: (Fields) -> Any?, fields: Fields): Any? =
         try {
@@ -139,21 +145,21 @@
         @ForAll("levelRecords") record: LevelRecord,
     ) {
         val fields = Cbor.decodeMap(Cbor.encode(RolloutWire.encode(record)))
-        assertEquals(record, RolloutWire.level(fields))
-        assertNull(readOrNull(RolloutWire::orders, fields))
-        assertNull(readOrNull(RolloutWire::state, fields))
+        assertEquals(record, RolloutWire.decodeLevel(fields))
+        assertNull(readOrNull(RolloutWire::decodeOrders, fields))
+        assertNull(readOrNull(RolloutWire::decodeState, fields))
         assertNull(OldVersion.reads(fields))
         assertNull(readOrNull(::readJobRecord, fields))
     }
 
     @Property(seed = "4714")
-    fun `a damaged level record permits and fences no more than what is legible of it`(
+    fun `a damaged level record permits and fences only what its decodable fields state`(
         @ForAll @LongRange(min = 0) seed: Long,
     ) {
         val store = InMemoryStore()
         store.transact(emptyMap(), listOf(Put(Keys.LEVEL, damagedRecord(seed))), emptyList())
-        val gate = FeatureGate(FeatureRegistry.CURRENT.of("b"), RolloutRecords(store) { true }::level)
-        val record = readOrNull(RolloutWire::level, store.entries.getValue(Keys.LEVEL).value) as LevelRecord?
+        val gate = FeatureGate(FeatureRegistry.CURRENT.levelsOf("b"), RolloutRecords(store) { true }::level)
+        val record = readOrNull(RolloutWire::decodeLevel, store.entries.getValue(Keys.LEVEL).value) as LevelRecord?
         val mayWrite = record != null && record.level == 1 && record.stage == LevelStage.ACTIVE
         val mustNotServe = record != null && record.level > 1
         assertEquals(mayWrite, gate.permit(1) != null)
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -68,8 +68,8 @@
         recovery = recoveryFactory?.takeIf { isRecoveryDue }?.invoke(token, context.now, startKind())
         scheduler = Scheduler(context.config, token, context.now, recovery?.hooks ?: SchedulerHooks())
         step {
-            membersChecked(areAllNew)
-            machineTypesKnown(context.machineTypes)
+            splitRecordSupportChecked(areAllNew)
+            machineTypesRead(context.machineTypes)
             storedEntries(Keys.JOB).forEach { applyChange(it) }
             storedEntries(Keys.CANCEL).forEach { applyChange(it) }
         }
@@ -82,8 +82,9 @@
     private fun storeTerm() {
         val lease = store.state.newLease()
         token++
-        val leaderRecord = Put(Keys.LEAD, mapOf("token" to token), lease)
-        store.state.transact(emptyMap(), listOf(leaderRecord, Put(Keys.TERM, mapOf("token" to token))), emptyList())
+        val leaderRecord = Put(Keys.LEADERSHIP, mapOf("token" to token), lease)
+        store.state
+            .transact(emptyMap(), listOf(leaderRecord, Put(Keys.TOKEN_COUNTER, mapOf("token" to token))), emptyList())
         recordVersion = store.state.revision
     }
 
@@ -141,7 +142,7 @@
     fun advanceToken(by: Scheduler): Long? {
         if (scheduler !== by || store.isDown) return null
         token++
-        store.state.transact(emptyMap(), listOf(Put(Keys.TERM, mapOf("token" to token))), emptyList())
+        store.state.transact(emptyMap(), listOf(Put(Keys.TOKEN_COUNTER, mapOf("token" to token))), emptyList())
         return token
     }
 
@@ -150,7 +151,7 @@
         if (scheduler == null || store.isDown) return
         readChanges()
         step {
-            membersChecked(areAllNew && !isOldVersion)
+            splitRecordSupportChecked(areAllNew && !isOldVersion)
             tick()
         }
         tickRecovery()
@@ -158,7 +159,7 @@
 
     private fun tickRecovery() {
         val engine = recovery ?: return
-        engine.stateRead(context.now)
+        engine.recordStoreRead(context.now)
         recoveryNotices.addAll(engine.tick(context.now))
         isRecoveryDue = engine.isActive
     }
@@ -180,7 +181,7 @@
                 jobRemoved(job)
             } else {
                 val readable = if (isOldVersion) OldVersion.reads(value) else value
-                if (readable != null) jobStored(store.records.read(job, readable), change.version)
+                if (readable != null) jobRecordRead(store.records.read(job, readable), change.version)
             }
         } else if (change.key.startsWith(Keys.CANCEL) && value != null) {
             jobCancelled(change.key.removePrefix(Keys.CANCEL), change.version, (value["at"] as Long).milliseconds)
--- a/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
+++ b/src/test/kotlin/glenspool/state/StoreCacheLoadTest.kt
@@ -1,8 +1,8 @@
 package glenspool.state
 
-import glenspool.http.HttpCaller
+import glenspool.http.HttpClient
 import glenspool.http.HttpListener
-import glenspool.http.cbor
+import glenspool.http.cborResponse
 import glenspool.wire.Fields
 import org.http4k.core.Status
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -12,9 +12,9 @@
 import kotlin.concurrent.thread
 import kotlin.time.Duration.Companion.seconds
 
-/** A cache that is loaded page by page while the store goes on changing. */
+/** Tests a cache that is loaded page by page while keys in the store change. */
 class StoreCacheLoadTest {
-    /** A page read at revision 14 that already holds a key of revision 20. */
+    /** A page that was read at revision 14 and already contains a key of revision 20. */
     private val page =
         mapOf(
             "rows" to listOf(mapOf("key" to "g/a", "data" to mapOf("n" to 20L), "mark" to 20L)),
@@ -22,7 +22,7 @@
             "ledger" to 14L,
         )
 
-    /** Changes up to revision 16, among them an older one of the same key. */
+    /** Changes up to revision 16, including an older change of the key in [page]. */
     private val changes =
         mapOf(
             "ledger" to 16L,
@@ -34,23 +34,23 @@
         )
 
     @Test
-    fun `changes from before a page was read take no key of it back`() {
+    fun `a change older than a page that was read does not replace the newer value of its key`() {
         HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 4, { request ->
             val body: Fields = if (request.uri.path == "/store") page else changes
-            cbor(Status.OK, body)
+            cborResponse(Status.OK, body)
         }).use { listener ->
-            val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpCaller(2.seconds))
+            val client = KeyValueStoreClient("127.0.0.1:${listener.port}", HttpClient(2.seconds))
             val cache = StoreCache(client, 1000.0) { _, _ -> }
-            val syncs = thread(isDaemon = true) { untilInterrupted { cache.serveSyncs() } }
+            val syncThread = thread(isDaemon = true) { runUntilInterrupted { cache.serveSyncs() } }
 
             repeat(2) { assertTrue(cache.sync(5.seconds)) }
 
             assertEquals(listOf("g/a" to 20L, "g/b" to 16L), cache.withPrefix("g/").map { it.key to it.version })
-            syncs.interrupt()
+            syncThread.interrupt()
         }
     }
 
-    private fun untilInterrupted(work: () -> Unit) {
+    private fun runUntilInterrupted(work: () -> Unit) {
         try {
             work()
         } catch (e: InterruptedException) {
@@ -59,15 +59,15 @@
     }
 
     @Test
-    fun `the active level is read after everything that may be written under it`() {
-        val others =
+    fun `the active level sorts after all keys whose form may depend on it`() {
+        val otherKeys =
             listOf(
-                Keys.LEAD, Keys.TERM, Keys.TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL,
+                Keys.LEADERSHIP, Keys.TOKEN_COUNTER, Keys.MACHINE_TYPES, Keys.IMAGES, Keys.JOB, Keys.CANCEL,
                 Keys.CHUNK, Keys.DESCRIPTION_PART, Keys.PLACEMENT_PART,
             )
-        val rollout = listOf(Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE)
+        val rolloutKeys = listOf(Keys.LEVEL, Keys.ROLLOUT_ORDERS, Keys.ROLLOUT_STATE)
 
-        assertTrue(others.all { it < Keys.ROLLOUT && it.startsWith(Keys.LIVE) })
-        assertTrue(rollout.all { it.startsWith(Keys.ROLLOUT) })
+        assertTrue(otherKeys.all { it < Keys.ROLLOUT && it.startsWith(Keys.LIVE) })
+        assertTrue(rolloutKeys.all { it.startsWith(Keys.ROLLOUT) })
     }
 }
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -25,7 +25,7 @@
 import glenspool.state.Put
 import glenspool.wire.Cbor
 import glenspool.wire.Fields
-import glenspool.wire.FinalWire
+import glenspool.wire.FinalStateWire
 import glenspool.wire.ImagesWire
 import glenspool.wire.JobWire
 import glenspool.wire.RecordWire
@@ -87,18 +87,22 @@
     fun `its final states, cancellations, image locations and leadership are read`() {
         val done = stored(Keys.final("run-000001"))
         val cancelled = stored(Keys.final("run-000002"))
-        assertEquals(listOf(FinalState.DONE, FinalState.CANCELLED), listOf(done, cancelled).map(FinalWire::end))
-        assertEquals(4, FinalWire.answer("run-000001", done)["done"])
+        assertEquals(
+            listOf(FinalState.DONE, FinalState.CANCELLED),
+            listOf(done, cancelled)
+                .map(FinalStateWire::finalState),
+        )
+        assertEquals(4, FinalStateWire.status("run-000001", done)["done"])
         assertEquals(1_003_000L, stored(Keys.cancel("run-000414")).count("at"))
         assertEquals(mapOf("i-000001" to mapOf("img-07" to 6.2)), ImagesWire.decode(stored(Keys.images(3))))
-        assertEquals("bobbin-0" to 5L, stored(Keys.LEAD).let { it["node"] to it.count("token") })
-        assertEquals(5L, stored(Keys.TERM).count("token"))
+        assertEquals("bobbin-0" to 5L, stored(Keys.LEADERSHIP).let { it["node"] to it.count("token") })
+        assertEquals(5L, stored(Keys.TOKEN_COUNTER).count("token"))
     }
 
     @Test
     fun `its messages are understood, and it is not taken for a new one`() {
         val status = PeerWire.decodeStatus(written("peer-status"))
-        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, reads = 0), status)
+        assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, readableLevel = 0), status)
 
         val request = PeerWire.decodeRelayRequest(written("relay-request"))
         assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(request.body)).id)
@@ -114,7 +118,7 @@
     @OptIn(ExperimentalSerializationApi::class)
     @Test
     fun `it understands what a new controller says of itself`() {
-        val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED))
+        val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED_RECORDS))
         val oldDecoder = kotlinx.serialization.cbor.Cbor { ignoreUnknownKeys = true }
 
         val understood = oldDecoder.decodeFromByteArray<OldStatus>(encoded)
@@ -154,7 +158,7 @@
 
     @Test
     fun `a job with its description in parts is unreadable to it`() {
-        val inParts = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), descriptionParts = 2)
+        val inParts = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), descriptionPartCount = 2)
 
         assertNull(OldVersion.reads(RecordWire.encode(inParts)))
     }
@@ -202,9 +206,9 @@
                 val both = PeerClient(listOf(member(old), member(new)))
                 val oldAlone = PeerClient(listOf(member(old)))
 
-                assertEquals(200, both.relay(request, 5.seconds, PeerPaths.RELAY_CHAINED)?.status)
+                assertEquals(200, both.relay(request, 5.seconds, PeerPaths.RELAY_WITH_DEPENDENCIES)?.status)
                 assertEquals(emptyList<String>(), taken)
-                assertNull(oldAlone.relay(request, 5.seconds, PeerPaths.RELAY_CHAINED))
+                assertNull(oldAlone.relay(request, 5.seconds, PeerPaths.RELAY_WITH_DEPENDENCIES))
                 assertEquals(201, both.relay(request, 5.seconds)?.status)
             }
         }
