--- a/src/main/kotlin/glenspool/peer/PeerPaths.kt
+++ b/src/main/kotlin/glenspool/peer/PeerPaths.kt
@@ -11,7 +11,7 @@
      */
     const val RELAY_WITH_DEPENDENCIES = "/peer/relay-chained"
 
-    /** The exchange of cancellations. A version that does not support the path takes no part in it. */
+    /** The exchange of cancellations. A version that does not support the path does not take part. */
     const val CANCELLATIONS = "/peer/cancellations"
 
     /** Operators' queries and commands for the rollout; 404 where levels are not managed. */
--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -96,7 +96,7 @@
         assertEquals("pending", stage("run-3"))
         assertEquals("aborted", withdraw("run-1").stage)
         for (id in listOf("run-2", "run-3")) assertAborted("run-1", show(id))
-        // The job is accepted although the user is told that it will not run; cancelling it has nothing to store.
+        // The job is accepted although the answer reports that it will not run; cancelling it stores nothing.
         assertAnswer(201, "aborted", submit(spec("run-4"), listOf("run-3")))
         assertEquals("aborted", withdraw("run-4").stage)
         // The answer stays the same when the cancelled job has ended and those that depend on it have not yet.
