--- a/src/test/kotlin/glenspool/api/DependencyApiTest.kt
+++ b/src/test/kotlin/glenspool/api/DependencyApiTest.kt
@@ -5,7 +5,7 @@
 import glenspool.core.model.JobSpec
 import glenspool.http.CallResult
 import glenspool.simulation.OldVersion
-import glenspool.simulation.ServedUserApi
+import glenspool.simulation.UserApiTestBase
 import glenspool.state.JobRecordReader
 import glenspool.state.Keys
 import glenspool.wire.RecordWire
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test
 
 /** Submissions with dependencies, and descriptions too long for one value, under the smallest limits of all sites. */
-class DependencyApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
+class DependencyApiTest : UserApiTestBase(SMALL_STORE_SETTINGS) {
     private fun storedRecord(id: String) = state.entries.getValue(Keys.job(id)).value
 
     private fun record(id: String): JobRecord = JobRecordReader(state).read(id, storedRecord(id))
@@ -45,9 +45,9 @@
         submit(spec("run-1"))
         assertAnswer(201, "pending", submit(spec("run-2"), listOf("run-1", "run-1")))
         assertEquals(listOf("run-1"), dependencies("run-2"))
-        assertNull(OldVersion.reads(storedRecord("run-2")))
+        assertNull(OldVersion.read(storedRecord("run-2")))
         assertEquals("pending" to listOf("run-1"), show("run-2").let { it.stage to it.body["awaits"] })
-        end("run-1", "done")
+        storeFinalState("run-1", "done")
         assertEquals("pending" to null, show("run-2").let { it.stage to it.body["awaits"] })
         for (noDependencies in listOf(null, emptyList<String>())) {
             submit(spec("run-9$noDependencies"), noDependencies)
@@ -59,7 +59,7 @@
     fun `only accepted jobs in any state, and no services, can be named as dependencies`() {
         submit(spec("run-1"))
         submit(spec("run-2"))
-        end("run-2", "done")
+        storeFinalState("run-2", "done")
         submit(spec("run-3", kind = JobKind.SERVICE))
         assertEquals(422, submit(spec("run-4"), listOf("run-1", "run-99")).status)
         assertEquals(422, submit(spec("run-4"), listOf("run-3")).status)
@@ -78,9 +78,9 @@
     fun `without the key-value store a submission gets 503, and a known job is answered despite failed checks`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
-        state.down = true
+        state.isDown = true
         assertEquals(503, submit(spec("run-3"), listOf("run-1")).status)
-        state.down = false
+        state.isDown = false
         // Both repeats are answered because run-2 is known, although the dependency run-77 was never accepted and the
         // first repeat is too long for a new job.
         val longSpec = spec("run-2").copy(types = List(900) { "some-type-$it" })
@@ -100,9 +100,9 @@
         assertAnswer(201, "aborted", submit(spec("run-4"), listOf("run-3")))
         assertEquals("aborted", withdraw("run-4").stage)
         // The answer stays the same when the cancelled job has ended and those that depend on it have not yet.
-        end("run-1", "cancelled")
+        storeFinalState("run-1", "cancelled")
         for (id in listOf("run-2", "run-3", "run-4")) assertEquals("aborted", stage(id))
-        end("run-2", "cancelled")
+        storeFinalState("run-2", "cancelled")
         for (id in listOf("run-2", "run-3", "run-4")) assertEquals("aborted", stage(id))
         assertAnswer(201, "aborted", submit(spec("run-5"), listOf("run-1")))
     }
@@ -111,7 +111,7 @@
     fun `a cancellation of a job that is done does not abort its dependents`() {
         submit(spec("run-1"))
         submit(spec("run-2"), listOf("run-1"))
-        end("run-1", "done")
+        storeFinalState("run-1", "done")
         assertEquals("done", withdraw("run-1").stage)
         assertEquals("pending", stage("run-2"))
         assertEquals("aborted", withdraw("run-2").stage)
@@ -141,7 +141,7 @@
         // An old controller may lead, so the record is stored in its form as long as the key-value store accepts it.
         allMembersReadSplitRecords = false
         assertEquals(201, submit(longSpec).status)
-        assertNotNull(OldVersion.reads(storedRecord("run-1")))
+        assertNotNull(OldVersion.read(storedRecord("run-1")))
         // The key-value store's limit is lowered without notice to the controller.
         state.lowerLimits()
         assertEquals(201, submit(longSpec.copy(id = "run-2")).status)
--- a/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
+++ b/src/test/kotlin/glenspool/api/FeatureLevelApiTest.kt
@@ -6,7 +6,7 @@
 import glenspool.rollout.FeatureRegistry
 import glenspool.rollout.LevelRecord
 import glenspool.rollout.LevelStage
-import glenspool.simulation.ServedUserApi
+import glenspool.simulation.UserApiTestBase
 import glenspool.state.Keys
 import glenspool.state.RolloutRecords
 import glenspool.wire.RolloutWire
@@ -22,7 +22,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Submissions at a controller whose feature levels are managed. */
-class FeatureLevelApiTest : ServedUserApi(SMALL_STORE_SETTINGS) {
+class FeatureLevelApiTest : UserApiTestBase(SMALL_STORE_SETTINGS) {
     private val gate = FeatureGate(FeatureRegistry.CURRENT.levelsOf("build"), RolloutRecords(state) { true }::level)
 
     @BeforeEach
@@ -63,7 +63,7 @@
 
     @Test
     fun `no description parts are stored before the level is active, even if the store refuses the value`() {
-        state.valueLimit = 2048
+        state.maxValueBytes = 2048
         val longSpec = spec("run-1").copy(types = List(150) { "some-type-$it" } + "big")
         assertEquals(503, submit(longSpec).status)
         assertEquals(emptyList<String>(), state.entries.keys.filter { it.startsWith(Keys.DESCRIPTION_PART) })
--- a/src/test/kotlin/glenspool/api/UserApiTest.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTest.kt
@@ -9,7 +9,7 @@
 import glenspool.peer.PeerServer
 import glenspool.peer.PeerStatus
 import glenspool.rollout.UnmanagedFeatures
-import glenspool.simulation.ServedUserApi
+import glenspool.simulation.UserApiTestBase
 import glenspool.simulation.bigType
 import glenspool.simulation.startSyncThread
 import glenspool.state.KeyValueStoreClient
@@ -22,7 +22,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The users' requests, one job at a time. */
-class UserApiTest : ServedUserApi() {
+class UserApiTest : UserApiTestBase() {
     private fun ready() = http.get(addr, "/ready", 10.seconds) as CallResult.Response
 
     private fun submitRaw(body: ByteArray) =
@@ -32,7 +32,7 @@
     fun `a job is accepted once, and a retry is answered with its current state`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertAnswer(200, "pending", submit(spec("run-1")))
-        end("run-1", "done")
+        storeFinalState("run-1", "done")
         assertAnswer(200, "done", submit(spec("run-1")))
         assertAnswer(200, "done", show("run-1"))
     }
@@ -55,7 +55,7 @@
         assertEquals("aborted", withdraw("run-1").stage)
         assertEquals("aborted", show("run-1").stage)
         submit(spec("run-2"))
-        end("run-2", "done")
+        storeFinalState("run-2", "done")
         assertEquals("done", withdraw("run-2").stage)
         assertEquals(null, state.entries[Keys.cancel("run-2")])
     }
@@ -85,12 +85,12 @@
     @Test
     fun `without the key-value store every request gets 503, and the node stays ready`() {
         submit(spec("run-1"))
-        state.down = true
+        state.isDown = true
         assertEquals(503, submit(spec("run-2")).status)
         assertEquals(503, show("run-1").status)
         assertEquals(503, withdraw("run-1").status)
         assertEquals(200, ready().status)
-        state.down = false
+        state.isDown = false
         assertEquals("pending", show("run-1").stage)
         assertEquals(404, show("run-2").status)
     }
@@ -104,12 +104,12 @@
 
     @Test
     fun `a request is retried during a short rate limit, and gets 429 during a long one`() {
-        state.throttled = 2
+        state.transactionsToThrottle = 2
         assertEquals(201, submit(spec("run-1")).status)
-        state.throttled = 1_000
+        state.transactionsToThrottle = 1_000
         assertEquals(429, submit(spec("run-2")).status)
         assertEquals(null, state.entries[Keys.job("run-2")])
-        state.throttled = 0
+        state.transactionsToThrottle = 0
         assertEquals(404, show("run-2").status)
     }
 
@@ -122,7 +122,7 @@
             val peersSyncThread = startSyncThread(peersCache)
             servePeer(peerApi(peersClient, peersCache)).use { peer ->
                 members = listOf(Member("n1", "here", InetSocketAddress("127.0.0.1", peer.port)))
-                outside.close()
+                storeListener.close()
                 assertEquals(201, submit(spec("run-1")).status)
                 assertEquals("pending", show("run-1").stage)
                 assertEquals("aborted", withdraw("run-1").stage)
@@ -148,30 +148,30 @@
     fun `an isolated node answers 503 without a request to the store, and is not ready`() {
         assertEquals(201, submit(spec("run-1")).status)
         assertEquals(200, ready().status)
-        cutOff = true
-        val servedBefore = state.served
+        isIsolated = true
+        val servedBefore = state.servedRequests
         assertEquals(503, show("run-1").status)
         assertEquals(503, submit(spec("run-2")).status)
         assertEquals(503, ready().status)
-        assertEquals(servedBefore, state.served)
-        cutOff = false
+        assertEquals(servedBefore, state.servedRequests)
+        isIsolated = false
         assertEquals("pending", show("run-1").stage)
     }
 
     @Test
     fun `a cancellation that other controllers have not received yet is neither confirmed nor denied`() {
         assertEquals(201, submit(spec("run-1")).status)
-        confirmable = false
+        mayConfirmCancellation = false
         assertEquals(503, withdraw("run-1").status)
         // Another node may have confirmed the cancellation by now, so that a live state would be an outdated answer.
         assertEquals(503, show("run-1").status)
         assertEquals(503, submit(spec("run-1")).status)
-        confirmable = true
+        mayConfirmCancellation = true
         assertEquals("aborted", withdraw("run-1").stage)
         // Once the job's final state is stored, its tasks have stopped, so no controller needs the cancellation any
         // more.
-        confirmable = false
-        end("run-1", "cancelled")
+        mayConfirmCancellation = false
+        storeFinalState("run-1", "cancelled")
         assertEquals("aborted", show("run-1").stage)
     }
 
--- a/src/test/kotlin/glenspool/api/UserApiTesting.kt
+++ b/src/test/kotlin/glenspool/api/UserApiTesting.kt
@@ -16,8 +16,8 @@
 
 /** Lowers the limits that the store itself enforces to those of [SMALL_STORE_SETTINGS]. */
 internal fun InMemoryStore.lowerLimits() {
-    valueLimit = 2048
-    opsLimit = 4
+    maxValueBytes = 2048
+    maxChangesPerTransaction = 4
 }
 
 /** Stores a value without using the API, as another node would. */
--- a/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -46,7 +46,7 @@
         val types = listOf(bigType, leanType)
         val simulation =
             ClusterSimulation(seed, deployment, types, faults, recoverer = recoverer.takeIf { coldStarts })
-        simulation.state.valueLimit = valueBytes
+        simulation.state.maxValueBytes = valueBytes
         for (number in 0 until 6) {
             val type = if (number % 3 == 2) leanType else bigType
             val zone = if (number % 2 == 0) "a" else "b"
--- a/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
@@ -53,8 +53,8 @@
         private set
 
     init {
-        state.valueLimit = VALUE_BYTES
-        state.opsLimit = MAX_CHANGES
+        state.maxValueBytes = VALUE_BYTES
+        state.maxChangesPerTransaction = MAX_CHANGES
     }
 
     /** Stores changes in the given number of rounds, as the key-value store does. Returns all other actions. */
@@ -72,7 +72,7 @@
     private fun transact(changes: StoreChanges): List<Action> {
         val transaction = transactionOf(0, changes)
         assertTrue(transaction.puts.size + transaction.removes.size <= 4)
-        if (transaction.puts.any(state::tooLarge)) {
+        if (transaction.puts.any(state::isTooLarge)) {
             sizeRefusals++
             return step { transactionEnded(StoreOutcome.TooLarge()) }
         }
--- a/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -40,7 +40,7 @@
         assertEquals(emptyList<String>(), simulation.violations.take(3), "seed $seed")
     }
 
-    private fun assertNoConfirmedWorkLeft(simulation: CancellationSimulation, seed: Long) {
+    private fun assertNoCancelledJobRuns(simulation: CancellationSimulation, seed: Long) {
         assertTrue(simulation.workers.none { worker -> worker.jobs.any { it in simulation.confirmed } }, "seed $seed")
     }
 
@@ -48,16 +48,16 @@
         assertEquals(simulation.workers.size, simulation.confirmed.size)
     }
 
-    private fun assertNothingKilled(simulation: CancellationSimulation, seed: Long) {
-        assertEquals(emptyList<String>(), simulation.killed, "seed $seed")
+    private fun assertNoJobKilled(simulation: CancellationSimulation, seed: Long) {
+        assertEquals(emptyList<String>(), simulation.killedJobs, "seed $seed")
     }
 
     private fun assertNoHealthyJobKilled(simulation: CancellationSimulation, seed: Long) {
-        assertEquals(emptyList<String>(), simulation.killed.filter { it.startsWith("healthy") }, "seed $seed")
+        assertEquals(emptyList<String>(), simulation.killedJobs.filter { it.startsWith("healthy") }, "seed $seed")
     }
 
     /** Plays the sequence of the class comment, with [more] added to it, and checks what must hold in any case. */
-    private fun playGap(
+    private fun runGapScenario(
         seed: Long,
         settings: WorkerSettings = CancellationSimulation.SETTINGS,
         more: CancellationSimulation.() -> Unit = {},
@@ -65,7 +65,7 @@
         val simulation = simulation(seed, settings, "cancelled", "healthy")
         simulation.run(30.seconds)
         val (leader, second, third) = simulation.members
-        leader.refusedUntil = 44.seconds
+        leader.storeRefusedUntil = 44.seconds
         simulation.storeDown(32.seconds, until = 93.seconds)
         for ((index, worker) in simulation.workers.withIndex()) {
             val node = if (index % 2 == 0) second else third
@@ -74,7 +74,7 @@
         simulation.more()
         simulation.run(200.seconds)
         assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
-        assertNoConfirmedWorkLeft(simulation, seed)
+        assertNoCancelledJobRuns(simulation, seed)
         return simulation
     }
 
@@ -82,9 +82,9 @@
     @ValueSource(longs = [1, 2, 3, 4, 5])
     fun `cancelled work ends in time, and no other work is lost`(seed: Long) {
         for (settings in listOf(CancellationSimulation.SETTINGS, CancellationSimulation.SHORT_INTERVALS)) {
-            val simulation = playGap(seed, settings)
+            val simulation = runGapScenario(seed, settings)
             assertAllConfirmed(simulation)
-            assertNothingKilled(simulation, seed)
+            assertNoJobKilled(simulation, seed)
             val healthy = simulation.workers.sumOf { worker -> worker.jobs.count { it.startsWith("healthy") } }
             assertEquals(simulation.workers.size, healthy)
         }
@@ -92,9 +92,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15])
-    fun `the node that confirmed ends at once`(seed: Long) {
+    fun `the nodes that confirmed cancellations stop immediately afterwards`(seed: Long) {
         val simulation =
-            playGap(seed) {
+            runGapScenario(seed) {
                 at(31.9.seconds) {
                     members[1].stop(6.seconds)
                     members[2].stop(200.milliseconds)
@@ -106,17 +106,17 @@
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24, 25])
-    fun `the old leader restarts within a second, with nothing left in its memory`(seed: Long) {
-        val simulation = playGap(seed) { at(33.seconds) { members[0].stop(500.milliseconds) } }
+    fun `the old leader restarts within a second with an empty memory`(seed: Long) {
+        val simulation = runGapScenario(seed) { at(33.seconds) { members[0].stop(500.milliseconds) } }
         assertAllConfirmed(simulation)
-        assertNothingKilled(simulation, seed)
+        assertNoJobKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35])
-    fun `while the others can't tell what the old leader knows, cancellations are postponed`(seed: Long) {
+    fun `cancellations are postponed while the old leader is partitioned from the other nodes`(seed: Long) {
         for (span in listOf(20.seconds, 90.seconds)) {
-            val simulation = playGap(seed) { members[0].peersCutUntil = 30.seconds + span }
+            val simulation = runGapScenario(seed) { members[0].partitionedUntil = 30.seconds + span }
             assertEquals(0, simulation.confirmed.size)
             assertTrue(simulation.postponed > 0)
         }
@@ -124,11 +124,11 @@
 
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35])
-    fun `an old leader that has been cut off for long lets leases expire in time`(seed: Long) {
+    fun `an old leader that was partitioned for a long time lets leases expire in time`(seed: Long) {
         val simulation = simulation(seed, "cancelled")
         simulation.run(30.seconds)
-        simulation.members[0].peersCutUntil = 150.seconds
-        simulation.members[0].refusedUntil = 150.seconds
+        simulation.members[0].partitionedUntil = 150.seconds
+        simulation.members[0].storeRefusedUntil = 150.seconds
         simulation.cancelAll(48.seconds, simulation.members[1])
         simulation.storeDown(49.seconds, until = 120.seconds)
         simulation.run(200.seconds)
@@ -138,11 +138,11 @@
 
     @ParameterizedTest
     @ValueSource(longs = [36, 37, 38])
-    fun `all nodes that know of a cancellation end before the old leader is reached again`(seed: Long) {
+    fun `all nodes that know of a cancellation restart before the old leader is reachable again`(seed: Long) {
         val simulation = simulation(seed, "cancelled")
         simulation.run(30.seconds)
-        simulation.members[0].peersCutUntil = 70.seconds
-        simulation.members[0].refusedUntil = 70.seconds
+        simulation.members[0].partitionedUntil = 70.seconds
+        simulation.members[0].storeRefusedUntil = 70.seconds
         simulation.cancelAll(50.seconds, simulation.members[1])
         simulation.storeDown(52.seconds, until = 170.seconds)
         // Back with nothing in their memory, they report correctly that they know of nothing.
@@ -164,7 +164,7 @@
                     worker.jobs += listOf("cancelled-$round-${worker.name}", "healthy-$round-${worker.name}")
                 }
             }
-            simulation.at(from + 1.seconds) { simulation.members[round].refusedUntil = from + 15.seconds }
+            simulation.at(from + 1.seconds) { simulation.members[round].storeRefusedUntil = from + 15.seconds }
             val next = simulation.members[(round + 1) % 3]
             for (worker in simulation.workers) {
                 simulation.at(from + 2.seconds) { next.cancel("cancelled-$round-${worker.name}") }
@@ -174,12 +174,12 @@
         simulation.run(260.seconds)
         assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
         assertEquals(simulation.workers.size * 2, simulation.confirmed.size)
-        assertNothingKilled(simulation, seed)
+        assertNoJobKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53])
-    fun `an outage in which nobody can confirm anything costs no work, however long, whoever ends in it`(seed: Long) {
+    fun `no job is killed in a long store outage without confirmed cancellations, even if nodes restart`(seed: Long) {
         val simulation = CancellationSimulation(seed, CancellationSimulation.SHORT_INTERVALS)
         for (worker in simulation.workers) worker.jobs += "healthy-${worker.name}"
         simulation.run(30.seconds)
@@ -189,19 +189,19 @@
             simulation.at((50 + number * 20).seconds) { simulation.members[number % 3].stop(downTime) }
         }
         simulation.run(250.seconds)
-        assertNothingKilled(simulation, seed)
+        assertNoJobKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63])
-    fun `a node whose peers are of the production version renews leases only while no cancellation can be hidden`(
+    fun `a node with peers of the production version renews leases only while it cannot miss a cancellation`(
         seed: Long,
     ) {
         val simulation = simulation(seed, "cancelled")
         simulation.members[1].isOldVersion = true
         simulation.members[2].isOldVersion = true
         simulation.run(30.seconds)
-        simulation.members[0].refusedUntil = 44.seconds
+        simulation.members[0].storeRefusedUntil = 44.seconds
         simulation.cancelAll(31.seconds, simulation.members[1])
         simulation.storeDown(32.seconds, until = 93.seconds)
         // A node of the old version renews leases without end, so workers that are refused must not reach one.
@@ -212,13 +212,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73])
-    fun `hundreds of cancellations come within a fifth of a second`(seed: Long) {
+    fun `hundreds of cancellations arrive within a fifth of a second`(seed: Long) {
         val simulation = simulation(seed, "healthy")
         val workers = simulation.workers
         val jobs = (0 until 600).map { "many-$it" }
         for ((index, job) in jobs.withIndex()) workers[index % workers.size].jobs += job
         simulation.run(30.seconds)
-        simulation.members[0].refusedUntil = 44.seconds
+        simulation.members[0].storeRefusedUntil = 44.seconds
         for ((index, job) in jobs.withIndex()) {
             val node = simulation.members[1 + index % 2]
             simulation.at(30.5.seconds + (index / 3).milliseconds) { node.cancel(job) }
@@ -227,22 +227,22 @@
         simulation.run(200.seconds)
         assertNoViolation(simulation, seed)
         assertEquals(jobs.size, simulation.confirmed.size)
-        assertNothingKilled(simulation, seed)
+        assertNoJobKilled(simulation, seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83])
-    fun `the node that stored a cancellation ends before it answers, and another one confirms it`(seed: Long) {
+    fun `the node that stored a cancellation stops before it answers, and another node confirms it`(seed: Long) {
         val simulation = simulation(seed, "cancelled", "healthy")
         simulation.run(30.seconds)
-        simulation.members[0].refusedUntil = 44.seconds
+        simulation.members[0].storeRefusedUntil = 44.seconds
         simulation.cancelAll(30.2.seconds, simulation.members[1])
         simulation.at(30.201.seconds) { simulation.members[1].stop(6.seconds) }
         simulation.cancelAll(31.2.seconds, simulation.members[2])
         simulation.storeDown(33.seconds, until = 94.seconds)
         simulation.run(200.seconds)
         assertNoViolation(simulation, seed)
-        assertNoConfirmedWorkLeft(simulation, seed)
+        assertNoCancelledJobRuns(simulation, seed)
         assertNoHealthyJobKilled(simulation, seed)
     }
 
@@ -250,11 +250,11 @@
     @ValueSource(longs = [91, 92, 93])
     fun `the store is slow instead of down`(seed: Long) {
         val simulation =
-            playGap(seed) {
+            runGapScenario(seed) {
                 at(29.seconds) { storeSlowUntil = 120.seconds }
                 at(33.seconds) { storeDownUntil = 33.seconds }
             }
         assertAllConfirmed(simulation)
-        assertNothingKilled(simulation, seed)
+        assertNoJobKilled(simulation, seed)
     }
 }
--- a/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
@@ -16,14 +16,14 @@
 class CombinedFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54])
-    fun `commands and their answers are held up for seconds, and machines continue after a hang`(seed: Long) {
+    fun `commands and their replies are delayed for seconds, and hung machines resume`(seed: Long) {
         val simulation = simulation(seed, FaultRates(held = 0.4, hangs = 0.05, lost = 0.05, storms = 0.01))
         for (number in 0 until 20) {
             simulation.submitTracked(array("a-$number", team = "t${number % 3}", estimatedDuration = 15.seconds))
             simulation.runFor(4.seconds)
         }
         simulation.runFor(40.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -37,12 +37,12 @@
             simulation.runFor(1.seconds)
         }
         simulation.runFor(60.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [121, 122, 123, 124])
-    fun `jobs of one task come four a second for minutes, and a quarter of them is cancelled`(seed: Long) {
+    fun `four one-task jobs a second are submitted for minutes, and one is cancelled after every fourth`(seed: Long) {
         val simulation = simulation(seed, FaultRates(lost = 0.02, held = 0.02, atOnce = 0.5), machines = 12)
         val random = Random(seed)
         for (number in 0 until 480) {
@@ -52,12 +52,12 @@
             simulation.runFor(250.milliseconds)
             if (number % 4 == 0) simulation.cancel("a-${maxOf(0, number - random.nextInt(12))}")
         }
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [131, 132, 133, 134])
-    fun `transactions without an answer are carried out at once, or late after newer ones`(seed: Long) {
+    fun `transactions without a response are executed immediately, or late after newer ones`(seed: Long) {
         val atOnce = if (seed % 2 == 0L) 1.0 else 0.2
         val simulation = simulation(seed, FaultRates(lost = 0.5, atOnce = atOnce, takeovers = 0.02))
         for (number in 0 until 15) {
@@ -67,7 +67,7 @@
             if (number % 4 == 3) simulation.cancelRunningJobs(2, hang = false)
         }
         simulation.runFor(20.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     private val allFaults =
@@ -126,6 +126,6 @@
             if (random.nextInt(4) == 0) simulation.cancel(ids[random.nextInt(ids.size)])
         }
         simulation.runFor(40.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 }
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -133,7 +133,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `no node answers anything older, whatever happens at the same time`(seed: Long) {
+    fun `no node returns an older state than a user has already received`(seed: Long) {
         val random = Random(seed)
         loseAnswers(isLosing = seed % 2 == 0L)
         state.transact(emptyMap(), listOf(Put(Keys.LEADERSHIP, mapOf("token" to 1L), state.newLease())), emptyList())
@@ -151,7 +151,7 @@
     /** If [isLosing], every third answer of the store to a transaction is lost. */
     private fun loseAnswers(isLosing: Boolean) {
         val transactions = AtomicInteger()
-        state.loses = { isLosing && transactions.incrementAndGet() % 3 == 0 }
+        state.losesResponse = { isLosing && transactions.incrementAndGet() % 3 == 0 }
     }
 
     private fun play(id: String, random: Random) {
--- a/src/test/kotlin/glenspool/faults/FaultScenario.kt
+++ b/src/test/kotlin/glenspool/faults/FaultScenario.kt
@@ -67,7 +67,7 @@
         job(id, JobKind.SERVICE, tasks, team = team, priority = Priority.CRITICAL)
 
     /** The faults are over: every job ends as it should, no rule was broken, and nothing waits in vain. */
-    protected fun ClusterSimulation.finish(seed: Long) {
+    protected fun ClusterSimulation.finishAndVerify(seed: Long) {
         run(now + 330.seconds, calm = true)
         for (id in ids) {
             val isLiveService = specs.getValue(id).kind == JobKind.SERVICE && live(id) && abortedSince(id) == null
--- a/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
@@ -14,7 +14,7 @@
 class LeaderChangeFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a leader ends while machines with long tasks are cut off, or receive nothing from the new one`(seed: Long) {
+    fun `a leader stops while machines with long tasks are partitioned, or unreachable for the new leader`(seed: Long) {
         val simulation = simulation(seed)
         simulation.submitEach(0 until 6) { array("a-$it", team = "t${it % 2}", estimatedDuration = 100.seconds) }
         simulation.run(20.seconds)
@@ -22,7 +22,7 @@
         simulation.injectFault(fault, 0.5, 30.seconds)
         simulation.changeLeader(2.seconds)
         simulation.run(50.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -42,7 +42,7 @@
             array("a-$number", tasks = 4, team = "t${1 + number % 2}", estimatedDuration = 20.seconds)
         }
         simulation.run(60.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -60,7 +60,7 @@
             array("a-$number", tasks = 3, team = "t${1 + number % 2}", estimatedDuration = 20.seconds)
         }
         simulation.run(60.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -77,12 +77,12 @@
             simulation.runFor((4 + random.nextInt(12)).seconds)
             if (number % 3 == 1) simulation.cancel("a-${random.nextInt(number)}")
         }
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74])
-    fun `jobs of two or three tasks end far apart while leaders change`(seed: Long) {
+    fun `jobs of two or three tasks end at different times while leaders change`(seed: Long) {
         val simulation = simulation(seed, FaultRates(lost = 0.1, atOnce = 0.5))
         simulation.submitEach(0 until 12) { number ->
             array(
@@ -94,7 +94,7 @@
             simulation.runFor(7.seconds)
             simulation.changeLeader(if (seed % 2 == 0L) 100.milliseconds else 3.seconds)
         }
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -112,12 +112,12 @@
             simulation.cancelRunningJobs(2, hang = false)
         }
         simulation.runFor(50.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104])
-    fun `new machines are up at once and get work while writes lag and the leader ends`(seed: Long) {
+    fun `new machines start immediately and get work while writes are delayed and the leader stops`(seed: Long) {
         val simulation = simulation(seed, FaultRates(lost = 0.4, atOnce = 0.3), machines = 2)
         simulation.submitEach(0 until 8) { number ->
             array("a-$number", tasks = 4, estimatedDuration = 20.seconds, team = "t${number % 2}")
@@ -132,7 +132,7 @@
         simulation.runFor(4.seconds)
         simulation.changeLeader(3.seconds)
         simulation.runFor(40.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -149,7 +149,7 @@
             simulation.runFor(700.milliseconds)
         }
         simulation.runFor(20.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -165,6 +165,6 @@
             if (number % 5 == 4) simulation.cancelRunningJobs(2, hang = true)
         }
         simulation.runFor(20.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 }
--- a/src/test/kotlin/glenspool/faults/MachineFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/MachineFaultsTest.kt
@@ -14,7 +14,7 @@
 class MachineFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35, 36])
-    fun `jobs bound to one zone, arrays too, lose machines`(seed: Long) {
+    fun `jobs bound to one zone, including arrays, lose machines`(seed: Long) {
         val simulation = simulation(seed, FaultRates(lost = 0.03))
         simulation.submitEach(0 until 3) { array("z-$it", tasks = 4, zone = "b") }
         simulation.submitTracked(job("one-0", tasks = 5, sameZone = true, estimatedDuration = 40.seconds))
@@ -30,7 +30,7 @@
         simulation.injectFault(fault, 0.5, 45.seconds)
         if (seed % 3 == 0L) simulation.changeLeader(2.seconds)
         simulation.run(70.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -45,12 +45,12 @@
         simulation.run(24.seconds)
         simulation.cancelRunningJobs(4, hang = false)
         simulation.run(110.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [151, 152, 153, 154])
-    fun `workers reach no controller while commands reach them`(seed: Long) {
+    fun `workers cannot send heartbeats but still receive commands`(seed: Long) {
         val simulation = simulation(seed, FaultRates(mute = 0.02, lost = 0.02))
         for (number in 0 until 14) {
             val spec = array("a-$number", tasks = 3, estimatedDuration = 20.seconds, team = "t${number % 3}")
@@ -63,7 +63,7 @@
             }
         }
         simulation.runFor(60.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -76,6 +76,6 @@
         simulation.injectFault(MachineFault.HANG, 0.3, 55.seconds)
         if (seed % 2 == 0L) simulation.changeLeader(3.seconds)
         simulation.run(90.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 }
--- a/src/test/kotlin/glenspool/faults/RandomCancellationFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/RandomCancellationFaultsTest.kt
@@ -11,7 +11,7 @@
 /** Cuts, refusals, outages, ends of nodes and lost messages in any order, with cancellations at any node. */
 class RandomCancellationFaultsTest {
     @Test
-    fun `cancelled work ends in time on random days`() {
+    fun `cancelled work ends in time with random faults`() {
         val confirmed = (1L..300L).sumOf { play(it).confirmed.size }
         assertTrue(confirmed > 1000, "$confirmed confirmed")
     }
@@ -19,7 +19,7 @@
     private fun play(seed: Long): CancellationSimulation {
         val random = Random(seed)
         val settings = if (seed % 2 == 0L) CancellationSimulation.SHORT_INTERVALS else CancellationSimulation.SETTINGS
-        val simulation = CancellationSimulation(seed, settings, loss = if (seed % 3 == 0L) 0.1 else 0.0)
+        val simulation = CancellationSimulation(seed, settings, messageLoss = if (seed % 3 == 0L) 0.1 else 0.0)
         queueEvents(simulation, random)
         simulation.run(400.seconds)
         assertEquals(emptyList<String>(), simulation.violations.take(3), "seed $seed")
@@ -36,8 +36,8 @@
             val kind = random.nextInt(12)
             simulation.at(moment.seconds) {
                 when (kind) {
-                    0 -> node.refusedUntil = simulation.now + span
-                    1 -> node.peersCutUntil = simulation.now + span
+                    0 -> node.storeRefusedUntil = simulation.now + span
+                    1 -> node.partitionedUntil = simulation.now + span
                     2 -> simulation.storeDownUntil = simulation.now + span
                     3 -> node.stop(if (random.nextBoolean()) 300.milliseconds else 8.seconds)
                     else -> {
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -36,7 +36,7 @@
     }
 
     /** [transaction]: what a [StoreChanges] comes to; other actions have none. Lines of the log are no decisions. */
-    fun action(at: Duration, action: Action, transaction: (StoreChanges) -> Transaction) =
+    fun addAction(at: Duration, action: Action, transaction: (StoreChanges) -> Transaction) =
         when (action) {
             is SendCommands -> {
                 val target = "${action.machine} ${action.addr} ${action.token} ${action.incarnation}"
@@ -61,10 +61,10 @@
         }
 
     /** What a worker was answered. */
-    fun answer(at: Duration, machine: String, token: Long, commands: List<Command>) =
+    fun addHeartbeatReply(at: Duration, machine: String, token: Long, commands: List<Command>) =
         add(at, "answer $machine $token ${spelled(commands)}")
 
-    fun workCounters(counters: WorkCounters) {
+    fun addWorkCounters(counters: WorkCounters) {
         val scans = "${counters.placementScores} ${counters.storeScans} ${counters.commandScans}"
         add(Duration.ZERO, "effort $scans ${counters.placementRounds}")
     }
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -138,7 +138,7 @@
                     },
                 trace = trace,
             )
-        simulation.state.valueLimit = day.valueBytes
+        simulation.state.maxValueBytes = day.valueBytes
         simulation.allNew = day.faults.olds == 0.0
         for (number in 0 until 6) {
             simulation.addMachine(
@@ -211,7 +211,7 @@
             val open = ArrayDeque(core.step(now, now, event))
             while (open.isNotEmpty()) {
                 val action = open.removeFirst()
-                trace.action(now, action) { transactionOf(1, it) }
+                trace.addAction(now, action) { transactionOf(1, it) }
                 if (action is StoreChanges) {
                     open
                         .addAll(core.step(now, now) { transactionEnded(StoreOutcome.Stored(++revision)) })
@@ -249,7 +249,7 @@
             }
             step { tick() }
         }
-        trace.workCounters(core.workCounters)
+        trace.addWorkCounters(core.workCounters)
         return trace.digest()
     }
 
--- a/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
@@ -36,18 +36,18 @@
 
     /** The recovery's status as reported by the leader. */
     private fun LoopbackService.status(): RecoveryStatus.Recovery? {
-        val status = leader?.let { recovery(it, RecoveryVerb.STATUS).status }
+        val status = leader?.let { recoveryReply(it, RecoveryVerb.STATUS).status }
         return status?.recovery
     }
 
     private fun LoopbackService.isOrderAccepted(verb: RecoveryVerb): Boolean {
         val leader = leader ?: return false
-        return recovery(leader, verb).accepted
+        return recoveryReply(leader, verb).accepted
     }
 
     /** Returns the names of the tasks that the leader lists as unrecorded. */
     private fun LoopbackService.listedUnrecordedTasks(): Set<String> {
-        val list = leader?.let { recovery(it, RecoveryVerb.DIFFERENCES).differences } ?: return emptySet()
+        val list = leader?.let { recoveryReply(it, RecoveryVerb.DIFFERENCES).differences } ?: return emptySet()
         return list.listed
             .filter { it.kind == "orphan-task" && "knows no such job" in it.detail }
             .mapNotNull { it.task }
@@ -89,29 +89,29 @@
                 running == WORKER_COUNT * TASKS_PER_WORKER
             }
             val firstLeader = checkNotNull(service.leader)
-            val firstStatus = service.recovery(firstLeader, RecoveryVerb.STATUS).status
+            val firstStatus = service.recoveryReply(firstLeader, RecoveryVerb.STATUS).status
             assertTrue(firstStatus?.recovery == null, "the first start needs no recovery")
 
             names.forEach(service::kill)
             val machines = service.fleet.names.shuffled(random)
             val lostTasks = machines.take(6).flatMap { machine -> service.fleet.tasksOn(machine).map { machine to it } }
-            machines.take(6).forEach(service.fleet::loseLease)
+            machines.take(6).forEach(service.fleet::expireLease)
             val unrecordedTasks =
                 machines.drop(6).take(5).mapIndexed { number, machine ->
                     machine to TaskKey("run-9%05d".format(number), 0)
                 }
-            unrecordedTasks.forEach { (machine, key) -> service.fleet.plant(machine, key, 3) }
+            unrecordedTasks.forEach { (machine, key) -> service.fleet.addUnorderedTask(machine, key, 3) }
             val duplicateTasks =
                 machines.drop(20).take(4).map { machine ->
                     val owner = machines[40 + random.nextInt(20)]
                     machine to service.fleet.tasksOn(owner).first()
                 }
-            duplicateTasks.forEach { (machine, key) -> service.fleet.plant(machine, key, 9) }
+            duplicateTasks.forEach { (machine, key) -> service.fleet.addUnorderedTask(machine, key, 9) }
             val machinesWithoutHeartbeats = machines.drop(30).take(3)
-            machinesWithoutHeartbeats.forEach { service.fleet.mute(it, true) }
-            service.fleet.carriedOut.clear()
-            service.fleet.deleted.set(0)
-            service.fleet.rented.set(0)
+            machinesWithoutHeartbeats.forEach { service.fleet.setSilent(it, true) }
+            service.fleet.executedCommands.clear()
+            service.fleet.deletedMachines.set(0)
+            service.fleet.rentRequests.set(0)
 
             val restartedAt = service.now
             names.forEach { service.start(it) }
@@ -123,29 +123,29 @@
             // continues it in the paused state.
             val leader = checkNotNull(service.leader)
             val follower = names.first { it != leader }
-            val refusal = service.recovery(follower, RecoveryVerb.APPROVE)
+            val refusal = service.recoveryReply(follower, RecoveryVerb.APPROVE)
             assertEquals("$follower does not lead; ask $leader", refusal.problem)
             service.kill(leader)
             service.await("another controller leads and continues the recovery") {
                 val hasNewLeader = service.leader.let { it != null && it != leader }
                 hasNewLeader && service.status()?.start == "continued"
             }
-            val stops = service.fleet.carriedOut.filter { it.verb == "stop" }
+            val stops = service.fleet.executedCommands.filter { it.verb == "stop" }
             assertTrue(stops.isEmpty(), "nothing is stopped while the recovery is paused")
             service.start(leader)
             service.await("an operator's order to resume is accepted") { service.isOrderAccepted(RecoveryVerb.RESUME) }
-            machinesWithoutHeartbeats.forEach { service.fleet.mute(it, false) }
+            machinesWithoutHeartbeats.forEach { service.fleet.setSilent(it, false) }
             service.await("the recovery is over", 60.seconds) { service.status()?.phase == "normal" }
             assertFalse(service.isOrderAccepted(RecoveryVerb.APPROVE), "there is nothing to approve after the recovery")
 
-            val orderCounts = service.leader?.let { service.recovery(it, RecoveryVerb.STATUS).status?.orders }
+            val orderCounts = service.leader?.let { service.recoveryReply(it, RecoveryVerb.STATUS).status?.orders }
             println("cold start over sockets: orders of the last term $orderCounts")
-            val received = service.fleet.carriedOut.toList()
+            val received = service.fleet.executedCommands.toList()
 
             fun receivedTasks(verb: String) = received.filter { it.verb == verb }.map { "${it.machine to it.key}" }
             assertEquals(lostTasks.map { "$it" }.sorted(), receivedTasks("run").sorted())
             assertEquals((unrecordedTasks + duplicateTasks).map { "$it" }.sorted(), receivedTasks("stop").sorted())
-            assertEquals(0 to 0, service.fleet.deleted.get() to service.fleet.rented.get())
+            assertEquals(0 to 0, service.fleet.deletedMachines.get() to service.fleet.rentRequests.get())
             val orders =
                 received.map {
                     val cause: OrderCause = if (it.verb == "run") StartCause.PLACED else StopCause.ORPHANED
--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -37,7 +37,7 @@
     fun activate() {
         simulation.elect("a")
         simulation.run(30.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
     }
 
     /** Stores the record under the permit's condition. Returns the keys whose conditions failed, null if none did. */
@@ -62,7 +62,7 @@
         simulation.assertLevel(0)
         assertEquals(HoldCause.LOWERED_BY_OPERATOR, simulation.hold?.cause)
 
-        simulation.order(OperatorRequest.Resume)
+        simulation.applyOrder(OperatorRequest.Resume)
         simulation.run(30.seconds)
         simulation.assertLevel(1)
     }
@@ -70,13 +70,13 @@
     @Test
     fun `a write that was permitted before a deactivation and arrives after it is refused`() {
         val permit = simulation.permitOf("b", 1)
-        simulation.order(OperatorRequest.Deactivate(1))
+        simulation.applyOrder(OperatorRequest.Deactivate(1))
         simulation.run(4.seconds)
         simulation.assertLevel(0)
         assertEquals(listOf(Keys.LEVEL), store(splitRecord, permit))
 
         // The permit remains invalid when the level is active again, because the level record has another version.
-        simulation.order(OperatorRequest.Activate(1))
+        simulation.applyOrder(OperatorRequest.Activate(1))
         simulation.run(30.seconds)
         simulation.assertLevel(1)
         assertEquals(listOf(Keys.LEVEL), store(splitRecord, permit))
@@ -85,24 +85,24 @@
 
     @Test
     fun `a deactivation completes even if leaders end before, during or after their write at any stage`() {
-        val fates =
-            listOf(RolloutSimulation.Fate.REFUSED, RolloutSimulation.Fate.LATE, RolloutSimulation.Fate.ANSWER_LOST)
+        val outcomes =
+            listOf(RolloutSimulation.TransactionOutcome.REFUSED, RolloutSimulation.TransactionOutcome.LATE, RolloutSimulation.TransactionOutcome.ANSWER_LOST)
         val stages = setOf(1 to LevelStage.ACTIVE, 1 to LevelStage.LEAVING, 0 to LevelStage.ACTIVE)
-        for (fate in fates) {
-            simulation.order(OperatorRequest.Deactivate(1))
+        for (outcome in outcomes) {
+            simulation.applyOrder(OperatorRequest.Deactivate(1))
             for (nextLeader in listOf("b", "c")) {
-                simulation.fate = fate
+                simulation.transactionOutcome = outcome
                 simulation.now += 2.seconds
-                simulation.round()
-                simulation.fate = RolloutSimulation.Fate.DONE
+                simulation.runRound()
+                simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.DONE
                 simulation.elect(nextLeader)
-                simulation.deliverLate()
+                simulation.executeLateTransactions()
                 val record = simulation.records.level().valueOrNull()
                 assertTrue(record?.let { it.level to it.stage } in stages, "$record")
             }
             simulation.run(10.seconds)
             simulation.assertLevel(0)
-            simulation.order(OperatorRequest.Resume)
+            simulation.applyOrder(OperatorRequest.Resume)
             simulation.run(30.seconds)
             simulation.assertLevel(1)
         }
@@ -110,8 +110,8 @@
 
     @Test
     fun `a level is not lowered while a member that may write its form is running or unreachable`() {
-        simulation.member("c").restart(1, unmanaged = true)
-        simulation.order(OperatorRequest.Deactivate(1))
+        simulation.member("c").restart(1, isUnmanaged = true)
+        simulation.applyOrder(OperatorRequest.Deactivate(1))
         simulation.run(1.minutes)
         simulation.assertLevel(1, LevelStage.LEAVING)
 
@@ -127,9 +127,9 @@
     @Test
     fun `an operator can cancel a deactivation while records still have the form`() {
         store(splitRecord, simulation.permitOf("b", 1))
-        simulation.order(OperatorRequest.Deactivate(1))
+        simulation.applyOrder(OperatorRequest.Deactivate(1))
         simulation.run(10.seconds)
-        simulation.order(OperatorRequest.Resume)
+        simulation.applyOrder(OperatorRequest.Resume)
         simulation.run(4.seconds)
         simulation.assertLevel(1)
     }
--- a/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutCasesTest.kt
@@ -25,10 +25,10 @@
         simulation.elect("a")
         simulation.run(18.seconds)
         assertEquals(HoldCause.MEMBER_SETTLING, simulation.hold?.cause)
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
 
         simulation.run(6.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
         assertEquals(listOf("sealed-records"), simulation.levelHistory.map { it.name })
     }
 
@@ -38,14 +38,14 @@
         simulation.elect("a")
         simulation.run(3.hours)
         assertEquals(Hold(HoldCause.MEMBER_OLD_BUILD, "c", "unmanaged"), simulation.hold)
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
         val warnings = simulation.notices.filter { "member c is left behind" in it }
         // The first report arrives two seconds after the start; then there is one warning every ten minutes.
         assertEquals(17, warnings.size)
         assertTrue(warnings.last().contains("for 10"), warnings.last())
         val stored = simulation.records.state().valueOrNull()
         assertEquals("c", stored?.hold?.member)
-        assertEquals(simulation.moment(102_000), stored?.heldSince)
+        assertEquals(simulation.recordTime(102_000), stored?.heldSince)
 
         simulation.member("c").up = false
         simulation.run(1.minutes)
@@ -57,7 +57,7 @@
 
         simulation.member("c").restart(1)
         simulation.run(30.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
     }
 
     @Test
@@ -75,7 +75,7 @@
         simulation.members.forEach { it.restart(1) }
         simulation.elect("c")
         simulation.run(30.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
     }
 
     @Test
@@ -87,10 +87,10 @@
             simulation.member("b").restart(1)
             simulation.run(14.seconds)
         }
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
 
         simulation.run(10.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
     }
 
     private val oldBuild = BuildLevels("old", 0, 0)
@@ -134,14 +134,14 @@
     @Test
     fun `a leader that ends before its write changes nothing, and the next leader collects new evidence`() {
         simulation.elect("a")
-        simulation.fate = RolloutSimulation.Fate.REFUSED
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.REFUSED
         simulation.run(40.seconds)
-        simulation.fate = RolloutSimulation.Fate.DONE
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.DONE
         simulation.member("a").up = false
         simulation.elect("b")
         simulation.run(40.seconds)
         assertEquals(HoldCause.MEMBER_UNREACHABLE, simulation.hold?.cause)
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
 
         simulation.member("a").restart(1)
         simulation.run(30.seconds)
@@ -151,7 +151,7 @@
     @Test
     fun `an activation whose answer is lost is stored once, and the next leader does not repeat it`() {
         simulation.elect("a")
-        simulation.fate = RolloutSimulation.Fate.ANSWER_LOST
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.ANSWER_LOST
         simulation.run(30.seconds)
         simulation.elect("b")
         simulation.run(1.minutes)
@@ -163,30 +163,30 @@
     @Test
     fun `a deposed leader's activation that arrives late changes nothing`() {
         simulation.elect("a")
-        simulation.fate = RolloutSimulation.Fate.LATE
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.LATE
         simulation.run(30.seconds)
         simulation.restartWithOldBuild("c")
-        simulation.fate = RolloutSimulation.Fate.DONE
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.DONE
         simulation.elect("b")
         simulation.run(10.seconds)
 
-        simulation.deliverLate()
+        simulation.executeLateTransactions()
 
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
         assertEquals(emptyList<LevelRecord>(), simulation.levelHistory)
     }
 
     @Test
     fun `a delayed activation of the same leader changes nothing if the level record is newer`() {
         simulation.elect("a")
-        simulation.fate = RolloutSimulation.Fate.LATE
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.LATE
         simulation.run(24.seconds)
-        simulation.fate = RolloutSimulation.Fate.DONE
+        simulation.transactionOutcome = RolloutSimulation.TransactionOutcome.DONE
         simulation.run(4.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
         val before = simulation.records.level()
 
-        simulation.deliverLate()
+        simulation.executeLateTransactions()
 
         assertEquals(before, simulation.records.level())
     }
@@ -194,15 +194,15 @@
     @Test
     fun `a network partition between peers holds the level even if the state service is reachable`() {
         simulation.elect("a")
-        simulation.member("b").cutFromPeers = true
+        simulation.member("b").isPartitionedFromPeers = true
         simulation.run(5.minutes)
         assertEquals(Hold(HoldCause.MEMBER_UNREACHABLE, "b"), simulation.hold)
 
-        simulation.member("b").cutFromPeers = false
+        simulation.member("b").isPartitionedFromPeers = false
         simulation.run(18.seconds)
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
         simulation.run(8.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
     }
 
     @Test
@@ -218,12 +218,12 @@
         simulation.member("c").up = false
         simulation.elect("a")
         simulation.run(1.minutes)
-        assertEquals(0, simulation.active)
+        assertEquals(0, simulation.activeLevel)
 
-        simulation.order(OperatorRequest.Exclude("c", "an operator"))
+        simulation.applyOrder(OperatorRequest.Exclude("c", "an operator"))
         simulation.run(4.seconds)
 
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
         val orders = simulation.records.orders().valueOrNull()
         assertEquals(listOf("an operator"), orders?.exclusions?.map { it.by })
     }
@@ -233,9 +233,9 @@
         simulation.member("c").up = false
         simulation.elect("a")
         simulation.run(1.minutes)
-        simulation.order(OperatorRequest.Exclude("c", "an operator"))
+        simulation.applyOrder(OperatorRequest.Exclude("c", "an operator"))
         simulation.run(4.seconds)
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
 
         simulation.member("c").restart(0)
         assertEquals(1, simulation.fenceOf("c")?.neededLevel)
@@ -250,7 +250,7 @@
     @Test
     fun `an exclusion can be cancelled, and needs a configured member`() {
         simulation.elect("a")
-        assertTrue(simulation.order(OperatorRequest.Exclude("x", "an operator")) is OrderOutcome.Refused)
+        assertTrue(simulation.applyOrder(OperatorRequest.Exclude("x", "an operator")) is OrderOutcome.Refused)
 
         simulation.accept(OperatorRequest.Exclude("c", "an operator"))
         simulation.accept(OperatorRequest.Include("c"))
@@ -266,18 +266,18 @@
         manual.run(1.minutes)
         assertEquals(HoldCause.AWAITING_OPERATOR, manual.hold?.cause)
         assertEquals(listOf<PlanStep>(PlanStep.Activate(1)), manual.overview().plan)
-        assertTrue(manual.order(OperatorRequest.Activate(2)) is OrderOutcome.Refused)
+        assertTrue(manual.applyOrder(OperatorRequest.Activate(2)) is OrderOutcome.Refused)
 
-        manual.order(OperatorRequest.Activate(1))
-        manual.order(OperatorRequest.Hold)
+        manual.applyOrder(OperatorRequest.Activate(1))
+        manual.applyOrder(OperatorRequest.Hold)
         manual.run(1.minutes)
         assertEquals(HoldCause.POLICY, manual.hold?.cause)
 
-        manual.order(OperatorRequest.Resume)
-        manual.order(OperatorRequest.Activate(1))
+        manual.applyOrder(OperatorRequest.Resume)
+        manual.applyOrder(OperatorRequest.Activate(1))
         manual.elect("b")
         manual.run(30.seconds)
-        assertEquals(1, manual.active)
+        assertEquals(1, manual.activeLevel)
     }
 
     private val unreadableLevel = mapOf("level" to "one")
@@ -322,7 +322,7 @@
 
         simulation.run(30.seconds)
 
-        assertEquals(1, simulation.active)
+        assertEquals(1, simulation.activeLevel)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/rollout/RolloutFixtures.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutFixtures.kt
@@ -9,7 +9,7 @@
 
 /** Restarts the members with a build without levels. */
 internal fun RolloutSimulation.restartWithOldBuild(vararg members: String) =
-    members.forEach { member(it).restart(highest = 0, unmanaged = true) }
+    members.forEach { member(it).restart(highest = 0, isUnmanaged = true) }
 
 internal fun RolloutSimulation.fenceOf(member: String): Fence? = member(member).gate.fence()
 
@@ -17,10 +17,10 @@
 
 /** Returns the reason why the request is refused. */
 internal fun RolloutSimulation.refusalOf(request: OperatorRequest): String =
-    assertInstanceOf(OrderOutcome.Refused::class.java, order(request)).reason
+    assertInstanceOf(OrderOutcome.Refused::class.java, applyOrder(request)).reason
 
 internal fun RolloutSimulation.accept(request: OperatorRequest) {
-    assertInstanceOf(OrderOutcome.Accepted::class.java, order(request))
+    assertInstanceOf(OrderOutcome.Accepted::class.java, applyOrder(request))
 }
 
 /** Asserts the level record's level and stage. */
--- a/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
+++ b/src/test/kotlin/glenspool/rollout/StoredFormsFuzzTest.kt
@@ -107,7 +107,7 @@
             RolloutWire::decodeOrders,
             RolloutWire::decodeState,
             ::readJobRecord,
-            OldVersion::reads,
+            OldVersion::read,
         )
 
     private fun readOrNull(reader: (Fields) -> Any?, fields: Fields): Any? =
@@ -148,7 +148,7 @@
         assertEquals(record, RolloutWire.decodeLevel(fields))
         assertNull(readOrNull(RolloutWire::decodeOrders, fields))
         assertNull(readOrNull(RolloutWire::decodeState, fields))
-        assertNull(OldVersion.reads(fields))
+        assertNull(OldVersion.read(fields))
         assertNull(readOrNull(::readJobRecord, fields))
     }
 
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -64,9 +64,9 @@
 
         fun buildOf(name: String) = if (name == oldMember) oldBuild else newBuild
         names.filter { it != oldMember }.forEach { replace(it, newBuild) }
-        repeat(4) { endOne(::buildOf) }
-        outage(1.seconds)
-        endOne(::buildOf)
+        repeat(4) { replaceRandomNode(::buildOf) }
+        storeOutage(1.seconds)
+        replaceRandomNode(::buildOf)
         val startedAt = now
         await("two seconds have passed") { now - startedAt > 2.seconds }
         assertTrue(isLevelActive(1))
@@ -77,9 +77,9 @@
         kill(member)
         start(member, oldBuild)
         await("the member is fenced") { (readiness(member) as? CallResult.Response)?.body?.get("needs_level") == 2L }
-        val fence = ask(member).status?.fence.orEmpty()
+        val fence = rolloutReply(member).status?.fence.orEmpty()
         assertTrue(fence.contains("level 2 (next-form) is active"), fence)
-        assertFalse(ask(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
+        assertFalse(rolloutReply(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
         replace(member, newBuild)
     }
 
@@ -99,13 +99,13 @@
             service.verifyOldBuildIsFenced(follower)
 
             // An operator may order the deactivation at any controller. The leader is replaced before it is complete.
-            assertTrue(service.ask(follower, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
+            assertTrue(service.rolloutReply(follower, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
             service.leader?.let { service.replace(it, newBuild) }
             service.awaitLevel(1)
             service.phase("rollback after deactivation") { service.replaceAll(oldBuild) }
             service.replaceAll(newBuild)
             assertTrue(service.isLevelActive(1))
-            assertTrue(service.ask(names[0], RolloutRequest(RolloutVerb.ACTIVATE, level = 2)).accepted)
+            assertTrue(service.rolloutReply(names[0], RolloutRequest(RolloutVerb.ACTIVATE, level = 2)).accepted)
             service.awaitLevel(2)
 
             service.finish()
--- a/src/test/kotlin/glenspool/simulation/CancellationNode.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationNode.kt
@@ -20,10 +20,10 @@
     var downUntil = Duration.ZERO
 
     /** Until then the store refuses this node alone. */
-    var refusedUntil = Duration.ZERO
+    var storeRefusedUntil = Duration.ZERO
 
     /** Until then no message passes between this node and the others. */
-    var peersCutUntil = Duration.ZERO
+    var partitionedUntil = Duration.ZERO
 
     /** Of the version in production: it does not exchange cancellations, and renews every lease. */
     var isOldVersion = false
@@ -40,8 +40,8 @@
     internal val isUp: Boolean get() = simulation.now >= downUntil
 
     private val hasStore: Boolean
-        get() = isUp && simulation.now >= simulation.storeDownUntil && simulation.now >= refusedUntil
-    private val isIsolated: Boolean get() = simulation.now < peersCutUntil && !hasStore
+        get() = isUp && simulation.now >= simulation.storeDownUntil && simulation.now >= storeRefusedUntil
+    private val isIsolated: Boolean get() = simulation.now < partitionedUntil && !hasStore
 
     private fun clock(): Duration = clockAt(simulation.now)
 
@@ -49,7 +49,7 @@
     internal fun clockAt(moment: Duration): Duration = (moment - processStartedAt) * drift
 
     /** Starts the controller with nothing in its memory. */
-    internal fun begin() {
+    internal fun start() {
         processStartedAt = simulation.now
         process++
         readJobs.clear()
@@ -73,7 +73,7 @@
         downUntil = simulation.now + time
         process++
         val stopped = process
-        simulation.after(time) { if (stopped == process) begin() }
+        simulation.after(time) { if (stopped == process) start() }
     }
 
     private fun readStorePeriodically(started: Int) {
@@ -115,9 +115,9 @@
         val sender = process
         val askedAt = clock()
         val update = cancellations.updateFor(other.name)
-        val isLost = simulation.chance(simulation.loss)
+        val isLost = simulation.chance(simulation.messageLoss)
         // A cut may hold a message back and deliver it when nobody waits for its answer any more.
-        if (simulation.now < peersCutUntil || simulation.now < other.peersCutUntil || isLost) {
+        if (simulation.now < partitionedUntil || simulation.now < other.partitionedUntil || isLost) {
             if (simulation.chance(0.5)) {
                 simulation.after(simulation.random.nextInt(60).seconds) { other.receive(this, update) }
             }
@@ -130,7 +130,7 @@
     }
 
     private fun answered(other: CancellationNode, answer: CancellationUpdate?, askedAt: Duration, sender: Int) {
-        if (sender != process || simulation.chance(simulation.loss) || simulation.now < peersCutUntil) return
+        if (sender != process || simulation.chance(simulation.messageLoss) || simulation.now < partitionedUntil) return
         if (other.isOldVersion && other.isUp) cancellations.markUnsupported(other.name)
         if (answer == null) return
         cancellations.applyReply(other.name, answer, askedAt)
@@ -144,7 +144,7 @@
         return cancellations.reply(from.name, update)?.update
     }
 
-    internal fun knows(job: String): Boolean = if (isOldVersion) job in readJobs else cancellations.contains(job)
+    internal fun isCancelled(job: String): Boolean = if (isOldVersion) job in readJobs else cancellations.contains(job)
 
     /** Whether the node, which knows no leader for the worker, renews its lease. */
     internal fun renewsLease(worker: LeaseHolder): Boolean {
--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -17,7 +17,7 @@
     seed: Long,
     val settings: WorkerSettings = SETTINGS,
     /** Share of the messages between controllers, and of the answers to them, that are lost. */
-    internal val loss: Double = 0.0,
+    internal val messageLoss: Double = 0.0,
     workers: Int = 12,
 ) {
     internal val random = Random(seed)
@@ -38,7 +38,7 @@
     val violations = ArrayList<String>()
 
     /** Jobs that ended because the lease of their worker expired. */
-    val killed = ArrayList<String>()
+    val killedJobs = ArrayList<String>()
 
     /** How often a user was asked to repeat a cancellation later. */
     var postponed = 0
@@ -48,7 +48,7 @@
     val workers = List(workers) { LeaseHolder(this, "w$it", it % members.size) }
 
     init {
-        members.forEach { it.begin() }
+        members.forEach { it.start() }
         this.workers.forEach { it.scheduleHeartbeat() }
     }
 
--- a/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
+++ b/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
@@ -49,7 +49,7 @@
         var commands: List<Command> = emptyList()
         leader.step { commands = heartbeatReceived(heartbeat) }
         val token = receiver.token
-        context.trace?.answer(context.now, worker.id, token, commands)
+        context.trace?.addHeartbeatReply(context.now, worker.id, token, commands)
         context.after(context.networkDelay()) {
             if (!acceptsAnswer(worker, heartbeat, token)) return@after
             worker.highestToken = token
--- a/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
+++ b/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
@@ -35,26 +35,26 @@
     private val leases = HashSet<Long>()
 
     /** Whether every request is answered with 503. */
-    var down = false
+    var isDown = false
 
     /** Most changes of a transaction; there may be four times as many conditions. */
-    var opsLimit = 24
+    var maxChangesPerTransaction = 24
 
     /** Bytes in JSON; a larger value is answered with 400. */
-    var valueLimit = 16 * 1024
+    var maxValueBytes = 16 * 1024
 
     /** Called just before a transaction over HTTP is carried out, so that a test can let others change something. */
     var beforeTransaction: (List<Put>) -> Unit = {}
 
     /** Whether the answer to a transaction that was carried out is replaced by one that can't be read. */
-    var loses: () -> Boolean = { false }
+    var losesResponse: () -> Boolean = { false }
 
     /** Requests that came in, apart from those that follow the changes. */
-    var served = 0
+    var servedRequests = 0
         private set
 
     /** As many of the next transactions are answered with 429, as being above the rate. */
-    var throttled = 0
+    var transactionsToThrottle = 0
 
     @Synchronized
     fun newLease(): Long = (++lastLease).also { leases.add(it) }
@@ -72,14 +72,14 @@
         if (entries.remove(key) != null) log.add(Triple(key, null, revision))
     }
 
-    fun tooLarge(put: Put) = Cbor.jsonSizeBytes(put.value) > valueLimit
+    fun isTooLarge(put: Put) = Cbor.jsonSizeBytes(put.value) > maxValueBytes
 
     /** Compare-and-swap: returns the keys whose versions differ from [conditions], or null if it was carried out. */
     @Synchronized
     fun transact(conditions: Map<String, Long>, puts: List<Put>, removes: List<String>): List<String>? {
-        check(puts.size + removes.size <= opsLimit) { "too many changes: ${puts.size + removes.size}" }
-        check(conditions.size <= opsLimit * 4) { "too many conditions" }
-        check(puts.none(::tooLarge)) { "too large" }
+        check(puts.size + removes.size <= maxChangesPerTransaction) { "too many changes: ${puts.size + removes.size}" }
+        check(conditions.size <= maxChangesPerTransaction * 4) { "too many conditions" }
+        check(puts.none(::isTooLarge)) { "too large" }
         val failed = conditions.filter { (key, version) -> (entries[key]?.version ?: 0L) != version }.keys.toList()
         if (failed.isNotEmpty()) return failed
         if (puts.isEmpty() && removes.isEmpty()) return null
@@ -107,9 +107,9 @@
     /** Answers a request of the store's HTTP protocol. */
     @Synchronized
     fun serve(request: Request): Response {
-        if (down) return reply(503, mapOf("error" to "trouble"))
+        if (isDown) return reply(503, mapOf("error" to "trouble"))
         val path = request.uri.path
-        if (path != "/follow") served++
+        if (path != "/follow") servedRequests++
         return when {
             path == "/multi" -> multi(request)
             path == "/leases" -> reply(200, mapOf("tenure" to newLease()))
@@ -122,19 +122,19 @@
     }
 
     private fun multi(request: Request): Response {
-        if (throttled > 0) {
-            throttled--
+        if (transactionsToThrottle > 0) {
+            transactionsToThrottle--
             return reply(429, emptyMap())
         }
         val response = execute(Cbor.decodeMap(request.body.stream.readAllBytes()))
-        return if (loses()) Response(Status.OK).body(UNREADABLE) else response
+        return if (losesResponse()) Response(Status.OK).body(UNREADABLE) else response
     }
 
     private fun execute(transaction: Fields): Response {
         val changes = if ("apply" in transaction) transaction.maps("apply") else emptyList()
         val puts = changes.filter { "set" in it }.map(::put)
         beforeTransaction(puts)
-        if (puts.any(::tooLarge)) return reply(400, mapOf("error" to "too large"))
+        if (puts.any(::isTooLarge)) return reply(400, mapOf("error" to "too large"))
         if (puts.any { it.lease != null && it.lease !in leases }) return reply(400, mapOf("error" to "no such lease"))
         val conditions = transaction.maps("guards").associate { it.text("key") to it.count("mark") }
         val failed = transact(conditions, puts, changes.mapNotNull { it["remove"] as String? })
@@ -170,8 +170,8 @@
         val prefix = request.query("starts") ?: ""
         val after = request.query("after") ?: ""
         val all = entries.filterKeys { it.startsWith(prefix) && it > after }
-        val page = all.entries.take(PAGE).map { (key, entry) -> row(key, entry) }
-        return reply(200, mapOf("rows" to page, "has_next" to (all.size > PAGE), "ledger" to revision))
+        val page = all.entries.take(PAGE_SIZE).map { (key, entry) -> row(key, entry) }
+        return reply(200, mapOf("rows" to page, "has_next" to (all.size > PAGE_SIZE), "ledger" to revision))
     }
 
     private fun item(key: String): Response {
@@ -187,7 +187,7 @@
 
     companion object {
         /** Entries of a page: few, so that paging is exercised. */
-        const val PAGE = 3
+        const val PAGE_SIZE = 3
 
         /** Not decodable as CBOR. */
         private const val UNREADABLE = "\u00ff"
--- a/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
@@ -24,7 +24,7 @@
         when {
             store.isDown ->
                 answerLater(scheduler, StoreOutcome.Refused(emptySet()))
-            transaction.puts.any(store.state::tooLarge) -> {
+            transaction.puts.any(store.state::isTooLarge) -> {
                 refusedForSize++
                 answerLater(scheduler, StoreOutcome.TooLarge())
             }
@@ -36,7 +36,7 @@
     private fun transactionFor(changes: StoreChanges): Transaction {
         val transaction = transactionOf(leader.recordVersion, changes)
         if (!leader.isOldVersion) return transaction
-        return transaction.copy(puts = transaction.puts.map(OldVersion::rewrites))
+        return transaction.copy(puts = transaction.puts.map(OldVersion::rewrite))
     }
 
     private fun answerLater(scheduler: Scheduler, outcome: StoreOutcome) {
--- a/src/test/kotlin/glenspool/simulation/LeaseHolder.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaseHolder.kt
@@ -26,12 +26,12 @@
         }
         node.leases.recordAnswer(name)
         leaseRenewedAt = simulation.now
-        jobs.removeIf { node.knows(it) }
+        jobs.removeIf { node.isCancelled(it) }
     }
 
     internal fun expireLease() {
         if ((simulation.now - leaseRenewedAt) * drift <= simulation.settings.lease) return
-        simulation.killed.addAll(jobs)
+        simulation.killedJobs.addAll(jobs)
         jobs.clear()
         leaseRenewedAt = simulation.now
     }
--- a/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
@@ -27,21 +27,21 @@
     internal val nodes: () -> Map<String, String>,
     internal val history: JobHistory,
     heartbeatInterval: Duration = HEARTBEAT_INTERVAL,
-    internal val lease: Duration = LEASE,
-    internal val runTime: Duration = RUN_TIME,
+    internal val lease: Duration = LEASE_DURATION,
+    internal val runTime: Duration = TASK_RUN_TIME,
     internal val now: () -> Duration,
 ) : AutoCloseable {
     /** A command that a worker executed. */
-    data class CarriedOut(val at: Duration, val verb: String, val machine: String, val key: TaskKey)
+    data class ExecutedCommand(val at: Duration, val verb: String, val machine: String, val key: TaskKey)
 
     /** Starts and stops that changed something. */
-    val carriedOut = ConcurrentLinkedQueue<CarriedOut>()
+    val executedCommands = ConcurrentLinkedQueue<ExecutedCommand>()
 
     /** Requests to the cloud for more machines. */
-    val rented = AtomicInteger()
+    val rentRequests = AtomicInteger()
 
     /** Machines that the cloud was asked to delete. */
-    val deleted = AtomicInteger()
+    val deletedMachines = AtomicInteger()
 
     internal val http = HttpClient(500.milliseconds)
     private val timer = Executors.newScheduledThreadPool(minOf(workers, HEARTBEAT_THREADS))
@@ -65,20 +65,21 @@
     }
 
     internal fun recordCommand(verb: String, machine: String, key: TaskKey) {
-        carriedOut.add(CarriedOut(now(), verb, machine, key))
+        executedCommands.add(ExecutedCommand(now(), verb, machine, key))
     }
 
     /** The tasks that run on a machine. */
     fun tasksOn(machine: String): List<TaskKey> = workers.getValue(machine).running()
 
     /** Puts a task on the machine that nobody ordered. */
-    fun plant(machine: String, key: TaskKey, attempt: Long) = workers.getValue(machine).plant(key, attempt)
+    fun addUnorderedTask(machine: String, key: TaskKey, attempt: Long) =
+        workers.getValue(machine).addUnorderedTask(key, attempt)
 
     /** The machine's lease expires, and all that is on it ends. */
-    fun loseLease(machine: String) = workers.getValue(machine).endLease()
+    fun expireLease(machine: String) = workers.getValue(machine).endLease()
 
     /** Whether the machine sends no heartbeats; probes and commands still reach it. */
-    fun mute(machine: String, silent: Boolean) {
+    fun setSilent(machine: String, silent: Boolean) {
         workers.getValue(machine).silent = silent
     }
 
@@ -87,11 +88,11 @@
             request.uri.path == "/flavors" -> cborResponse(Status.OK, mapOf("frames" to listOf(machineType)))
             request.uri.path == "/hosts/delete" -> delete(request)
             request.method.name == "POST" -> {
-                rented.incrementAndGet()
+                rentRequests.incrementAndGet()
                 cborResponse(Status.SERVICE_UNAVAILABLE, mapOf("error" to "no capacity"))
             }
             else -> {
-                val machines = workers.values.sortedBy { it.name }.map { it.listed() }
+                val machines = workers.values.sortedBy { it.name }.map { it.cloudEntry() }
                 cborResponse(Status.OK, mapOf("spindles" to machines, "has_next" to false))
             }
         }
@@ -99,7 +100,7 @@
     @Suppress("UNCHECKED_CAST")
     private fun delete(request: Request): Response {
         val names = Cbor.decodeMap(request.body.stream.readAllBytes())["spindles"] as List<String>
-        deleted.addAndGet(names.size)
+        deletedMachines.addAndGet(names.size)
         names.forEach { workers.remove(it)?.delete() }
         return cborResponse(Status.OK, emptyMap())
     }
@@ -113,8 +114,8 @@
 
     companion object {
         val HEARTBEAT_INTERVAL = 250.milliseconds
-        val LEASE = 8.seconds
-        val RUN_TIME = 300.milliseconds
+        val LEASE_DURATION = 8.seconds
+        val TASK_RUN_TIME = 300.milliseconds
 
         /** Threads that send heartbeats. */
         private const val HEARTBEAT_THREADS = 32
--- a/src/test/kotlin/glenspool/simulation/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -37,8 +37,8 @@
     private val recovery: RecoveryPolicy? = null,
     private val workers: Int = 4,
     private val heartbeatInterval: Duration = LoopbackFleet.HEARTBEAT_INTERVAL,
-    private val lease: Duration = LoopbackFleet.LEASE,
-    runTime: Duration = LoopbackFleet.RUN_TIME,
+    private val lease: Duration = LoopbackFleet.LEASE_DURATION,
+    runTime: Duration = LoopbackFleet.TASK_RUN_TIME,
     /** Whether users submit jobs of one task each all the time. */
     steadyLoad: Boolean = true,
 ) : AutoCloseable {
@@ -109,27 +109,28 @@
     }
 
     /** Ends a random controller and starts a build in its place at once. */
-    fun endOne(registryOf: (String) -> FeatureRegistry) {
+    fun replaceRandomNode(registryOf: (String) -> FeatureRegistry) {
         val name = names[random.nextInt(names.size)]
         replace(name, registryOf(name))
     }
 
     /** The store answers nobody for [time]; returns when work starts again afterwards. */
-    fun outage(time: Duration) {
+    fun storeOutage(time: Duration) {
         val begun = now
-        state.down = true
+        state.isDown = true
         await("the outage is over") { now - begun > time }
-        state.down = false
+        state.isDown = false
         val ended = now
         await("work starts again after the outage") { history.lastStart > ended }
     }
 
     /** What a controller answers an operator about the rollout. */
-    fun ask(name: String, request: RolloutRequest = RolloutRequest(RolloutVerb.STATUS)): RolloutReply =
+    fun rolloutReply(name: String, request: RolloutRequest = RolloutRequest(RolloutVerb.STATUS)): RolloutReply =
         node(name).rolloutAnswer(request)
 
     /** What a controller answers an operator about its recovery. */
-    fun recovery(name: String, verb: RecoveryVerb): RecoveryReply = node(name).recoveryAnswer(RecoveryRequest(verb))
+    fun recoveryReply(name: String, verb: RecoveryVerb): RecoveryReply =
+        node(name).recoveryAnswer(RecoveryRequest(verb))
 
     /** The answer of a controller to a readiness probe. */
     fun readiness(name: String): CallResult = http.get(apiAddresses.getValue(name), "/ready", 1.seconds)
--- a/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
@@ -45,7 +45,7 @@
     fun running(): List<TaskKey> = tasks.filterValues { it.exit == null }.keys.toList()
 
     @Synchronized
-    fun plant(key: TaskKey, attempt: Long) {
+    fun addUnorderedTask(key: TaskKey, attempt: Long) {
         tasks[key] = RunningTask(attempt, Duration.INFINITE)
     }
 
@@ -158,7 +158,7 @@
     }
 
     /** The machine as the cloud lists it. */
-    fun listed(): Fields =
+    fun cloudEntry(): Fields =
         mapOf(
             "uid" to name, "addr" to "127.0.0.1:${listener.port}", "frame" to "big", "hall" to "here",
             "loaners" to false, "stage" to "running", "held_s" to 100.0,
--- a/src/test/kotlin/glenspool/simulation/OldVersion.kt
+++ b/src/test/kotlin/glenspool/simulation/OldVersion.kt
@@ -19,7 +19,7 @@
     private val optional = setOf("frames", "hall", "due_s")
 
     /** The record as that version reads it; null if it can't read it. */
-    fun reads(record: Fields): Fields? {
+    fun read(record: Fields): Fields? {
         val job = record["job"] as? Map<*, *> ?: return null
         val isComplete = job.keys.containsAll(jobFields - optional)
         if (!isComplete || record["at"] !is Long || record["last"] !is Long) return null
@@ -27,7 +27,7 @@
     }
 
     /** What that version would store in place of a put. */
-    fun rewrites(put: Put): Put = if (put.key.startsWith("g/j/")) put.copy(value = known(put.value)) else put
+    fun rewrite(put: Put): Put = if (put.key.startsWith("g/j/")) put.copy(value = known(put.value)) else put
 
     private fun known(record: Fields): Fields =
         record.filterKeys { it in recordFields }.mapValues { (name, value) ->
--- a/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -49,18 +49,18 @@
         var registry = registryUpTo(1)
 
         /** Of a build without levels, which reports only which stored forms it reads. */
-        var unmanaged = false
+        var isUnmanaged = false
         var up = true
         var ready = true
 
         /** Nobody receives an answer from it, though it may reach the store. */
-        var cutFromPeers = false
+        var isPartitionedFromPeers = false
         private var processes = 0
         val boot: String get() = "$name-$processes"
 
         val levels: BuildLevels
             get() =
-                if (unmanaged) {
+                if (isUnmanaged) {
                     BuildLevels("unmanaged", FeatureRegistry.BASE, registry.highest)
                 } else {
                     registry.levelsOf("build-${registry.highest}")
@@ -68,16 +68,16 @@
         val gate: FeatureGate get() = FeatureGate(levels, records::level)
 
         /** Starts a new process of a build that knows levels up to [highest]. */
-        fun restart(highest: Int, unmanaged: Boolean = false, lowest: Int = FeatureRegistry.BASE) {
+        fun restart(highest: Int, isUnmanaged: Boolean = false, lowest: Int = FeatureRegistry.BASE) {
             processes++
             registry = registryUpTo(highest, lowest)
-            this.unmanaged = unmanaged
+            this.isUnmanaged = isUnmanaged
             up = true
         }
 
         fun report(): MemberReport {
-            val isReady = ready && (unmanaged || gate.fence() == null)
-            return MemberReport(name, if (unmanaged) null else boot, levels, isReady)
+            val isReady = ready && (isUnmanaged || gate.fence() == null)
+            return MemberReport(name, if (isUnmanaged) null else boot, levels, isReady)
         }
     }
 
@@ -91,10 +91,10 @@
         private set
     private lateinit var engine: RolloutEngine
 
-    /** What happens to a transaction of the leader; one that is late is carried out by [deliverLate]. */
-    enum class Fate { DONE, ANSWER_LOST, LATE, REFUSED }
+    /** What happens to a transaction of the leader; one that is late is carried out by [executeLateTransactions]. */
+    enum class TransactionOutcome { DONE, ANSWER_LOST, LATE, REFUSED }
 
-    var fate = Fate.DONE
+    var transactionOutcome = TransactionOutcome.DONE
     private val lateTransactions = ArrayList<() -> Unit>()
     val notices = ArrayList<String>()
 
@@ -117,7 +117,7 @@
     }
 
     /** The leader asks everybody and performs what the engine decides. */
-    fun round() {
+    fun runRound() {
         collectReports()
         engine.step(input()).forEach(::perform)
     }
@@ -127,7 +127,7 @@
     }
 
     private fun answersLeader(member: Member): Boolean {
-        val isConnected = !member.cutFromPeers && !leader.cutFromPeers
+        val isConnected = !member.isPartitionedFromPeers && !leader.isPartitionedFromPeers
         return member.up && (member === leader || isConnected)
     }
 
@@ -150,7 +150,7 @@
         val end = now + time
         while (now < end) {
             now += 2.seconds
-            round()
+            runRound()
         }
     }
 
@@ -167,21 +167,21 @@
     private fun store(key: String, version: Long, value: Map<String, Any?>, onStored: () -> Unit) {
         val conditions = mapOf(Keys.LEADERSHIP to recordVersion, key to version)
         val transaction = { if (state.transact(conditions, listOf(Put(key, value)), emptyList()) == null) onStored() }
-        when (fate) {
-            Fate.DONE, Fate.ANSWER_LOST -> transaction()
-            Fate.LATE -> lateTransactions.add(transaction)
-            Fate.REFUSED -> Unit
+        when (transactionOutcome) {
+            TransactionOutcome.DONE, TransactionOutcome.ANSWER_LOST -> transaction()
+            TransactionOutcome.LATE -> lateTransactions.add(transaction)
+            TransactionOutcome.REFUSED -> Unit
         }
     }
 
     /** Carries out the transactions that were late, if their conditions still hold. */
-    fun deliverLate() {
+    fun executeLateTransactions() {
         lateTransactions.forEach { it() }
         lateTransactions.clear()
     }
 
     /** Applies an order of an operator, as the leader does. */
-    fun order(request: OperatorRequest): OrderOutcome {
+    fun applyOrder(request: OperatorRequest): OrderOutcome {
         val stored = records.orders()
         val rule = OrderRule(leader.registry, members.map { it.name }.toSet())
         val outcome = rule.apply(request, stored.valueOrNull() ?: OperatorOrders(), records.level(), now)
@@ -194,8 +194,8 @@
     }
 
     /** The level that is active according to the store. */
-    val active: Int get() = records.level().valueOrNull()?.level ?: FeatureRegistry.BASE
+    val activeLevel: Int get() = records.level().valueOrNull()?.level ?: FeatureRegistry.BASE
 
     /** A moment of the records, whose time of day is the simulated time. */
-    fun moment(milliseconds: Long) = milliseconds.milliseconds
+    fun recordTime(milliseconds: Long) = milliseconds.milliseconds
 }
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -180,7 +180,7 @@
             if (value == null) {
                 jobRemoved(job)
             } else {
-                val readable = if (isOldVersion) OldVersion.reads(value) else value
+                val readable = if (isOldVersion) OldVersion.read(value) else value
                 if (readable != null) jobRecordRead(store.records.read(job, readable), change.version)
             }
         } else if (change.key.startsWith(Keys.CANCEL) && value != null) {
@@ -192,7 +192,7 @@
     fun step(event: Scheduler.() -> Unit) {
         val leading = scheduler ?: return
         for (action in leading.step(context.now, context.now, event)) {
-            context.trace?.action(context.now, action) { transactionOf(recordVersion, it) }
+            context.trace?.addAction(context.now, action) { transactionOf(recordVersion, it) }
             perform(action, leading)
         }
     }
@@ -203,6 +203,6 @@
     }
 
     private fun traceWorkCounters() {
-        scheduler?.let { context.trace?.workCounters(it.workCounters) }
+        scheduler?.let { context.trace?.addWorkCounters(it.workCounters) }
     }
 }
--- a/src/test/kotlin/glenspool/simulation/SimulatedStore.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedStore.kt
@@ -8,7 +8,7 @@
 
 /** The key-value store of a [ClusterSimulation], with its outages and the reads that its users need. */
 internal class SimulatedStore(private val context: SimulationContext) {
-    val state = InMemoryStore().also { it.opsLimit = context.config.txnOps }
+    val state = InMemoryStore().also { it.maxChangesPerTransaction = context.config.txnOps }
     val records = JobRecordReader(state)
     val finalStates = FinalStates { key -> state.get(key)?.let { StoreResult.Ok(it) } ?: StoreResult.Missing }
 
--- a/src/test/kotlin/glenspool/simulation/ServedUserApi.kt
+++ b/src/test/kotlin/glenspool/simulation/UserApiTestBase.kt
@@ -26,15 +26,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Requests of users over real sockets on loopback, against an [InMemoryStore]. */
-abstract class ServedUserApi(private val settingsText: String = SettingsTest.VALID_SETTINGS) {
+abstract class UserApiTestBase(private val settingsText: String = SettingsTest.VALID_SETTINGS) {
     @TempDir
     lateinit var dir: File
     protected val state = InMemoryStore()
-    protected val outside = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
+    protected val storeListener = HttpListener(InetSocketAddress("127.0.0.1", 0), "state", 8, state::serve)
     protected val http = HttpClient(2.seconds)
-    protected val client = KeyValueStoreClient("127.0.0.1:${outside.port}", http)
+    protected val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", http)
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
-    private val syncs = startSyncThread(cache)
+    private val syncThread = startSyncThread(cache)
 
     /** Null while no machine types are known. */
     protected var types: List<MachineType>? = listOf(bigType)
@@ -47,22 +47,24 @@
     protected var features: FeaturePermits = UnmanagedFeatures { allMembersReadSplitRecords }
 
     /** Whether the node takes itself for cut off from the store. */
-    protected var cutOff = false
+    protected var isIsolated = false
 
     /** Whether every cancellation can be confirmed to its user. */
-    protected var confirmable = true
+    protected var mayConfirmCancellation = true
     private val api by lazy {
         val users =
-            UserApi(settings, client, cache, PeerClient(members), { cutOff }, features, { confirmable }) { types }
+            UserApi(settings, client, cache, PeerClient(members), {
+                isIsolated
+            }, features, { mayConfirmCancellation }) { types }
         HttpListener(InetSocketAddress("127.0.0.1", 0), "api", 8, users)
     }
     protected val addr get() = "127.0.0.1:${api.port}"
 
     @AfterEach
     fun close() {
-        syncs.interrupt()
+        syncThread.interrupt()
         api.close()
-        outside.close()
+        storeListener.close()
     }
 
     protected fun spec(
@@ -87,7 +89,7 @@
     }
 
     /** Stores the final state of a job, as the leader does. */
-    protected fun end(id: String, word: String) {
+    protected fun storeFinalState(id: String, word: String) {
         val finalState = Put(Keys.final(id), mapOf("end" to word, "tasks" to 1L))
         state.transact(emptyMap(), listOf(finalState), listOf(Keys.job(id), Keys.cancel(id)))
     }
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -84,7 +84,7 @@
     }
 
     @Test
-    fun `its final states, cancellations, image locations and leadership are read`() {
+    fun `final states, cancellations, image locations and leadership of the production version are read`() {
         val done = stored(Keys.final("run-000001"))
         val cancelled = stored(Keys.final("run-000002"))
         assertEquals(
@@ -100,7 +100,7 @@
     }
 
     @Test
-    fun `its messages are understood, and it is not taken for a new one`() {
+    fun `messages of the production version are decoded, and the sender is not mistaken for a new version`() {
         val status = PeerWire.decodeStatus(written("peer-status"))
         assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, readableLevel = 0), status)
 
@@ -117,7 +117,7 @@
 
     @OptIn(ExperimentalSerializationApi::class)
     @Test
-    fun `it understands what a new controller says of itself`() {
+    fun `the production version decodes the status of a new controller`() {
         val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED_RECORDS))
         val oldDecoder = kotlinx.serialization.cbor.Cbor { ignoreUnknownKeys = true }
 
@@ -134,14 +134,14 @@
     }
 
     @Test
-    fun `a job that may run is stored so that it reads all of it, and loses nothing that a rule needs`() {
+    fun `the production version reads a runnable job completely, and its rewrite keeps what the rules need`() {
         val placements = listOf(StoredPlacement(2, 3, "i-1"))
         val record =
             JobRecord(job("a", tasks = 9), 5.seconds, 3, bits(1), placements, dependenciesDoneAt = 7.seconds)
         val value = stores(record).getValue(Keys.job("a"))
 
-        val seenByOld = checkNotNull(OldVersion.reads(value))
-        val rewrittenByOld = OldVersion.rewrites(Put(Keys.job("a"), seenByOld)).value
+        val seenByOld = checkNotNull(OldVersion.read(value))
+        val rewrittenByOld = OldVersion.rewrite(Put(Keys.job("a"), seenByOld)).value
 
         // Only the time at which it became ready is lost, which decides no more than the order of work.
         val expected = record.copy(dependenciesDoneAt = null)
@@ -150,21 +150,21 @@
     }
 
     @Test
-    fun `a job that waits is unreadable to it, so it neither starts nor rewrites it`() {
+    fun `a job with open dependencies is unreadable to the production version, so it can't start or rewrite it`() {
         val waiting = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), listOf("b"))
 
-        assertNull(OldVersion.reads(RecordWire.encode(waiting)))
+        assertNull(OldVersion.read(RecordWire.encode(waiting)))
     }
 
     @Test
-    fun `a job with its description in parts is unreadable to it`() {
+    fun `a job with its description in parts is unreadable to the production version`() {
         val inParts = JobRecord(job("a"), 5.seconds, 0, BitSet(), emptyList(), descriptionPartCount = 2)
 
-        assertNull(OldVersion.reads(RecordWire.encode(inParts)))
+        assertNull(OldVersion.read(RecordWire.encode(inParts)))
     }
 
     @Test
-    fun `a job with placements in parts is unreadable to it, and read here`() {
+    fun `a job with placements in parts is unreadable to the production version, and readable to this one`() {
         val record =
             JobRecord(
                 job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
@@ -173,7 +173,7 @@
         val values = stores(record, mapOf(0 to 1L))
         store.transact(emptyMap(), values.map { Put(it.key, it.value) }, emptyList())
 
-        assertNull(OldVersion.reads(values.getValue(Keys.job("a"))))
+        assertNull(OldVersion.read(values.getValue(Keys.job("a"))))
         assertEquals(record, JobRecordReader(store).read("a", values.getValue(Keys.job("a"))))
     }
 
@@ -198,7 +198,7 @@
     private fun member(listener: HttpListener) = Member("n", "here", InetSocketAddress("127.0.0.1", listener.port))
 
     @Test
-    fun `a submission that waits is not passed to a controller that would start it at once`() {
+    fun `a submission with dependencies is not relayed to a controller that would start the job immediately`() {
         val taken = ArrayList<String>()
         val request = RelayRequest("POST", "/api/jobs", ByteArray(0))
         oldController(taken).use { old ->
