--- a/src/test/kotlin/glenspool/core/CancellationDeadlineTest.kt
+++ b/src/test/kotlin/glenspool/core/CancellationDeadlineTest.kt
@@ -13,27 +13,27 @@
     @Test
     fun `cancelled work on a silent machine is gone by its deadline`() {
         // All other machines are silent too, so silence alone would not cause the deletion of this one.
-        started(3)
+        registerMachines(3)
         submit(job("a"))
-        wait(1.seconds)
-        confirm()
+        advanceTime(1.seconds)
+        confirmTransaction()
         cancel("a")
         val cancelledAt = now
         val machine = scheduledJob("a").placements.getValue(0).machine
-        val actions = wait(30.seconds)
+        val actions = advanceTime(30.seconds)
         assertTrue(actions.deletions().any { machine in it.machines })
         assertTrue(now - cancelledAt < core.config.cancellationDeadline)
     }
 
     @Test
     fun `cancelled work on a machine with heartbeats but unreachable is gone by its deadline`() {
-        val running = busy(1)
+        val running = startBusyMachines(1)
         val machine = running.keys.single()
         cancel("a")
         val cancelledAt = now
         var deletedAt: Duration? = null
         while (deletedAt == null && now - cancelledAt < core.config.cancellationDeadline) {
-            if (live(2.seconds, running, setOf(machine)).any { it is DeleteMachines }) deletedAt = now
+            if (runWithHeartbeats(2.seconds, running, setOf(machine)).any { it is DeleteMachines }) deletedAt = now
         }
         val latest = core.config.cancellationDeadline * 0.9
         assertTrue(deletedAt != null && deletedAt - cancelledAt < latest, "$deletedAt")
@@ -41,7 +41,7 @@
 
     @Test
     fun `without a leader, only unreachable machines with cancelled work are overdue, shortly before its deadline`() {
-        val running = busy(3)
+        val running = startBusyMachines(3)
         submit(job("b"))
         cancel("a")
         // The stop is executed on m1 and m2; m3 is silent from now on.
--- a/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
+++ b/src/test/kotlin/glenspool/core/CancelledWorkTrackerTest.kt
@@ -71,13 +71,13 @@
 
     @Test
     fun `a leader that receives a cancellation from another controller stops the work immediately`() {
-        val (machine, task) = busy(1).entries.single()
+        val (machine, task) = startBusyMachines(1).entries.single()
         val stops = step { jobCancelled("a", 900, now) }.stops()
         assertEquals(listOf(StopTask(task.key, task.attempt, Duration.ZERO, StopCause.CANCELLED)), stops)
         // The key-value store later reports the same cancellation. Only its version changes, on which the transaction
         // that stores the final state is conditional.
         assertEquals(emptyList<SendCommands>(), step { jobCancelled("a", 901, now) }.commandRequests())
-        val afterStop = heartbeatActions(machine, task.exited(ExitReason.STOPPED)) + wait(1.seconds)
+        val afterStop = heartbeatActions(machine, task.exited(ExitReason.STOPPED)) + advanceTime(1.seconds)
         val finalStates = afterStop.writes().filterIsInstance<StoreFinalState>()
         assertEquals(listOf<Long?>(901), finalStates.map { it.cancelVersion })
     }
--- a/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/DependencySimulationTest.kt
@@ -12,7 +12,7 @@
     fun `jobs start when all of their dependencies are done, and are aborted if one is cancelled`(seed: Long) {
         val day = RandomizedSimulation(seed, FaultRates(), hasDependencies = true).run()
         assertTrue(day.dependenciesOf.size > 5)
-        assertTrue(day.dependenciesOf.keys.any { day.end(it) == "done" })
+        assertTrue(day.dependenciesOf.keys.any { day.finalState(it) == "done" })
     }
 
     @ParameterizedTest
@@ -20,8 +20,9 @@
     fun `jobs with dependencies break no rule amid all faults and failovers`(seed: Long) {
         val faults =
             FaultRates(
-                lost = 0.05, held = 0.05, copies = 0.05, oneWay = 0.01, outages = 0.02, takeovers = 0.04,
-                deaths = 0.01, cuts = 0.02, hangs = 0.01, restarts = 0.01, apart = 0.01,
+                messageLoss = 0.05, delayedCommands = 0.05, duplicateHeartbeats = 0.05, oneWayPartitions = 0.01,
+                storeOutages = 0.02, failovers = 0.04,
+                machineLosses = 0.01, machinePartitions = 0.02, hangs = 0.01, restarts = 0.01, leaderIsolations = 0.01,
             )
         RandomizedSimulation(seed, faults, hasDependencies = true, allControllersNew = true).run()
     }
@@ -31,7 +32,8 @@
     fun `leaders of old and new versions in turn break no rule for jobs with dependencies`(seed: Long) {
         val faults =
             FaultRates(
-                lost = 0.05, held = 0.05, takeovers = 0.06, outages = 0.02, deaths = 0.01, cuts = 0.02, olds = 0.5,
+                messageLoss = 0.05, delayedCommands = 0.05, failovers = 0.06, storeOutages = 0.02,
+                machineLosses = 0.01, machinePartitions = 0.02, oldVersionLeaders = 0.5,
             )
         RandomizedSimulation(seed, faults, hasDependencies = true).run()
     }
--- a/src/test/kotlin/glenspool/core/FailoverSimulationTest.kt
+++ b/src/test/kotlin/glenspool/core/FailoverSimulationTest.kt
@@ -15,7 +15,8 @@
     fun `failovers amid delayed messages and outages break no rule`(seed: Long) {
         val faults =
             FaultRates(
-                lost = 0.05, held = 0.08, takeovers = 0.03, outages = 0.02, cuts = 0.02, hangs = 0.02, deaths = 0.01,
+                messageLoss = 0.05, delayedCommands = 0.08, failovers = 0.03, storeOutages = 0.02,
+                machinePartitions = 0.02, hangs = 0.02, machineLosses = 0.01,
             )
         RandomizedSimulation(seed, faults).run()
     }
@@ -24,22 +25,23 @@
     @ValueSource(longs = [131, 132, 133, 134])
     fun `split records break no rule amid failovers`(seed: Long) {
         // The value limit is so small that hardly any placement fits into a record.
-        val faults = FaultRates(lost = 0.05, held = 0.05, takeovers = 0.04, deaths = 0.01)
+        val faults = FaultRates(messageLoss = 0.05, delayedCommands = 0.05, failovers = 0.04, machineLosses = 0.01)
         val day =
             RandomizedSimulation(
                 seed, faults, hasDependencies = seed % 2 == 0L, allControllersNew = true, valueBytes = 800,
             ).run()
-        assertEquals(0, day.refusedForSize)
+        assertEquals(0, day.oversizedTransactionCount)
         assertTrue(day.state.log.any { it.first.startsWith("g/p/") }, "no part was stored")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74, 75, 76])
     fun `a leader isolated with its workers breaks no rule, alone and with all other faults`(seed: Long) {
-        val singleFaults = FaultRates(apart = 0.03)
+        val singleFaults = FaultRates(leaderIsolations = 0.03)
         val combinedFaults =
             singleFaults.copy(
-                lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, outages = 0.01, hangs = 0.02, restarts = 0.01,
+                messageLoss = 0.05, delayedCommands = 0.05, duplicateHeartbeats = 0.1, oneWayPartitions = 0.02,
+                storeOutages = 0.01, hangs = 0.02, restarts = 0.01,
             )
         RandomizedSimulation(seed, if (seed % 2 == 0L) singleFaults else combinedFaults).run()
     }
@@ -47,20 +49,25 @@
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83, 84])
     fun `a zone cut off with its controller breaks no rule, alone and with all other faults`(seed: Long) {
-        val singleFaults = FaultRates(zoneCuts = 0.03)
+        val singleFaults = FaultRates(zonePartitions = 0.03)
         val combinedFaults =
-            singleFaults.copy(lost = 0.05, held = 0.05, copies = 0.1, takeovers = 0.02, deaths = 0.01, hangs = 0.02)
+            singleFaults.copy(
+                messageLoss = 0.05, delayedCommands = 0.05, duplicateHeartbeats = 0.1, failovers = 0.02,
+                machineLosses = 0.01, hangs = 0.02,
+            )
         RandomizedSimulation(seed, if (seed % 2 == 0L) singleFaults else combinedFaults).run()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [141, 142, 143, 144, 145, 146, 147, 148, 149, 150])
     fun `recoveries after cold starts break no rule, alone and with all other faults`(seed: Long) {
-        val singleFaults = FaultRates(mute = 0.02, deaths = 0.01)
+        val singleFaults = FaultRates(heartbeatOutages = 0.02, machineLosses = 0.01)
         val combinedFaults =
             FaultRates(
-                lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, takeovers = 0.02, deaths = 0.01, cuts = 0.02,
-                hangs = 0.02, restarts = 0.01, apart = 0.01, mute = 0.02, forNext = 0.05, zoneCuts = 0.005,
+                messageLoss = 0.05, delayedCommands = 0.05, duplicateHeartbeats = 0.1, oneWayPartitions = 0.02,
+                failovers = 0.02, machineLosses = 0.01, machinePartitions = 0.02,
+                hangs = 0.02, restarts = 0.01, leaderIsolations = 0.01, heartbeatOutages = 0.02,
+                heartbeatsForNextTerm = 0.05, zonePartitions = 0.005,
             )
         val faults = if (seed % 2 == 0L) singleFaults else combinedFaults
         val day =
--- a/src/test/kotlin/glenspool/core/FailoverTest.kt
+++ b/src/test/kotlin/glenspool/core/FailoverTest.kt
@@ -13,9 +13,9 @@
 class FailoverTest : SchedulerTestBase() {
     @Test
     fun `a new leader uses the image locations that the previous leader stored`() {
-        busy(2)
+        startBusyMachines(2)
         val stored =
-            wait(9.seconds)
+            advanceTime(9.seconds)
                 .filterIsInstance<StoreImageLocations>()
                 .map { it.images }
                 .reduce { images, part -> images + part }
@@ -36,17 +36,17 @@
         step { machineTypesRead(listOf(bigType)) }
         val machines = (1..6).map { "m$it" }
         val placements = machines.mapIndexed { index, machine -> StoredPlacement(index, index + 1L, machine) }
-        submit(job("a", tasks = 6), placements, last = 6)
-        list(machines)
+        submit(job("a", tasks = 6), placements, lastAttempt = 6)
+        applyCloudList(machines)
         val actions = ArrayList<Action>()
         val contacted = placements.take(4).associate { it.machine to runningTask("a", it.task, it.attempt) }
         // Four workers have contacted the new leader. That proves nothing about the others, which may still get answers
         // from nodes that have just started.
-        repeat(6) { actions += live(2.seconds, contacted, emptySet()) }
+        repeat(6) { actions += runWithHeartbeats(2.seconds, contacted, emptySet()) }
         assertTrue(actions.none { it is DeleteMachines })
         // Two probes without an answer show that a machine is lost.
         step { probeEnded("m6", null) }
-        repeat(2) { actions += live(2.seconds, contacted, setOf("m6")) }
+        repeat(2) { actions += runWithHeartbeats(2.seconds, contacted, setOf("m6")) }
         assertEquals(setOf("m6"), actions.deletedMachines())
     }
 
@@ -54,12 +54,12 @@
     fun `a new leader declares a machine that no list of the cloud contains lost in less than a lease`() {
         step { machineTypesRead(listOf(bigType)) }
         val placements = (0..3).map { StoredPlacement(it, it + 1L, "m${it + 1}") }
-        submit(job("a", tasks = 4, resourceRequest = wholeMachine), placements, last = 4)
+        submit(job("a", tasks = 4, resourceRequest = wholeMachine), placements, lastAttempt = 4)
         val contacted = (1..3).associate { "m$it" to runningTask("a", it - 1, it.toLong()) }
         val actions = ArrayList<Action>()
         repeat(6) {
-            actions += list(contacted.keys)
-            actions += live(2.seconds, contacted, emptySet())
+            actions += applyCloudList(contacted.keys)
+            actions += runWithHeartbeats(2.seconds, contacted, emptySet())
         }
         // The lists lag by up to 6 s here, and the lease is 16 s.
         assertEquals(setOf("m4"), actions.deletedMachines())
--- a/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
+++ b/src/test/kotlin/glenspool/core/FailureDetectionTest.kt
@@ -10,19 +10,19 @@
 class FailureDetectionTest : SchedulerTestBase() {
     @Test
     fun `silence of the whole fleet is treated as the leader's own fault, and no machine is deleted early`() {
-        busy(4)
-        assertTrue(wait(25.seconds).none { it is DeleteMachines })
+        startBusyMachines(4)
+        assertTrue(advanceTime(25.seconds).none { it is DeleteMachines })
         // They are deleted in the end, since nothing else would replace the machines if they are really lost.
-        assertTrue(wait(30.seconds).any { it is DeleteMachines })
+        assertTrue(advanceTime(30.seconds).any { it is DeleteMachines })
     }
 
     @Test
     fun `one silent machine among many is deleted, and its tasks move only after the confirmed deletion`() {
-        val running = busy(4)
+        val running = startBusyMachines(4)
         val lostTask = running.getValue("m1").key
         val actions = ArrayList<Action>()
         repeat(10) {
-            actions += wait(2.seconds)
+            actions += advanceTime(2.seconds)
             for (machine in listOf("m2", "m3", "m4")) heartbeatReply(machine, running.getValue(machine))
         }
         assertEquals(setOf("m1"), actions.deletedMachines())
@@ -31,23 +31,23 @@
         step { deletionEnded(listOf("m1"), true) }
         assertFalse(job.placements.containsKey(lostTask.task))
         heartbeatReply("m5")
-        wait(1.seconds)
+        advanceTime(1.seconds)
         assertEquals("m5", job.placements.getValue(lostTask.task).machine)
     }
 
     @Test
     fun `a machine with heartbeats but unreachable gets no work, and is deleted while others are reachable`() {
-        val running = busy(4)
+        val running = startBusyMachines(4)
         val unreachable = running.keys.first()
         step { probeEnded(unreachable, null) }
         assertFalse(knownMachine(unreachable).isReady(now, 60.seconds))
-        val actions = live(16.seconds, running, setOf(unreachable))
+        val actions = runWithHeartbeats(16.seconds, running, setOf(unreachable))
         assertEquals(setOf(unreachable), actions.deletedMachines())
     }
 
     @Test
     fun `a machine that is reachable again gets work again`() {
-        val running = busy(2)
+        val running = startBusyMachines(2)
         val unreachable = running.keys.first()
         step { probeEnded(unreachable, null) }
         assertFalse(knownMachine(unreachable).isReady(now, 60.seconds))
@@ -55,7 +55,7 @@
         val other = (running.keys - unreachable).single()
         step { probeEnded(other, null, wasSent = false) }
         assertTrue(knownMachine(other).isReady(now, 60.seconds))
-        live(6.seconds, running, emptySet())
+        runWithHeartbeats(6.seconds, running, emptySet())
         assertTrue(knownMachine(unreachable).isReady(now, 60.seconds))
     }
 }
--- a/src/test/kotlin/glenspool/core/GangSchedulingTest.kt
+++ b/src/test/kotlin/glenspool/core/GangSchedulingTest.kt
@@ -20,7 +20,7 @@
     @Test
     fun `a gang's image fetches go on when a waiting task of the gang times out`() {
         // Stopping the fetches would discard the image, and every later attempt would run into the same timeout.
-        started(2)
+        registerMachines(2)
         submit(gang("g"))
         val requests = placeAndStore()
         assertEquals(2, requests.size)
@@ -28,39 +28,39 @@
         for (request in requests) {
             val start = starts.getValue(request.machine)
             val state = if (request.machine == "m1") TaskState.WAITING else TaskState.FETCHING
-            executed(request, task("g", start.key.task, start.attempt, state))
+            commandsExecuted(request, task("g", start.key.task, start.attempt, state))
         }
         val timedOutStart = starts.getValue("m1")
         val exited = exitedTask("g", timedOutStart.key.task, timedOutStart.attempt, ExitReason.GANG_INCOMPLETE)
-        val actionsAfterTimeout = heartbeatActions("m1", exited) + wait(3.seconds)
+        val actionsAfterTimeout = heartbeatActions("m1", exited) + advanceTime(3.seconds)
         assertTrue(actionsAfterTimeout.stops().isEmpty())
         val fetchingStart = starts.getValue("m2")
         val fetchedTask = task("g", fetchingStart.key.task, fetchingStart.attempt, TaskState.WAITING)
-        val actionsAfterFetch = heartbeatActions("m2", fetchedTask) + wait(1.seconds)
+        val actionsAfterFetch = heartbeatActions("m2", fetchedTask) + advanceTime(1.seconds)
         assertEquals(listOf(fetchingStart.key), actionsAfterFetch.stops().map { it.key }.distinct())
     }
 
     @Test
     fun `resources freed by preemption for a gang are not given to other tasks`() {
-        started(2)
+        registerMachines(2)
         val running = placeAndRun(smallJob(2))
         submit(job("more", tasks = 8, resourceRequest = wholeMachine))
         submit(gang("gang"))
-        assertEquals(2, wait(1.seconds).stops().size)
+        assertEquals(2, advanceTime(1.seconds).stops().size)
         // One machine becomes free before the other. It has to stay free for the gang and get no other small task.
         val (first, firstTask) = running.entries.first()
         heartbeatReply(first, firstTask.exited(ExitReason.STOPPED))
-        wait(2.seconds)
+        advanceTime(2.seconds)
         assertTrue(knownMachine(first).placements.isEmpty())
         val (second, secondTask) = running.entries.last()
         heartbeatReply(second, secondTask.exited(ExitReason.STOPPED))
-        wait(2.seconds)
+        advanceTime(2.seconds)
         assertEquals(2, scheduledJob("gang").placements.size)
     }
 
     @Test
     fun `no work is preempted for a gang while a task of its last attempt still runs`() {
-        started(2)
+        registerMachines(2)
         val gang = placeAndRun(gang("gang"))
         heartbeatReply("m3")
         val small = placeAndRun(smallJob(1))
@@ -68,15 +68,16 @@
         // for a while.
         val (lostMachine, remainingMachine) = gang.keys.toList()
         val broken = gang.getValue(lostMachine).exited(ExitReason.GANG_BROKEN)
-        val (_, actionsAtNotice) = say(heartbeat(lostMachine, listOf(broken)).copy(preemptionNotice = 10.seconds))
+        val (_, actionsAtNotice) =
+            receiveHeartbeat(heartbeat(lostMachine, listOf(broken)).copy(preemptionNotice = 10.seconds))
         val running = small + (remainingMachine to gang.getValue(remainingMachine))
-        val stops = (actionsAtNotice + live(4.seconds, running, emptySet())).stops()
+        val stops = (actionsAtNotice + runWithHeartbeats(4.seconds, running, emptySet())).stops()
         assertTrue(stops.none { it.key.job == "small" }, "preempted for resources that cannot be used yet: $stops")
     }
 
     @Test
     fun `the machines of a broken gang are reserved for its next attempt`() {
-        started(2)
+        registerMachines(2)
         val gang = placeAndRun(gang("gang"))
         submit(smallJob(4))
         val (first, second) = gang.keys.toList()
@@ -84,11 +85,11 @@
         fun reportBroken(machine: String) =
             heartbeatReply(machine, gang.getValue(machine).exited(ExitReason.GANG_BROKEN))
         reportBroken(first)
-        val actions = wait(2.seconds)
+        val actions = advanceTime(2.seconds)
         assertTrue(knownMachine(first).placements.isEmpty(), "a small task was placed on a machine of the gang")
         assertTrue(actions.stops().none { it.key.job == "small" })
         reportBroken(second)
-        wait(2.seconds)
+        advanceTime(2.seconds)
         val attempts = scheduledJob("gang").placements.values.map { it.attempt }
         assertEquals(setOf(2L), attempts.toSet())
         assertEquals(0, scheduledJob("small").placements.size)
--- a/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesModelTest.kt
@@ -119,13 +119,13 @@
 
     /** Answers the scheduler's requests for final states. Some answers are lost, but all of them arrive in the end. */
     private fun answerRequests(model: Model) {
-        var requested = wait(1.seconds).finalStatesRequested()
+        var requested = advanceTime(1.seconds).finalStatesRequested()
         var rounds = 0
         while (requested.isNotEmpty()) {
             assertTrue(++rounds < 200, "the final states of $requested are requested without end")
             val answered = requested.filter { model.random.nextInt(4) > 0 && it in model.finalStates }
             val finalStates = answered.associateWith { model.finalStates.getValue(it) }
-            val actions = step { finalStatesRead(requested, finalStates) } + wait(2.seconds)
+            val actions = step { finalStatesRead(requested, finalStates) } + advanceTime(2.seconds)
             requested = actions.finalStatesRequested()
         }
     }
--- a/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
+++ b/src/test/kotlin/glenspool/core/JobDependenciesTest.kt
@@ -26,16 +26,16 @@
 
     @Test
     fun `a job is not placed before the final state of its dependency is stored`() {
-        started()
+        registerMachines()
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
         val request = placeAndStore().single()
         val start = request.commands.single()
         assertEquals("a", start.key.job)
-        executed(request, runningTask("a", 0, start.attempt))
+        commandsExecuted(request, runningTask("a", 0, start.attempt))
         // Neither the worker's result nor the change in flight is sufficient.
         val atResult = heartbeatActions("m1", exitedTask("a", 0, start.attempt, ExitReason.DONE))
-        val beforeStored = atResult + wait(3.seconds)
+        val beforeStored = atResult + advanceTime(3.seconds)
         assertEquals(listOf("a"), beforeStored.finalStatesStored().map { it.id })
         val waiting = core.dependencies["b"]
         assertTrue(
@@ -45,22 +45,22 @@
                 waiting.waitingTasks(1).isEmpty(),
         )
         assertTrue(beforeStored.writes().none { it.id == "b" })
-        val afterStored = confirm() + wait(1.seconds)
-        assertEquals("b", (store(afterStored).writes.single() as UpdateJobRecord).id)
-        assertEquals(listOf(TaskKey("b", 0)), confirm().starts().map(StartTask::key))
+        val afterStored = confirmTransaction() + advanceTime(1.seconds)
+        assertEquals("b", (singleStoreChanges(afterStored).writes.single() as UpdateJobRecord).id)
+        assertEquals(listOf(TaskKey("b", 0)), confirmTransaction().starts().map(StartTask::key))
     }
 
     @Test
     fun `a removed live record does not release dependents, and the job's final state is read until it is known`() {
-        started()
+        registerMachines()
         submit(job("a"))
         submit(job("b"), dependencies = listOf("a"))
         // After a reload of the store cache only the removal is known. The job may have been done or cancelled.
-        val afterRemoval = step { jobRemoved("a") } + wait(1.seconds)
+        val afterRemoval = step { jobRemoved("a") } + advanceTime(1.seconds)
         assertEquals(listOf("a"), afterRemoval.finalStatesRequested())
         assertNull(core.jobs["b"])
         // The request is not answered, so it is sent again.
-        val afterNoAnswer = step { finalStatesRead(listOf("a"), emptyMap()) } + wait(2.seconds)
+        val afterNoAnswer = step { finalStatesRead(listOf("a"), emptyMap()) } + advanceTime(2.seconds)
         assertEquals(listOf("a"), afterNoAnswer.finalStatesRequested())
         assertNull(core.jobs["b"])
         finalStateRead("a", FinalState.DONE)
@@ -76,7 +76,7 @@
             step { jobRecordRead(record, ++revision) }
         }
         val closed = HashSet<String>()
-        var actions = cancel("j0") + wait(1.seconds)
+        var actions = cancel("j0") + advanceTime(1.seconds)
         while (closed.size < jobs) {
             val stored = actions.finalStatesStored()
             assertTrue(stored.isNotEmpty(), "no further job was closed after ${closed.size}")
@@ -85,7 +85,7 @@
                 assertEquals(FinalState.CANCELLED to abortedBy, write.finalState to write.abortedBy)
             }
             closed.addAll(stored.map { it.id })
-            actions = confirm() + wait(1.seconds)
+            actions = confirmTransaction() + advanceTime(1.seconds)
         }
         assertEquals(0, core.dependencies.size)
         assertTrue(core.jobs.isEmpty())
@@ -97,7 +97,7 @@
         submit(job("b"), dependencies = listOf("a"))
         // The user's cancellation was answered with the final state DONE, so it was never stored.
         step { jobRemoved("a") }
-        wait(1.seconds)
+        advanceTime(1.seconds)
         finalStateRead("a", FinalState.DONE)
         assertEquals(setOf("b"), core.jobs.keys)
     }
@@ -118,8 +118,8 @@
         val dueBy = first.dueBy
         assertTrue(dueBy != null && dueBy < 90.seconds - 30.seconds)
         cancel("c")
-        wait(1.seconds)
-        confirm()
+        advanceTime(1.seconds)
+        confirmTransaction()
         assertEquals(Priority.IDLE, first.effectivePriority)
         assertNull(first.dueBy)
     }
--- a/src/test/kotlin/glenspool/core/OrderCountsTest.kt
+++ b/src/test/kotlin/glenspool/core/OrderCountsTest.kt
@@ -14,14 +14,14 @@
 
     @Test
     fun `starts, stops, permissions to forget and deletions are counted by cause`() {
-        val running = busy(2)
+        val running = startBusyMachines(2)
         assertEquals(mapOf<OrderCause, Long>(StartCause.PLACED to 2), counts)
         // m3 reports a task of an unknown job, and a task of a known job that has no placement there.
         heartbeatReply("m3", runningTask("unknown", 0, 1), runningTask("a", 0, 9))
         heartbeatReply("m1", running.getValue("m1").exited(ExitReason.ERROR))
         cancel("a")
-        wait(1.seconds)
-        list(running.keys, failed = setOf("m1"))
+        advanceTime(1.seconds)
+        applyCloudList(running.keys, failed = setOf("m1"))
         val expected =
             mapOf(
                 StartCause.PLACED to 2L,
@@ -40,15 +40,15 @@
 
     @Test
     fun `rented machines are counted by cause, and a repeated request is not counted again`() {
-        started(0)
+        registerMachines(0)
         submit(job("s", JobKind.SERVICE, 2, wholeMachine, priority = Priority.CRITICAL))
-        val requests = wait(2.seconds).scaleOuts()
+        val requests = advanceTime(2.seconds).scaleOuts()
         val before = counts
         assertEquals(requests.sumOf { it.count }.toLong(), before.values.sum())
         assertEquals(2L, before[ScaleOutCause.WAITING_WORK])
         val request = requests.first()
         step { scaleOutUnanswered(request) }
-        val repeated = wait(3.seconds).scaleOuts().filter { it.request == request.request }
+        val repeated = advanceTime(3.seconds).scaleOuts().filter { it.request == request.request }
         assertEquals(listOf(request), repeated)
         assertEquals(before[ScaleOutCause.WAITING_WORK], counts[ScaleOutCause.WAITING_WORK])
     }
--- a/src/test/kotlin/glenspool/core/OrphanedTasksTest.kt
+++ b/src/test/kotlin/glenspool/core/OrphanedTasksTest.kt
@@ -15,26 +15,26 @@
 class OrphanedTasksTest : SchedulerTestBase() {
     @Test
     fun `an orphan of an unknown job blocks its task when the job is submitted again`() {
-        started(2)
+        registerMachines(2)
         heartbeatReply("m1", runningTask("a", 0, 7))
         submit(job("a", tasks = 2))
-        wait(2.seconds)
+        advanceTime(2.seconds)
         assertEquals(setOf(1), scheduledJob("a").placements.keys, "task 0 runs on m1")
         assertEquals(setOf(TaskKey("a", 0)), scheduledJob("a").orphans.keys)
         // Both tasks use capacity of the machine: the one that was placed there, and the orphan until a heartbeat shows
         // that it is gone.
         assertEquals(Resources(12.0, 2.0, 48.0), knownMachine("m1").available(bigType))
         heartbeatReply("m1")
-        wait(2.seconds)
-        confirm()
+        advanceTime(2.seconds)
+        confirmTransaction()
         assertEquals(setOf(0, 1), scheduledJob("a").placements.keys)
     }
 
     @Test
     fun `an orphan of a known job is stopped, and blocks its task until it is gone`() {
-        started(2)
+        registerMachines(2)
         heartbeatReply("m1", runningTask("a", 0, 7))
-        submit(job("a"), last = 9)
+        submit(job("a"), lastAttempt = 9)
         val commands = heartbeatReply("m1", runningTask("a", 0, 7))
         assertEquals(listOf<Command>(StopTask(TaskKey("a", 0), 7, Duration.ZERO, StopCause.ORPHANED)), commands)
     }
--- a/src/test/kotlin/glenspool/core/OverloadTest.kt
+++ b/src/test/kotlin/glenspool/core/OverloadTest.kt
@@ -14,12 +14,12 @@
      * [backlog].
      */
     private fun deletedDuring(backlog: Duration, period: Duration): Set<String> {
-        val running = busy(10)
+        val running = startBusyMachines(10)
         val actions = ArrayList<Action>()
         val end = now + period
         while (now < end) {
             step { backlogMeasured(backlog) }
-            actions += live(2.seconds, running - LOST_MACHINE, emptySet())
+            actions += runWithHeartbeats(2.seconds, running - LOST_MACHINE, emptySet())
         }
         return actions.deletedMachines()
     }
@@ -36,7 +36,7 @@
 
     @Test
     fun `the backlog, which may hold a machine's heartbeat, is subtracted from the machine's silence`() {
-        val running = busy(10)
+        val running = startBusyMachines(10)
         val lastContactAt = now
         val others = running - LOST_MACHINE
 
@@ -45,7 +45,7 @@
             while (now < lastContactAt + silence) {
                 for ((machine, task) in others) actions += heartbeatActions(machine, task)
                 step { backlogMeasured(backlog) }
-                actions += wait(200.milliseconds)
+                actions += advanceTime(200.milliseconds)
             }
             return actions.deletedMachines()
         }
@@ -56,34 +56,34 @@
 
     @Test
     fun `an unanswered probe counts only without overload, and then a lost machine is deleted`() {
-        val running = busy(10)
+        val running = startBusyMachines(10)
         step { backlogMeasured(2.seconds) }
         step { probeEnded(LOST_MACHINE, null) }
         assertEquals(null, core.machines[LOST_MACHINE]?.reachability?.unreachableSince)
         // After a while the overload is over, and an unanswered probe counts again.
         val actions = ArrayList<Action>()
-        repeat(10) { actions += live(2.seconds, running - LOST_MACHINE, setOf(LOST_MACHINE)) }
+        repeat(10) { actions += runWithHeartbeats(2.seconds, running - LOST_MACHINE, setOf(LOST_MACHINE)) }
         assertEquals(setOf(LOST_MACHINE), actions.deletedMachines())
     }
 
     @Test
     fun `a machine that stays silent for a lease is deleted even while the process is overloaded`() {
-        val running = busy(10)
+        val running = startBusyMachines(10)
         val actions = ArrayList<Action>()
         repeat(30) {
             step { backlogMeasured(1.seconds) }
-            actions += live(2.seconds, running - LOST_MACHINE, emptySet())
+            actions += runWithHeartbeats(2.seconds, running - LOST_MACHINE, emptySet())
         }
         assertEquals(setOf(LOST_MACHINE), actions.deletedMachines())
     }
 
     @Test
     fun `an overloaded leader does not resign for lack of heartbeats`() {
-        busy(10)
+        startBusyMachines(10)
         val actions = ArrayList<Action>()
         repeat(20) {
             step { backlogMeasured(3.seconds) }
-            actions += wait(1.seconds)
+            actions += advanceTime(1.seconds)
         }
         assertTrue(actions.none { it is Resign })
     }
--- a/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/OwnHeartbeatTest.kt
@@ -19,26 +19,26 @@
     @Test
     fun `a machine that only answers probes gets no work until its own heartbeat comes`() {
         step { machineTypesRead(listOf(bigType)) }
-        list(listOf("m1", "m2"))
+        applyCloudList(listOf("m1", "m2"))
         heartbeatReply("m1")
         step { probeEnded("m2", heartbeat("m2")) }
         submitForTwoMachines()
-        wait(2.seconds)
+        advanceTime(2.seconds)
         assertEquals(setOf("m1"), machinesWithWork())
-        confirm()
+        confirmTransaction()
         heartbeatReply("m2")
-        wait(2.seconds)
+        advanceTime(2.seconds)
         assertEquals(setOf("m1", "m2"), machinesWithWork())
     }
 
     @Test
     fun `a machine whose heartbeats stop gets no more work, even if it answers probes`() {
-        started(2)
-        wait(6.seconds)
+        registerMachines(2)
+        advanceTime(6.seconds)
         heartbeatReply("m1")
         step { probeEnded("m2", heartbeat("m2")) }
         submitForTwoMachines()
-        wait(2.seconds)
+        advanceTime(2.seconds)
         assertEquals(setOf("m1"), machinesWithWork())
     }
 }
--- a/src/test/kotlin/glenspool/core/PacedStartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PacedStartsTest.kt
@@ -23,28 +23,28 @@
                 estimatedDuration = 1.seconds,
             ),
         )
-        wait(1.seconds)
-        confirm()
+        advanceTime(1.seconds)
+        confirmTransaction()
     }
 
     /** The job whose start is sent when one is admitted. */
     private fun nextStarted(): String {
         allowance.starts = 1
-        val start = wait(1.seconds).starts().single()
+        val start = advanceTime(1.seconds).starts().single()
         allowance.starts = 0
         return start.key.job
     }
 
     @Test
     fun `starts are sent by highest priority, then earliest deadline, and none is sent twice`() {
-        started(4)
+        registerMachines(4)
         submitAndPlace("idle", Priority.IDLE, 50)
         submitAndPlace("later", Priority.STANDARD, 90)
         submitAndPlace("sooner", Priority.STANDARD, 60)
         submitAndPlace("urgent", Priority.URGENT, 900)
-        assertEquals(0, wait(2.seconds).starts().size)
+        assertEquals(0, advanceTime(2.seconds).starts().size)
         assertEquals(listOf("urgent", "sooner", "later", "idle"), List(4) { nextStarted() })
         allowance.starts = 9
-        assertEquals(0, wait(1.seconds).starts().size)
+        assertEquals(0, advanceTime(1.seconds).starts().size)
     }
 }
--- a/src/test/kotlin/glenspool/core/PlacementPartsTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementPartsTest.kt
@@ -14,7 +14,7 @@
     fun `a job with one machine per task is stored in values within the limit, and all its tasks start`() {
         step { splitRecordSupportChecked(true) }
         startFleet(160)
-        val actions = storeAll(submit(wideJob) + wait(2.seconds))
+        val actions = storeAll(submit(wideJob) + advanceTime(2.seconds))
         assertEquals(0, sizeRefusals)
         assertEquals(160, actions.starts().size)
         val record = storedRecord()
@@ -32,24 +32,27 @@
     fun `no start is sent for a placement whose part is not stored`() {
         step { splitRecordSupportChecked(true) }
         startFleet(400)
-        val first = store(submit(wideJob.copy(tasks = 400)) + wait(2.seconds)).writes.single() as UpdateJobRecord
+        val first =
+            singleStoreChanges(submit(wideJob.copy(tasks = 400)) + advanceTime(2.seconds))
+                .writes
+                .single() as UpdateJobRecord
         val placementParts = first.record.placementParts
         assertTrue(first.parts.size == 3 && placementParts.size > 3, "all parts are in the first transaction")
         val placementsInFirst =
             first.record.placements.size + first.parts.keys.sumOf { placementParts.getValue(it).size }
-        assertEquals(placementsInFirst, confirm().starts().size)
+        assertEquals(placementsInFirst, confirmTransaction().starts().size)
     }
 
     @Test
     fun `while a controller of an old version may lead, no more tasks are placed than fit into the record`() {
         startFleet(160)
-        storeAll(submit(wideJob) + wait(1.seconds), rounds = 2)
+        storeAll(submit(wideJob) + advanceTime(1.seconds), rounds = 2)
         val record = storedRecord()
         val placed = record.placements.size
         assertTrue(record.placementParts.isEmpty() && placed in 30..159, "placed $placed")
         step { splitRecordSupportChecked(true) }
         heartbeatsOfIdleMachines(160, busy = record.placements.map { it.machine })
-        storeAll(wait(2.seconds))
+        storeAll(advanceTime(2.seconds))
         assertEquals(160, storedRecord().allPlacements().size)
         assertEquals(0, sizeRefusals)
     }
--- a/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -40,12 +40,12 @@
     private fun newSimulation(): ClusterSimulation {
         val deployment = config(TEAMS, peerZones = setOf("b")).copy(valueBytes = valueBytes)
         val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
-        val recoverer = { token: Long, startedAt: Duration, kind: StartKind ->
+        val recoveryFactory = { token: Long, startedAt: Duration, kind: StartKind ->
             RecoveryEngine(RecoveryPolicy(), setting, token, startedAt, kind)
         }
         val types = listOf(bigType, leanType)
         val simulation =
-            ClusterSimulation(seed, deployment, types, faults, recoverer = recoverer.takeIf { coldStarts })
+            ClusterSimulation(seed, deployment, types, faults, recoveryFactory = recoveryFactory.takeIf { coldStarts })
         simulation.state.maxValueBytes = valueBytes
         for (number in 0 until 6) {
             val type = if (number % 3 == 2) leanType else bigType
@@ -57,15 +57,15 @@
     }
 
     fun run(): ClusterSimulation {
-        simulation.allNew = allControllersNew
+        simulation.allControllersNew = allControllersNew
         repeat(30, ::submitRandomJob)
         simulation.run(simulation.now + 200.seconds)
-        simulation.allNew = true
-        if (faults.olds > 0) simulation.elect()
-        simulation.run(simulation.now + 500.seconds, calm = true)
+        simulation.allControllersNew = true
+        if (faults.oldVersionLeaders > 0) simulation.elect()
+        simulation.run(simulation.now + 500.seconds, withoutRandomFaults = true)
         assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
         jobs.filter { it.startsWith("s-") }.forEach(::checkAndCancelService)
-        simulation.run(simulation.now + 400.seconds, calm = true)
+        simulation.run(simulation.now + 400.seconds, withoutRandomFaults = true)
         assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
         checkFinalStates()
         return simulation
@@ -80,7 +80,7 @@
         // Without a leader, cancelled work on hung machines is not stopped in this simulation. Therefore all
         // controllers are away only for a short time if machines hang.
         if (coldStarts && random.nextInt(6) == 0) {
-            simulation.allAway((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
+            simulation.stopAllControllers((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
         }
     }
 
@@ -127,7 +127,7 @@
     private fun randomDependencies(): List<String> {
         val candidates =
             jobs.filter { job ->
-                !job.startsWith("s-") && !(simulation.end(job) == "cancelled" && random.nextInt(4) > 0)
+                !job.startsWith("s-") && !(simulation.finalState(job) == "cancelled" && random.nextInt(4) > 0)
             }
         if (candidates.isEmpty() || random.nextInt(3) == 0) return emptyList()
         val count = 1 + random.nextInt(3)
@@ -136,26 +136,26 @@
 
     private fun checkAndCancelService(id: String) {
         // A dependency may in turn wait for the quota of a team whose services are still running.
-        val hasUnfinishedDependency = simulation.dependenciesOf[id].orEmpty().any { simulation.end(it) == null }
+        val hasUnfinishedDependency = simulation.dependenciesOf[id].orEmpty().any { simulation.finalState(it) == null }
         val tasks = simulation.specs.getValue(id).tasks
         val isAsExpected =
-            simulation.end(id) == "cancelled" ||
+            simulation.finalState(id) == "cancelled" ||
                 simulation.runningReplicas(id) == tasks ||
-                simulation.teamIsFull(id) ||
+                simulation.isTeamAtQuota(id) ||
                 hasUnfinishedDependency
         val replicas = "${simulation.runningReplicas(id)} replicas of $tasks"
         assertTrue(isAsExpected, "seed $seed: $id has $replicas: ${simulation.describe(id)}")
-        if (simulation.live(id)) assertTrue(simulation.cancel(id))
+        if (simulation.hasRecord(id)) assertTrue(simulation.cancel(id))
     }
 
     private fun checkFinalStates() {
         for (id in jobs) {
-            val state = "done ${simulation.trulyDone[id]}: ${simulation.describe(id)}"
-            assertTrue(simulation.end(id) != null, "seed $seed: $id has not ended, $state")
+            val state = "done ${simulation.completedTasks[id]}: ${simulation.describe(id)}"
+            assertTrue(simulation.finalState(id) != null, "seed $seed: $id has not ended, $state")
         }
         for (id in jobs) {
             val expected = if (simulation.abortedSince(id) == null) "done" else "cancelled"
-            assertEquals(expected, simulation.end(id), "seed $seed: $id")
+            assertEquals(expected, simulation.finalState(id), "seed $seed: $id")
         }
     }
 
--- a/src/test/kotlin/glenspool/core/RecordSplittingTest.kt
+++ b/src/test/kotlin/glenspool/core/RecordSplittingTest.kt
@@ -33,10 +33,10 @@
                 val transaction = transactionOf(0, store)
                 changes += transaction.puts.size + transaction.removes.size
                 state.transact(emptyMap(), transaction.puts, transaction.removes)
-                actions = confirm()
+                actions = confirmTransaction()
             }
             maxChanges = maxOf(maxChanges, changes)
-            if (actions.none { it is StoreChanges }) actions = wait(1.seconds)
+            if (actions.none { it is StoreChanges }) actions = advanceTime(1.seconds)
         }
         return maxChanges
     }
@@ -49,7 +49,7 @@
     fun `placements are merged into the record as results free space, within the write rate, and none is lost`() {
         step { splitRecordSupportChecked(true) }
         startFleet(160)
-        storeAll(submit(wideJob) + wait(2.seconds), 60)
+        storeAll(submit(wideJob) + advanceTime(2.seconds), 60)
         assertTrue(isStoredSplit())
         val before = storedMachines()
         assertEquals(160, before.size)
@@ -65,7 +65,7 @@
                 exitedTask("wide", placement.task, placement.attempt, ExitReason.DONE),
             )
         }
-        storeAll(wait(2.seconds), 60)
+        storeAll(advanceTime(2.seconds), 60)
         assertFalse(isStoredSplit())
         assertEquals(emptyList<String>(), state.entries.keys.filter { it.startsWith(Keys.PLACEMENT_PART) })
         val stillRunning = placements.take(20).map { it.task }
@@ -77,13 +77,13 @@
         step { splitRecordSupportChecked(true) }
         startFleet(160)
         submit(wideJob)
-        val plannedActions = wait(2.seconds)
+        val plannedActions = advanceTime(2.seconds)
         assertTrue(plannedActions.any { it is StoreChanges })
         assertTrue(scheduledJob("wide").isSplit)
         step { setSplittingForbidden(true) }
         assertFalse(scheduledJob("wide").isSplit)
         step { transactionEnded(StoreOutcome.Refused(emptySet())) }
-        storeAll(wait(2.seconds), 2)
+        storeAll(advanceTime(2.seconds), 2)
         assertFalse(isStoredSplit())
         assertTrue(storedMachines().size in 30..159, "${storedMachines().size}")
         // A value that is refused for its size does not lead to a split record now either.
@@ -92,7 +92,7 @@
         step { setSplittingForbidden(false) }
         assertTrue(core.canSplitRecords)
         heartbeatsOfIdleMachines(160, busy = storedMachines().values)
-        storeAll(wait(2.seconds), 60)
+        storeAll(advanceTime(2.seconds), 60)
         assertEquals(160, storedMachines().size)
     }
 
--- a/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
+++ b/src/test/kotlin/glenspool/core/RestoreInPlaceTest.kt
@@ -22,7 +22,7 @@
 
     private fun submitWithStoredPlacement() {
         step { machineTypesRead(listOf(bigType)) }
-        submit(job("a"), listOf(StoredPlacement(0, 3, "m1")), last = 3)
+        submit(job("a"), listOf(StoredPlacement(0, 3, "m1")), lastAttempt = 3)
     }
 
     private fun List<Action>.transactionCount() = filterIsInstance<StoreChanges>().size
@@ -30,22 +30,22 @@
     @Test
     fun `a missing task is started on its machine under the same attempt, and nothing is stored`() {
         submitWithStoredPlacement()
-        val actions = heartbeatActions("m1") + wait(2.seconds)
+        val actions = heartbeatActions("m1") + advanceTime(2.seconds)
         assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactionCount())
     }
 
     @Test
     fun `a task missing in a probe's answer is restored if a heartbeat came before, under an earlier leader's token`() {
         submitWithStoredPlacement()
-        say(heartbeat("m1", token = TOKEN - 1))
-        val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
+        receiveHeartbeat(heartbeat("m1", token = TOKEN - 1))
+        val actions = step { probeEnded("m1", heartbeat("m1")) } + advanceTime(2.seconds)
         assertEquals(listOf(restoringStart) to 0, actions.starts() to actions.transactionCount())
     }
 
     @Test
     fun `nothing is started on a machine that only answers probes`() {
         submitWithStoredPlacement()
-        val actions = step { probeEnded("m1", heartbeat("m1")) } + wait(2.seconds)
+        val actions = step { probeEnded("m1", heartbeat("m1")) } + advanceTime(2.seconds)
         assertEquals(0, actions.starts().size)
         assertEquals(emptyMap<Int, Any>(), scheduledJob("a").placements)
     }
--- a/src/test/kotlin/glenspool/core/ScaleOutTest.kt
+++ b/src/test/kotlin/glenspool/core/ScaleOutTest.kt
@@ -17,23 +17,23 @@
     fun `a machine is rented for an array that fits no machine, however short its run time`() {
         step { machineTypesRead(listOf(bigType)) }
         submit(job("a"))
-        assertEquals(listOf(1), wait(4.seconds).scaleOuts().map { it.count })
+        assertEquals(listOf(1), advanceTime(4.seconds).scaleOuts().map { it.count })
     }
 
     @Test
     fun `a machine is rented for an array that waits behind a service that never ends`() {
-        started()
+        registerMachines()
         val fullMachine = Resources(16.0, 4.0, 64.0)
         val running =
             placeAndRun(job("s", JobKind.SERVICE, resourceRequest = fullMachine, priority = Priority.CRITICAL))
         submit(job("a"))
-        assertEquals(emptyList<ScaleOut>(), live(90.seconds, running, emptySet()).scaleOuts())
-        assertEquals(listOf(1), live(20.seconds, running, emptySet()).scaleOuts().map { it.count })
+        assertEquals(emptyList<ScaleOut>(), runWithHeartbeats(90.seconds, running, emptySet()).scaleOuts())
+        assertEquals(listOf(1), runWithHeartbeats(20.seconds, running, emptySet()).scaleOuts().map { it.count })
     }
 
     @Test
     fun `a spread service whose zone is full gets a machine in another zone`() {
-        started(1, others = 1)
+        registerMachines(1, peerZoneMachines = 1)
         // Zone a already has its share of the service, and the machine in zone b is full.
         val full =
             job(
@@ -42,8 +42,8 @@
             )
         assertEquals(setOf("z1"), placeAndRun(full).keys)
         val service = job("s", JobKind.SERVICE, 2, priority = Priority.CRITICAL, spread = true)
-        val submitted = submit(service, listOf(StoredPlacement(0, 1, "m1")), last = 1)
-        val scaleOuts = (submitted + wait(4.seconds)).scaleOuts()
+        val submitted = submit(service, listOf(StoredPlacement(0, 1, "m1")), lastAttempt = 1)
+        val scaleOuts = (submitted + advanceTime(4.seconds)).scaleOuts()
         assertTrue(scaleOuts.isNotEmpty() && scaleOuts.all { it.zone == "b" }, "$scaleOuts")
     }
 }
--- a/src/test/kotlin/glenspool/core/SchedulerTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SchedulerTestBase.kt
@@ -35,36 +35,38 @@
 
     /** Delivers a heartbeat of the machine. Returns the commands in the reply. */
     protected fun heartbeatReply(machine: String, vararg tasks: TaskStatus): List<Command> =
-        say(heartbeat(machine, tasks.toList())).first
+        receiveHeartbeat(heartbeat(machine, tasks.toList())).first
 
     /** Delivers a heartbeat of the machine. Returns the resulting actions besides the reply. */
     protected fun heartbeatActions(machine: String, vararg tasks: TaskStatus): List<Action> =
-        say(heartbeat(machine, tasks.toList())).second
+        receiveHeartbeat(heartbeat(machine, tasks.toList())).second
 
     /** Ends a request that the machine has executed. Its answer is a heartbeat that shows these tasks. */
-    protected fun executed(request: SendCommands, vararg tasks: TaskStatus): List<Action> =
+    protected fun commandsExecuted(request: SendCommands, vararg tasks: TaskStatus): List<Action> =
         step {
             val reply = heartbeat(request.machine, tasks.toList())
             commandsEnded(request.machine, request, CommandOutcome.DONE, reply)
         }
 
     /** Ends a request without an answer of the machine. */
-    protected fun unanswered(request: SendCommands, outcome: CommandOutcome = CommandOutcome.UNKNOWN): List<Action> =
-        step { commandsEnded(request.machine, request, outcome, null) }
+    protected fun commandsUnanswered(
+        request: SendCommands,
+        outcome: CommandOutcome = CommandOutcome.UNKNOWN,
+    ): List<Action> = step { commandsEnded(request.machine, request, outcome, null) }
 
     protected fun cancel(job: String): List<Action> = step { jobCancelled(job, ++revision, now) }
 
     /** Places the submitted jobs and stores the placements. Returns the requests that then start their tasks. */
     protected fun placeAndStore(): List<SendCommands> {
-        wait(1.seconds)
-        return confirm().commandRequests()
+        advanceTime(1.seconds)
+        return confirmTransaction().commandRequests()
     }
 
     /** Submits and places a job and starts its tasks. Returns the running task of each machine that was sent one. */
     protected fun placeAndRun(spec: JobSpec): Map<String, TaskStatus> {
         submit(spec)
-        wait(1.seconds)
-        return carriedOut()
+        advanceTime(1.seconds)
+        return executePlacements()
     }
 
     protected fun List<Action>.commandRequests(): List<SendCommands> = filterIsInstance<SendCommands>()
--- a/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
@@ -64,7 +64,7 @@
         repeat(rounds) {
             val changes = actions.filterIsInstance<StoreChanges>().singleOrNull()
             otherActions += actions.filter { it !is StoreChanges }
-            actions = if (changes == null) wait(1.seconds) else transact(changes)
+            actions = if (changes == null) advanceTime(1.seconds) else transact(changes)
         }
         return otherActions
     }
@@ -77,7 +77,7 @@
             return step { transactionEnded(StoreOutcome.TooLarge()) }
         }
         state.transact(emptyMap(), transaction.puts, transaction.removes)
-        return confirm()
+        return confirmTransaction()
     }
 
     protected companion object {
--- a/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
+++ b/src/test/kotlin/glenspool/core/StaleHeartbeatTest.kt
@@ -16,35 +16,35 @@
 class StaleHeartbeatTest : SchedulerTestBase() {
     @Test
     fun `a heartbeat older than the newest one changes nothing`() {
-        started()
+        registerMachines()
         submit(job("a"))
-        wait(1.seconds)
+        advanceTime(1.seconds)
         val stale = heartbeat("m1")
-        val request = confirm().commandRequests().single()
-        executed(request, runningTask("a", 0, 1))
-        say(stale)
+        val request = confirmTransaction().commandRequests().single()
+        commandsExecuted(request, runningTask("a", 0, 1))
+        receiveHeartbeat(stale)
         assertEquals(1, scheduledJob("a").placements.size)
     }
 
     @Test
     fun `a duplicate heartbeat does not count as contact, not even with the newest sequence number`() {
-        started()
+        registerMachines()
         val last = heartbeat("m1")
-        say(last)
+        receiveHeartbeat(last)
         val lastContactAt = knownMachine("m1").reachability.lastContactAt
         now += 3.seconds
-        say(last)
-        say(last.copy(sequence = last.sequence - 1))
+        receiveHeartbeat(last)
+        receiveHeartbeat(last.copy(sequence = last.sequence - 1))
         assertEquals(lastContactAt, knownMachine("m1").reachability.lastContactAt)
     }
 
     @Test
     fun `a duplicate heartbeat does not bring a deleted machine back, nor does a new leader use the machine`() {
-        started()
+        registerMachines()
         val last = heartbeat("m1")
-        say(last)
+        receiveHeartbeat(last)
         step { deletionEnded(listOf("m1"), true) }
-        say(last.copy(sequence = last.sequence + 5))
+        receiveHeartbeat(last.copy(sequence = last.sequence + 5))
         assertTrue("m1" !in core.machines)
         // The next leader does not know of the deletion, but the duplicate can't have the next leader's fencing token.
         val next = Scheduler(config(), TOKEN + 1, now)
@@ -69,13 +69,13 @@
 
     @Test
     fun `a machine whose sequence number decreases within an incarnation is ignored, and deleted`() {
-        val running = busy(4)
+        val running = startBusyMachines(4)
         val restarted = running.keys.first()
         val others = running - restarted
         val actions = ArrayList<Action>()
         repeat(10) { round ->
-            actions += live(2.seconds, others, emptySet())
-            say(heartbeat(restarted).copy(incarnation = 1, sequence = round.toLong() % 3))
+            actions += runWithHeartbeats(2.seconds, others, emptySet())
+            receiveHeartbeat(heartbeat(restarted).copy(incarnation = 1, sequence = round.toLong() % 3))
         }
         assertEquals(1, scheduledJob("a").placements.values.count { it.machine == restarted })
         assertEquals(setOf(restarted), actions.deletedMachines())
--- a/src/test/kotlin/glenspool/core/StartFencingTest.kt
+++ b/src/test/kotlin/glenspool/core/StartFencingTest.kt
@@ -19,89 +19,89 @@
 class StartFencingTest : SchedulerTestBase() {
     @Test
     fun `no start is sent before the placement is stored`() {
-        started()
-        val beforeStored = submit(job("a")) + wait(2.seconds)
+        registerMachines()
+        val beforeStored = submit(job("a")) + advanceTime(2.seconds)
         assertEquals(1, beforeStored.filterIsInstance<StoreChanges>().size)
         assertTrue(beforeStored.starts().isEmpty())
-        assertEquals(listOf(TaskKey("a", 0)), confirm().starts().map { it.key })
+        assertEquals(listOf(TaskKey("a", 0)), confirmTransaction().starts().map { it.key })
     }
 
     @Test
     fun `a placement is stored only if the job is not cancelled, and a refused one is never started`() {
-        started()
-        val write = store(submit(job("a")) + wait(1.seconds)).writes.single() as UpdateJobRecord
+        registerMachines()
+        val write = singleStoreChanges(submit(job("a")) + advanceTime(1.seconds)).writes.single() as UpdateJobRecord
         assertTrue(write.requiresUncancelled)
         cancel("a")
-        val afterRefusal = step { transactionEnded(StoreOutcome.Refused(setOf("g/c/a"))) } + wait(3.seconds)
+        val afterRefusal = step { transactionEnded(StoreOutcome.Refused(setOf("g/c/a"))) } + advanceTime(3.seconds)
         assertTrue(afterRefusal.starts().isEmpty())
-        assertEquals(revision, (store(afterRefusal).writes.single() as StoreFinalState).cancelVersion)
+        assertEquals(revision, (singleStoreChanges(afterRefusal).writes.single() as StoreFinalState).cancelVersion)
     }
 
     @Test
     fun `a task missing in a heartbeat without this leader's fencing token keeps its placement`() {
         // An earlier leader's start may still be in flight while the worker would accept it.
         step { machineTypesRead(listOf(bigType)) }
-        submit(job("a"), listOf(StoredPlacement(0, 1, "m1")), last = 1)
-        say(heartbeat("m1", token = TOKEN - 1))
-        say(heartbeat("m2"))
-        assertTrue(wait(2.seconds).filterIsInstance<StoreChanges>().isEmpty())
+        submit(job("a"), listOf(StoredPlacement(0, 1, "m1")), lastAttempt = 1)
+        receiveHeartbeat(heartbeat("m1", token = TOKEN - 1))
+        receiveHeartbeat(heartbeat("m2"))
+        assertTrue(advanceTime(2.seconds).filterIsInstance<StoreChanges>().isEmpty())
         assertEquals("m1", scheduledJob("a").placements.getValue(0).machine)
-        val afterOwnToken = heartbeatActions("m1") + wait(2.seconds)
+        val afterOwnToken = heartbeatActions("m1") + advanceTime(2.seconds)
         assertTrue(afterOwnToken.any { it is StoreChanges })
     }
 
     @Test
     fun `an unanswered start is invalidated only by a higher fencing token`() {
-        val request = commanded()
+        val request = sendSingleStart()
         now += 3.seconds
-        unanswered(request)
+        commandsUnanswered(request)
         heartbeatReply("m1")
         assertEquals(1, scheduledJob("a").placements.size)
-        assertTrue(wait(2.seconds).any { it is AdvanceFencingToken })
+        assertTrue(advanceTime(2.seconds).any { it is AdvanceFencingToken })
         step { fencingTokenAdvanced(TOKEN + 1) }
-        say(heartbeat("m1", token = TOKEN))
+        receiveHeartbeat(heartbeat("m1", token = TOKEN))
         assertEquals(1, scheduledJob("a").placements.getValue(0).attempt)
-        say(heartbeat("m1", token = TOKEN + 1))
-        wait(2.seconds)
+        receiveHeartbeat(heartbeat("m1", token = TOKEN + 1))
+        advanceTime(2.seconds)
         assertEquals(2, scheduledJob("a").placements.getValue(0).attempt)
     }
 
     @Test
     fun `an exited task is not forgotten while a start of it may be in flight`() {
-        val request = commanded()
+        val request = sendSingleStart()
         now += 3.seconds
-        unanswered(request)
+        commandsUnanswered(request)
         val exited = exitedTask("a", 0, 1, ExitReason.ERROR)
         assertFalse(heartbeatReply("m1", exited).any { it is ForgetTask })
-        val (commands, _) = say(heartbeat("m1", listOf(exited), token = TOKEN + 1))
+        val (commands, _) = receiveHeartbeat(heartbeat("m1", listOf(exited), token = TOKEN + 1))
         assertTrue(commands.contains(ForgetTask(TaskKey("a", 0), 1, ForgetCause.NO_RESULT)))
     }
 
     @Test
     fun `a task is not placed where a start of it may still arrive`() {
-        val request = commanded()
-        unanswered(request)
+        val request = sendSingleStart()
+        commandsUnanswered(request)
         heartbeatReply("m1", exitedTask("a", 0, 1, ExitReason.ERROR))
-        wait(4.seconds)
+        advanceTime(4.seconds)
         assertTrue(scheduledJob("a").placements.isEmpty())
     }
 
     @Test
     fun `a start that was never sent does not delay the end of a cancelled job`() {
-        val request = commanded()
-        unanswered(request, CommandOutcome.NOT_SENT)
+        val request = sendSingleStart()
+        commandsUnanswered(request, CommandOutcome.NOT_SENT)
         cancel("a")
-        assertTrue(wait(3.seconds).writes().any { it is StoreFinalState })
+        assertTrue(advanceTime(3.seconds).writes().any { it is StoreFinalState })
     }
 
     @Test
     fun `a heartbeat of a worker that lost its fencing token removes no placement, whatever its sequence`() {
         // The worker restarted, so it would execute commands of an earlier leader that are still in flight.
-        executed(commanded(), runningTask("a", 0, 1))
-        say(heartbeat("m1", token = 0))
+        commandsExecuted(sendSingleStart(), runningTask("a", 0, 1))
+        receiveHeartbeat(heartbeat("m1", token = 0))
         assertEquals(1L, scheduledJob("a").placements.getValue(0).attempt)
         heartbeatReply("m1")
-        wait(1.seconds)
+        advanceTime(1.seconds)
         assertTrue(scheduledJob("a").placements.values.none { it.attempt == 1L })
     }
 }
--- a/src/test/kotlin/glenspool/core/StarvationTest.kt
+++ b/src/test/kotlin/glenspool/core/StarvationTest.kt
@@ -47,14 +47,14 @@
         submitSmallUntil(submittedAt + 5.minutes)
         assertEquals(emptyList<String>(), simulation.violations)
         for (job in largest) {
-            val startedAt = simulation.firstStart[job.id]
+            val startedAt = simulation.firstStartTimes[job.id]
             val waited = startedAt?.minus(submittedAt)
             val message = "${job.id} started after $waited: ${simulation.describe(job.id)}"
             assertTrue(waited != null && waited < 4.minutes, message)
         }
         // Small jobs have to start in the meantime as well: nothing is gained by stopping all other work.
-        val startedSmallJobs = simulation.firstStart.keys.count { it.startsWith("small-") }
-        assertTrue(startedSmallJobs > smallJobs / 3, "${simulation.firstStart.size} of $smallJobs started")
+        val startedSmallJobs = simulation.firstStartTimes.keys.count { it.startsWith("small-") }
+        assertTrue(startedSmallJobs > smallJobs / 3, "${simulation.firstStartTimes.size} of $smallJobs started")
         return simulation
     }
 
--- a/src/test/kotlin/glenspool/core/TaskResultsTest.kt
+++ b/src/test/kotlin/glenspool/core/TaskResultsTest.kt
@@ -19,33 +19,33 @@
 class TaskResultsTest : SchedulerTestBase() {
     @Test
     fun `a finished task is forgotten only after its result is stored`() {
-        started()
+        registerMachines()
         submit(job("a", tasks = 2))
         val request = placeAndStore().single()
-        executed(request, runningTask("a", 0, 1), runningTask("a", 1, 2))
+        commandsExecuted(request, runningTask("a", 0, 1), runningTask("a", 1, 2))
         val tasks = arrayOf(exitedTask("a", 0, 1, ExitReason.DONE), runningTask("a", 1, 2))
         assertTrue(heartbeatReply("m1", *tasks).isEmpty())
-        assertTrue((store(wait(3.seconds)).writes.single() as UpdateJobRecord).record.done[0])
-        confirm()
+        assertTrue((singleStoreChanges(advanceTime(3.seconds)).writes.single() as UpdateJobRecord).record.done[0])
+        confirmTransaction()
         val expected = listOf<Command>(ForgetTask(TaskKey("a", 0), 1, ForgetCause.RECORDED))
         assertEquals(expected, heartbeatReply("m1", *tasks))
     }
 
     @Test
     fun `the final state of a job is stored only when all of its tasks are done`() {
-        started()
+        registerMachines()
         submit(job("a", tasks = 2))
         placeAndStore()
         heartbeatReply("m1", exitedTask("a", 0, 1, ExitReason.DONE), runningTask("a", 1, 2))
-        assertTrue(store(wait(3.seconds)).writes.single() is UpdateJobRecord)
-        confirm()
+        assertTrue(singleStoreChanges(advanceTime(3.seconds)).writes.single() is UpdateJobRecord)
+        confirmTransaction()
         val afterLast = heartbeatActions("m1", exitedTask("a", 1, 2, ExitReason.DONE))
-        assertTrue(store(afterLast).writes.single() is StoreFinalState)
+        assertTrue(singleStoreChanges(afterLast).writes.single() is StoreFinalState)
     }
 
     @Test
     fun `a job that fails everywhere is retried with growing backoff`() {
-        started(3)
+        registerMachines(3)
         submit(job("bad"))
         var starts = 0
         repeat(300) { tick ->
@@ -53,11 +53,11 @@
             val actions = ArrayList(step { tick() })
             while (actions.isNotEmpty()) {
                 when (val action = actions.removeAt(0)) {
-                    is StoreChanges -> actions += confirm()
+                    is StoreChanges -> actions += confirmTransaction()
                     is SendCommands -> {
                         val failed = action.failedTasks()
                         starts += failed.size
-                        actions += executed(action, *failed.toTypedArray())
+                        actions += commandsExecuted(action, *failed.toTypedArray())
                     }
                     else -> Unit
                 }
@@ -73,7 +73,7 @@
 
     @Test
     fun `a machine that runs its tasks slowly gets a higher slowness`() {
-        started(2)
+        registerMachines(2)
         runPairOfJobs("a", 10.seconds)
         runPairOfJobs("b", 10.seconds)
         val slowness = knownMachine("m1").health.slowness
@@ -87,7 +87,7 @@
         for (job in ids) submit(job(job, resourceRequest = wholeMachine))
         for (request in placeAndStore()) {
             val start = request.commands.filterIsInstance<StartTask>().single()
-            executed(request, runningTask(start.key.job, 0, start.attempt))
+            commandsExecuted(request, runningTask(start.key.job, 0, start.attempt))
         }
         val placements = ids.map { scheduledJob(it).placements.getValue(0) }.associateBy { it.machine }
         now += duration
@@ -95,7 +95,7 @@
             if (machine == "m1") now += duration * 3
             val placement = placements.getValue(machine)
             heartbeatReply(machine, exitedTask(placement.key.job, 0, placement.attempt, ExitReason.DONE))
-            confirm()
+            confirmTransaction()
         }
         heartbeatReply("m2")
     }
--- a/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
+++ b/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
@@ -16,36 +16,48 @@
 
     @Test
     fun `a zone that is partitioned for a while keeps its machines and tasks`() {
-        val running = busy(6, others = 6)
+        val running = startBusyMachines(6, peerZoneMachines = 6)
         val zoneMachines = machinesOfOtherZone(running)
-        assertEquals(emptySet<String>(), live(48.seconds, running - zoneMachines, zoneMachines).deletedMachines())
+        assertEquals(
+            emptySet<String>(),
+            runWithHeartbeats(48.seconds, running - zoneMachines, zoneMachines).deletedMachines(),
+        )
         // Not all of the machines resume their heartbeats at the same moment.
         val stillSilent = zoneMachines.drop(1).toSet()
-        assertEquals(emptySet<String>(), live(4.seconds, running - stillSilent, stillSilent).deletedMachines())
-        assertEquals(emptySet<String>(), live(20.seconds, running, emptySet()).deletedMachines())
+        assertEquals(
+            emptySet<String>(),
+            runWithHeartbeats(4.seconds, running - stillSilent, stillSilent).deletedMachines(),
+        )
+        assertEquals(emptySet<String>(), runWithHeartbeats(20.seconds, running, emptySet()).deletedMachines())
         val placements = scheduledJob("a").placements.values
         assertEquals(12, placements.count { it.attempt == running.getValue(it.machine).attempt })
     }
 
     @Test
     fun `the machines of a zone that stays partitioned are deleted`() {
-        val running = busy(6, others = 6)
+        val running = startBusyMachines(6, peerZoneMachines = 6)
         val zoneMachines = machinesOfOtherZone(running)
-        assertEquals(zoneMachines, live(100.seconds, running - zoneMachines, zoneMachines).deletedMachines())
+        assertEquals(
+            zoneMachines,
+            runWithHeartbeats(100.seconds, running - zoneMachines, zoneMachines).deletedMachines(),
+        )
     }
 
     @Test
     fun `machines that failed with their zone are deleted as soon as the cloud lists them as failed`() {
-        val running = busy(6, others = 6)
+        val running = startBusyMachines(6, peerZoneMachines = 6)
         val zoneMachines = machinesOfOtherZone(running)
-        assertEquals(emptySet<String>(), live(20.seconds, running - zoneMachines, zoneMachines).deletedMachines())
-        assertEquals(zoneMachines, list(running.keys, failed = zoneMachines).deletedMachines())
+        assertEquals(
+            emptySet<String>(),
+            runWithHeartbeats(20.seconds, running - zoneMachines, zoneMachines).deletedMachines(),
+        )
+        assertEquals(zoneMachines, applyCloudList(running.keys, failed = zoneMachines).deletedMachines())
     }
 
     @Test
     fun `machines lost in several zones are deleted without waiting`() {
-        val running = busy(6, others = 6)
+        val running = startBusyMachines(6, peerZoneMachines = 6)
         val lost = setOf("m1", "m2", "z1", "z2")
-        assertEquals(lost, live(12.seconds, running - lost, lost).deletedMachines())
+        assertEquals(lost, runWithHeartbeats(12.seconds, running - lost, lost).deletedMachines())
     }
 }
--- a/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -21,7 +21,7 @@
     private fun simulation(seed: Long, settings: WorkerSettings, vararg kinds: String): CancellationSimulation {
         val simulation = CancellationSimulation(seed, settings)
         for (worker in simulation.workers) {
-            worker.home = 0
+            worker.nodeIndex = 0
             kinds.forEach { worker.jobs += "$it-${worker.name}" }
         }
         return simulation
@@ -159,7 +159,7 @@
         for (round in 0..1) {
             val from = 30.seconds + 84.seconds * round
             simulation.at(from) {
-                for (worker in simulation.workers) worker.home = round
+                for (worker in simulation.workers) worker.nodeIndex = round
                 for (worker in simulation.workers) {
                     worker.jobs += listOf("cancelled-$round-${worker.name}", "healthy-$round-${worker.name}")
                 }
--- a/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
@@ -17,7 +17,11 @@
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54])
     fun `commands and their replies are delayed for seconds, and hung machines resume`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(held = 0.4, hangs = 0.05, lost = 0.05, storms = 0.01))
+        val simulation =
+            simulation(
+                seed,
+                FaultRates(delayedCommands = 0.4, hangs = 0.05, messageLoss = 0.05, cancellationBursts = 0.01),
+            )
         for (number in 0 until 20) {
             simulation.submitTracked(array("a-$number", team = "t${number % 3}", estimatedDuration = 15.seconds))
             simulation.runFor(4.seconds)
@@ -29,7 +33,7 @@
     @ParameterizedTest
     @ValueSource(longs = [91, 92, 93, 94])
     fun `there is more work of all priorities than capacity, over slow links`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(held = 0.1, lost = 0.1), machines = 4)
+        val simulation = simulation(seed, FaultRates(delayedCommands = 0.1, messageLoss = 0.1), machines = 4)
         for (number in 0 until 24) {
             val priority = listOf(Priority.IDLE, Priority.STANDARD, Priority.URGENT)[number % 3]
             val spec = array("a-$number", tasks = 4, team = "t${number % 2}", estimatedDuration = 12.seconds)
@@ -43,7 +47,12 @@
     @ParameterizedTest
     @ValueSource(longs = [121, 122, 123, 124])
     fun `four one-task jobs a second are submitted for minutes, and one is cancelled after every fourth`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(lost = 0.02, held = 0.02, atOnce = 0.5), machines = 12)
+        val simulation =
+            simulation(
+                seed,
+                FaultRates(messageLoss = 0.02, delayedCommands = 0.02, immediateCommitShare = 0.5),
+                machines = 12,
+            )
         val random = Random(seed)
         for (number in 0 until 480) {
             val duration = (2 + random.nextInt(6)).seconds
@@ -58,8 +67,12 @@
     @ParameterizedTest
     @ValueSource(longs = [131, 132, 133, 134])
     fun `transactions without a response are executed immediately, or late after newer ones`(seed: Long) {
-        val atOnce = if (seed % 2 == 0L) 1.0 else 0.2
-        val simulation = simulation(seed, FaultRates(lost = 0.5, atOnce = atOnce, takeovers = 0.02))
+        val immediateCommitShare = if (seed % 2 == 0L) 1.0 else 0.2
+        val simulation =
+            simulation(
+                seed,
+                FaultRates(messageLoss = 0.5, immediateCommitShare = immediateCommitShare, failovers = 0.02),
+            )
         for (number in 0 until 15) {
             val spec = array("a-$number", tasks = 2, estimatedDuration = 8.seconds, team = "t${number % 3}")
             simulation.submitTracked(spec)
@@ -72,22 +85,22 @@
 
     private val allFaults =
         listOf<FaultRates.() -> FaultRates>(
-            { copy(lost = 0.1, atOnce = 0.5) },
-            { copy(held = 0.1) },
-            { copy(cuts = 0.04) },
+            { copy(messageLoss = 0.1, immediateCommitShare = 0.5) },
+            { copy(delayedCommands = 0.1) },
+            { copy(machinePartitions = 0.04) },
             { copy(hangs = 0.04) },
-            { copy(takeovers = 0.05) },
-            { copy(outages = 0.02) },
-            { copy(oneWay = 0.03) },
-            { copy(copies = 0.2) },
-            { copy(apart = 0.02) },
-            { copy(zoneCuts = 0.02) },
+            { copy(failovers = 0.05) },
+            { copy(storeOutages = 0.02) },
+            { copy(oneWayPartitions = 0.03) },
+            { copy(duplicateHeartbeats = 0.2) },
+            { copy(leaderIsolations = 0.02) },
+            { copy(zonePartitions = 0.02) },
             { copy(restarts = 0.02) },
-            { copy(mute = 0.03) },
-            { copy(forNext = 0.3) },
-            { copy(storms = 0.02) },
+            { copy(heartbeatOutages = 0.03) },
+            { copy(heartbeatsForNextTerm = 0.3) },
+            { copy(cancellationBursts = 0.02) },
             { copy(maxDeletionDelaySeconds = 4) },
-            { copy(deaths = 0.02) },
+            { copy(machineLosses = 0.02) },
         )
 
     private fun randomFaults(random: Random): FaultRates {
--- a/src/test/kotlin/glenspool/faults/FaultScenario.kt
+++ b/src/test/kotlin/glenspool/faults/FaultScenario.kt
@@ -28,7 +28,7 @@
     protected fun simulation(seed: Long, faults: FaultRates = FaultRates(), machines: Int = 9): ClusterSimulation {
         val deployment = config(teams, peerZones = setOf("b"))
         val simulation = ClusterSimulation(seed, deployment, listOf(bigType), faults, maxMachines = 18)
-        simulation.allNew = true
+        simulation.allControllersNew = true
         for (number in 0 until machines) {
             simulation.addMachine(bigType, if (number % 3 == 0) "b" else "a", false, Duration.ZERO)
         }
@@ -68,16 +68,16 @@
 
     /** The faults are over: every job ends as it should, no rule was broken, and nothing waits in vain. */
     protected fun ClusterSimulation.finishAndVerify(seed: Long) {
-        run(now + 330.seconds, calm = true)
+        run(now + 330.seconds, withoutRandomFaults = true)
         for (id in ids) {
-            val isLiveService = specs.getValue(id).kind == JobKind.SERVICE && live(id) && abortedSince(id) == null
+            val isLiveService = specs.getValue(id).kind == JobKind.SERVICE && hasRecord(id) && abortedSince(id) == null
             if (isLiveService) assertTrue(cancel(id))
         }
-        run(now + 250.seconds, calm = true)
+        run(now + 250.seconds, withoutRandomFaults = true)
         assertEquals(emptyList<String>(), violations.take(4), "seed $seed")
         for (id in ids) {
             val expected = if (abortedSince(id) == null) "done" else "cancelled"
-            assertEquals(expected, end(id), "seed $seed: $id ${describe(id)}")
+            assertEquals(expected, finalState(id), "seed $seed: $id ${describe(id)}")
         }
     }
 }
--- a/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
@@ -66,14 +66,15 @@
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63, 64, 65, 66])
     fun `leaders change ten times in two minutes, also during an outage of the store`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(held = 0.05, lost = 0.03, copies = 0.1))
+        val simulation =
+            simulation(seed, FaultRates(delayedCommands = 0.05, messageLoss = 0.03, duplicateHeartbeats = 0.1))
         val random = Random(seed)
         for (number in 0 until 10) {
             val tasks = 1 + random.nextInt(3)
             val duration = (5 + random.nextInt(40)).seconds
             simulation.submitTracked(array("a-$number", tasks, "t${number % 3}", duration))
             simulation.changeLeader((200 + random.nextInt(4000)).milliseconds)
-            if (seed % 2 == 0L && number == 4) simulation.outage(25.seconds)
+            if (seed % 2 == 0L && number == 4) simulation.startStoreOutage(25.seconds)
             simulation.runFor((4 + random.nextInt(12)).seconds)
             if (number % 3 == 1) simulation.cancel("a-${random.nextInt(number)}")
         }
@@ -83,7 +84,7 @@
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74])
     fun `jobs of two or three tasks end at different times while leaders change`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(lost = 0.1, atOnce = 0.5))
+        val simulation = simulation(seed, FaultRates(messageLoss = 0.1, immediateCommitShare = 0.5))
         simulation.submitEach(0 until 12) { number ->
             array(
                 "a-$number", tasks = 2 + number % 2, estimatedDuration = (2 + number).seconds,
@@ -100,7 +101,13 @@
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83, 84, 85, 86])
     fun `jobs are cancelled in the seconds of a failover`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(held = 0.1, lost = 0.05, atOnce = 0.5, forNext = 0.2))
+        val simulation =
+            simulation(
+                seed,
+                FaultRates(
+                    delayedCommands = 0.1, messageLoss = 0.05, immediateCommitShare = 0.5, heartbeatsForNextTerm = 0.2,
+                ),
+            )
         for (round in 0 until 6) {
             simulation.submitEach(0 until 5) { number ->
                 array("a-$round-$number", team = "t${number % 3}", estimatedDuration = 25.seconds)
@@ -118,7 +125,7 @@
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104])
     fun `new machines start immediately and get work while writes are delayed and the leader stops`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(lost = 0.4, atOnce = 0.3), machines = 2)
+        val simulation = simulation(seed, FaultRates(messageLoss = 0.4, immediateCommitShare = 0.3), machines = 2)
         simulation.submitEach(0 until 8) { number ->
             array("a-$number", tasks = 4, estimatedDuration = 20.seconds, team = "t${number % 2}")
         }
@@ -138,11 +145,11 @@
     @ParameterizedTest
     @ValueSource(longs = [111, 112, 113, 114])
     fun `all controllers are down for longer than a lease or for a moment, and leaders change soon after`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(forNext = 0.3, held = 0.1))
+        val simulation = simulation(seed, FaultRates(heartbeatsForNextTerm = 0.3, delayedCommands = 0.1))
         simulation.submitEach(0 until 8) { array("a-$it", estimatedDuration = 70.seconds, team = "t${it % 3}") }
         simulation.submitTracked(service("s-0"))
         simulation.run(20.seconds)
-        simulation.allAway(if (seed % 2 == 0L) 25.seconds else 800.milliseconds)
+        simulation.stopAllControllers(if (seed % 2 == 0L) 25.seconds else 800.milliseconds)
         simulation.run(60.seconds)
         repeat(4) {
             simulation.changeLeader(150.milliseconds)
@@ -155,7 +162,10 @@
     @ParameterizedTest
     @ValueSource(longs = [141, 142, 143, 144, 145, 146])
     fun `heartbeats of earlier incarnations and attempts reach a new leader as its term begins`(seed: Long) {
-        val faults = FaultRates(forNext = 0.5, copies = 0.2, cuts = 0.03, restarts = 0.01)
+        val faults =
+            FaultRates(
+                heartbeatsForNextTerm = 0.5, duplicateHeartbeats = 0.2, machinePartitions = 0.03, restarts = 0.01,
+            )
         val simulation = simulation(seed, faults)
         for (number in 0 until 12) {
             val spec = array("a-$number", tasks = 3, estimatedDuration = 12.seconds, team = "t${number % 3}")
--- a/src/test/kotlin/glenspool/faults/MachineFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/MachineFaultsTest.kt
@@ -15,7 +15,7 @@
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35, 36])
     fun `jobs bound to one zone, including arrays, lose machines`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(lost = 0.03))
+        val simulation = simulation(seed, FaultRates(messageLoss = 0.03))
         simulation.submitEach(0 until 3) { array("z-$it", tasks = 4, zone = "b") }
         simulation.submitTracked(job("one-0", tasks = 5, sameZone = true, estimatedDuration = 40.seconds))
         simulation.submitTracked(
@@ -41,7 +41,7 @@
             array("a-$number", estimatedDuration = 90.seconds, zone = if (number % 2 == 0) "b" else null)
         }
         simulation.run(20.seconds)
-        simulation.cutZone("b", if (seed % 2 == 0L) 30.seconds else 70.seconds)
+        simulation.partitionZone("b", if (seed % 2 == 0L) 30.seconds else 70.seconds)
         simulation.run(24.seconds)
         simulation.cancelRunningJobs(4, hang = false)
         simulation.run(110.seconds)
@@ -51,7 +51,7 @@
     @ParameterizedTest
     @ValueSource(longs = [151, 152, 153, 154])
     fun `workers cannot send heartbeats but still receive commands`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(mute = 0.02, lost = 0.02))
+        val simulation = simulation(seed, FaultRates(heartbeatOutages = 0.02, messageLoss = 0.02))
         for (number in 0 until 14) {
             val spec = array("a-$number", tasks = 3, estimatedDuration = 20.seconds, team = "t${number % 3}")
             simulation.submitTracked(spec)
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -53,23 +53,40 @@
     private val days =
         mapOf(
             "ordinary" to Day(1, FaultRates()),
-            "lost and held messages" to Day(2, FaultRates(lost = 0.1, held = 0.1)),
-            "leaders change" to Day(3, FaultRates(lost = 0.05, held = 0.05, takeovers = 0.04, forNext = 0.05)),
+            "lost and held messages" to Day(2, FaultRates(messageLoss = 0.1, delayedCommands = 0.1)),
+            "leaders change" to
+                Day(
+                    3,
+                    FaultRates(
+                        messageLoss = 0.05, delayedCommands = 0.05, failovers = 0.04, heartbeatsForNextTerm = 0.05,
+                    ),
+                ),
             "machines fail" to
-                Day(4, FaultRates(deaths = 0.02, cuts = 0.04, hangs = 0.04, notices = 0.05, restarts = 0.02)),
-            "zones are cut off" to Day(5, FaultRates(zoneCuts = 0.03, lost = 0.03)),
-            "the store is out" to Day(6, FaultRates(outages = 0.04, lost = 0.05, atOnce = 0.3)),
-            "one way only" to Day(7, FaultRates(oneWay = 0.05, mute = 0.03, apart = 0.02)),
-            "cancellations" to Day(8, FaultRates(storms = 0.05, hangs = 0.02, takeovers = 0.02)),
-            "dependencies" to Day(9, FaultRates(lost = 0.05, takeovers = 0.03, deaths = 0.01), chained = true),
-            "split records" to Day(10, FaultRates(lost = 0.03, takeovers = 0.03), valueBytes = 800),
-            "an upgrade" to Day(11, FaultRates(lost = 0.03, takeovers = 0.05, olds = 0.5), chained = true),
-            "cold starts" to Day(12, FaultRates(mute = 0.02, deaths = 0.01), coldStarts = true),
+                Day(
+                    4,
+                    FaultRates(
+                        machineLosses = 0.02, machinePartitions = 0.04, hangs = 0.04, preemptionNotices = 0.05,
+                        restarts = 0.02,
+                    ),
+                ),
+            "zones are cut off" to Day(5, FaultRates(zonePartitions = 0.03, messageLoss = 0.03)),
+            "the store is out" to
+                Day(6, FaultRates(storeOutages = 0.04, messageLoss = 0.05, immediateCommitShare = 0.3)),
+            "one way only" to
+                Day(7, FaultRates(oneWayPartitions = 0.05, heartbeatOutages = 0.03, leaderIsolations = 0.02)),
+            "cancellations" to Day(8, FaultRates(cancellationBursts = 0.05, hangs = 0.02, failovers = 0.02)),
+            "dependencies" to
+                Day(9, FaultRates(messageLoss = 0.05, failovers = 0.03, machineLosses = 0.01), chained = true),
+            "split records" to Day(10, FaultRates(messageLoss = 0.03, failovers = 0.03), valueBytes = 800),
+            "an upgrade" to
+                Day(11, FaultRates(messageLoss = 0.03, failovers = 0.05, oldVersionLeaders = 0.5), chained = true),
+            "cold starts" to Day(12, FaultRates(heartbeatOutages = 0.02, machineLosses = 0.01), coldStarts = true),
             "cold starts amid all troubles" to
                 Day(
                     13,
                     FaultRates(
-                        lost = 0.05, held = 0.05, copies = 0.1, oneWay = 0.02, deaths = 0.01, cuts = 0.02, hangs = 0.02,
+                        messageLoss = 0.05, delayedCommands = 0.05, duplicateHeartbeats = 0.1, oneWayPartitions = 0.02,
+                        machineLosses = 0.01, machinePartitions = 0.02, hangs = 0.02,
                     ),
                     chained = true,
                     coldStarts = true,
@@ -121,7 +138,7 @@
     private fun play(day: Day): String {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = day.valueBytes)
         val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
-        val recoverer = {
+        val recoveryFactory = {
             token: Long,
             at: Duration,
             kind: StartKind,
@@ -132,14 +149,14 @@
         val simulation =
             ClusterSimulation(
                 day.seed, deployment, listOf(bigType, leanType), day.faults,
-                recoverer =
-                    recoverer.takeIf {
+                recoveryFactory =
+                    recoveryFactory.takeIf {
                         day.coldStarts
                     },
                 trace = trace,
             )
         simulation.state.maxValueBytes = day.valueBytes
-        simulation.allNew = day.faults.olds == 0.0
+        simulation.allControllersNew = day.faults.oldVersionLeaders == 0.0
         for (number in 0 until 6) {
             simulation.addMachine(
                 if (number % 3 ==
@@ -155,7 +172,7 @@
         simulation.elect()
         submitAll(simulation, day)
         simulation.run(simulation.now + 120.seconds)
-        simulation.run(simulation.now + 120.seconds, calm = true)
+        simulation.run(simulation.now + 120.seconds, withoutRandomFaults = true)
         assertEquals(emptyList<String>(), simulation.violations)
         simulation.changeLeader(1.seconds)
         return trace.digest()
@@ -180,7 +197,9 @@
             ids.add(next.id)
             simulation.run(simulation.now + random.nextInt(7).seconds)
             if (random.nextInt(6) == 0) simulation.cancel(ids[random.nextInt(ids.size)])
-            if (day.coldStarts && random.nextInt(6) == 0) simulation.allAway((1 + random.nextInt(20)).seconds)
+            if (day.coldStarts && random.nextInt(6) == 0) {
+                simulation.stopAllControllers((1 + random.nextInt(20)).seconds)
+            }
         }
     }
 
--- a/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartOverSocketsTest.kt
@@ -151,7 +151,7 @@
                     val cause: OrderCause = if (it.verb == "run") StartCause.PLACED else StopCause.ORPHANED
                     ReceivedOrder(it.at, cause)
                 }
-            assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, WORKER_COUNT).faults(orders))
+            assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, WORKER_COUNT).violations(orders))
             val differences = lostTasks.size + unrecordedTasks.size + duplicateTasks.size
             val seconds = (service.now - restartedAt).toSeconds()
             println("cold start over sockets: ${received.size} orders for $differences differences, over $seconds s")
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -62,16 +62,16 @@
 
     /** A fleet in which every task of [jobs] runs. */
     private fun runningCluster(): ClusterSimulation {
-        val recoverer = { token: Long, at: Duration, kind: StartKind ->
+        val recoveryFactory = { token: Long, at: Duration, kind: StartKind ->
             RecoveryEngine(policy, timings, token, at, kind)
         }
         val config = config(teams, peerZones = setOf("b"))
-        val simulation = ClusterSimulation(7, config, listOf(bigType), FaultRates(), recoverer = recoverer)
+        val simulation = ClusterSimulation(7, config, listOf(bigType), FaultRates(), recoveryFactory = recoveryFactory)
         repeat(8) { simulation.addMachine(bigType, if (it % 2 == 0) "a" else "b", false, Duration.ZERO) }
         simulation.elect()
         simulation.run(3.seconds)
         jobs.forEach(simulation::submit)
-        simulation.run(40.seconds, calm = true)
+        simulation.run(40.seconds, withoutRandomFaults = true)
         assertEquals(taskCount, simulation.runningTasks)
         return simulation
     }
@@ -82,19 +82,19 @@
 
     private fun ClusterSimulation.machineWithout(job: JobSpec) = machineNames.first { !hasTaskOf(job, it) }
 
-    private fun ClusterSimulation.plantUnrecordedTask() = plantTask(machineWith(quotaLimited), unrecorded, 0, 3)
+    private fun ClusterSimulation.plantUnrecordedTask() = addOrphanedTask(machineWith(quotaLimited), unrecorded, 0, 3)
 
     private fun ClusterSimulation.endLeaseOfMachineWithOneTask() {
         machineNames
             .filter { tasksOn(it).size == 1 && !hasTaskOf(gang, it) }
             .take(1)
-            .forEach { endLease(it) }
+            .forEach { expireLease(it) }
     }
 
-    private fun ClusterSimulation.runFor(time: Duration) = run(now + time, calm = true)
+    private fun ClusterSimulation.runFor(time: Duration) = run(now + time, withoutRandomFaults = true)
 
     private fun ClusterSimulation.restartControllers(downtime: Duration) {
-        allAway(downtime)
+        stopAllControllers(downtime)
         runFor(downtime)
     }
 
@@ -133,20 +133,26 @@
                 "two machines report the same task",
                 orders = exactly(OrderKind.STOP, 1),
                 expectedDifferences = setOf(DifferenceKind.DUPLICATE_TASK, DifferenceKind.ORPHAN_TASK),
-                plant = { plantTask(machineWithout(array), array, 0, 9) },
+                plant = { addOrphanedTask(machineWithout(array), array, 0, 9) },
             ),
-            Scenario("a machine reports late", plant = { cut(machineWith(array), 10.seconds) }),
+            Scenario("a machine reports late", plant = { partitionMachine(machineWith(array), 10.seconds) }),
             Scenario(
                 "one zone is silent for a while",
-                plant = { machineNames.filterIndexed { index, _ -> index % 2 == 1 }.forEach { cut(it, 11.seconds) } },
+                plant = {
+                    machineNames
+                        .filterIndexed { index, _ -> index % 2 == 1 }
+                        .forEach { partitionMachine(it, 11.seconds) }
+                },
             ),
             Scenario(
                 "workers report one by one",
-                plant = { machineNames.forEachIndexed { index, machine -> cut(machine, (5 + index).seconds) } },
+                plant = {
+                    machineNames.forEachIndexed { index, machine -> partitionMachine(machine, (5 + index).seconds) }
+                },
             ),
             Scenario(
                 "a machine answers requests but sends no heartbeats",
-                plant = { mute(machineWith(quotaLimited), 12.seconds) },
+                plant = { dropHeartbeats(machineWith(quotaLimited), 12.seconds) },
             ),
             Scenario(
                 "a job was cancelled just before the controllers stopped",
@@ -156,7 +162,7 @@
             Scenario(
                 "part of a gang was lost",
                 orders = mapOf(OrderKind.STOP to 0..1, OrderKind.START to 2..8, OrderKind.DELETION to 0..1),
-                plant = { endLease(machineWith(gang)) },
+                plant = { expireLease(machineWith(gang)) },
             ),
             Scenario(
                 "a spot machine was preempted",
@@ -168,9 +174,9 @@
                         OrderKind.SCALE_OUT to 0..4,
                     ),
                 expectedDifferences = setOf(DifferenceKind.UNHEARD_MACHINE),
-                plant = { take(machineWith(array)) },
+                plant = { removeMachine(machineWith(array)) },
             ),
-            Scenario("the controllers stop again immediately", afterRestart = { allAway(1.seconds) }),
+            Scenario("the controllers stop again immediately", afterRestart = { stopAllControllers(1.seconds) }),
             Scenario(
                 "the controllers stop again after the orphaned task was reported",
                 orders = exactly(OrderKind.STOP, 1),
@@ -178,7 +184,7 @@
                 plant = { plantUnrecordedTask() },
                 afterRestart = {
                     runFor(5.seconds)
-                    allAway(2.seconds)
+                    stopAllControllers(2.seconds)
                 },
             ),
             Scenario(
@@ -190,18 +196,24 @@
                     changeLeader(1.seconds)
                 },
             ),
-            Scenario("the state service is unavailable just after the restart", afterRestart = { outage(8.seconds) }),
+            Scenario(
+                "the state service is unavailable just after the restart",
+                afterRestart = { startStoreOutage(8.seconds) },
+            ),
             Scenario(
                 "most of the fleet is silent for longer than the gathering phase lasts",
                 plant = {
-                    machineNames.filterNot { hasTaskOf(gang, it) }.take(5).forEach { cut(it, 12500.milliseconds) }
+                    machineNames
+                        .filterNot { hasTaskOf(gang, it) }
+                        .take(5)
+                        .forEach { partitionMachine(it, 12500.milliseconds) }
                 },
             ),
             Scenario(
                 "a team is at its quota while an orphaned task of the team occupies resources",
                 orders = exactly(OrderKind.STOP, 1),
                 expectedDifferences = setOf(DifferenceKind.ORPHAN_TASK),
-                plant = { plantTask(machineWithout(quotaLimited), quotaLimited, 0, 9) },
+                plant = { addOrphanedTask(machineWithout(quotaLimited), quotaLimited, 0, 9) },
             ),
         )
 
@@ -216,7 +228,7 @@
         val fleet = simulation.machineNames.size
         scenario.plant(simulation)
         simulation.restartControllers(scenario.downtime)
-        simulation.received.clear()
+        simulation.receivedOrders.clear()
         scenario.afterRestart(simulation)
         val found = HashSet<DifferenceKind>()
         repeat(60) {
@@ -227,7 +239,7 @@
 
         val name = scenario.name
         assertEquals(emptyList<String>(), simulation.violations)
-        val received = simulation.received.groupingBy { it.kind }.eachCount()
+        val received = simulation.receivedOrders.groupingBy { it.kind }.eachCount()
         for (kind in OrderKind.entries - OrderKind.FORGET) {
             val number = received[kind] ?: 0
             val allowed = scenario.orders[kind] ?: 0..0
@@ -236,28 +248,28 @@
         }
         assertTrue(found.containsAll(scenario.expectedDifferences), "$name: found only $found")
         assertTrue(simulation.recovery?.isActive != true, "$name: the recovery did not end")
-        assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, fleet).faults(simulation.received))
+        assertEquals(emptyList<String>(), OrderRateChecker(policy.rates, fleet).violations(simulation.receivedOrders))
     }
 
     @Test
     fun `the checks detect an unnecessary order and an order above the rate limit`() {
         val simulation = runningCluster()
         simulation.restartControllers(4.seconds)
-        simulation.received.clear()
+        simulation.receivedOrders.clear()
         simulation.runFor(10.seconds)
-        assertEquals(emptyList<Any>(), simulation.received)
+        assertEquals(emptyList<Any>(), simulation.receivedOrders)
 
         // An unnecessary stop and start of the same task, as ordered by a scheduler that treats the task as lost.
         val machine = simulation.machineWith(array)
         val task = simulation.tasksOn(machine).first { it.job == array.id }
-        simulation.restart(machine, task)
-        assertEquals(listOf(OrderKind.STOP, OrderKind.START), simulation.received.map { it.kind })
+        simulation.restartTask(machine, task)
+        assertEquals(listOf(OrderKind.STOP, OrderKind.START), simulation.receivedOrders.map { it.kind })
         val checker = OrderRateChecker(policy.rates, 8)
-        assertEquals(emptyList<String>(), checker.faults(simulation.received))
+        assertEquals(emptyList<String>(), checker.violations(simulation.receivedOrders))
 
         // 0.1 stops per second and machine allow one stop per second in a fleet of 8, and a burst of one.
-        repeat(2) { simulation.restart(machine, task) }
-        assertEquals(1, checker.faults(simulation.received).size)
+        repeat(2) { simulation.restartTask(machine, task) }
+        assertEquals(1, checker.violations(simulation.receivedOrders).size)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/DifferenceTrackerTest.kt
@@ -81,7 +81,7 @@
             reference.records[id] = record
             for (placement in placements - before) {
                 val name = "$id/${placement.task}#${placement.attempt}@${placement.machine}"
-                if (isAdopted) reference.adopted.add(name) else reference.adopted.remove(name)
+                if (isAdopted) reference.adoptedPlacements.add(name) else reference.adoptedPlacements.remove(name)
             }
             tracker.jobStored(record, isAdopted)
         }
@@ -98,8 +98,10 @@
             val heartbeat = heartbeat(machine, incarnation = 1, ++sequence, tasks)
             val source = if (isOneIn(3)) HeartbeatSource.REPLY else HeartbeatSource.WORKER
             val isTrusted = random.nextInt(4) > 0
-            val hasReported = source == HeartbeatSource.WORKER || reference.seen[machine]?.reportedItself == true
-            reference.seen[machine] = ReferenceDifferences.Seen(heartbeat, isTrusted, hasReported)
+            val hasReported =
+                source == HeartbeatSource.WORKER || reference.reportedMachines[machine]?.hasReported == true
+            reference.reportedMachines[machine] =
+                ReferenceDifferences.ReportedMachine(heartbeat, isTrusted, hasReported)
             tracker.machineObserved(heartbeat, source, isTrusted, now)
         }
 
@@ -108,14 +110,14 @@
                 machines.filter { random.nextInt(4) > 0 }.associateWith {
                     if (isOneIn(4)) MachineStage.BOOTING else MachineStage.RUNNING
                 }
-            reference.listRead = true
-            for ((machine, entry) in reference.listed.toMap()) {
+            reference.isListRead = true
+            for ((machine, entry) in reference.listedMachines.toMap()) {
                 if (machine !in stages) {
-                    reference.listed[machine] = ReferenceDifferences.Listed(entry.stage, missing = true)
+                    reference.listedMachines[machine] = ReferenceDifferences.CloudListEntry(entry.stage, missing = true)
                 }
             }
             for ((machine, stage) in stages) {
-                reference.listed[machine] = ReferenceDifferences.Listed(stage, missing = false)
+                reference.listedMachines[machine] = ReferenceDifferences.CloudListEntry(stage, missing = false)
             }
             val list = stages.map { (id, stage) -> ListedMachine(id, "addr", "big", "a", false, stage, 9.seconds) }
             tracker.machinesListed(list, now)
@@ -123,28 +125,28 @@
 
         private fun cancel(job: String) {
             if (!reference.records.containsKey(job)) return
-            reference.cancelled.add(job)
+            reference.cancelledJobs.add(job)
             tracker.jobCancelled(job)
         }
 
         private fun end(job: String) {
             reference.records.remove(job)
-            reference.cancelled.remove(job)
-            reference.adopted.removeIf { it.startsWith("$job/") }
+            reference.cancelledJobs.remove(job)
+            reference.adoptedPlacements.removeIf { it.startsWith("$job/") }
             tracker.jobEnded(job)
         }
 
         private fun delete(machine: String) {
-            reference.seen.remove(machine)
-            reference.listed.remove(machine)
+            reference.reportedMachines.remove(machine)
+            reference.listedMachines.remove(machine)
             tracker.machineDeleted(machine)
         }
 
         /** Repeats all current records and observations to the tracker. */
         fun repeatAllObservations() {
             reference.records.values.forEach { tracker.jobStored(it, isAdopted = false) }
-            for (seen in reference.seen.values) {
-                val source = if (seen.reportedItself) HeartbeatSource.WORKER else HeartbeatSource.REPLY
+            for (seen in reference.reportedMachines.values) {
+                val source = if (seen.hasReported) HeartbeatSource.WORKER else HeartbeatSource.REPLY
                 tracker.machineObserved(seen.heartbeat, source, seen.trusted, 99.seconds)
             }
         }
@@ -161,7 +163,7 @@
 
             val findings = tracker.findings
             assertEquals(MachineComparison.all(tracker.views), findings.toMap(), "seed $seed")
-            assertEquals(scenario.reference.names(), namesOf(findings), "seed $seed")
+            assertEquals(scenario.reference.differenceNames(), namesOf(findings), "seed $seed")
             val totals = tracker.totals()
             assertEquals(findings.values.sumOf { it.differences.size }, totals.byKind.values.sum())
             assertEquals(findings.values.sumOf { it.adopted }, totals.adopted)
--- a/src/test/kotlin/glenspool/rollout/RolloutModel.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModel.kt
@@ -1,7 +1,7 @@
 package glenspool.rollout
 
 import glenspool.simulation.InMemoryStore
-import glenspool.simulation.LaggingView
+import glenspool.simulation.LaggingStoreReplica
 import glenspool.state.Keys
 import glenspool.state.Put
 import glenspool.state.RolloutRecords
@@ -25,8 +25,8 @@
     store: InMemoryStore,
 ) {
     var endedAt: Duration? = null
-    val storeCache = LaggingView(store)
-    val records = RolloutRecords(storeCache) { storeCache.loaded }
+    val storeCache = LaggingStoreReplica(store)
+    val records = RolloutRecords(storeCache) { storeCache.isLoaded }
     val levels = registry.levelsOf("build-${registry.highest}")
     val gate = FeatureGate(levels, records::level)
 
@@ -61,7 +61,7 @@
 
     /** Checks that the process reads no form above its build's levels unless it is fenced. */
     fun checkReader(process: ModelProcess, now: Duration) {
-        if (!process.storeCache.loaded) return
+        if (!process.storeCache.isLoaded) return
         val highest = process.forms().maxOfOrNull { it.value.formLevel() } ?: return
         if (highest > process.levels.highest && process.gate.fence() == null) {
             violations.add("$now ${process.boot} is not fenced and reads form $highest with build ${process.levels}")
--- a/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
+++ b/src/test/kotlin/glenspool/rollout/RolloutModelRun.kt
@@ -77,7 +77,7 @@
         val process = ModelProcess(member, boot, registryUpTo(highest, lowest), now, store)
         model.processes.add(process)
         runningProcesses[member] = process
-        process.storeCache.beginLoad()
+        process.storeCache.startLoad()
     }
 
     private fun end(member: String) {
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -88,7 +88,7 @@
         LoopbackService(dir, policy, seed = 7).use { service ->
             names.forEach { service.start(it, oldBuild) }
             service.awaitLevel(1)
-            service.await("jobs run") { service.history.finished.size >= 5 }
+            service.await("jobs run") { service.history.finishedJobs.size >= 5 }
             service.phase("one left behind") { service.upgradeAllButOne() }
             service.phase("rollback halfway") { service.replaceAll(oldBuild) }
             service.phase("upgrade") {
@@ -109,7 +109,8 @@
             service.awaitLevel(2)
 
             service.finish()
-            val faults = HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(service.history)
+            val faults =
+                HistoryChecker(maxStall = 8.seconds, cancellationDeadline = 24.seconds).violations(service.history)
             assertEquals(emptyList<String>(), faults)
             assertEquals(4, service.fleetSize, "a machine was declared lost")
             phases.forEach { println("upgrade under load: ${it.name} ${describe(it, service.history)}") }
@@ -119,15 +120,15 @@
     private fun faultsOf(vararg events: HistoryEvent): List<String> {
         val history = JobHistory { Duration.ZERO }
         events.forEach { event -> history.add { event } }
-        return HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(history)
+        return HistoryChecker(maxStall = 8.seconds, cancellationDeadline = 24.seconds).violations(history)
     }
 
     @Test
     fun `the checker finds a planted duplicate, loss, stall, contradiction and late start`() {
         val accepted = HistoryEvent.Accepted(1.seconds, "a")
         val started = HistoryEvent.Started(2.seconds, "a", "i-1")
-        val ended = HistoryEvent.Left(3.seconds, "a", "i-1", true)
-        val finalState = HistoryEvent.Told(4.seconds, "a", "done")
+        val ended = HistoryEvent.Ended(3.seconds, "a", "i-1", true)
+        val finalState = HistoryEvent.FinalStateReceived(4.seconds, "a", "done")
         assertEquals(emptyList<String>(), faultsOf(accepted, started, ended, finalState))
 
         val duplicate = HistoryEvent.Started(2.seconds, "a", "i-2")
@@ -145,7 +146,7 @@
         assertEquals(incompleteFaults, faultsOf(accepted, finalState))
 
         val lateAccepted = HistoryEvent.Accepted(10.seconds, "b")
-        val lateFinalState = HistoryEvent.Told(10.seconds, "b", "aborted")
+        val lateFinalState = HistoryEvent.FinalStateReceived(10.seconds, "b", "aborted")
         val stallFaults = listOf("no accepted submission for 9.0 s")
         assertEquals(stallFaults, faultsOf(accepted, started, ended, finalState, lateAccepted, lateFinalState))
 
--- a/src/test/kotlin/glenspool/simulation/ActionPerformer.kt
+++ b/src/test/kotlin/glenspool/simulation/ActionPerformer.kt
@@ -35,7 +35,7 @@
             is ReadFinalStates -> readFinalStates(action, scheduler)
             is StoreImageLocations -> check(action.images.values.none { it.isEmpty() }) { "image without a location" }
             is LogMessage -> check(action.text.isNotEmpty()) { "empty log message" }
-            is Resign -> leader.resigned(scheduler)
+            is Resign -> leader.handleResignation(scheduler)
         }
     }
 
@@ -47,7 +47,7 @@
 
     private fun readFinalStates(action: ReadFinalStates, scheduler: Scheduler) =
         context.after(context.networkDelay()) {
-            val isAnswered = !store.isDown && !context.chance(context.faults.lost)
+            val isAnswered = !store.isDown && !context.chance(context.faults.messageLoss)
             val found = HashMap<String, FinalState>()
             if (isAnswered) {
                 for (job in action.jobs) {
--- a/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
@@ -31,7 +31,7 @@
     faults: FaultRates,
     maxMachines: Int = 24,
     /** Makes the recovery of a term that begins; null: recovery is not managed. */
-    recoverer: RecoveryFactory? = null,
+    recoveryFactory: RecoveryFactory? = null,
     /** Records all that the leaders decide. */
     trace: DecisionTrace? = null,
 ) {
@@ -39,15 +39,15 @@
     private val store = SimulatedStore(context)
     private val jobs = SimulatedJobs(context, store, ::storeChanged)
     private val fleet = SimulatedFleet(context, ::machineUp)
-    private val leader = SimulatedLeader(context, store, recoverer, ::perform)
-    private val answerRules = AnswerRules(context, store, jobs)
-    private val livenessRules = LivenessRules(context, store, jobs, fleet, ::describe)
-    private val execution = TaskExecution(context, jobs, StartRules(context, store, jobs, fleet))
+    private val leader = SimulatedLeader(context, store, recoveryFactory, ::perform)
+    private val jobStatusChecker = JobStatusChecker(context, store, jobs)
+    private val livenessChecker = LivenessChecker(context, store, jobs, fleet, ::describe)
+    private val execution = TaskExecution(context, jobs, TaskStartChecker(context, store, jobs, fleet))
     private val progress = TaskProgress(context, jobs, fleet)
     private val heartbeats = HeartbeatExchange(context, leader, execution)
     private val cloud = SimulatedCloud(context, fleet, leader, maxMachines)
     private val requests = WorkerRequests(context, fleet, leader, execution)
-    private val transactions = LeaderTransactions(context, store, leader, answerRules)
+    private val transactions = LeaderTransactions(context, store, leader, jobStatusChecker)
     private val actions = ActionPerformer(context, store, leader, cloud, requests, transactions)
     private val injector = FaultInjector(context, store, jobs, fleet, leader)
     private var ticks = 0
@@ -65,16 +65,16 @@
     val violations: List<String> get() = context.violations
 
     /** Orders as workers and the cloud received them; a test may clear it. */
-    val received: MutableList<ReceivedOrder> get() = context.received
+    val receivedOrders: MutableList<ReceivedOrder> get() = context.receivedOrders
 
     /** Tasks started so far. */
-    val starts: Int get() = execution.starts
+    val startCount: Int get() = execution.startCount
 
     /** When the first task of each job was started. */
-    val firstStart: Map<String, Duration> get() = execution.firstStart
+    val firstStartTimes: Map<String, Duration> get() = execution.firstStartTimes
 
     /** Transactions that were refused because a value was too large. */
-    val refusedForSize: Int get() = transactions.refusedForSize
+    val oversizedTransactionCount: Int get() = transactions.oversizedTransactionCount
 
     // What users do and what becomes of their jobs.
 
@@ -82,7 +82,7 @@
     val dependenciesOf: Map<String, List<String>> get() = jobs.dependenciesOf
 
     /** Tasks of each job that ran to their end. */
-    val trulyDone: Map<String, BitSet> get() = jobs.trulyDone
+    val completedTasks: Map<String, BitSet> get() = jobs.completedTasks
 
     fun submit(spec: JobSpec, dependencies: List<String> = emptyList()) = jobs.submit(spec, dependencies)
 
@@ -93,10 +93,10 @@
     fun abortedSince(id: String): Duration? = jobs.abortedSince(id)
 
     /** The stored final state of a job; null while it has none. */
-    fun end(id: String): String? = store.finalState(id)
+    fun finalState(id: String): String? = store.finalState(id)
 
     /** Whether the store has a record of the job, which has not ended then. */
-    fun live(id: String): Boolean = store.hasRecord(id)
+    fun hasRecord(id: String): Boolean = store.hasRecord(id)
 
     fun runningReplicas(id: String): Int =
         fleet.workers.sumOf { worker ->
@@ -106,7 +106,7 @@
     // Leaders.
 
     /** Whether all controllers are new: placements may be stored apart, and no old one leads any more. */
-    var allNew: Boolean by leader::areAllNew
+    var allControllersNew: Boolean by leader::allControllersNew
 
     /** The recovery of the present term, if one was due. */
     val recovery: RecoveryEngine? get() = leader.recovery
@@ -115,13 +115,13 @@
     fun elect() = leader.elect()
 
     /** The leader ends; its messages stay on their way. [span]: until another is elected. */
-    fun changeLeader(span: Duration) = leader.change(span)
+    fun changeLeader(span: Duration) = leader.endTerm(span)
 
     /** For [span], no controller answers workers or sends commands. */
-    fun allAway(span: Duration) = leader.endAll(span)
+    fun stopAllControllers(span: Duration) = leader.stopAllControllers(span)
 
     /** Whether the leader starts no more of the job's tasks because its team is at its quota. */
-    fun teamIsFull(id: String): Boolean {
+    fun isTeamAtQuota(id: String): Boolean {
         val scheduler = leader.scheduler ?: return false
         return scheduler.jobs[id]?.let(scheduler::remainingQuota) == 0
     }
@@ -141,14 +141,14 @@
     fun tasksOn(machine: String): List<TaskKey> = fleet[machine]?.liveSlots().orEmpty().map { it.key }
 
     /** A task that nobody ordered. [spec]: known to the worker, whatever the store knows. */
-    fun plantTask(machine: String, spec: JobSpec, task: Int, attempt: Long) {
+    fun addOrphanedTask(machine: String, spec: JobSpec, task: Int, attempt: Long) {
         jobs.addUnrecorded(spec)
         fleet.getValue(machine).tasks[TaskSlot(TaskKey(spec.id, task), attempt)] =
             WorkerTask(attempt, TaskState.RUNNING, now + 10_000.seconds)
     }
 
     /** Stops a task and starts it again, as a scheduler would that takes it for something else. */
-    fun restart(machine: String, key: TaskKey) {
+    fun restartTask(machine: String, key: TaskKey) {
         val worker = fleet.getValue(machine)
         val attempt = worker.liveSlots().single { it.key == key }.attempt
         execution.execute(worker, StopTask(key, attempt, Duration.ZERO, StopCause.ORPHANED))
@@ -158,23 +158,23 @@
     // Faults.
 
     /** The machine's lease expires, and all that is on it ends. */
-    fun endLease(machine: String) = fleet.getValue(machine).endLease()
+    fun expireLease(machine: String) = fleet.getValue(machine).expireLease()
 
     /** For [span], nothing is received from the machine, and nothing reaches it. */
-    fun cut(machine: String, span: Duration) {
-        fleet.getValue(machine).cutUntil = now + span
+    fun partitionMachine(machine: String, span: Duration) {
+        fleet.getValue(machine).partitionedUntil = now + span
     }
 
     /** For [span], the machine's heartbeats are lost, while commands reach it. */
-    fun mute(machine: String, span: Duration) {
-        fleet.getValue(machine).muteUntil = now + span
+    fun dropHeartbeats(machine: String, span: Duration) {
+        fleet.getValue(machine).heartbeatsLostUntil = now + span
     }
 
     /** The cloud takes the machine away. */
-    fun take(machine: String) = fleet.remove(machine)
+    fun removeMachine(machine: String) = fleet.remove(machine)
 
     /** The store answers nobody for [span]. */
-    fun outage(span: Duration) {
+    fun startStoreOutage(span: Duration) {
         store.downUntil = now + span
     }
 
@@ -185,36 +185,39 @@
     fun cancelRunningJobs(most: Int, hang: Boolean) = injector.cancelRunningJobs(most, hang)
 
     /** For [span], a zone is cut off with a controller there, which does not lead but renews its workers' leases. */
-    fun cutZone(zone: String, span: Duration) = injector.cutZone(zone, span)
+    fun partitionZone(zone: String, span: Duration) = injector.partitionZone(zone, span)
 
     // Time.
 
-    /** Runs until the given moment. [calm]: no random faults of machines, so that everything can come to its end. */
-    fun run(until: Duration, calm: Boolean = false) {
+    /**
+     * Runs until the given time. If [withoutRandomFaults], no further faults are drawn for machines, the leader and the
+     * store, so that all jobs can end.
+     */
+    fun run(until: Duration, withoutRandomFaults: Boolean = false) {
         while (now < until) {
             val nextTick = now + TICK
             if (context.events.runNext(nextTick)) continue
             context.events.advanceTo(nextTick)
-            tick(calm)
+            tick(withoutRandomFaults)
         }
     }
 
-    private fun tick(calm: Boolean) {
+    private fun tick(withoutRandomFaults: Boolean) {
         progress.advanceAll()
-        livenessRules.checkCancelledTasks()
+        livenessChecker.checkCancelledTasks()
         leader.tick()
         if (store.isDown) deleteOverdueMachines()
         if (ticks++ % TICKS_PER_SECOND == 0) {
-            cloud.list()
-            specs.keys.forEach(answerRules::checkAnswer)
-            answerRules.checkAnswer("nobody-submitted-$ticks")
+            cloud.deliverList()
+            specs.keys.forEach(jobStatusChecker::checkAnswer)
+            jobStatusChecker.checkAnswer("nobody-submitted-$ticks")
         }
         val isNewSecond = ticks % TICKS_PER_SECOND == 0
-        if (!calm) {
+        if (!withoutRandomFaults) {
             if (isNewSecond) injector.injectRandomFaults()
-            livenessRules.forgetWaiting()
+            livenessChecker.resetWaitingTimes()
         } else if (isNewSecond) {
-            specs.values.forEach(livenessRules::checkWaiting)
+            specs.values.forEach(livenessChecker::checkWaiting)
         }
     }
 
--- a/src/test/kotlin/glenspool/simulation/FaultInjector.kt
+++ b/src/test/kotlin/glenspool/simulation/FaultInjector.kt
@@ -21,18 +21,20 @@
                 .filter { it.isUp }
                 .ifEmpty { return }
                 .let { it[context.random.nextInt(it.size)] }
-        if (context.chance(faults.deaths)) fleet.remove(worker.id)
-        if (context.chance(faults.cuts)) worker.cutUntil = secondsFromNow(5, 40)
-        if (context.chance(faults.oneWay)) worker.unreachableUntil = secondsFromNow(5, 60)
-        if (context.chance(faults.mute)) worker.muteUntil = secondsFromNow(5, 60)
-        if (context.chance(faults.storms)) cancelRunningJobs(8, hang = true)
+        if (context.chance(faults.machineLosses)) fleet.remove(worker.id)
+        if (context.chance(faults.machinePartitions)) worker.partitionedUntil = secondsFromNow(5, 40)
+        if (context.chance(faults.oneWayPartitions)) worker.unreachableUntil = secondsFromNow(5, 60)
+        if (context.chance(faults.heartbeatOutages)) worker.heartbeatsLostUntil = secondsFromNow(5, 60)
+        if (context.chance(faults.cancellationBursts)) cancelRunningJobs(8, hang = true)
         if (context.chance(faults.restarts)) worker.restart()
-        if (context.chance(faults.apart)) isolateLeader()
-        if (context.chance(faults.zoneCuts)) cutZone(worker.zone, (10 + context.random.nextInt(50)).seconds)
+        if (context.chance(faults.leaderIsolations)) isolateLeader()
+        if (context.chance(faults.zonePartitions)) partitionZone(worker.zone, (10 + context.random.nextInt(50)).seconds)
         if (context.chance(faults.hangs)) worker.hungUntil = secondsFromNow(2, 20)
-        if (context.chance(faults.notices) && worker.isSpot && worker.evictionAt == null) evict(worker)
-        if (context.chance(faults.takeovers)) leader.endSoonReplaced()
-        if (context.chance(faults.outages)) store.downUntil = secondsFromNow(3, 15)
+        if (context.chance(faults.preemptionNotices) && worker.isSpot && worker.preemptionAt == null) {
+            announcePreemption(worker)
+        }
+        if (context.chance(faults.failovers)) leader.endTermWithRandomDelay()
+        if (context.chance(faults.storeOutages)) store.downUntil = secondsFromNow(3, 15)
     }
 
     /** Draws a moment that is at least [atLeast] seconds away, and less than [spread] seconds more. */
@@ -43,13 +45,13 @@
 
     /** The leader is cut off with most of the workers, which are served there until they find the new one. */
     private fun isolateLeader() {
-        for (worker in fleet.workers) if (context.chance(0.8)) worker.servedElsewhereUntil = secondsFromNow(5, 30)
-        leader.endSoonReplaced()
+        for (worker in fleet.workers) if (context.chance(0.8)) worker.servedByOtherNodeUntil = secondsFromNow(5, 30)
+        leader.endTermWithRandomDelay()
     }
 
-    private fun evict(worker: SimulatedWorker) {
-        worker.evictionAt = context.now + EVICTION_NOTICE
-        context.after(EVICTION_NOTICE) { fleet.remove(worker.id) }
+    private fun announcePreemption(worker: SimulatedWorker) {
+        worker.preemptionAt = context.now + PREEMPTION_NOTICE
+        context.after(PREEMPTION_NOTICE) { fleet.remove(worker.id) }
     }
 
     /** Cancels up to [most] jobs that have work on machines, and, if [hang], lets some of those machines hang. */
@@ -68,24 +70,24 @@
         val until = context.now + time
         for (worker in fleet.workers.filter { it.isUp && context.chance(share) }) {
             when (fault) {
-                MachineFault.CUT -> worker.cutUntil = until
+                MachineFault.CUT -> worker.partitionedUntil = until
                 MachineFault.HANG -> worker.hungUntil = until
                 MachineFault.UNREACHABLE -> worker.unreachableUntil = until
-                MachineFault.MUTE -> worker.muteUntil = until
+                MachineFault.MUTE -> worker.heartbeatsLostUntil = until
                 MachineFault.DIE -> fleet.remove(worker.id)
             }
         }
     }
 
     /** Cuts a zone off; its workers are served by the controller there, which does not lead. */
-    fun cutZone(zone: String, time: Duration) {
+    fun partitionZone(zone: String, time: Duration) {
         for (worker in fleet.workers.filter { it.zone == zone }) {
-            worker.zoneCutUntil = context.now + time
-            worker.servedElsewhereUntil = context.now + time
+            worker.zonePartitionedUntil = context.now + time
+            worker.servedByOtherNodeUntil = context.now + time
         }
     }
 
     private companion object {
-        val EVICTION_NOTICE = 10.seconds
+        val PREEMPTION_NOTICE = 10.seconds
     }
 }
--- a/src/test/kotlin/glenspool/simulation/FaultRates.kt
+++ b/src/test/kotlin/glenspool/simulation/FaultRates.kt
@@ -6,43 +6,43 @@
  */
 data class FaultRates(
     /** Messages and requests, or the answers to them, that are lost. */
-    val lost: Double = 0.0,
+    val messageLoss: Double = 0.0,
     /** Commands that are delivered up to a minute late, when their sender has given up. */
-    val held: Double = 0.0,
+    val delayedCommands: Double = 0.0,
     /** Machines that vanish with all that is on them. */
-    val deaths: Double = 0.0,
+    val machineLosses: Double = 0.0,
     /** Machines that neither send nor receive for a while, while their tasks run on. */
-    val cuts: Double = 0.0,
+    val machinePartitions: Double = 0.0,
     /** Machines that stop for a while, with their tasks, and then continue. */
     val hangs: Double = 0.0,
     /** The leader ends, and another is elected seconds later. */
-    val takeovers: Double = 0.0,
+    val failovers: Double = 0.0,
     /** The key-value store answers nobody for a while. */
-    val outages: Double = 0.0,
+    val storeOutages: Double = 0.0,
     /** Spot machines that receive an eviction notice. */
-    val notices: Double = 0.0,
+    val preemptionNotices: Double = 0.0,
     /** Machines whose heartbeats arrive while no answer and no command reaches them. */
-    val oneWay: Double = 0.0,
+    val oneWayPartitions: Double = 0.0,
     /** Heartbeats that arrive once more, seconds to well over a lease later. */
-    val copies: Double = 0.0,
+    val duplicateHeartbeats: Double = 0.0,
     /** The leader loses the key-value store and the other nodes, but keeps its workers and answers them. */
-    val apart: Double = 0.0,
+    val leaderIsolations: Double = 0.0,
     /** A whole zone is cut off from everything but a controller of its own, which keeps its workers' leases. */
-    val zoneCuts: Double = 0.0,
+    val zonePartitions: Double = 0.0,
     /** Machines that are back within a fraction of a second, empty and with their counters at the beginning. */
     val restarts: Double = 0.0,
     /** Machines whose heartbeats are lost, so that nobody answers them, while commands reach them. */
-    val mute: Double = 0.0,
+    val heartbeatOutages: Double = 0.0,
     /** Share of the transactions without an answer that are carried out at once. */
-    val atOnce: Double = 0.0,
+    val immediateCommitShare: Double = 0.0,
     /** Heartbeats of which a copy reaches the next leader as its term begins. */
-    val forNext: Double = 0.0,
+    val heartbeatsForNextTerm: Double = 0.0,
     /** Some running jobs are cancelled at about the same moment, and some of their machines hang. */
-    val storms: Double = 0.0,
+    val cancellationBursts: Double = 0.0,
     /** Longest additional time, in seconds, after which the cloud answers a deletion. */
     val maxDeletionDelaySeconds: Int = 0,
     /** Leaders elected that are of the version in production, which does not know dependencies of jobs. */
-    val olds: Double = 0.0,
+    val oldVersionLeaders: Double = 0.0,
 )
 
 /** A fault that a test injects into machines of a [ClusterSimulation] for a given time. */
--- a/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
+++ b/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
@@ -18,18 +18,20 @@
         val untilNext = context.config.heartbeatInterval * (0.75 + context.random.nextDouble() / 2)
         context.after(untilNext) { sendPeriodically(worker) }
         if (worker.isHanging) return
-        if (context.now - worker.leaseRenewedAt > context.config.lease) worker.endLease()
+        if (context.now - worker.leaseRenewedAt > context.config.lease) worker.expireLease()
         val isLost =
-            context.now < worker.cutUntil || context.now < worker.muteUntil || context.chance(context.faults.lost)
+            context.now < worker.partitionedUntil ||
+                context.now < worker.heartbeatsLostUntil ||
+                context.chance(context.faults.messageLoss)
         if (!isLost) send(worker)
     }
 
     private fun send(worker: SimulatedWorker) {
         val sentAt = context.now
         val heartbeat = worker.heartbeat()
-        val receiver = if (context.now < worker.servedElsewhereUntil) null else leader.scheduler
-        if (context.chance(context.faults.forNext)) leader.keepForNextTerm(heartbeat)
-        if (context.chance(context.faults.copies)) sendLateCopy(heartbeat)
+        val receiver = if (context.now < worker.servedByOtherNodeUntil) null else leader.scheduler
+        if (context.chance(context.faults.heartbeatsForNextTerm)) leader.queueForNextTerm(heartbeat)
+        if (context.chance(context.faults.duplicateHeartbeats)) sendLateCopy(heartbeat)
         context.after(context.networkDelay()) { receive(worker, heartbeat, sentAt, receiver) }
     }
 
@@ -39,7 +41,7 @@
     }
 
     private fun receive(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Duration, receiver: Scheduler?) {
-        if (context.now < leader.awayUntil) return
+        if (context.now < leader.controllersDownUntil) return
         if (receiver == null || leader.scheduler !== receiver || worker.isLost) {
             // The receiving node knows no leader: it renews the lease with the worker's own token.
             val isAnswered = heartbeat.incarnation == worker.incarnation && context.now >= worker.unreachableUntil
@@ -61,7 +63,7 @@
     private fun acceptsAnswer(worker: SimulatedWorker, heartbeat: Heartbeat, token: Long): Boolean =
         !worker.isLost &&
             !worker.isHanging &&
-            context.now >= worker.cutUntil &&
+            context.now >= worker.partitionedUntil &&
             context.now >= worker.unreachableUntil &&
             heartbeat.incarnation == worker.incarnation &&
             token >= worker.highestToken
--- a/src/test/kotlin/glenspool/simulation/JobHistory.kt
+++ b/src/test/kotlin/glenspool/simulation/JobHistory.kt
@@ -14,10 +14,10 @@
     data class Started(override val at: Duration, val job: String, val machine: String) : HistoryEvent
 
     /** The task has ended on the machine, for whatever reason. [done]: it ran to its end. */
-    data class Left(override val at: Duration, val job: String, val machine: String, val done: Boolean) : HistoryEvent
+    data class Ended(override val at: Duration, val job: String, val machine: String, val done: Boolean) : HistoryEvent
 
     /** A user received the final state of a job. */
-    data class Told(override val at: Duration, val job: String, val stage: String) : HistoryEvent
+    data class FinalStateReceived(override val at: Duration, val job: String, val stage: String) : HistoryEvent
 }
 
 /** What users and workers observed of jobs of one task each, in order of time. Safe for use by many threads. */
@@ -31,65 +31,69 @@
     }
 
     @Synchronized
-    fun all(): List<HistoryEvent> = events.toList()
+    fun allEvents(): List<HistoryEvent> = events.toList()
 
     /** Jobs that were accepted. */
-    val accepted: Set<String> get() = all().filterIsInstance<HistoryEvent.Accepted>().map { it.job }.toSet()
+    val acceptedJobs: Set<String> get() = allEvents().filterIsInstance<HistoryEvent.Accepted>().map { it.job }.toSet()
 
     /** Jobs whose final state a user received. */
-    val finished: Set<String> get() = all().filterIsInstance<HistoryEvent.Told>().map { it.job }.toSet()
+    val finishedJobs: Set<String> get() =
+        allEvents()
+            .filterIsInstance<HistoryEvent.FinalStateReceived>()
+            .map { it.job }
+            .toSet()
 
-    val lastStart: Duration get() = all().lastOrNull { it is HistoryEvent.Started }?.at ?: Duration.ZERO
+    val lastStartAt: Duration get() = allEvents().lastOrNull { it is HistoryEvent.Started }?.at ?: Duration.ZERO
 
     /** The longest time between two successive events of a kind, of those in a span of time; zero if it has fewer. */
     inline fun <reified T : HistoryEvent> longestGap(
         from: Duration = Duration.ZERO,
         to: Duration = Duration.INFINITE,
     ): Duration {
-        val moments = all().filterIsInstance<T>().map { it.at }.filter { it in from..to }
+        val moments = allEvents().filterIsInstance<T>().map { it.at }.filter { it in from..to }
         return moments.zipWithNext { earlier, later -> later - earlier }.maxOrNull() ?: Duration.ZERO
     }
 }
 
 /**
- * Checks a history once the faults are over and all jobs had time to end. [longestStall]: the longest time without an
- * accepted submission or a start; [cancelWithin]: the time after which a cancelled job may not start any more.
+ * Checks a history once the violations are over and all jobs had time to end. [maxStall]: the longest time without an
+ * accepted submission or a start; [cancellationDeadline]: the time after which a cancelled job may not start any more.
  */
-class HistoryChecker(private val longestStall: Duration, private val cancelWithin: Duration) {
-    fun faults(history: JobHistory): List<String> {
-        val events = history.all()
+class HistoryChecker(private val maxStall: Duration, private val cancellationDeadline: Duration) {
+    fun violations(history: JobHistory): List<String> {
+        val events = history.allEvents()
         return duplicateRuns(events) + lostJobs(events) + contradictions(events) + cancelledStarts(events) +
             stalls(history)
     }
 
     private fun duplicateRuns(events: List<HistoryEvent>): List<String> {
         val machinesOf = HashMap<String, MutableSet<String>>()
-        val faults = ArrayList<String>()
+        val violations = ArrayList<String>()
         for (event in events) {
             when (event) {
                 is HistoryEvent.Started -> {
                     val machines = machinesOf.getOrPut(event.job) { HashSet() }
                     if (machines.any { it != event.machine }) {
-                        faults.add("${event.job} started on ${event.machine} while on $machines")
+                        violations.add("${event.job} started on ${event.machine} while on $machines")
                     }
                     machines.add(event.machine)
                 }
-                is HistoryEvent.Left -> machinesOf[event.job]?.remove(event.machine)
+                is HistoryEvent.Ended -> machinesOf[event.job]?.remove(event.machine)
                 else -> Unit
             }
         }
-        return faults
+        return violations
     }
 
     private fun lostJobs(events: List<HistoryEvent>): List<String> {
-        val finished = events.filterIsInstance<HistoryEvent.Told>().map { it.job }.toSet()
+        val finished = events.filterIsInstance<HistoryEvent.FinalStateReceived>().map { it.job }.toSet()
         val accepted = events.filterIsInstance<HistoryEvent.Accepted>().map { it.job }.distinct()
         return accepted.filter { it !in finished }.map { "$it was accepted and has no final state" }
     }
 
     private fun contradictions(events: List<HistoryEvent>): List<String> {
-        val finalStates = events.filterIsInstance<HistoryEvent.Told>().groupBy({ it.job }, { it.stage })
-        val completed = events.filterIsInstance<HistoryEvent.Left>().filter { it.done }.map { it.job }.toSet()
+        val finalStates = events.filterIsInstance<HistoryEvent.FinalStateReceived>().groupBy({ it.job }, { it.stage })
+        val completed = events.filterIsInstance<HistoryEvent.Ended>().filter { it.done }.map { it.job }.toSet()
         val several =
             finalStates
                 .filterValues { it.distinct().size > 1 }
@@ -109,7 +113,7 @@
                 .mapValues { (_, confirmations) -> confirmations.minOf { it.at } }
         return events
             .filterIsInstance<HistoryEvent.Started>()
-            .filter { start -> cancelledAt[start.job]?.let { start.at > it + cancelWithin } ?: false }
+            .filter { start -> cancelledAt[start.job]?.let { start.at > it + cancellationDeadline } ?: false }
             .map { "${it.job} started long after it was cancelled" }
     }
 
@@ -120,7 +124,7 @@
                 "start" to history.longestGap<HistoryEvent.Started>(),
             )
         return gaps
-            .filterValues { it > longestStall }
+            .filterValues { it > maxStall }
             .map { (what, gap) -> "no $what for ${gap.inWholeMilliseconds / MILLISECONDS} s" }
     }
 
--- a/src/test/kotlin/glenspool/simulation/AnswerRules.kt
+++ b/src/test/kotlin/glenspool/simulation/JobStatusChecker.kt
@@ -6,7 +6,7 @@
 import glenspool.state.Put
 
 /** The rules for what users are told and what is stored of the end of a job. */
-internal class AnswerRules(
+internal class JobStatusChecker(
     private val context: SimulationContext,
     private val store: SimulatedStore,
     private val jobs: SimulatedJobs,
@@ -22,18 +22,18 @@
         if (jobs.isUnrecorded(job)) return
         val answer = answer(job)
         if (job !in jobs.specs) {
-            if (answer != UNKNOWN) context.violation("invented $job")
+            if (answer != UNKNOWN) context.recordViolation("invented $job")
             return
         }
-        if (answer == UNKNOWN) context.violation("forgotten $job")
+        if (answer == UNKNOWN) context.recordViolation("forgotten $job")
         val previous = lastAnswers.put(job, answer)
         if (previous != null && previous != LIVE && previous != answer) {
-            context.violation("went_back $job from $previous to $answer")
+            context.recordViolation("went_back $job from $previous to $answer")
         }
         val isAborted = jobs.abortedSince(job) != null
-        if (answer == CANCELLED && !isAborted) context.violation("went_back $job was not cancelled")
+        if (answer == CANCELLED && !isAborted) context.recordViolation("went_back $job was not cancelled")
         // An answer is worked out from the records, so it need not wait for anybody to store it.
-        if (answer == LIVE && isAborted) context.violation("orphaned $job")
+        if (answer == LIVE && isAborted) context.recordViolation("orphaned $job")
     }
 
     private fun answer(job: String): String {
@@ -57,7 +57,7 @@
     private fun checkFinalState(put: Put) {
         val job = put.key.removePrefix(Keys.FINAL)
         val end = put.value["end"]
-        if (end == DONE && jobs.trulyDone.getValue(job).cardinality() < jobs.specs.getValue(job).tasks) {
+        if (end == DONE && jobs.completedTasks.getValue(job).cardinality() < jobs.specs.getValue(job).tasks) {
             context.violations += "not_done $job"
         }
         if (end == CANCELLED && jobs.abortedSince(job) == null) {
--- a/src/test/kotlin/glenspool/simulation/LaggingView.kt
+++ b/src/test/kotlin/glenspool/simulation/LaggingStoreReplica.kt
@@ -6,7 +6,7 @@
 import java.util.TreeMap
 
 /** A replica that lags: what the store held at an earlier revision, or pages of it read one after the other. */
-class LaggingView(private val state: InMemoryStore) : LiveKeyReader {
+class LaggingStoreReplica(private val state: InMemoryStore) : LiveKeyReader {
     private val entries = TreeMap<String, StoreWire.Item>()
     var revision = 0L
         private set
@@ -21,7 +21,7 @@
     }
 
     /** Begins to read everything anew in pages; changes made meanwhile are seen if they concern keys not yet read. */
-    fun beginLoad() {
+    fun startLoad() {
         entries.clear()
         revision = state.revision
         lastKey = ""
@@ -41,7 +41,7 @@
     }
 
     /** Whether no load is under way, so that decisions may be based on this view. */
-    val loaded: Boolean get() = lastKey == null
+    val isLoaded: Boolean get() = lastKey == null
 
     private fun put(key: String, value: Fields?, version: Long) {
         val known = entries[key]
--- a/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
@@ -13,10 +13,10 @@
     private val context: SimulationContext,
     private val store: SimulatedStore,
     private val leader: SimulatedLeader,
-    private val rules: AnswerRules,
+    private val rules: JobStatusChecker,
 ) {
     /** Transactions that were refused because a value was too large. */
-    var refusedForSize = 0
+    var oversizedTransactionCount = 0
         private set
 
     fun store(changes: StoreChanges, scheduler: Scheduler) {
@@ -25,10 +25,10 @@
             store.isDown ->
                 answerLater(scheduler, StoreOutcome.Refused(emptySet()))
             transaction.puts.any(store.state::isTooLarge) -> {
-                refusedForSize++
+                oversizedTransactionCount++
                 answerLater(scheduler, StoreOutcome.TooLarge())
             }
-            context.chance(context.faults.lost / 2) -> loseAnswer(transaction, scheduler)
+            context.chance(context.faults.messageLoss / 2) -> loseAnswer(transaction, scheduler)
             else -> storeAndAnswer(transaction, scheduler)
         }
     }
@@ -45,7 +45,7 @@
 
     /** The transaction is carried out at once, much later if its conditions still hold then, or never. */
     private fun loseAnswer(transaction: Transaction, scheduler: Scheduler) {
-        if (context.chance(context.faults.atOnce)) {
+        if (context.chance(context.faults.immediateCommitShare)) {
             commit(transaction)
         } else if (context.chance(0.7)) {
             context.after(context.random.nextInt(20).seconds) { commit(transaction) }
--- a/src/test/kotlin/glenspool/simulation/LeaseHolder.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaseHolder.kt
@@ -3,9 +3,9 @@
 import kotlin.time.Duration
 
 /** A worker of a [CancellationSimulation]: it sends heartbeats, and its jobs end when its lease expires. */
-class LeaseHolder(private val simulation: CancellationSimulation, val name: String, homeNode: Int) {
+class LeaseHolder(private val simulation: CancellationSimulation, val name: String, initialNode: Int) {
     /** Index of the node to which it sends its heartbeats. */
-    var home = homeNode
+    var nodeIndex = initialNode
     val jobs = HashSet<String>()
     private val drift = simulation.clockDrift()
     private var leaseRenewedAt = Duration.ZERO
@@ -18,10 +18,10 @@
     private fun heartbeat() {
         scheduleHeartbeat()
         expireLease()
-        val node = simulation.members[home]
+        val node = simulation.members[nodeIndex]
         if (!node.isUp || !node.renewsLease(this)) {
             // Refused, or the node is down: the next heartbeat goes to the next node.
-            home = (home + 1) % simulation.members.size
+            nodeIndex = (nodeIndex + 1) % simulation.members.size
             return
         }
         node.leases.recordAnswer(name)
--- a/src/test/kotlin/glenspool/simulation/LivenessRules.kt
+++ b/src/test/kotlin/glenspool/simulation/LivenessChecker.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The rules about time: cancelled work ends within its deadline, and nothing waits for resources that are free. */
-internal class LivenessRules(
+internal class LivenessChecker(
     private val context: SimulationContext,
     private val store: SimulatedStore,
     private val jobs: SimulatedJobs,
@@ -20,13 +20,13 @@
         for (task in fleet.liveTasks()) {
             val cancelledAt = jobs.cancelledAt[task.key.job] ?: continue
             if (context.now - cancelledAt > context.config.cancellationDeadline) {
-                context.violation("ran_cancelled ${task.key} on ${task.worker.id}")
+                context.recordViolation("ran_cancelled ${task.key} on ${task.worker.id}")
             }
         }
     }
 
     /** Faults occur: jobs may wait for as long as they have to. */
-    fun forgetWaiting() = waitingSince.clear()
+    fun resetWaitingTimes() = waitingSince.clear()
 
     /**
      * Once all faults are over, no job waits for [LONGEST_WAIT] while a machine that it may use has room and its team
@@ -37,7 +37,7 @@
         if (!mayStartAnywhere(spec) || !isWaiting(spec, live) || fleet.workers.none { hasRoom(it, spec) }) {
             waitingSince.remove(spec.id)
         } else if (context.now - waitingSince.getOrPut(spec.id) { context.now } > LONGEST_WAIT) {
-            context.violation("waits_in_vain ${spec.id}: ${describe(spec.id)}")
+            context.recordViolation("waits_in_vain ${spec.id}: ${describe(spec.id)}")
             waitingSince.remove(spec.id)
         }
     }
@@ -55,7 +55,7 @@
                 .filter { it.job == spec.id }
                 .map { it.task }
                 .toSet()
-        val done = jobs.trulyDone.getValue(spec.id)
+        val done = jobs.completedTasks.getValue(spec.id)
         return (0 until spec.tasks).any { it !in placed && !done[it] } &&
             store.hasRecord(spec.id) &&
             jobs.abortedSince(spec.id) == null &&
@@ -66,17 +66,17 @@
         val gpusMax = context.teamOf(spec).gpusMax ?: return true
         val ofTeam = live.map { jobs.specs.getValue(it.key.job) }.filter { it.team == spec.team }
         val used = ofTeam.sumOf { it.resourceRequest.gpus }
-        return used + spec.resourceRequest.gpus <= gpusMax + StartRules.ROUNDING
+        return used + spec.resourceRequest.gpus <= gpusMax + TaskStartChecker.GPU_ROUNDING_TOLERANCE
     }
 
     private fun hasRoom(worker: SimulatedWorker, spec: JobSpec): Boolean {
         val placed = worker.liveSlots().map { jobs.specs.getValue(it.job).resourceRequest }
         val needed = placed.fold(spec.resourceRequest) { sum, next -> sum + next }
         return worker.isUp &&
-            worker.evictionAt == null &&
+            worker.preemptionAt == null &&
             !worker.isHanging &&
             needed.fitsIn(worker.type.capacity) &&
-            StartRules.isAllowedOn(spec, worker)
+            TaskStartChecker.isAllowedOn(spec, worker)
     }
 
     private companion object {
--- a/src/test/kotlin/glenspool/simulation/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -99,7 +99,7 @@
         start(name, registry)
         await("$name serves") { hasReadState(name) }
         val replaced = now
-        await("work starts again") { history.lastStart > replaced }
+        await("work starts again") { history.lastStartAt > replaced }
     }
 
     /** A listening node is ready at once; one that can say that a job is unknown has read the state. */
@@ -121,7 +121,7 @@
         await("the outage is over") { now - begun > time }
         state.isDown = false
         val ended = now
-        await("work starts again after the outage") { history.lastStart > ended }
+        await("work starts again after the outage") { history.lastStartAt > ended }
     }
 
     /** What a controller answers an operator about the rollout. */
--- a/src/test/kotlin/glenspool/simulation/LoopbackUsers.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackUsers.kt
@@ -104,8 +104,8 @@
         http.post(anyNode(), path, body, 5.seconds) as? CallResult.Response
 
     private fun pollAll() {
-        while (loading || history.accepted.size > history.finished.size) {
-            (history.accepted - history.finished).forEach(::poll)
+        while (loading || history.acceptedJobs.size > history.finishedJobs.size) {
+            (history.acceptedJobs - history.finishedJobs).forEach(::poll)
             pause(POLL_INTERVAL)
         }
     }
@@ -115,7 +115,7 @@
         check(answer.status != 404) { "$id was accepted and is unknown" }
         val stage = answer.body["stage"]
         val hasEnded = answer.status == 200 && (stage == "done" || stage == "aborted")
-        if (hasEnded) history.add { HistoryEvent.Told(it, id, stage as String) }
+        if (hasEnded) history.add { HistoryEvent.FinalStateReceived(it, id, stage as String) }
     }
 
     companion object {
--- a/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
@@ -74,7 +74,7 @@
 
     private fun exit(key: TaskKey, task: RunningTask, reason: ExitReason) {
         task.exit = reason
-        fleet.history.add { HistoryEvent.Left(it, key.job, name, reason == ExitReason.DONE) }
+        fleet.history.add { HistoryEvent.Ended(it, key.job, name, reason == ExitReason.DONE) }
     }
 
     /** Sends a heartbeat; a worker that is redirected sends one there at once. */
--- a/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
@@ -11,17 +11,17 @@
 
 /**
  * Checks whether orders were received faster than the token bucket of a recovery allows: the orders of one second at
- * once, then as many in each second. [fleet]: machines, to which the rates are relative.
+ * once, then as many in each second. [fleetSize]: machines, to which the rates are relative.
  */
-class OrderRateChecker(rates: RepairRates, fleet: Int) {
+class OrderRateChecker(rates: RepairRates, fleetSize: Int) {
     private val limits =
         mapOf(
             OrderKind.START to rates.starts, OrderKind.STOP to rates.stops,
             OrderKind.DELETION to rates.deletions, OrderKind.SCALE_OUT to rates.rentals,
-        ).mapValues { (_, rate) -> ceil(rate * fleet).toInt().coerceAtLeast(1) }
+        ).mapValues { (_, rate) -> ceil(rate * fleetSize).toInt().coerceAtLeast(1) }
 
     /** The first moment of each kind at which the rate was exceeded. */
-    fun faults(received: List<ReceivedOrder>): List<String> =
+    fun violations(received: List<ReceivedOrder>): List<String> =
         limits.mapNotNull { (kind, limit) ->
             val times = received.filter { it.kind == kind && it.cause !in unlimited }.map { it.at }
             firstAbove(limit, times)?.let { "$kind above $limit a second at $it" }
--- a/src/test/kotlin/glenspool/simulation/ReferenceDifferences.kt
+++ b/src/test/kotlin/glenspool/simulation/ReferenceDifferences.kt
@@ -14,22 +14,22 @@
  * end to the other. It knows the newest record of each job and the newest heartbeat of each machine.
  */
 class ReferenceDifferences {
-    /** The newest [heartbeat] of a machine. [reportedItself]: the machine has sent one, and not only answered. */
-    class Seen(val heartbeat: Heartbeat, val trusted: Boolean, val reportedItself: Boolean)
+    /** The newest [heartbeat] of a machine. [hasReported]: the machine has sent one, and not only answered. */
+    class ReportedMachine(val heartbeat: Heartbeat, val trusted: Boolean, val hasReported: Boolean)
 
     /** A machine of the cloud's lists. [missing]: it is not in the newest one. */
-    class Listed(val stage: MachineStage, val missing: Boolean)
+    class CloudListEntry(val stage: MachineStage, val missing: Boolean)
 
     val records = HashMap<String, JobRecord>()
-    val cancelled = HashSet<String>()
+    val cancelledJobs = HashSet<String>()
 
     /** Placements that this leader did not store itself, as `job/task#attempt@machine`. */
-    val adopted = HashSet<String>()
-    val seen = HashMap<String, Seen>()
-    val listed = HashMap<String, Listed>()
+    val adoptedPlacements = HashSet<String>()
+    val reportedMachines = HashMap<String, ReportedMachine>()
+    val listedMachines = HashMap<String, CloudListEntry>()
 
     /** Whether the cloud has listed its machines. */
-    var listRead = false
+    var isListRead = false
 
     private class Placement(val job: String, val task: Int, val attempt: Long, val machine: String) {
         val name: String get() = "$job/$task#$attempt@$machine"
@@ -44,10 +44,10 @@
         }
 
     /** Each difference as its kind, its machine and its task if it has one, sorted. */
-    fun names(): List<String> = (ofTasks() + ofPlacements() + ofMachines()).sorted()
+    fun differenceNames(): List<String> = (ofTasks() + ofPlacements() + ofMachines()).sorted()
 
     private fun ofTasks(): List<String> =
-        seen.values.flatMap { machine ->
+        reportedMachines.values.flatMap { machine ->
             machine.heartbeat.tasks.flatMap { task ->
                 val kinds = if (task.state == TaskState.EXITED) ofEndedTask(task) else ofLiveTask(machine, task)
                 kinds.map { "$it ${machine.heartbeat.machine} ${task.key.job}/${task.key.task}" }
@@ -59,22 +59,22 @@
         val isResult =
             task.exit == ExitReason.DONE &&
                 record.spec.kind != JobKind.SERVICE &&
-                task.key.job !in cancelled &&
+                task.key.job !in cancelledJobs &&
                 !record.done[task.key.task]
         return if (isResult) listOf(DifferenceKind.UNRECORDED_RESULT) else emptyList()
     }
 
-    private fun ofLiveTask(machine: Seen, task: TaskStatus): List<DifferenceKind> {
+    private fun ofLiveTask(machine: ReportedMachine, task: TaskStatus): List<DifferenceKind> {
         val isPlaced = placements().any { it.isOf(task) && it.machine == machine.heartbeat.machine }
         val kind =
             when {
                 task.key.job !in records -> DifferenceKind.ORPHAN_TASK
-                task.key.job in cancelled -> DifferenceKind.CANCELLED_TASK
+                task.key.job in cancelledJobs -> DifferenceKind.CANCELLED_TASK
                 isPlaced -> null
                 else -> DifferenceKind.ORPHAN_TASK
             }
         val runsElsewhere =
-            seen.values.any { other ->
+            reportedMachines.values.any { other ->
                 other !== machine &&
                     other.heartbeat.tasks.any { it.key == task.key && it.state != TaskState.EXITED }
             }
@@ -83,15 +83,15 @@
 
     private fun ofPlacements(): List<String> =
         placements().mapNotNull { placement ->
-            val machine = seen[placement.machine]
+            val machine = reportedMachines[placement.machine]
             val kind = machine?.let { ofPlacement(placement, it) }
             kind?.let { "$it ${placement.machine} ${placement.job}/${placement.task}" }
         }
 
-    private fun ofPlacement(placement: Placement, machine: Seen): DifferenceKind? {
+    private fun ofPlacement(placement: Placement, machine: ReportedMachine): DifferenceKind? {
         val isReported = machine.heartbeat.tasks.any(placement::isOf)
         val isMissing =
-            placement.name in adopted && machine.trusted && !isReported && placement.job !in cancelled
+            placement.name in adoptedPlacements && machine.trusted && !isReported && placement.job !in cancelledJobs
         return when {
             records.getValue(placement.job).done[placement.task] -> DifferenceKind.OBSOLETE_PLACE
             isMissing -> DifferenceKind.MISSING_TASK
@@ -100,20 +100,20 @@
     }
 
     private fun ofMachines(): List<String> {
-        val machines = placements().map { it.machine } + seen.keys + listed.keys
+        val machines = placements().map { it.machine } + reportedMachines.keys + listedMachines.keys
         return machines.distinct().flatMap { machine -> ofMachine(machine).map { "$it $machine" } }
     }
 
     private fun ofMachine(machine: String): List<DifferenceKind> {
-        val entry = listed[machine]
+        val entry = listedMachines[machine]
         val placed = placements().filter { it.machine == machine }
-        val isDelisted = if (entry != null) entry.missing else listRead && placed.any { it.name in adopted }
+        val isDelisted = if (entry != null) entry.missing else isListRead && placed.any { it.name in adoptedPlacements }
         val isUp = entry != null && entry.stage == MachineStage.RUNNING && !entry.missing
-        val isUnheard = machine !in seen && (placed.isNotEmpty() || isUp)
+        val isUnheard = machine !in reportedMachines && (placed.isNotEmpty() || isUp)
         return listOfNotNull(
             DifferenceKind.DELISTED_MACHINE.takeIf { isDelisted },
             DifferenceKind.UNHEARD_MACHINE.takeIf { isUnheard },
-            DifferenceKind.UNREPORTING_MACHINE.takeIf { seen[machine]?.reportedItself == false },
+            DifferenceKind.UNREPORTING_MACHINE.takeIf { reportedMachines[machine]?.hasReported == false },
         )
     }
 }
--- a/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
+++ b/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
@@ -43,7 +43,7 @@
     protected fun step(body: Scheduler.() -> Unit): List<Action> = core.step(now, now, body)
 
     /** Lets time pass in ticks; returns all that was decided meanwhile. */
-    protected fun wait(time: Duration): List<Action> {
+    protected fun advanceTime(time: Duration): List<Action> {
         val actions = ArrayList<Action>()
         val end = now + time
         while (now < end) {
@@ -56,7 +56,7 @@
     private fun zoneOf(machine: String) = if (machine.startsWith("z")) "b" else "a"
 
     /** The cloud lists these machines, of which those in [failed] have failed. */
-    protected fun list(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> {
+    protected fun applyCloudList(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> {
         val listed =
             machines.map { machine ->
                 val stage = if (machine in failed) MachineStage.FAILED else MachineStage.RUNNING
@@ -89,7 +89,7 @@
     }
 
     /** The leader receives a heartbeat; returns the commands it answers with, and the actions it decides. */
-    protected fun say(received: Heartbeat): Pair<List<Command>, List<Action>> {
+    protected fun receiveHeartbeat(received: Heartbeat): Pair<List<Command>, List<Action>> {
         var commands: List<Command> = emptyList()
         val actions = step { commands = heartbeatReceived(received) }
         return commands to actions
@@ -98,29 +98,29 @@
     protected fun submit(
         spec: JobSpec,
         placements: List<StoredPlacement> = emptyList(),
-        last: Long = 0,
+        lastAttempt: Long = 0,
         dependencies: List<String> = emptyList(),
-    ) = step { jobRecordRead(JobRecord(spec, now, last, BitSet(), placements, dependencies), ++revision) }
+    ) = step { jobRecordRead(JobRecord(spec, now, lastAttempt, BitSet(), placements, dependencies), ++revision) }
 
-    /** Machines of zone a, and [others] of zone b, where this node's controllers have another, report. */
-    protected fun started(machines: Int = 1, others: Int = 0): Scheduler {
+    /** Machines of zone a, and [peerZoneMachines] of zone b, where this node's controllers have another, report. */
+    protected fun registerMachines(machines: Int = 1, peerZoneMachines: Int = 0): Scheduler {
         step { machineTypesRead(listOf(bigType)) }
-        for (number in 1..machines) say(heartbeat("m$number"))
-        for (number in 1..others) say(heartbeat("z$number"))
+        for (number in 1..machines) receiveHeartbeat(heartbeat("m$number"))
+        for (number in 1..peerZoneMachines) receiveHeartbeat(heartbeat("z$number"))
         return core
     }
 
-    protected fun store(actions: List<Action>) = actions.filterIsInstance<StoreChanges>().single()
+    protected fun singleStoreChanges(actions: List<Action>) = actions.filterIsInstance<StoreChanges>().single()
 
     /** The transaction under way is carried out. */
-    protected fun confirm(): List<Action> = step { transactionEnded(StoreOutcome.Stored(++revision)) }
+    protected fun confirmTransaction(): List<Action> = step { transactionEnded(StoreOutcome.Stored(++revision)) }
 
     /** One machine, one job of one task, and the request that starts it there. */
-    protected fun commanded(): SendCommands {
-        started()
+    protected fun sendSingleStart(): SendCommands {
+        registerMachines()
         submit(job("a"))
-        wait(1.seconds)
-        return confirm().filterIsInstance<SendCommands>().single()
+        advanceTime(1.seconds)
+        return confirmTransaction().filterIsInstance<SendCommands>().single()
     }
 
     protected fun List<Action>.starts() =
@@ -129,18 +129,18 @@
             .filterIsInstance<StartTask>()
 
     /** Machines with one large running task each, so that none is returned for want of work. */
-    protected fun busy(machines: Int, others: Int = 0): Map<String, TaskStatus> {
-        started(machines, others)
+    protected fun startBusyMachines(machines: Int, peerZoneMachines: Int = 0): Map<String, TaskStatus> {
+        registerMachines(machines, peerZoneMachines)
         val large = Resources(14.0, 4.0, 50.0)
-        submit(job("a", tasks = machines + others, resourceRequest = large, estimatedDuration = 1000.seconds))
-        wait(1.seconds)
-        return carriedOut().also { assertEquals(machines + others, it.size) }
+        submit(job("a", tasks = machines + peerZoneMachines, resourceRequest = large, estimatedDuration = 1000.seconds))
+        advanceTime(1.seconds)
+        return executePlacements().also { assertEquals(machines + peerZoneMachines, it.size) }
     }
 
     /** What was placed is stored, sent and runs: the task on each machine that was sent one. */
-    protected fun carriedOut(): Map<String, TaskStatus> {
+    protected fun executePlacements(): Map<String, TaskStatus> {
         val running =
-            confirm().filterIsInstance<SendCommands>().associateWith { request ->
+            confirmTransaction().filterIsInstance<SendCommands>().associateWith { request ->
                 val command = request.commands.single()
                 task(command.key.job, command.key.task, command.attempt, TaskState.RUNNING)
             }
@@ -151,20 +151,24 @@
         return running.mapKeys { it.key.machine }
     }
 
-    /** Heartbeats of the machines keep coming; requests to [unreached] end without an answer, others are answered. */
-    protected fun live(time: Duration, running: Map<String, TaskStatus>, unreached: Set<String>): List<Action> {
+    /** Heartbeats of the machines keep coming; requests to [unreachable] end without an answer, others are answered. */
+    protected fun runWithHeartbeats(
+        time: Duration,
+        running: Map<String, TaskStatus>,
+        unreachable: Set<String>,
+    ): List<Action> {
         val actions = ArrayList<Action>()
         val end = now + time
         while (now < end) {
             for ((machine, task) in running) {
-                if (machine in core.machines) actions += say(heartbeat(machine, listOf(task))).second
+                if (machine in core.machines) actions += receiveHeartbeat(heartbeat(machine, listOf(task))).second
             }
-            val decided = wait(2.seconds)
+            val decided = advanceTime(2.seconds)
             actions += decided
             for (action in decided) {
                 when (action) {
-                    is Probe -> answerProbe(action, running, unreached)
-                    is SendCommands -> answerCommands(action, running, unreached)
+                    is Probe -> answerProbe(action, running, unreachable)
+                    is SendCommands -> answerCommands(action, running, unreachable)
                     else -> Unit
                 }
             }
@@ -172,18 +176,18 @@
         return actions
     }
 
-    private fun answerProbe(probe: Probe, running: Map<String, TaskStatus>, unreached: Set<String>) {
+    private fun answerProbe(probe: Probe, running: Map<String, TaskStatus>, unreachable: Set<String>) {
         val machine = probe.machine
-        if (machine !in running && machine !in unreached) return
+        if (machine !in running && machine !in unreachable) return
         step {
-            val task = running[machine]?.takeIf { machine !in unreached }
+            val task = running[machine]?.takeIf { machine !in unreachable }
             probeEnded(machine, task?.let { heartbeat(machine, listOf(it)) })
         }
     }
 
-    private fun answerCommands(request: SendCommands, running: Map<String, TaskStatus>, unreached: Set<String>) {
+    private fun answerCommands(request: SendCommands, running: Map<String, TaskStatus>, unreachable: Set<String>) {
         val machine = request.machine
-        val isReached = machine !in unreached
+        val isReached = machine !in unreachable
         val outcome = if (isReached) CommandOutcome.DONE else CommandOutcome.UNKNOWN
         val answer = if (isReached) heartbeat(machine, listOfNotNull(running[machine])) else null
         step { commandsEnded(machine, request, outcome, answer) }
--- a/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
@@ -19,14 +19,14 @@
     private class Listing(val at: Duration, val machines: List<ListedMachine>)
 
     /** Machines that each request was granted: a repeated request gets the same ones. */
-    private val granted = HashMap<String, List<String>>()
+    private val grantedMachines = HashMap<String, List<String>>()
     private val listings = ArrayList<Listing>()
 
     fun scaleOut(request: ScaleOut, scheduler: Scheduler) {
-        if (request.request !in granted) request.causes.forEach(context::orderReceived)
+        if (request.request !in grantedMachines) request.causes.forEach(context::recordOrders)
         context.after(context.networkDelay() * 10) {
-            val names = granted[request.request] ?: grant(request)
-            val isLost = context.chance(context.faults.lost)
+            val names = grantedMachines[request.request] ?: grant(request)
+            val isLost = context.chance(context.faults.messageLoss)
             leader.stepIfLeading(scheduler) {
                 when {
                     isLost -> scaleOutUnanswered(request)
@@ -46,7 +46,7 @@
             }
         val type = context.machineTypes.first { it.name == request.type }
         val names = List(count) { fleet.add(type, request.zone, request.spot, bootTime(type)) }
-        if (names.isNotEmpty()) granted[request.request] = names
+        if (names.isNotEmpty()) grantedMachines[request.request] = names
         return names
     }
 
@@ -57,8 +57,8 @@
     }
 
     fun delete(request: DeleteMachines, scheduler: Scheduler) {
-        request.causes.values.forEach { context.orderReceived(it) }
-        val isLost = context.chance(context.faults.lost)
+        request.causes.values.forEach { context.recordOrders(it) }
+        val isLost = context.chance(context.faults.messageLoss)
         context.after(context.networkDelay() * 5 + deletionDelay()) {
             // Without an answer, the machines may be deleted all the same.
             if (!isLost || context.chance(0.5)) request.machines.forEach(fleet::remove)
@@ -79,7 +79,7 @@
         }
 
     /** Lists the machines, and hands the leader a listing that is some time old. */
-    fun list() {
+    fun deliverList() {
         val listLag = context.config.listLag
         listings.add(Listing(context.now, fleet.workers.map(::listed)))
         listings.removeIf { context.now - it.at > listLag * 3 }
--- a/src/test/kotlin/glenspool/simulation/SimulatedJobs.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedJobs.kt
@@ -22,7 +22,7 @@
     val dependenciesOf = HashMap<String, List<String>>()
 
     /** Tasks of each job that ran to their end. */
-    val trulyDone = HashMap<String, BitSet>()
+    val completedTasks = HashMap<String, BitSet>()
 
     /** When the cancellation of a job was confirmed to its user. */
     val cancelledAt = HashMap<String, Duration>()
@@ -38,7 +38,7 @@
         unrecorded.remove(spec.id)
         submittedAt[spec.id] = context.now
         if (dependencies.isNotEmpty()) dependenciesOf[spec.id] = dependencies
-        trulyDone[spec.id] = BitSet()
+        completedTasks[spec.id] = BitSet()
         val record = RecordWire.encode(JobRecord(spec, context.now, 0, BitSet(), emptyList(), dependencies))
         transact(mapOf(Keys.job(spec.id) to 0L, Keys.final(spec.id) to 0L), Put(Keys.job(spec.id), record))
     }
@@ -47,7 +47,7 @@
     fun addUnrecorded(spec: JobSpec) {
         if (spec.id !in specs) unrecorded.add(spec.id)
         specs.putIfAbsent(spec.id, spec)
-        trulyDone.putIfAbsent(spec.id, BitSet())
+        completedTasks.putIfAbsent(spec.id, BitSet())
     }
 
     /** Cancels a job as a node does for a user; true if the cancellation was confirmed. */
@@ -77,5 +77,5 @@
 
     fun areDependenciesDone(job: String): Boolean = dependenciesOf[job].orEmpty().all { store.finalState(it) == "done" }
 
-    fun taskEnded(job: String, task: Int) = trulyDone.getValue(job).set(task)
+    fun markTaskCompleted(job: String, task: Int) = completedTasks.getValue(job).set(task)
 }
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -44,7 +44,7 @@
         private set
 
     /** Whether all controllers are of the new version, so that no old one is elected any more. */
-    var areAllNew = false
+    var allControllersNew = false
 
     /** The recovery of the present term, if recovery is managed and one was due. */
     var recovery: RecoveryEngine? = null
@@ -55,7 +55,7 @@
     private var isRecoveryDue = false
 
     /** Until then no controller answers workers or sends commands. */
-    var awayUntil = Duration.ZERO
+    var controllersDownUntil = Duration.ZERO
         private set
     private var appliedRevision = 0L
     private val heartbeatsForNextTerm = ArrayList<Heartbeat>()
@@ -63,12 +63,12 @@
     /** Begins a new term, whoever leads at present. */
     fun elect() {
         traceWorkCounters()
-        isOldVersion = !areAllNew && context.chance(context.faults.olds)
+        isOldVersion = !allControllersNew && context.chance(context.faults.oldVersionLeaders)
         storeTerm()
         recovery = recoveryFactory?.takeIf { isRecoveryDue }?.invoke(token, context.now, startKind())
         scheduler = Scheduler(context.config, token, context.now, recovery?.hooks ?: SchedulerHooks())
         step {
-            splitRecordSupportChecked(areAllNew)
+            splitRecordSupportChecked(allControllersNew)
             machineTypesRead(context.machineTypes)
             storedEntries(Keys.JOB).forEach { applyChange(it) }
             storedEntries(Keys.CANCEL).forEach { applyChange(it) }
@@ -102,7 +102,7 @@
     }
 
     /** Keeps a heartbeat, so that it reaches the next leader as its term begins. */
-    fun keepForNextTerm(heartbeat: Heartbeat) {
+    fun queueForNextTerm(heartbeat: Heartbeat) {
         heartbeatsForNextTerm.add(heartbeat)
     }
 
@@ -113,27 +113,27 @@
     }
 
     /** The leader ends, and its messages stay on their way; another is elected after [untilElection]. */
-    fun change(untilElection: Duration) {
+    fun endTerm(untilElection: Duration) {
         traceWorkCounters()
         scheduler = null
         context.after(untilElection) { electWhenStoreIsUp() }
     }
 
-    /** As [change], after a time that is drawn. */
-    fun endSoonReplaced() {
+    /** As [endTerm], after a time that is drawn. */
+    fun endTermWithRandomDelay() {
         scheduler = null
         context.after((1 + context.random.nextInt(6)).seconds) { electWhenStoreIsUp() }
     }
 
     /** All controllers are down for [time]; the next leader begins with a recovery, if that is managed. */
-    fun endAll(time: Duration) {
+    fun stopAllControllers(time: Duration) {
         isRecoveryDue = recoveryFactory != null
-        awayUntil = context.now + time
-        change(time)
+        controllersDownUntil = context.now + time
+        endTerm(time)
     }
 
     /** The leader has resigned; another is elected soon. */
-    fun resigned(by: Scheduler) {
+    fun handleResignation(by: Scheduler) {
         if (scheduler === by) scheduler = null
         context.after(1.seconds) { electWhenStoreIsUp() }
     }
@@ -151,7 +151,7 @@
         if (scheduler == null || store.isDown) return
         readChanges()
         step {
-            splitRecordSupportChecked(areAllNew && !isOldVersion)
+            splitRecordSupportChecked(allControllersNew && !isOldVersion)
             tick()
         }
         tickRecovery()
--- a/src/test/kotlin/glenspool/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedWorker.kt
@@ -50,20 +50,20 @@
 
     /** Whether the machine was deleted, evicted or has died. */
     var isLost = false
-    var cutUntil = Duration.ZERO
+    var partitionedUntil = Duration.ZERO
     var hungUntil = Duration.ZERO
 
     /** Until then its heartbeats arrive, but no answer and no command reaches it. */
     var unreachableUntil = Duration.ZERO
 
     /** Until then its heartbeats are lost, but commands reach it. */
-    var muteUntil = Duration.ZERO
+    var heartbeatsLostUntil = Duration.ZERO
 
     /** Until then another node, which does not lead, answers its heartbeats with the worker's own token. */
-    var servedElsewhereUntil = Duration.ZERO
+    var servedByOtherNodeUntil = Duration.ZERO
 
     /** Until then its zone is cut off, and the packets to it are held. */
-    var zoneCutUntil = Duration.ZERO
+    var zonePartitionedUntil = Duration.ZERO
 
     /** Counts restarts: what was on its way to the machine before is lost with its connections. */
     var restarts = 0
@@ -73,19 +73,19 @@
     var leaseRenewedAt = context.now
 
     /** When the cloud evicts the machine, once it has given notice of that. */
-    var evictionAt: Duration? = null
+    var preemptionAt: Duration? = null
     val rentedAt = context.now
     val isHanging: Boolean get() = context.now < hungUntil
 
     /** Whether a command would reach the worker, apart from [unreachableUntil]. */
     val isReachable: Boolean
-        get() = !isLost && isUp && context.now >= cutUntil && context.now >= zoneCutUntil && !isHanging
+        get() = !isLost && isUp && context.now >= partitionedUntil && context.now >= zonePartitionedUntil && !isHanging
 
     /** Makes the next heartbeat, whether it is sent or answers a request. */
     fun heartbeat(): Heartbeat {
         val statuses =
             tasks.map { (slot, task) -> TaskStatus(slot.key, task.attempt, task.state, task.exit, false) }
-        val timeToEviction = evictionAt?.let { it - context.now }
+        val timeToEviction = preemptionAt?.let { it - context.now }
         return Heartbeat(
             id, "addr-$id", type.name, zone, isSpot,
             incarnation, ++sequence, highestToken, timeToEviction, statuses,
@@ -96,7 +96,7 @@
     fun liveSlots(): Set<TaskSlot> = tasks.filterValues { it.isLive }.keys
 
     /** The lease expires: all tasks end with the incarnation. */
-    fun endLease() {
+    fun expireLease() {
         tasks.clear()
         incarnation++
         leaseRenewedAt = context.now
--- a/src/test/kotlin/glenspool/simulation/SimulationContext.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulationContext.kt
@@ -30,7 +30,7 @@
     val violations = ArrayList<String>()
 
     /** Orders as workers and the cloud received them. */
-    val received = ArrayList<ReceivedOrder>()
+    val receivedOrders = ArrayList<ReceivedOrder>()
 
     fun after(delay: Duration, body: () -> Unit) = events.after(delay, body)
 
@@ -40,9 +40,10 @@
     /** Draws the time that a message takes one way. */
     fun networkDelay(): Duration = (2 + random.nextInt(20)).milliseconds
 
-    fun orderReceived(cause: OrderCause, count: Int = 1) = repeat(count) { received.add(ReceivedOrder(now, cause)) }
+    fun recordOrders(cause: OrderCause, count: Int = 1) =
+        repeat(count) { receivedOrders.add(ReceivedOrder(now, cause)) }
 
-    fun violation(text: String) {
+    fun recordViolation(text: String) {
         violations += "$now $text"
     }
 
--- a/src/test/kotlin/glenspool/simulation/TaskExecution.kt
+++ b/src/test/kotlin/glenspool/simulation/TaskExecution.kt
@@ -15,14 +15,14 @@
 internal class TaskExecution(
     private val context: SimulationContext,
     private val jobs: SimulatedJobs,
-    private val rules: StartRules,
+    private val rules: TaskStartChecker,
 ) {
     /** Tasks started so far. */
-    var starts = 0
+    var startCount = 0
         private set
 
     /** When the first task of each job was started. */
-    val firstStart = HashMap<String, Duration>()
+    val firstStartTimes = HashMap<String, Duration>()
 
     /** False: the worker refuses the request, because its token or incarnation is out of date. */
     fun execute(worker: SimulatedWorker, request: SendCommands): Boolean {
@@ -38,12 +38,12 @@
         when (command) {
             is StartTask ->
                 if (task == null) {
-                    context.orderReceived(command.cause)
+                    context.recordOrders(command.cause)
                     worker.tasks[slot] = start(worker, command)
                 }
             is StopTask ->
                 if (task != null && task.isLive) {
-                    context.orderReceived(command.cause)
+                    context.recordOrders(command.cause)
                     task.exit(ExitReason.STOPPED)
                 }
             is ForgetTask -> if (task != null && !task.isLive) worker.tasks.remove(slot)
@@ -60,8 +60,8 @@
         if (!requested.fitsIn(worker.type.capacity)) return failed(command.attempt, ExitReason.INSUFFICIENT_RESOURCES)
         rules.check(command.key, spec, worker)
         val fetchTime = fetchTime(worker, spec)
-        starts++
-        firstStart.putIfAbsent(command.key.job, context.now)
+        startCount++
+        firstStartTimes.putIfAbsent(command.key.job, context.now)
         return WorkerTask(command.attempt, TaskState.FETCHING, context.now + fetchTime)
     }
 
--- a/src/test/kotlin/glenspool/simulation/TaskProgress.kt
+++ b/src/test/kotlin/glenspool/simulation/TaskProgress.kt
@@ -39,7 +39,7 @@
     }
 
     private fun complete(key: TaskKey, task: WorkerTask) {
-        jobs.taskEnded(key.job, key.task)
+        jobs.markTaskCompleted(key.job, key.task)
         task.exit(ExitReason.DONE)
     }
 
--- a/src/test/kotlin/glenspool/simulation/StartRules.kt
+++ b/src/test/kotlin/glenspool/simulation/TaskStartChecker.kt
@@ -4,7 +4,7 @@
 import glenspool.core.model.TaskKey
 
 /** The rules that the start of a task can break. */
-internal class StartRules(
+internal class TaskStartChecker(
     private val context: SimulationContext,
     private val store: SimulatedStore,
     private val jobs: SimulatedJobs,
@@ -13,30 +13,30 @@
     /** Checks a start that a worker is about to carry out. */
     fun check(key: TaskKey, spec: JobSpec, worker: SimulatedWorker) {
         val live = fleet.liveTasks()
-        if (live.any { it.key == key }) context.violation("ran_twice $key")
+        if (live.any { it.key == key }) context.recordViolation("ran_twice $key")
         checkConstraints(key, spec, worker)
         checkZones(key, spec, worker, live)
         checkQuota(spec, live)
         val cancelledAt = jobs.cancelledAt[spec.id]
         if (cancelledAt != null && context.now - cancelledAt > context.config.cancellationDeadline) {
-            context.violation("ran_cancelled start $key")
+            context.recordViolation("ran_cancelled start $key")
         }
         for (dependency in jobs.dependenciesOf[spec.id].orEmpty()) {
-            if (store.finalState(dependency) != "done") context.violation("too_early $key before $dependency")
+            if (store.finalState(dependency) != "done") context.recordViolation("too_early $key before $dependency")
         }
     }
 
     private fun checkConstraints(key: TaskKey, spec: JobSpec, worker: SimulatedWorker) {
-        if (!isAllowedOn(spec, worker)) context.violation("wrong_place $key on ${worker.id}")
+        if (!isAllowedOn(spec, worker)) context.recordViolation("wrong_place $key on ${worker.id}")
     }
 
     private fun checkZones(key: TaskKey, spec: JobSpec, worker: SimulatedWorker, live: List<LiveTask>) {
         val others = live.filter { it.key.job == spec.id }
         if (spec.sameZone && others.any { it.worker.zone != worker.zone }) {
-            context.violation("wrong_place same zone $key")
+            context.recordViolation("wrong_place same zone $key")
         }
         if (spec.spread && others.count { it.worker.zone == worker.zone } + 1 > spec.maxTasksPerZone) {
-            context.violation("wrong_place spread $key")
+            context.recordViolation("wrong_place spread $key")
         }
     }
 
@@ -44,12 +44,12 @@
         val gpusMax = context.teamOf(spec).gpusMax ?: return
         val ofTeam = live.map { jobs.specs.getValue(it.key.job) }.filter { it.team == spec.team }
         val used = ofTeam.sumOf { it.resourceRequest.gpus } + spec.resourceRequest.gpus
-        if (used > gpusMax + ROUNDING) context.violation("quota ${spec.team}: $used")
+        if (used > gpusMax + GPU_ROUNDING_TOLERANCE) context.recordViolation("quota ${spec.team}: $used")
     }
 
     companion object {
         /** GPUs by which a sum of requests may be off. */
-        const val ROUNDING = 1e-6
+        const val GPU_ROUNDING_TOLERANCE = 1e-6
 
         /** Whether the constraints of a job's description let its tasks run on a machine. */
         fun isAllowedOn(spec: JobSpec, worker: SimulatedWorker): Boolean =
--- a/src/test/kotlin/glenspool/simulation/WorkerRequests.kt
+++ b/src/test/kotlin/glenspool/simulation/WorkerRequests.kt
@@ -43,15 +43,15 @@
     }
 
     private fun isHeldUp(worker: SimulatedWorker): Boolean =
-        context.now < worker.cutUntil ||
-            context.now < worker.zoneCutUntil ||
+        context.now < worker.partitionedUntil ||
+            context.now < worker.zonePartitionedUntil ||
             worker.isHanging ||
-            context.chance(context.faults.held)
+            context.chance(context.faults.delayedCommands)
 
     /** Delivers when the cut ends or up to a minute later, when the sender has long given up. */
     private fun deliverLate(worker: SimulatedWorker, request: SendCommands, scheduler: Scheduler) {
         val restarts = worker.restarts
-        val heldUntil = maxOf(worker.cutUntil, worker.zoneCutUntil, worker.hungUntil)
+        val heldUntil = maxOf(worker.partitionedUntil, worker.zonePartitionedUntil, worker.hungUntil)
         val delay = maxOf(heldUntil - context.now, Duration.ZERO) + context.random.nextInt(60).seconds
         context.after(delay) { if (isSameProcess(worker, restarts)) execution.execute(worker, request) }
         context.after(TIMEOUT) { ended(request, scheduler, CommandOutcome.UNKNOWN) }
@@ -66,7 +66,7 @@
             }
             val outcome = if (execution.execute(worker, request)) CommandOutcome.DONE else CommandOutcome.REFUSED
             val heartbeat = worker.heartbeat()
-            if (context.chance(context.faults.lost)) {
+            if (context.chance(context.faults.messageLoss)) {
                 context.after(TIMEOUT) { ended(request, scheduler, CommandOutcome.UNKNOWN) }
             } else {
                 context.after(context.networkDelay()) { ended(request, scheduler, outcome, heartbeat) }
