--- a/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
+++ b/src/test/kotlin/glenspool/core/SplitRecordTestBase.kt
@@ -53,8 +53,8 @@
         private set
 
     init {
-        state.valueLimit = VALUE_BYTES
-        state.opsLimit = MAX_CHANGES
+        state.maxValueBytes = VALUE_BYTES
+        state.maxChangesPerTransaction = MAX_CHANGES
     }
 
     /** Stores changes in the given number of rounds, as the key-value store does. Returns all other actions. */
@@ -64,7 +64,7 @@
         repeat(rounds) {
             val changes = actions.filterIsInstance<StoreChanges>().singleOrNull()
             otherActions += actions.filter { it !is StoreChanges }
-            actions = if (changes == null) wait(1.seconds) else transact(changes)
+            actions = if (changes == null) advanceTime(1.seconds) else transact(changes)
         }
         return otherActions
     }
@@ -72,12 +72,12 @@
     private fun transact(changes: StoreChanges): List<Action> {
         val transaction = transactionOf(0, changes)
         assertTrue(transaction.puts.size + transaction.removes.size <= 4)
-        if (transaction.puts.any(state::tooLarge)) {
+        if (transaction.puts.any(state::isTooLarge)) {
             sizeRefusals++
             return step { transactionEnded(StoreOutcome.TooLarge()) }
         }
         state.transact(emptyMap(), transaction.puts, transaction.removes)
-        return confirm()
+        return confirmTransaction()
     }
 
     protected companion object {
--- a/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
+++ b/src/test/kotlin/glenspool/rollout/UpgradeUnderLoadTest.kt
@@ -64,9 +64,9 @@
 
         fun buildOf(name: String) = if (name == oldMember) oldBuild else newBuild
         names.filter { it != oldMember }.forEach { replace(it, newBuild) }
-        repeat(4) { endOne(::buildOf) }
-        outage(1.seconds)
-        endOne(::buildOf)
+        repeat(4) { replaceRandomNode(::buildOf) }
+        storeOutage(1.seconds)
+        replaceRandomNode(::buildOf)
         val startedAt = now
         await("two seconds have passed") { now - startedAt > 2.seconds }
         assertTrue(isLevelActive(1))
@@ -77,9 +77,9 @@
         kill(member)
         start(member, oldBuild)
         await("the member is fenced") { (readiness(member) as? CallResult.Response)?.body?.get("needs_level") == 2L }
-        val fence = ask(member).status?.fence.orEmpty()
+        val fence = rolloutReply(member).status?.fence.orEmpty()
         assertTrue(fence.contains("level 2 (next-form) is active"), fence)
-        assertFalse(ask(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
+        assertFalse(rolloutReply(member, RolloutRequest(RolloutVerb.HOLD)).accepted)
         replace(member, newBuild)
     }
 
@@ -88,7 +88,7 @@
         LoopbackService(dir, policy, seed = 7).use { service ->
             names.forEach { service.start(it, oldBuild) }
             service.awaitLevel(1)
-            service.await("jobs run") { service.history.finished.size >= 5 }
+            service.await("jobs run") { service.history.finishedJobs.size >= 5 }
             service.phase("one left behind") { service.upgradeAllButOne() }
             service.phase("rollback halfway") { service.replaceAll(oldBuild) }
             service.phase("upgrade") {
@@ -99,17 +99,18 @@
             service.verifyOldBuildIsFenced(follower)
 
             // An operator may order the deactivation at any controller. The leader is replaced before it is complete.
-            assertTrue(service.ask(follower, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
+            assertTrue(service.rolloutReply(follower, RolloutRequest(RolloutVerb.DEACTIVATE, level = 2)).accepted)
             service.leader?.let { service.replace(it, newBuild) }
             service.awaitLevel(1)
             service.phase("rollback after deactivation") { service.replaceAll(oldBuild) }
             service.replaceAll(newBuild)
             assertTrue(service.isLevelActive(1))
-            assertTrue(service.ask(names[0], RolloutRequest(RolloutVerb.ACTIVATE, level = 2)).accepted)
+            assertTrue(service.rolloutReply(names[0], RolloutRequest(RolloutVerb.ACTIVATE, level = 2)).accepted)
             service.awaitLevel(2)
 
             service.finish()
-            val faults = HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(service.history)
+            val faults =
+                HistoryChecker(maxStall = 8.seconds, cancellationDeadline = 24.seconds).violations(service.history)
             assertEquals(emptyList<String>(), faults)
             assertEquals(4, service.fleetSize, "a machine was declared lost")
             phases.forEach { println("upgrade under load: ${it.name} ${describe(it, service.history)}") }
@@ -119,15 +120,15 @@
     private fun faultsOf(vararg events: HistoryEvent): List<String> {
         val history = JobHistory { Duration.ZERO }
         events.forEach { event -> history.add { event } }
-        return HistoryChecker(longestStall = 8.seconds, cancelWithin = 24.seconds).faults(history)
+        return HistoryChecker(maxStall = 8.seconds, cancellationDeadline = 24.seconds).violations(history)
     }
 
     @Test
     fun `the checker finds a planted duplicate, loss, stall, contradiction and late start`() {
         val accepted = HistoryEvent.Accepted(1.seconds, "a")
         val started = HistoryEvent.Started(2.seconds, "a", "i-1")
-        val ended = HistoryEvent.Left(3.seconds, "a", "i-1", true)
-        val finalState = HistoryEvent.Told(4.seconds, "a", "done")
+        val ended = HistoryEvent.Ended(3.seconds, "a", "i-1", true)
+        val finalState = HistoryEvent.FinalStateReceived(4.seconds, "a", "done")
         assertEquals(emptyList<String>(), faultsOf(accepted, started, ended, finalState))
 
         val duplicate = HistoryEvent.Started(2.seconds, "a", "i-2")
@@ -145,7 +146,7 @@
         assertEquals(incompleteFaults, faultsOf(accepted, finalState))
 
         val lateAccepted = HistoryEvent.Accepted(10.seconds, "b")
-        val lateFinalState = HistoryEvent.Told(10.seconds, "b", "aborted")
+        val lateFinalState = HistoryEvent.FinalStateReceived(10.seconds, "b", "aborted")
         val stallFaults = listOf("no accepted submission for 9.0 s")
         assertEquals(stallFaults, faultsOf(accepted, started, ended, finalState, lateAccepted, lateFinalState))
 
