--- a/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
+++ b/src/test/kotlin/glenspool/rollout/DeactivationTest.kt
@@ -86,7 +86,11 @@
     @Test
     fun `a deactivation completes even if leaders end before, during or after their write at any stage`() {
         val outcomes =
-            listOf(RolloutSimulation.TransactionOutcome.REFUSED, RolloutSimulation.TransactionOutcome.LATE, RolloutSimulation.TransactionOutcome.ANSWER_LOST)
+            listOf(
+                RolloutSimulation.TransactionOutcome.REFUSED,
+                RolloutSimulation.TransactionOutcome.LATE,
+                RolloutSimulation.TransactionOutcome.ANSWER_LOST,
+            )
         val stages = setOf(1 to LevelStage.ACTIVE, 1 to LevelStage.LEAVING, 0 to LevelStage.ACTIVE)
         for (outcome in outcomes) {
             simulation.applyOrder(OperatorRequest.Deactivate(1))
