--- a/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
@@ -14,7 +14,7 @@
 class LeaderChangeFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a leader ends while machines with long tasks are cut off, or receive nothing from the new one`(seed: Long) {
+    fun `a leader stops while machines with long tasks are partitioned, or unreachable for the new leader`(seed: Long) {
         val simulation = simulation(seed)
         simulation.submitEach(0 until 6) { array("a-$it", team = "t${it % 2}", estimatedDuration = 100.seconds) }
         simulation.run(20.seconds)
@@ -22,7 +22,7 @@
         simulation.injectFault(fault, 0.5, 30.seconds)
         simulation.changeLeader(2.seconds)
         simulation.run(50.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -42,7 +42,7 @@
             array("a-$number", tasks = 4, team = "t${1 + number % 2}", estimatedDuration = 20.seconds)
         }
         simulation.run(60.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
@@ -60,30 +60,31 @@
             array("a-$number", tasks = 3, team = "t${1 + number % 2}", estimatedDuration = 20.seconds)
         }
         simulation.run(60.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63, 64, 65, 66])
     fun `leaders change ten times in two minutes, also during an outage of the store`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(held = 0.05, lost = 0.03, copies = 0.1))
+        val simulation =
+            simulation(seed, FaultRates(delayedCommands = 0.05, messageLoss = 0.03, duplicateHeartbeats = 0.1))
         val random = Random(seed)
         for (number in 0 until 10) {
             val tasks = 1 + random.nextInt(3)
             val duration = (5 + random.nextInt(40)).seconds
             simulation.submitTracked(array("a-$number", tasks, "t${number % 3}", duration))
             simulation.changeLeader((200 + random.nextInt(4000)).milliseconds)
-            if (seed % 2 == 0L && number == 4) simulation.outage(25.seconds)
+            if (seed % 2 == 0L && number == 4) simulation.startStoreOutage(25.seconds)
             simulation.runFor((4 + random.nextInt(12)).seconds)
             if (number % 3 == 1) simulation.cancel("a-${random.nextInt(number)}")
         }
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74])
-    fun `jobs of two or three tasks end far apart while leaders change`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(lost = 0.1, atOnce = 0.5))
+    fun `jobs of two or three tasks end at different times while leaders change`(seed: Long) {
+        val simulation = simulation(seed, FaultRates(messageLoss = 0.1, immediateCommitShare = 0.5))
         simulation.submitEach(0 until 12) { number ->
             array(
                 "a-$number", tasks = 2 + number % 2, estimatedDuration = (2 + number).seconds,
@@ -94,13 +95,19 @@
             simulation.runFor(7.seconds)
             simulation.changeLeader(if (seed % 2 == 0L) 100.milliseconds else 3.seconds)
         }
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83, 84, 85, 86])
     fun `jobs are cancelled in the seconds of a failover`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(held = 0.1, lost = 0.05, atOnce = 0.5, forNext = 0.2))
+        val simulation =
+            simulation(
+                seed,
+                FaultRates(
+                    delayedCommands = 0.1, messageLoss = 0.05, immediateCommitShare = 0.5, heartbeatsForNextTerm = 0.2,
+                ),
+            )
         for (round in 0 until 6) {
             simulation.submitEach(0 until 5) { number ->
                 array("a-$round-$number", team = "t${number % 3}", estimatedDuration = 25.seconds)
@@ -112,13 +119,13 @@
             simulation.cancelRunningJobs(2, hang = false)
         }
         simulation.runFor(50.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104])
-    fun `new machines are up at once and get work while writes lag and the leader ends`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(lost = 0.4, atOnce = 0.3), machines = 2)
+    fun `new machines start immediately and get work while writes are delayed and the leader stops`(seed: Long) {
+        val simulation = simulation(seed, FaultRates(messageLoss = 0.4, immediateCommitShare = 0.3), machines = 2)
         simulation.submitEach(0 until 8) { number ->
             array("a-$number", tasks = 4, estimatedDuration = 20.seconds, team = "t${number % 2}")
         }
@@ -132,30 +139,33 @@
         simulation.runFor(4.seconds)
         simulation.changeLeader(3.seconds)
         simulation.runFor(40.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [111, 112, 113, 114])
     fun `all controllers are down for longer than a lease or for a moment, and leaders change soon after`(seed: Long) {
-        val simulation = simulation(seed, FaultRates(forNext = 0.3, held = 0.1))
+        val simulation = simulation(seed, FaultRates(heartbeatsForNextTerm = 0.3, delayedCommands = 0.1))
         simulation.submitEach(0 until 8) { array("a-$it", estimatedDuration = 70.seconds, team = "t${it % 3}") }
         simulation.submitTracked(service("s-0"))
         simulation.run(20.seconds)
-        simulation.allAway(if (seed % 2 == 0L) 25.seconds else 800.milliseconds)
+        simulation.stopAllControllers(if (seed % 2 == 0L) 25.seconds else 800.milliseconds)
         simulation.run(60.seconds)
         repeat(4) {
             simulation.changeLeader(150.milliseconds)
             simulation.runFor(700.milliseconds)
         }
         simulation.runFor(20.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [141, 142, 143, 144, 145, 146])
     fun `heartbeats of earlier incarnations and attempts reach a new leader as its term begins`(seed: Long) {
-        val faults = FaultRates(forNext = 0.5, copies = 0.2, cuts = 0.03, restarts = 0.01)
+        val faults =
+            FaultRates(
+                heartbeatsForNextTerm = 0.5, duplicateHeartbeats = 0.2, machinePartitions = 0.03, restarts = 0.01,
+            )
         val simulation = simulation(seed, faults)
         for (number in 0 until 12) {
             val spec = array("a-$number", tasks = 3, estimatedDuration = 12.seconds, team = "t${number % 3}")
@@ -165,6 +175,6 @@
             if (number % 5 == 4) simulation.cancelRunningJobs(2, hang = true)
         }
         simulation.runFor(20.seconds)
-        simulation.finish(seed)
+        simulation.finishAndVerify(seed)
     }
 }
