--- a/src/main/kotlin/glenspool/api/LeaseRenewalPolicy.kt
+++ b/src/main/kotlin/glenspool/api/LeaseRenewalPolicy.kt
@@ -38,7 +38,7 @@
     private val lastAnsweredAt = ConcurrentHashMap<String, Duration>()
 
     /**
-     * To be called when the node has answered the worker, as the leader or because no leader is known, so that the
+     * To be called when the node has answered the worker, as the leader or without the leader's commands, so that the
      * worker's lease starts anew.
      */
     fun recordAnswer(machine: String) {
--- a/src/main/kotlin/glenspool/cli/RolloutView.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutView.kt
@@ -23,7 +23,7 @@
     /** Shows the result of [requestStatus], which is called once a second, until `q` or escape is pressed. */
     fun run(requestStatus: () -> OperatorAnswer<RolloutReply>): Int = run(UnixTerminal(), requestStatus)
 
-    /** Shows the result of [requestStatus] in [terminal], as the function above does. */
+    /** Shows the result of [requestStatus] in [terminal] until `q` or escape is pressed. */
     fun run(terminal: Terminal, requestStatus: () -> OperatorAnswer<RolloutReply>): Int {
         val screen = TerminalScreen(terminal)
         screen.startScreen()
--- a/src/main/kotlin/glenspool/http/HttpClient.kt
+++ b/src/main/kotlin/glenspool/http/HttpClient.kt
@@ -110,7 +110,7 @@
         const val HEAD_CAPACITY = 160
         val PORT_RANGE = 0..65535
 
-        /** The characters that a path may contain. Any other, such as a line break, would end the request line. */
+        /** The characters that a path may contain. A space would end the path, and a line break the request line. */
         val PATH_CHARACTERS = '!'..'~'
     }
 }
--- a/src/main/kotlin/glenspool/http/MessageReader.kt
+++ b/src/main/kotlin/glenspool/http/MessageReader.kt
@@ -59,7 +59,7 @@
 
     private fun parseField(line: String): Pair<String, String> {
         val colon = line.indexOf(':')
-        if (colon <= 0) throw BadMessage(BadMessage.BAD_REQUEST, "header field without a name")
+        if (colon <= 0) throw BadMessage(BadMessage.BAD_REQUEST, "header field without a name or a colon")
         return line.substring(0, colon) to line.substring(colon + 1).trim()
     }
 
--- a/src/main/kotlin/glenspool/wire/RecordWire.kt
+++ b/src/main/kotlin/glenspool/wire/RecordWire.kt
@@ -168,9 +168,9 @@
             }
             numbers.chunked(2).map { (task, attempt) ->
                 StoredPlacement(
-                    boundedNumber("on", task, MAX_TASKS_PER_JOB), wholeNumber("on", attempt),
-                    machine
-                        .toString(),
+                    boundedNumber("on", task, MAX_TASKS_PER_JOB),
+                    wholeNumber("on", attempt),
+                    machine.toString(),
                 )
             }
         }
--- a/src/test/kotlin/glenspool/api/AdaptersTest.kt
+++ b/src/test/kotlin/glenspool/api/AdaptersTest.kt
@@ -128,9 +128,7 @@
         assertEquals(CommandOutcome.UNKNOWN, worker.sendCommands(commands).outcome)
         assertEquals(
             CommandOutcome.NOT_SENT,
-            worker
-                .sendCommands(commands.copy(addr = "127.0.0.1:${unusedPort()}"))
-                .outcome,
+            worker.sendCommands(commands.copy(addr = "127.0.0.1:${unusedPort()}")).outcome,
         )
         answer = answerWith(200, heartbeat)
         assertEquals(3.5.seconds, worker.probe(addr)?.preemptionNotice)
--- a/src/test/kotlin/glenspool/http/HttpListenerTest.kt
+++ b/src/test/kotlin/glenspool/http/HttpListenerTest.kt
@@ -13,7 +13,7 @@
 
 class HttpListenerTest {
     @Test
-    fun `requests are queued while all threads are busy, and a request beyond the queue closes its connection`() {
+    fun `requests beyond the threads are queued, one beyond the queue closes its connection, later ones are served`() {
         val release = CountDownLatch(1)
         HttpListener(InetSocketAddress("127.0.0.1", 0), "test", 1) { request ->
             if (request.uri.path == "/slow") release.await()
