--- a/src/main/kotlin/glenspool/controller/Leadership.kt
+++ b/src/main/kotlin/glenspool/controller/Leadership.kt
@@ -101,7 +101,7 @@
                 Duration.ZERO
             }
             else -> {
-                log.debug("leadership lease renewal failed and will be retried: {}", result)
+                log.debug("lease renewal of the leadership failed and will be retried: {}", result)
                 RETRY_DELAY
             }
         }
