--- a/src/main/kotlin/glenspool/core/Actions.kt
+++ b/src/main/kotlin/glenspool/core/Actions.kt
@@ -82,7 +82,7 @@
     val lastChange: Long,
     val requiresUncancelled: Boolean,
     val parts: Map<Int, Long> = emptyMap(),
-    /** Whether no change of the job remains to be stored after this write. */
+    /** Whether the write includes all changed parts of the placements, so that no urgent change is left out. */
     val includesAllChanges: Boolean = true,
 ) : JobWrite
 
--- a/src/main/kotlin/glenspool/core/OrderCause.kt
+++ b/src/main/kotlin/glenspool/core/OrderCause.kt
@@ -47,7 +47,7 @@
     /** The cloud preempts the machine. */
     NOTICE,
 
-    /** Other tasks of its gang are lost. */
+    /** Other tasks of its gang are gone. */
     GANG_BROKEN,
 
     /** The task has no stored placement on that machine, though its job is known. */
--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -14,9 +14,9 @@
  *   also covers what earlier processes of that controller confirmed, if the moment had already reached the start of the
  *   replying process.
  * - The time since a controller's last contact with this one, which its messages state. A controller confirms no
- *   cancellation that this one does not know before it has been without contact for [ISOLATION_TIMEOUT]. So the end of
- *   a controller or a network partition does not stop the moment immediately, and an outage in which no controller can
- *   confirm anything never stops it.
+ *   cancellation that this one does not know before it has been without contact with this one for
+ *   [ISOLATION_TIMEOUT]. So the end of a controller or a network partition does not stop the moment immediately, and an
+ *   outage in which no controller can confirm anything never stops it.
  *
  * [boot] is the boot ID of this process, [retention] the time for which a cancellation is kept, [now] the monotonic
  * clock, counted from the start of the process, and [wallTime] the time of day. Thread-safe.
--- a/src/main/kotlin/glenspool/core/cluster/CancelledWorkDeadline.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancelledWorkDeadline.kt
@@ -13,9 +13,10 @@
     private val deadline: Duration get() = context.config.cancellationDeadline
 
     /**
-     * Whether the machine has to be deleted because of cancelled work: a task of a cancelled job is still on it, or an
-     * orphan whose job may be over and of whose origin there is no record, for longer than a stop takes. A new leader
-     * first waits for [STOP_GRACE_PERIOD], so that its own stops can be executed, except shortly before the deadline.
+     * Whether the machine has to be deleted because a task of a cancelled job is still on it, or an orphan whose job
+     * may be over and of whose origin there is no record, although a stop takes much less time. A new leader first
+     * waits for [STOP_GRACE_PERIOD], so that its own stops can be executed, but for cancelled jobs not beyond
+     * [LATEST_DELETION_SHARE] of the deadline.
      */
     fun isExceeded(machine: Machine): Boolean {
         val hadTimeToStop = context.now - context.startedAt > STOP_GRACE_PERIOD
--- a/src/main/kotlin/glenspool/core/cluster/HeartbeatReplyCommands.kt
+++ b/src/main/kotlin/glenspool/core/cluster/HeartbeatReplyCommands.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration
 
 /**
- * Determines the commands in the reply to a worker's heartbeat, in addition to those sent by request: repeated stops,
+ * Determines the commands in the reply to a worker's heartbeat, in addition to those sent in requests: repeated stops,
  * stops of orphans, and which exited tasks the worker may forget.
  */
 class HeartbeatReplyCommands(private val context: SchedulingContext, private val cluster: ClusterState) {
--- a/src/main/kotlin/glenspool/core/cluster/Orphans.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Orphans.kt
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Assigns tasks to the job that were found on machines before the job was known. This occurs if the key-value
-     * store lost a job that was accepted, and the user submits it again. Otherwise the same task would be started a
-     * second time elsewhere.
+     * Assigns to the job those of its tasks that were found on machines before the job was known. This occurs if the
+     * key-value store lost a job that was accepted, and the user submits it again. Otherwise the same task would be
+     * started a second time elsewhere.
      */
     fun adopt(job: Job) {
         for (id in unrecorded.remove(job.spec.id).orEmpty()) {
--- a/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/JobDependencies.kt
@@ -16,8 +16,8 @@
  * mean that the job is done, cancelled or not yet read. A stored cancellation is final, so it aborts all direct and
  * indirect dependents immediately.
  *
- * A job inherits the highest priority and the earliest deadline of the jobs that depend on it, directly or indirectly.
- * [onReady] is called for each job whose dependencies are done.
+ * A job inherits the highest priority of the jobs that depend on it, directly or indirectly, and the time by which it
+ * has to be done so that they can meet their deadlines. [onReady] is called for each job whose dependencies are done.
  */
 class JobDependencies(
     private val context: SchedulingContext,
@@ -57,7 +57,7 @@
         val id = job.spec.id
         val waiting = WaitingJob(job, dependencies)
         waitingJobs[id] = waiting
-        // A dependency may have been stored and read before this job.
+        // Jobs may be read in any order. Dependents that were read before this job are already registered for it.
         for (dependency in dependencies) dependents.getOrPut(dependency) { LinkedHashSet() }.add(id)
         for (dependency in dependencies) checkDependency(waiting, dependency)
         if (waiting.unfinished.isEmpty()) release(waiting) else updateInheritance(dependencies)
--- a/src/main/kotlin/glenspool/core/lifecycle/WriteBudget.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/WriteBudget.kt
@@ -6,7 +6,7 @@
 
 /** A token bucket that limits the rate of changes that a leader stores. */
 class WriteBudget(private val config: SchedulerConfig, startedAt: Duration) {
-    /** The size of the bucket, which always holds a whole transaction. */
+    /** The size of the bucket. It is large enough for a whole transaction. */
     private val capacity = maxOf(config.writeRps * LEADER_SHARE, config.txnOps.toDouble())
     private var available = capacity
     private var refilledAt = startedAt
--- a/src/main/kotlin/glenspool/core/placement/MachineScorer.kt
+++ b/src/main/kotlin/glenspool/core/placement/MachineScorer.kt
@@ -61,7 +61,7 @@
 /**
  * A priority queue with the scores of machines for one job, best first. A changed machine is added again, and entries
  * with an outdated score are discarded when they reach the head, so that finding the best score does not require
- * scoring every machine. [isUsable] returns whether a machine may take a task of the job now.
+ * scoring every machine again. [isUsable] returns whether a machine may take a task of the job now.
  */
 class MachineScores(
     private val job: Job,
--- a/src/main/kotlin/glenspool/core/placement/Preemptor.kt
+++ b/src/main/kotlin/glenspool/core/placement/Preemptor.kt
@@ -199,7 +199,7 @@
             .map { it.machine }
     }
 
-    /** The machine time lost if the gang uses the machine: its image fetch and the mean work lost per victim. */
+    /** The machine time lost if the gang uses the machine: the gang's image fetch and the mean lost work per victim. */
     private fun lostMachineTime(machine: Machine, gang: Job): Duration {
         val fetch = if (machine.hasImage(gang.spec.image)) Duration.ZERO else deadlines.fetchTime(gang)
         val preempted = machine.placements.values.filter { mayBePreempted(it, gang) }
--- a/src/main/kotlin/glenspool/core/placement/RoundResources.kt
+++ b/src/main/kotlin/glenspool/core/placement/RoundResources.kt
@@ -6,7 +6,7 @@
 
 /** The free resources of the machines in a placement round, updated as tasks are placed. */
 class RoundResources(view: PlacementView, machines: List<Machine>, jobs: List<Job>) {
-    /** All ready machines, including full ones: they may be reserved for a gang until they become free. */
+    /** All ready machines, including full ones, which may be reserved for a gang so that it gets them once free. */
     val allMachines: List<Machine> = machines.filter { it.type in view.types }
     private val free = LinkedHashMap<Machine, Resources>()
     private val reserved = HashSet<Machine>()
--- a/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -39,9 +39,9 @@
 
     private fun newSimulation(): ClusterSimulation {
         val deployment = config(TEAMS, peerZones = setOf("b")).copy(valueBytes = valueBytes)
-        val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
+        val timings = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoveryFactory = { token: Long, startedAt: Duration, kind: StartKind ->
-            RecoveryEngine(RecoveryPolicy(), setting, token, startedAt, kind)
+            RecoveryEngine(RecoveryPolicy(), timings, token, startedAt, kind)
         }
         val types = listOf(bigType, leanType)
         val simulation =
--- a/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
+++ b/src/test/kotlin/glenspool/core/ZoneOutageTest.kt
@@ -7,7 +7,7 @@
 
 /**
  * Tests failure detection when a large part of the fleet fails at the same time: the machines of a partitioned zone are
- * deleted only if the partition lasts too long.
+ * deleted only if the partition lasts too long, or if the cloud lists them as failed.
  */
 class ZoneOutageTest : SchedulerTestBase() {
     /** The machines of the other zone. */
