--- a/src/main/kotlin/glenspool/controller/ActionExecutor.kt
+++ b/src/main/kotlin/glenspool/controller/ActionExecutor.kt
@@ -45,7 +45,7 @@
 ) : AutoCloseable {
     private val cancelledWork = CancelledWorkRemover(cloud, workers)
 
-    /** Has many threads: an unreachable machine blocks one for seconds, and tens of machines may be lost together. */
+    /** Has many threads, since an unreachable machine blocks one for seconds, and tens may be lost together. */
     private val callPool = CallPool("call", MAX_CALL_THREADS, MAX_QUEUED_CALLS)
 
     /** Separate from [callPool], since slow probes of silent machines must not delay commands to reachable machines. */
--- a/src/main/kotlin/glenspool/controller/CancellationExchange.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationExchange.kt
@@ -55,7 +55,7 @@
             false
         }
 
-    /** The service thread that keeps the controller [member] up to date. */
+    /** The body of the service thread that keeps the controller [member] up to date. */
     fun run(member: Member) {
         while (true) {
             if (!exchangeWith(member)) {
--- a/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
+++ b/src/main/kotlin/glenspool/controller/CancelledWorkEnforcement.kt
@@ -41,7 +41,7 @@
     /** Machines that are being checked at the moment. */
     private val inProgress = ConcurrentHashMap.newKeySet<String>()
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (true) {
             Thread.sleep(CHECK_INTERVAL.inWholeMilliseconds)
--- a/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
+++ b/src/main/kotlin/glenspool/controller/DeploymentSettings.kt
@@ -22,7 +22,7 @@
 }
 
 /** Returns the parameters of the deployment that a recovery depends on. */
-internal fun recoverySetting(settings: Settings): RecoveryTimings {
+internal fun recoveryTimings(settings: Settings): RecoveryTimings {
     val workers = settings.workers
     return RecoveryTimings(workers.lease, workers.heartbeatInterval, settings.cloudLimits.listLag)
 }
--- a/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
+++ b/src/main/kotlin/glenspool/controller/LeadershipTerm.kt
@@ -79,7 +79,7 @@
 
     private fun tickRecovery(backlog: Duration) {
         val engine = recovery ?: return
-        val notices = engine.tick(context.clock.elapsedNow(), isOverloaded = backlog >= OVERLOAD_BACKLOG)
+        val notices = engine.tick(context.clock.elapsedNow(), isOverloaded = backlog >= COMPARISON_LIMIT_BACKLOG)
         if (notices.isNotEmpty()) context.recoveryManager?.handleNotices(notices)
     }
 
@@ -121,7 +121,7 @@
     private companion object {
         val log = loggerOf(LeadershipTerm::class.java)
 
-        /** With this heartbeat backlog or a larger one the core counts as overloaded. */
-        val OVERLOAD_BACKLOG: Duration = 50.milliseconds
+        /** With this heartbeat backlog or a larger one the recovery compares fewer observations per tick. */
+        val COMPARISON_LIMIT_BACKLOG: Duration = 50.milliseconds
     }
 }
--- a/src/main/kotlin/glenspool/controller/Node.kt
+++ b/src/main/kotlin/glenspool/controller/Node.kt
@@ -86,8 +86,8 @@
         }
     private val recovery: RecoveryManager? =
         recoveryPolicy?.let { policy ->
-            val setting = recoverySetting(settings)
-            RecoveryManager(settings.node, members.size, policy, setting, store, cache, leadership, peers, ::uptime) {
+            val timings = recoveryTimings(settings)
+            RecoveryManager(settings.node, members.size, policy, timings, store, cache, leadership, peers, ::uptime) {
                 loop.post(it)
             }
         }
--- a/src/main/kotlin/glenspool/controller/PeerMonitor.kt
+++ b/src/main/kotlin/glenspool/controller/PeerMonitor.kt
@@ -44,7 +44,7 @@
      */
     fun isIsolated(): Boolean = hasLostPeers && freshness.isRefreshOverdue()
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (true) {
             if (freshness.isRefreshOverdue()) requestStatuses() else handleReachableStore()
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -36,7 +36,7 @@
     private val node: String,
     private val memberCount: Int,
     private val policy: RecoveryPolicy,
-    private val setting: RecoveryTimings,
+    private val timings: RecoveryTimings,
     store: KeyValueStoreClient,
     cache: StoreCache,
     private val leadership: Leadership,
@@ -120,7 +120,7 @@
         unstoredPhase = null
         current = null
         if (kind.needsNoRecovery()) return null
-        val engine = RecoveryEngine(policy, setting, term.token, at, kind, record)
+        val engine = RecoveryEngine(policy, timings, term.token, at, kind, record)
         current = TermRecovery(term, engine)
         log.info("recovery token={} start={} phase={}", term.token, kind, engine.phase)
         return engine
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             currentRecovery()?.let { runRound(it) }
--- a/src/main/kotlin/glenspool/controller/RolloutManager.kt
+++ b/src/main/kotlin/glenspool/controller/RolloutManager.kt
@@ -91,7 +91,7 @@
     /** Answers an operator's query or order. */
     fun answer(request: RolloutRequest): RolloutReply = operations.answer(request)
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             reactToFence()
--- a/src/main/kotlin/glenspool/controller/StoreWriter.kt
+++ b/src/main/kotlin/glenspool/controller/StoreWriter.kt
@@ -105,7 +105,7 @@
     private companion object {
         val log = loggerOf(StoreWriter::class.java)
 
-        /** Nothing was stored, although no condition on a job's own keys failed. */
+        /** Nothing was stored, for another reason than a failed condition on a job's own keys. */
         val NOTHING_STORED = StoreOutcome.Refused(emptySet())
         const val MAX_QUEUED_WRITES = 4
         const val BAD_REQUEST_STATUS = 400
--- a/src/main/kotlin/glenspool/reconcile/PhaseStateMachine.kt
+++ b/src/main/kotlin/glenspool/reconcile/PhaseStateMachine.kt
@@ -35,7 +35,7 @@
 data class PhaseState(val phase: RecoveryPhase, val since: Duration, val end: PhaseEnd? = null)
 
 /** The state machine of a recovery's phases. */
-class PhaseStateMachine(private val policy: RecoveryPolicy, private val setting: RecoveryTimings, startedAt: Duration) {
+class PhaseStateMachine(private val policy: RecoveryPolicy, private val timings: RecoveryTimings, startedAt: Duration) {
     var state = PhaseState(RecoveryPhase.READING, startedAt)
         private set
 
@@ -77,9 +77,9 @@
 
     private fun timeLimit(): Duration? =
         when (state.phase) {
-            RecoveryPhase.READING -> minOf(setting.heartbeatInterval, setting.listLag)
-            RecoveryPhase.GATHERING -> setting.lease * policy.gatherLeaseShare
-            RecoveryPhase.REPAIRING -> setting.lease * policy.repairLeaseShare
+            RecoveryPhase.READING -> minOf(timings.heartbeatInterval, timings.listLag)
+            RecoveryPhase.GATHERING -> timings.lease * policy.gatherLeaseShare
+            RecoveryPhase.REPAIRING -> timings.lease * policy.repairLeaseShare
             // ADOPTING needs no time limit, because the circuit breaker, which it waits for, has its own.
             RecoveryPhase.ADOPTING, RecoveryPhase.NORMAL -> null
         }
--- a/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
+++ b/src/main/kotlin/glenspool/reconcile/RecoveryEngine.kt
@@ -18,7 +18,7 @@
  */
 class RecoveryEngine(
     policy: RecoveryPolicy,
-    setting: RecoveryTimings,
+    timings: RecoveryTimings,
     private val token: Long,
     private val startedAt: Duration,
     startKind: StartKind,
@@ -26,7 +26,7 @@
 ) {
     private var now = startedAt
     private var evaluatedAt = startedAt - EVALUATION_INTERVAL
-    private val phases = PhaseStateMachine(policy, setting, startedAt)
+    private val phases = PhaseStateMachine(policy, timings, startedAt)
     private val breaker = CircuitBreaker(policy)
     private val budget = RepairBudget(policy.rates) { now }
     private val overrides = OperatorOverrides(record?.isPaused ?: false, record?.isApproved ?: false)
--- a/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
+++ b/src/main/kotlin/glenspool/rollout/FeatureRegistry.kt
@@ -45,7 +45,7 @@
     /** Returns the name of the level with this number. */
     fun nameOf(number: Int): String = if (number == BASE) BASE_NAME else find(number)?.name ?: "unknown"
 
-    /** Returns the range of levels as that of the build with this name. */
+    /** Returns the levels that this registry describes, as those of the build with the name [build]. */
     fun levelsOf(build: String) = BuildLevels(build, lowestRead, highest)
 
     companion object {
