--- a/src/main/kotlin/glenspool/api/UserResponses.kt
+++ b/src/main/kotlin/glenspool/api/UserResponses.kt
@@ -11,7 +11,7 @@
     when (this) {
         is UserAnswer.Accepted -> cborResponse(Status.CREATED, UserWire.acceptedStatus(jobId, abortedBy))
         is UserAnswer.Live ->
-            cborResponse(Status.OK, UserWire.openStatus(jobId, tasksDone, tasksRunning, unfinishedDependencies))
+            cborResponse(Status.OK, UserWire.liveStatus(jobId, tasksDone, tasksRunning, unfinishedDependencies))
         is UserAnswer.Ended -> cborResponse(Status.OK, UserWire.endedStatus(jobId, outcome))
         is UserAnswer.NotFound -> cborResponse(Status.NOT_FOUND, UserWire.error("no such job: $jobId"))
         is UserAnswer.Refused -> cborResponse(status, UserWire.error(reason))
--- a/src/main/kotlin/glenspool/controller/CancellationMessages.kt
+++ b/src/main/kotlin/glenspool/controller/CancellationMessages.kt
@@ -17,7 +17,7 @@
             entries = update.entries.map(::entry),
             base = update.base,
             upTo = update.upTo,
-            whole = update.whole,
+            isComplete = update.isComplete,
             // Ages are rounded up, which is the safe side.
             completeAge = update.completeAge?.let { it.inWholeMilliseconds + 1 },
             contactAge = update.contactAge.inWholeMilliseconds + 1,
@@ -39,7 +39,7 @@
             entries = message.entries.map { Cancellation(it.job, it.at.milliseconds, it.version) },
             base = message.base,
             upTo = message.upTo,
-            whole = message.whole,
+            isComplete = message.isComplete,
             completeAge = message.completeAge?.milliseconds,
             contactAge = message.contactAge.milliseconds,
             acknowledgement = message.acknowledgedBoot?.let { Acknowledgement(it, message.acknowledgedUpTo) },
--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -8,7 +8,7 @@
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
-import glenspool.reconcile.ContinuityEvidence
+import glenspool.reconcile.ContinuityTracker
 import glenspool.reconcile.MemberContinuityEvidence
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
@@ -52,7 +52,7 @@
     private val records = RecoveryRecords(cache, RecordStore(store, cache))
 
     /** Guarded by its own lock, which also guards [storeReadAt]. */
-    private val continuityEvidence = ContinuityEvidence(STALE_LEASE_LIMIT)
+    private val continuityTracker = ContinuityTracker(STALE_LEASE_LIMIT)
     private var storeReadAt: Duration? = null
 
     /** The fencing token of the first term that this process has lived through; null if there is none yet. */
@@ -81,16 +81,16 @@
      * passed to the core.
      */
     fun storeRead(sentAgo: Duration) {
-        synchronized(continuityEvidence) { observeLeader(uptime()) }
+        synchronized(continuityTracker) { observeLeader(uptime()) }
         if (current?.engine?.needsStoreReads == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
         val lastReadAt = storeReadAt
         storeReadAt = now
-        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuityEvidence.recordReadGap(now)
-        continuityEvidence.recordStoreRead(leadership.recordedToken(), now)
-        firstObservedToken = continuityEvidence.firstToken
+        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuityTracker.recordReadGap(now)
+        continuityTracker.recordStoreRead(leadership.recordedToken(), now)
+        firstObservedToken = continuityTracker.firstToken
     }
 
     /**
--- a/src/main/kotlin/glenspool/core/Actions.kt
+++ b/src/main/kotlin/glenspool/core/Actions.kt
@@ -83,7 +83,7 @@
     val requiresUncancelled: Boolean,
     val parts: Map<Int, Long> = emptyMap(),
     /** Whether the write includes all changed parts of the placements, so that no urgent change is left out. */
-    val includesAllChanges: Boolean = true,
+    val includesAllDirtyParts: Boolean = true,
 ) : JobWrite
 
 /**
--- a/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/Autoscaler.kt
@@ -40,7 +40,7 @@
         plannedAt = context.now
         val waiting =
             cluster.jobs.values
-                .filter { it.waitingTaskCount() > 0 && it.failedMachines.size < MAX_FAILED_MACHINES }
+                .filter { it.waitingTaskCount() > 0 && it.machinesWithFailures.size < MAX_MACHINES_WITH_FAILURES }
                 .sortedWith(compareByDescending<Job> { it.effectivePriority }.thenBy { it.waitingSince })
         val slots = headroom.measure()
         requests.request(scaleOut.plan(waiting, slots))
@@ -54,6 +54,6 @@
         val INITIAL_PLAN_AGE = 100.seconds
 
         /** No machine is rented for a job that failed on this many machines, because the fault lies with the job. */
-        const val MAX_FAILED_MACHINES = 3
+        const val MAX_MACHINES_WITH_FAILURES = 3
     }
 }
--- a/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
+++ b/src/main/kotlin/glenspool/core/autoscaling/ScaleInPolicy.kt
@@ -77,7 +77,7 @@
 
     /** How many machines of the most common type the job's waiting tasks would fill. */
     private fun loadOf(job: Job): Double {
-        val type = cluster.commonType ?: return 0.0
+        val type = cluster.mostCommonType ?: return 0.0
         val tasks = minOf(job.waitingTaskCount(), cluster.quotas.remaining(job))
         return tasks * job.resourceRequest.dominantShareOf(type.capacity)
     }
--- a/src/main/kotlin/glenspool/core/cluster/CancellationUpdate.kt
+++ b/src/main/kotlin/glenspool/core/cluster/CancellationUpdate.kt
@@ -27,7 +27,7 @@
     val base: Long,
     val upTo: Long,
     /** Whether the sender knows no cancellation after number [upTo]. */
-    val whole: Boolean,
+    val isComplete: Boolean,
     /** Age of the moment up to which the sender knows all confirmed cancellations; null if there is no such moment. */
     val completeAge: Duration?,
     /** Age of the last message of the sender that the receiver has answered. */
--- a/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
+++ b/src/main/kotlin/glenspool/core/cluster/Cancellations.kt
@@ -137,14 +137,14 @@
     private fun updateAfter(member: Member, base: Long): CancellationUpdate {
         val missing = known.values.filter { it.order > base }
         val sent = missing.take(MAX_ENTRIES)
-        val isWhole = sent.size == missing.size
+        val isComplete = sent.size == missing.size
         return CancellationUpdate(
             boot = boot,
             uptime = now() - start,
             entries = sent.map { it.cancellation },
             base = base,
-            upTo = if (isWhole) lastOrder else sent.last().order,
-            whole = isWhole,
+            upTo = if (isComplete) lastOrder else sent.last().order,
+            isComplete = isComplete,
             // A moment in the future is valid only for this controller, so the age is not negative.
             completeAge = completeUpTo()?.let { maxOf(Duration.ZERO, now() - it) },
             contactAge = now() - member.contactedAt,
@@ -180,7 +180,7 @@
 
     private fun hasAllEntries(member: Member, update: CancellationUpdate): Boolean {
         val acknowledgement = member.acknowledgement ?: return false
-        return update.whole && acknowledgement.boot == update.boot && acknowledgement.upTo >= update.upTo
+        return update.isComplete && acknowledgement.boot == update.boot && acknowledgement.upTo >= update.upTo
     }
 
     private fun cover(member: Member, update: CancellationUpdate, sentAt: Duration) {
--- a/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
+++ b/src/main/kotlin/glenspool/core/cluster/ClusterState.kt
@@ -30,18 +30,18 @@
         private set
 
     /** The most frequent type among the machines. */
-    var commonType: MachineType? = null
+    var mostCommonType: MachineType? = null
         private set
 
     /** Replaces the machine types with [list], as read from the cloud. */
     fun updateTypes(list: List<MachineType>) {
         types = list.associateBy { it.name }
-        updateCommonType()
+        updateMostCommonType()
     }
 
-    private fun updateCommonType() {
+    private fun updateMostCommonType() {
         val counts = machines.values.groupingBy { it.type }.eachCount()
-        commonType = types.values.maxWithOrNull(compareBy<MachineType> { counts[it.name] ?: 0 }.thenBy { it.name })
+        mostCommonType = types.values.maxWithOrNull(compareBy<MachineType> { counts[it.name] ?: 0 }.thenBy { it.name })
     }
 
     /** The type of the machine; null if the cloud does not offer it. */
@@ -84,7 +84,7 @@
         for (machine in machines.values) {
             if (machine.id !in listedIds) machine.markUnlisted(context.now)
         }
-        updateCommonType()
+        updateMostCommonType()
         return failed
     }
 
--- a/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
+++ b/src/main/kotlin/glenspool/core/cluster/LeaderConnectivity.kt
@@ -7,9 +7,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Resigns the leadership of a node that has no contact with any worker, or reaches none. Until the workers' leases
- * expire, such a leader would keep all workers from a leader that could answer them, so it resigns well before that. If
- * no other controller has contact with the workers either, nothing is lost.
+ * Resigns the leadership of a node that has no contact with any worker, or whose requests no worker answers. Until the
+ * workers' leases expire, such a leader would keep all workers from a leader that could answer them, so it resigns well
+ * before that. If no other controller has contact with the workers either, nothing is lost.
  */
 class LeaderConnectivity(
     private val context: SchedulingContext,
--- a/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
+++ b/src/main/kotlin/glenspool/core/cluster/MissingTaskHandler.kt
@@ -58,7 +58,7 @@
         // Whichever message shows that the task is missing, heartbeats that the worker itself sends must arrive;
         // otherwise a task that is started there ends with the worker's lease.
         if (!machine.reachability.sentHeartbeatWithin(freshness, now)) return false
-        return machine.id !in job.failedMachines && !machine.isCordoned && machine.isReady(now, freshness)
+        return machine.id !in job.machinesWithFailures && !machine.isCordoned && machine.isReady(now, freshness)
     }
 
     private fun restore(placement: Placement, machine: Machine) {
@@ -83,9 +83,9 @@
     }
 
     private fun recordFailure(job: Job, machine: Machine) {
-        job.failedMachines.add(machine.id)
+        job.machinesWithFailures.add(machine.id)
         machine.health.taskFailed(now)
-        val machines = job.failedMachines.size
+        val machines = job.machinesWithFailures.size
         // If the job failed on several machines, the job itself is at fault, and must not use up the fleet.
         val backoff =
             if (machines <
--- a/src/main/kotlin/glenspool/core/lifecycle/Job.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/Job.kt
@@ -99,7 +99,7 @@
     // Placement.
 
     /** Machines on which a task of the job failed. */
-    val failedMachines = LinkedHashSet<String>()
+    val machinesWithFailures = LinkedHashSet<String>()
 
     /** The time before which no task is placed, or null if there is no retry delay. */
     var retryAfter: Duration? = null
--- a/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
+++ b/src/main/kotlin/glenspool/core/lifecycle/RecordWriteScheduler.kt
@@ -158,7 +158,7 @@
 
     private fun recordStored(job: Job, write: UpdateJobRecord) {
         context.hooks.observer.jobRecordStored(write.record)
-        if (write.includesAllChanges) job.storeState.markStored(write.lastChange) else job.addDeferredChange(now)
+        if (write.includesAllDirtyParts) job.storeState.markStored(write.lastChange) else job.addDeferredChange(now)
         job.parts.markStored(write.parts)
         job.markDoneStored(write)
         if (job.hasUnstoredChunksAfter(write)) job.addDeferredChange(now)
@@ -209,7 +209,7 @@
             lastChange = job.storeState.urgentChanges,
             requiresUncancelled = job.placements.values.any { it.stage == PlacementStage.PLANNED },
             parts = parts,
-            includesAllChanges = parts.size == job.parts.dirtyCount,
+            includesAllDirtyParts = parts.size == job.parts.dirtyCount,
         )
     }
 
--- a/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
+++ b/src/main/kotlin/glenspool/core/placement/DeadlinePolicy.kt
@@ -27,7 +27,7 @@
     /** How long a fetch of the job's image usually takes. */
     fun fetchTime(job: Job): Duration {
         val imageGb = job.spec.imageGb
-        return cluster.commonType?.fetchTime(imageGb) ?: (imageGb / DEFAULT_FETCH_GB_PER_S).seconds
+        return cluster.mostCommonType?.fetchTime(imageGb) ?: (imageGb / DEFAULT_FETCH_GB_PER_S).seconds
     }
 
     /** Whether the wait objective of the job's class can be met only on a machine that has the image in its cache. */
--- a/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementRound.kt
@@ -11,14 +11,14 @@
 
 /**
  * Returns the bottleneck resource of a task, see docs/design.md: the GPU if the task requests one. Otherwise it is
- * memory if the requested share of a [commonType] machine's memory exceeds [memoryFactor] times the share of its CPUs,
- * else CPU.
+ * memory if the requested share of a [mostCommonType] machine's memory exceeds [memoryFactor] times the share of its
+ * CPUs, else CPU.
  */
-fun bottleneck(request: Resources, commonType: MachineType?, memoryFactor: Double): Resource {
+fun bottleneck(request: Resources, mostCommonType: MachineType?, memoryFactor: Double): Resource {
     if (request.gpus > 0.0) return Resource.GPU
-    if (commonType == null) return Resource.CPU
-    val memoryShare = request.memoryGb / commonType.capacity.memoryGb
-    val cpuShare = request.cpus / commonType.capacity.cpus
+    if (mostCommonType == null) return Resource.CPU
+    val memoryShare = request.memoryGb / mostCommonType.capacity.memoryGb
+    val cpuShare = request.cpus / mostCommonType.capacity.cpus
     return if (memoryShare > memoryFactor * cpuShare) Resource.MEMORY else Resource.CPU
 }
 
--- a/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementScheduler.kt
@@ -30,7 +30,7 @@
     private var lastRoundAt = context.startedAt - INITIAL_ROUND_AGE
 
     override val types: Map<String, MachineType> get() = cluster.types
-    override val commonType: MachineType? get() = cluster.commonType
+    override val mostCommonType: MachineType? get() = cluster.mostCommonType
     override val resourceFactor: Double get() = config.tuning.resourceFactor
     override val workCounters: WorkCounters get() = context.workCounters
 
@@ -131,6 +131,6 @@
  * there late. In the second case, another attempt on this machine would only collide with the late one.
  */
 internal fun hasReasonToAvoid(job: Job, machine: Machine): Boolean {
-    val hasFailedThere = machine.id in job.failedMachines && job.failedMachines.size < MAX_AVOIDED_MACHINES
+    val hasFailedThere = machine.id in job.machinesWithFailures && job.machinesWithFailures.size < MAX_AVOIDED_MACHINES
     return hasFailedThere || machine.requests.hasUnconfirmedStart(job.spec.id)
 }
--- a/src/main/kotlin/glenspool/core/placement/PlacementView.kt
+++ b/src/main/kotlin/glenspool/core/placement/PlacementView.kt
@@ -9,7 +9,7 @@
 /** The state that a placement round reads, and the operations by which it places tasks. */
 interface PlacementView {
     val types: Map<String, MachineType>
-    val commonType: MachineType?
+    val mostCommonType: MachineType?
 
     /** By which factor a task's share of memory must exceed its share of CPUs for memory to be its bottleneck. */
     val resourceFactor: Double
--- a/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
+++ b/src/main/kotlin/glenspool/core/placement/TaskMatcher.kt
@@ -23,7 +23,7 @@
     /** Places tasks of [jobs], which have the same priority and are in the order in which they should start. */
     fun match(jobs: List<Job>) {
         if (jobs.isEmpty()) return
-        val byResource = jobs.groupBy { bottleneck(it.resourceRequest, view.commonType, view.resourceFactor) }
+        val byResource = jobs.groupBy { bottleneck(it.resourceRequest, view.mostCommonType, view.resourceFactor) }
         for (preferredOnly in listOf(true, false)) {
             val waiting =
                 byResource.mapValues { (_, bound) -> bound.filterTo(ArrayList()) { it.waitingTaskCount() > 0 } }
--- a/src/main/kotlin/glenspool/peer/PeerMessages.kt
+++ b/src/main/kotlin/glenspool/peer/PeerMessages.kt
@@ -85,7 +85,7 @@
     @SerialName("entries") val entries: List<Entry>,
     @SerialName("base") val base: Long,
     @SerialName("upTo") val upTo: Long,
-    @SerialName("whole") val whole: Boolean,
+    @SerialName("whole") val isComplete: Boolean,
     @SerialName("completeAge") val completeAge: Long?,
     @SerialName("contactAge") val contactAge: Long,
     @SerialName("heardBoot") val acknowledgedBoot: String?,
--- a/src/main/kotlin/glenspool/reconcile/ContinuityEvidence.kt
+++ b/src/main/kotlin/glenspool/reconcile/ContinuityTracker.kt
@@ -12,7 +12,7 @@
  * renews the lease. In that time the store must have been read without a gap, since an outage of the store extends
  * every lease by its full duration.
  */
-class ContinuityEvidence(private val staleLeaseLimit: Duration) {
+class ContinuityTracker(private val staleLeaseLimit: Duration) {
     private var hasReadStore = false
 
     /** The token of a leadership record that may be stale; null if there is none. */
--- a/src/main/kotlin/glenspool/wire/UserWire.kt
+++ b/src/main/kotlin/glenspool/wire/UserWire.kt
@@ -70,7 +70,7 @@
      *
      * @param unfinishedDependencies the dependencies that are not done yet
      */
-    fun openStatus(jobId: String, tasksDone: Int, tasksRunning: Int, unfinishedDependencies: List<String>): Fields {
+    fun liveStatus(jobId: String, tasksDone: Int, tasksRunning: Int, unfinishedDependencies: List<String>): Fields {
         val stage = if (tasksRunning == 0) Stage.QUEUED else Stage.RUNNING
         return JobWire.status(jobId, stage, tasksDone, tasksRunning, unfinishedDependencies)
     }
--- a/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
+++ b/src/test/kotlin/glenspool/core/PlacementRoundModelTest.kt
@@ -31,7 +31,7 @@
 
     private class StubPlacementView(private val quotas: Map<String, Int>) : PlacementView {
         override val types = listOf(bigType, leanType).associateBy { it.name }
-        override val commonType = bigType
+        override val mostCommonType = bigType
         override val resourceFactor = 2.0
         override val workCounters = WorkCounters()
         val placed = ArrayList<PlacedTask>()
@@ -64,7 +64,7 @@
 
         override fun recordCapacity(job: Job) = 50
 
-        override fun isAvoided(job: Job, machine: Machine) = machine.id in job.failedMachines
+        override fun isAvoided(job: Job, machine: Machine) = machine.id in job.machinesWithFailures
 
         override fun costPenalty(job: Job, machine: Machine) = if (job.spec.spot && !machine.spot) 1 else 0
     }
@@ -78,7 +78,7 @@
         init {
             for (number in 0 until 1 + random.nextInt(8)) view.machines.add(randomMachine("m$number"))
             jobs = List(1 + random.nextInt(12)) { newJob(randomSpec("j$it")) }
-            if (random.nextInt(4) == 0) jobs[0].failedMachines.add("m0")
+            if (random.nextInt(4) == 0) jobs[0].machinesWithFailures.add("m0")
             PlacementRound(view, view.machines, jobs).run { false }
         }
 
@@ -117,7 +117,7 @@
                 .map { it.job.resourceRequest }
                 .fold(Resources.ZERO, Resources::plus)
         return isAllowed(spec, machine) &&
-            machine.id !in job.failedMachines &&
+            machine.id !in job.machinesWithFailures &&
             (used + spec.resourceRequest).fitsIn(view.types.getValue(machine.type).capacity) &&
             (!spec.sameZone || zones.all { it == machine.zone }) &&
             (!spec.spread || zones.count { it == machine.zone } + 1 <= (spec.tasks + 1) / 2) &&
--- a/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/RecoveryRulesTest.kt
@@ -31,9 +31,9 @@
 
     /** Returns the first token of the evidence after reads of the store that returned these leaders' tokens. */
     private fun firstTokenAfter(vararg reads: Pair<Long?, Duration>): Long? {
-        val evidence = ContinuityEvidence(staleLeaseLimit = 4.seconds)
-        reads.forEach { (leader, at) -> evidence.recordStoreRead(leader, at) }
-        return evidence.firstToken
+        val tracker = ContinuityTracker(staleLeaseLimit = 4.seconds)
+        reads.forEach { (leader, at) -> tracker.recordStoreRead(leader, at) }
+        return tracker.firstToken
     }
 
     @Test
@@ -47,13 +47,13 @@
 
     @Test
     fun `a gap in reading the store extends the time until a term counts as continuity evidence`() {
-        val evidence = ContinuityEvidence(staleLeaseLimit = 4.seconds)
-        evidence.recordStoreRead(3L, 0.seconds)
+        val tracker = ContinuityTracker(staleLeaseLimit = 4.seconds)
+        tracker.recordStoreRead(3L, 0.seconds)
 
-        evidence.recordReadGap(9.seconds)
-        evidence.recordStoreRead(3L, 9.seconds)
+        tracker.recordReadGap(9.seconds)
+        tracker.recordStoreRead(3L, 9.seconds)
 
-        assertNull(evidence.firstToken)
+        assertNull(tracker.firstToken)
     }
 
     @Test
--- a/src/test/kotlin/glenspool/simulation/LeaderDescription.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderDescription.kt
@@ -9,7 +9,8 @@
     val job = leader?.jobs?.get(id) ?: return "unknown to the leader"
     val placements = job.placements.values.joinToString { describe(leader, it) }
     return "now=$now ${job.storeState} version=${job.version} orphans=${job.orphans} " +
-        "waiting=${job.waitingTasks(MAX_TASKS)} retryAfter=${job.retryAfter} failedOn=${job.failedMachines} $placements"
+        "waiting=${job.waitingTasks(MAX_TASKS)} retryAfter=${job.retryAfter} " +
+        "failedOn=${job.machinesWithFailures} $placements"
 }
 
 private fun describe(leader: Scheduler, placement: Placement): String {
