--- a/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -80,7 +80,7 @@
         // Without a leader, cancelled work on hung machines is not stopped in this simulation. Therefore all
         // controllers are away only for a short time if machines hang.
         if (coldStarts && random.nextInt(6) == 0) {
-            simulation.stopAllControllers((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
+            simulation.stopControllers((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
         }
     }
 
--- a/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
@@ -149,7 +149,7 @@
         simulation.submitEach(0 until 8) { array("a-$it", estimatedDuration = 70.seconds, team = "t${it % 3}") }
         simulation.submitTracked(service("s-0"))
         simulation.run(20.seconds)
-        simulation.stopAllControllers(if (seed % 2 == 0L) 25.seconds else 800.milliseconds)
+        simulation.stopControllers(if (seed % 2 == 0L) 25.seconds else 800.milliseconds)
         simulation.run(60.seconds)
         repeat(4) {
             simulation.changeLeader(150.milliseconds)
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -197,9 +197,7 @@
             ids.add(next.id)
             simulation.run(simulation.now + random.nextInt(7).seconds)
             if (random.nextInt(6) == 0) simulation.cancel(ids[random.nextInt(ids.size)])
-            if (day.coldStarts && random.nextInt(6) == 0) {
-                simulation.stopAllControllers((1 + random.nextInt(20)).seconds)
-            }
+            if (day.coldStarts && random.nextInt(6) == 0) simulation.stopControllers((1 + random.nextInt(20)).seconds)
         }
     }
 
--- a/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
+++ b/src/test/kotlin/glenspool/reconcile/ColdStartScenariosTest.kt
@@ -94,7 +94,7 @@
     private fun ClusterSimulation.runFor(time: Duration) = run(now + time, withoutRandomFaults = true)
 
     private fun ClusterSimulation.restartControllers(downtime: Duration) {
-        stopAllControllers(downtime)
+        stopControllers(downtime)
         runFor(downtime)
     }
 
@@ -176,7 +176,7 @@
                 expectedDifferences = setOf(DifferenceKind.UNHEARD_MACHINE),
                 plant = { removeMachine(machineWith(array)) },
             ),
-            Scenario("the controllers stop again immediately", afterRestart = { stopAllControllers(1.seconds) }),
+            Scenario("the controllers stop again immediately", afterRestart = { stopControllers(1.seconds) }),
             Scenario(
                 "the controllers stop again after the orphaned task was reported",
                 orders = exactly(OrderKind.STOP, 1),
@@ -184,7 +184,7 @@
                 plant = { plantUnrecordedTask() },
                 afterRestart = {
                     runFor(5.seconds)
-                    stopAllControllers(2.seconds)
+                    stopControllers(2.seconds)
                 },
             ),
             Scenario(
--- a/src/test/kotlin/glenspool/simulation/ActionPerformer.kt
+++ b/src/test/kotlin/glenspool/simulation/ActionPerformer.kt
@@ -15,7 +15,7 @@
 import glenspool.core.StoreImageLocations
 import glenspool.core.model.FinalState
 
-/** Carries out what a leader decides, with the faults that requests can meet. */
+/** Performs the actions of the leader's scheduler. Requests can fail by the faults of the simulation. */
 internal class ActionPerformer(
     private val context: SimulationContext,
     private val store: SimulatedStore,
@@ -33,8 +33,8 @@
             is StoreChanges -> transactions.store(action, scheduler)
             is AdvanceFencingToken -> advanceFencingToken(scheduler)
             is ReadFinalStates -> readFinalStates(action, scheduler)
-            is StoreImageLocations -> check(action.images.values.none { it.isEmpty() }) { "image without a location" }
-            is LogMessage -> check(action.text.isNotEmpty()) { "empty log message" }
+            is StoreImageLocations -> check(action.images.values.none { it.isEmpty() }) { "an image has no locations" }
+            is LogMessage -> check(action.text.isNotEmpty()) { "the text of a log message is empty" }
             is Resign -> leader.handleResignation(scheduler)
         }
     }
@@ -48,13 +48,13 @@
     private fun readFinalStates(action: ReadFinalStates, scheduler: Scheduler) =
         context.after(context.networkDelay()) {
             val isAnswered = !store.isDown && !context.chance(context.faults.messageLoss)
-            val found = HashMap<String, FinalState>()
+            val finalStates = HashMap<String, FinalState>()
             if (isAnswered) {
                 for (job in action.jobs) {
                     val state = store.finalStates.read(job)
-                    if (state is FinalStates.Ended) found[job] = state.outcome.state
+                    if (state is FinalStates.Ended) finalStates[job] = state.outcome.state
                 }
             }
-            leader.stepIfLeading(scheduler) { finalStatesRead(action.jobs, found) }
+            leader.stepIfLeading(scheduler) { finalStatesRead(action.jobs, finalStates) }
         }
 }
--- a/src/test/kotlin/glenspool/simulation/CapturedRun.kt
+++ b/src/test/kotlin/glenspool/simulation/CapturedRun.kt
@@ -3,10 +3,10 @@
 import java.io.ByteArrayOutputStream
 import java.io.PrintStream
 
-/** The exit code of a command, and what it printed. */
+/** The exit code and the output of a command that was run in this process. */
 class CapturedRun private constructor(val code: Int, val out: String, val err: String) {
     companion object {
-        /** Runs a command while the standard output and error of this process are captured. */
+        /** Runs a command and captures the standard output and error of this process meanwhile. */
         fun of(command: () -> Int): CapturedRun {
             val out = ByteArrayOutputStream()
             val err = ByteArrayOutputStream()
--- a/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/ClusterSimulation.kt
@@ -20,9 +20,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The real core with a simulated key-value store, cloud and workers, in simulated time. Every rule that the core can
- * break is checked at every start and tick. Messages may be lost or held up for minutes; leaders are replaced while
- * their commands and transactions are still on their way.
+ * Runs the real scheduler with a simulated key-value store, cloud and workers, in simulated time. Every rule that the
+ * scheduler can break is checked at every start and tick. Messages may be lost or delayed for minutes, and leaders may
+ * be replaced while their commands and transactions are still in transit.
  */
 class ClusterSimulation(
     seed: Long,
@@ -30,9 +30,9 @@
     types: List<MachineType>,
     faults: FaultRates,
     maxMachines: Int = 24,
-    /** Makes the recovery of a term that begins; null: recovery is not managed. */
+    /** Creates the recovery of a new term, or null if recovery is not managed. */
     recoveryFactory: RecoveryFactory? = null,
-    /** Records all that the leaders decide. */
+    /** Records all decisions of the leaders. */
     trace: DecisionTrace? = null,
 ) {
     private val context = SimulationContext(seed, config, types, faults, trace)
@@ -61,41 +61,41 @@
     val now: Duration get() = context.now
     val state: InMemoryStore get() = store.state
 
-    /** Rules that were broken, each with its moment and the task or job concerned. */
+    /** Violations of rules, each with its time and the task or job concerned. */
     val violations: List<String> get() = context.violations
 
-    /** Orders as workers and the cloud received them; a test may clear it. */
+    /** Orders as workers and the cloud received them. A test may clear the list. */
     val receivedOrders: MutableList<ReceivedOrder> get() = context.receivedOrders
 
-    /** Tasks started so far. */
+    /** Number of tasks started so far. */
     val startCount: Int get() = execution.startCount
 
-    /** When the first task of each job was started. */
+    /** The time of the first start of a task, by job. */
     val firstStartTimes: Map<String, Duration> get() = execution.firstStartTimes
 
-    /** Transactions that were refused because a value was too large. */
+    /** Number of transactions that were refused because a value was too large. */
     val oversizedTransactionCount: Int get() = transactions.oversizedTransactionCount
 
-    // What users do and what becomes of their jobs.
+    // Requests of users, and the states of their jobs.
 
     val specs: Map<String, JobSpec> get() = jobs.specs
     val dependenciesOf: Map<String, List<String>> get() = jobs.dependenciesOf
 
-    /** Tasks of each job that ran to their end. */
+    /** Tasks that completed on a machine, by job. */
     val completedTasks: Map<String, BitSet> get() = jobs.completedTasks
 
     fun submit(spec: JobSpec, dependencies: List<String> = emptyList()) = jobs.submit(spec, dependencies)
 
-    /** Cancels a job; true if that was confirmed to the user. */
+    /** Cancels a job. Returns whether the cancellation was confirmed to the user. */
     fun cancel(id: String): Boolean = jobs.cancel(id)
 
-    /** Since when a job is aborted, by its own cancellation or that of a dependency; null if it is not. */
+    /** Returns since when a job is aborted, by its own cancellation or that of a dependency, or null if it is not. */
     fun abortedSince(id: String): Duration? = jobs.abortedSince(id)
 
-    /** The stored final state of a job; null while it has none. */
+    /** Returns the stored final state of a job, or null if it has none. */
     fun finalState(id: String): String? = store.finalState(id)
 
-    /** Whether the store has a record of the job, which has not ended then. */
+    /** Whether the store has a record of the job, which means that the job has not ended. */
     fun hasRecord(id: String): Boolean = store.hasRecord(id)
 
     fun runningReplicas(id: String): Int =
@@ -105,49 +105,52 @@
 
     // Leaders.
 
-    /** Whether all controllers are new: placements may be stored apart, and no old one leads any more. */
+    /**
+     * Whether all controllers run the new version. If so, placements may be stored separately from the record, and no
+     * controller of an old version is elected.
+     */
     var allControllersNew: Boolean by leader::allControllersNew
 
-    /** The recovery of the present term, if one was due. */
+    /** The recovery of the current term, or null if none was due. */
     val recovery: RecoveryEngine? get() = leader.recovery
     val recoveryNotices: List<RecoveryNotice> get() = leader.recoveryNotices
 
     fun elect() = leader.elect()
 
-    /** The leader ends; its messages stay on their way. [span]: until another is elected. */
-    fun changeLeader(span: Duration) = leader.endTerm(span)
+    /** Ends the leader, whose messages in transit still arrive. Another leader is elected after [untilElection]. */
+    fun changeLeader(untilElection: Duration) = leader.endTerm(untilElection)
 
-    /** For [span], no controller answers workers or sends commands. */
-    fun stopAllControllers(span: Duration) = leader.stopAllControllers(span)
+    /** Stops all controllers for [span], so that none answers workers or sends commands. */
+    fun stopControllers(span: Duration) = leader.stopControllers(span)
 
-    /** Whether the leader starts no more of the job's tasks because its team is at its quota. */
+    /** Whether the leader starts no further tasks of the job because its team is at its quota. */
     fun isTeamAtQuota(id: String): Boolean {
         val scheduler = leader.scheduler ?: return false
         return scheduler.jobs[id]?.let(scheduler::remainingQuota) == 0
     }
 
-    /** What the leader knows of a job, for failure messages. */
+    /** Describes the leader's state of a job for failure messages. */
     fun describe(id: String): String = describe(leader.scheduler, now, id)
 
     // Machines.
 
-    /** Adds a machine that is up after [boot]; returns its name. */
+    /** Adds a machine that is up after [boot]. Returns its name. */
     fun addMachine(type: MachineType, zone: String, spot: Boolean, boot: Duration) = fleet.add(type, zone, spot, boot)
 
     /** Names of machines that are up, in the order in which they were added. */
     val machineNames: List<String> get() = fleet.workers.filter { it.isUp }.map { it.id }
 
-    /** The tasks that run on a machine. */
+    /** Returns the tasks on a machine that have not ended. */
     fun tasksOn(machine: String): List<TaskKey> = fleet[machine]?.liveSlots().orEmpty().map { it.key }
 
-    /** A task that nobody ordered. [spec]: known to the worker, whatever the store knows. */
+    /** Adds a running task that no leader ordered. The worker knows [spec] even if the store has no record of it. */
     fun addOrphanedTask(machine: String, spec: JobSpec, task: Int, attempt: Long) {
         jobs.addUnrecorded(spec)
         fleet.getValue(machine).tasks[TaskSlot(TaskKey(spec.id, task), attempt)] =
             WorkerTask(attempt, TaskState.RUNNING, now + 10_000.seconds)
     }
 
-    /** Stops a task and starts it again, as a scheduler would that takes it for something else. */
+    /** Stops a task as orphaned and starts it again, which simulates a scheduler that misjudges the task. */
     fun restartTask(machine: String, key: TaskKey) {
         val worker = fleet.getValue(machine)
         val attempt = worker.liveSlots().single { it.key == key }.attempt
@@ -157,34 +160,34 @@
 
     // Faults.
 
-    /** The machine's lease expires, and all that is on it ends. */
+    /** Lets the machine's lease expire, which ends all of its tasks. */
     fun expireLease(machine: String) = fleet.getValue(machine).expireLease()
 
-    /** For [span], nothing is received from the machine, and nothing reaches it. */
+    /** Partitions the machine for [span], so that it neither sends nor receives. */
     fun partitionMachine(machine: String, span: Duration) {
         fleet.getValue(machine).partitionedUntil = now + span
     }
 
-    /** For [span], the machine's heartbeats are lost, while commands reach it. */
+    /** Drops the machine's heartbeats for [span], while commands still reach it. */
     fun dropHeartbeats(machine: String, span: Duration) {
         fleet.getValue(machine).heartbeatsLostUntil = now + span
     }
 
-    /** The cloud takes the machine away. */
+    /** Removes the machine, as if the cloud had reclaimed it. */
     fun removeMachine(machine: String) = fleet.remove(machine)
 
-    /** The store answers nobody for [span]. */
+    /** Lets the store answer no requests for [span]. */
     fun startStoreOutage(span: Duration) {
         store.downUntil = now + span
     }
 
-    /** Each machine that is up meets the fault with a probability of [share], for [span]. */
+    /** Injects the fault into each machine that is up with probability [share], for [span]. */
     fun injectFault(fault: MachineFault, share: Double, span: Duration) = injector.inject(fault, share, span)
 
-    /** Cancels up to [most] jobs that have work on machines, and, if [hang], lets some of those machines hang. */
-    fun cancelRunningJobs(most: Int, hang: Boolean) = injector.cancelRunningJobs(most, hang)
+    /** Cancels up to [maxJobs] jobs that have tasks on machines. If [hang], some of these machines hang. */
+    fun cancelRunningJobs(maxJobs: Int, hang: Boolean) = injector.cancelRunningJobs(maxJobs, hang)
 
-    /** For [span], a zone is cut off with a controller there, which does not lead but renews its workers' leases. */
+    /** Partitions a zone for [span], with a controller that is not the leader but renews the workers' leases. */
     fun partitionZone(zone: String, span: Duration) = injector.partitionZone(zone, span)
 
     // Time.
@@ -221,7 +224,7 @@
         }
     }
 
-    /** While the store is down, machines on which cancelled work is overdue are deleted, unless it has ended there. */
+    /** While the store is down, deletes machines with overdue cancelled work, unless they show that it has ended. */
     private fun deleteOverdueMachines() {
         val scheduler = leader.scheduler ?: return
         for (overdue in scheduler.overdueMachines(now)) {
--- a/src/test/kotlin/glenspool/simulation/EventQueue.kt
+++ b/src/test/kotlin/glenspool/simulation/EventQueue.kt
@@ -4,28 +4,28 @@
 import kotlin.time.Duration
 
 /**
- * Simulated time and the events that wait for their moment in it. Events of the same moment are carried out in the
- * order in which they were added, so that a seed always leads to the same run.
+ * Simulated time and the queue of events that are scheduled in it. Events scheduled for the same time run in the order
+ * in which they were added, so that a seed always leads to the same run.
  */
 class EventQueue {
     private class Event(val at: Duration, val number: Long, val body: () -> Unit)
 
     private val events = PriorityQueue(compareBy<Event> { it.at }.thenBy { it.number })
-    private var added = 0L
+    private var addedCount = 0L
 
-    /** Since the beginning of the simulation. */
+    /** Time since the start of the simulation. */
     var now: Duration = Duration.ZERO
         private set
 
-    /** Queues an event for a moment [delay] from now. */
+    /** Schedules an event that runs after [delay]. */
     fun after(delay: Duration, body: () -> Unit) = at(now + delay, body)
 
-    /** Queues an event for a moment; one that is past means now. */
-    fun at(moment: Duration, body: () -> Unit) {
-        events.add(Event(moment, ++added, body))
+    /** Schedules an event that runs at the given time, or immediately if that time has passed. */
+    fun at(time: Duration, body: () -> Unit) {
+        events.add(Event(time, ++addedCount, body))
     }
 
-    /** Carries out the next event if it is due by [limit]; false if none is, and then the time stays what it was. */
+    /** Runs the next event if it is due by [limit]. Otherwise returns false, and the time does not change. */
     fun runNext(limit: Duration): Boolean {
         val next = events.peek()
         if (next == null || next.at > limit) return false
@@ -35,8 +35,8 @@
         return true
     }
 
-    /** Lets the time pass up to a moment, without carrying out events. */
-    fun advanceTo(moment: Duration) {
-        now = moment
+    /** Sets the time without running any events. */
+    fun advanceTo(time: Duration) {
+        now = time
     }
 }
--- a/src/test/kotlin/glenspool/simulation/FaultRates.kt
+++ b/src/test/kotlin/glenspool/simulation/FaultRates.kt
@@ -1,64 +1,64 @@
 package glenspool.simulation
 
 /**
- * How often each fault occurs in a [ClusterSimulation]. Rates of messages, transactions and elections are the share of
- * them that is hit. All others are chances per second; those of machines hit one machine drawn at random.
+ * The rate of each fault in a [ClusterSimulation]. Rates of messages, transactions and elections are the share of them
+ * that is affected. All others are probabilities per second. Faults of machines affect one random machine.
  */
 data class FaultRates(
-    /** Messages and requests, or the answers to them, that are lost. */
+    /** Messages and requests that are lost, or whose response is lost. */
     val messageLoss: Double = 0.0,
-    /** Commands that are delivered up to a minute late, when their sender has given up. */
+    /** Commands that are delivered up to a minute late, after the sender's timeout. */
     val delayedCommands: Double = 0.0,
-    /** Machines that vanish with all that is on them. */
+    /** Machines that are lost with all of their tasks. */
     val machineLosses: Double = 0.0,
-    /** Machines that neither send nor receive for a while, while their tasks run on. */
+    /** Machines that are partitioned for a while. Their tasks continue to run. */
     val machinePartitions: Double = 0.0,
-    /** Machines that stop for a while, with their tasks, and then continue. */
+    /** Machines that hang with their tasks for a while and then continue. */
     val hangs: Double = 0.0,
-    /** The leader ends, and another is elected seconds later. */
+    /** Failovers, in which the leader ends and another is elected seconds later. */
     val failovers: Double = 0.0,
-    /** The key-value store answers nobody for a while. */
+    /** Outages of the key-value store, during which all requests to it fail. */
     val storeOutages: Double = 0.0,
-    /** Spot machines that receive an eviction notice. */
+    /** Spot machines that receive a preemption notice. */
     val preemptionNotices: Double = 0.0,
-    /** Machines whose heartbeats arrive while no answer and no command reaches them. */
+    /** Machines whose heartbeats arrive, but that receive no answers and no commands. */
     val oneWayPartitions: Double = 0.0,
-    /** Heartbeats that arrive once more, seconds to well over a lease later. */
+    /** Heartbeats that arrive a second time, after a delay of seconds to well over a lease. */
     val duplicateHeartbeats: Double = 0.0,
-    /** The leader loses the key-value store and the other nodes, but keeps its workers and answers them. */
+    /** Leaders that lose the key-value store and the other nodes, but keep their workers and answer them. */
     val leaderIsolations: Double = 0.0,
-    /** A whole zone is cut off from everything but a controller of its own, which keeps its workers' leases. */
+    /** Zones that are partitioned together with a controller, which renews the leases of the zone's workers. */
     val zonePartitions: Double = 0.0,
-    /** Machines that are back within a fraction of a second, empty and with their counters at the beginning. */
+    /** Machines that restart within a fraction of a second, without tasks and with their counters reset. */
     val restarts: Double = 0.0,
-    /** Machines whose heartbeats are lost, so that nobody answers them, while commands reach them. */
+    /** Machines whose heartbeats are lost and thus not answered, while commands still reach them. */
     val heartbeatOutages: Double = 0.0,
-    /** Share of the transactions without an answer that are carried out at once. */
+    /** Share of the transactions without a response that are committed immediately. */
     val immediateCommitShare: Double = 0.0,
-    /** Heartbeats of which a copy reaches the next leader as its term begins. */
+    /** Heartbeats of which a copy reaches the next leader at the start of its term. */
     val heartbeatsForNextTerm: Double = 0.0,
-    /** Some running jobs are cancelled at about the same moment, and some of their machines hang. */
+    /** Bursts in which several running jobs are cancelled at about the same time and some of their machines hang. */
     val cancellationBursts: Double = 0.0,
-    /** Longest additional time, in seconds, after which the cloud answers a deletion. */
+    /** Upper bound of the random additional delay, in seconds, before the cloud answers a deletion. */
     val maxDeletionDelaySeconds: Int = 0,
-    /** Leaders elected that are of the version in production, which does not know dependencies of jobs. */
+    /** Elected leaders that run the version in production, which does not support dependencies of jobs. */
     val oldVersionLeaders: Double = 0.0,
 )
 
-/** A fault that a test injects into machines of a [ClusterSimulation] for a given time. */
+/** A fault that can be injected into machines of a [ClusterSimulation] for a given time. */
 enum class MachineFault {
-    /** Nothing is received from the machine, and nothing reaches it until the fault is over. */
+    /** The machine is partitioned: it neither sends nor receives until the fault is over. */
     CUT,
 
-    /** The machine stops, with its tasks, and continues afterwards. */
+    /** The machine hangs with its tasks, and continues afterwards. */
     HANG,
 
-    /** Heartbeats of the machine arrive; no answer and no command reaches it. */
+    /** Heartbeats of the machine arrive, but it receives no answers and no commands. */
     UNREACHABLE,
 
-    /** Heartbeats of the machine are lost; commands reach it. */
+    /** Heartbeats of the machine are lost, but commands reach it. */
     MUTE,
 
-    /** The machine vanishes for good. */
+    /** The machine is lost permanently. */
     DIE,
 }
--- a/src/test/kotlin/glenspool/simulation/Fixtures.kt
+++ b/src/test/kotlin/glenspool/simulation/Fixtures.kt
@@ -18,7 +18,7 @@
 /** A machine type without GPUs. */
 val leanType = MachineType("lean", Resources(8.0, 0.0, 64.0), 50.0, 1.0, 2.0, 0.5, 10.seconds, listOf("a", "b"))
 
-/** A job; one that is not described further has one short task that fits on any machine with a GPU. */
+/** Creates a job. By default it has one short task that fits on any machine with a GPU. */
 fun job(
     id: String,
     kind: JobKind = JobKind.ARRAY,
@@ -57,7 +57,7 @@
     deadline = deadline,
 )
 
-/** The settings of a small deployment in zones a and b. */
+/** Creates the settings of a small deployment in zones a and b. */
 fun config(
     teams: List<Team> = listOf(Team("t0", 0.0, 0.0, null, null)),
     tuning: Tuning = Tuning(),
--- a/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
+++ b/src/test/kotlin/glenspool/simulation/HeartbeatExchange.kt
@@ -6,13 +6,13 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Heartbeats of the workers and the answers to them, which renew leases and carry commands. */
+/** Delivers the heartbeats of the workers, and the answers to them, which renew leases and contain commands. */
 internal class HeartbeatExchange(
     private val context: SimulationContext,
     private val leader: SimulatedLeader,
     private val execution: TaskExecution,
 ) {
-    /** Sends a heartbeat, and from then on one in each interval, for as long as the machine exists. */
+    /** Sends a heartbeat immediately, and then one in each interval as long as the machine exists. */
     fun sendPeriodically(worker: SimulatedWorker) {
         if (worker.isLost) return
         val untilNext = context.config.heartbeatInterval * (0.75 + context.random.nextDouble() / 2)
@@ -29,28 +29,28 @@
     private fun send(worker: SimulatedWorker) {
         val sentAt = context.now
         val heartbeat = worker.heartbeat()
-        val receiver = if (context.now < worker.servedByOtherNodeUntil) null else leader.scheduler
+        val receivingLeader = if (context.now < worker.servedByOtherNodeUntil) null else leader.scheduler
         if (context.chance(context.faults.heartbeatsForNextTerm)) leader.queueForNextTerm(heartbeat)
-        if (context.chance(context.faults.duplicateHeartbeats)) sendLateCopy(heartbeat)
-        context.after(context.networkDelay()) { receive(worker, heartbeat, sentAt, receiver) }
+        if (context.chance(context.faults.duplicateHeartbeats)) sendLateDuplicate(heartbeat)
+        context.after(context.networkDelay()) { receive(worker, heartbeat, sentAt, receivingLeader) }
     }
 
-    private fun sendLateCopy(heartbeat: Heartbeat) {
-        val delay = (1 + context.random.nextInt(LONGEST_COPY_DELAY_SECONDS)).seconds
+    private fun sendLateDuplicate(heartbeat: Heartbeat) {
+        val delay = (1 + context.random.nextInt(MAX_DUPLICATE_DELAY_SECONDS)).seconds
         context.after(delay) { leader.step { heartbeatReceived(heartbeat) } }
     }
 
-    private fun receive(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Duration, receiver: Scheduler?) {
+    private fun receive(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Duration, receivingLeader: Scheduler?) {
         if (context.now < leader.controllersDownUntil) return
-        if (receiver == null || leader.scheduler !== receiver || worker.isLost) {
-            // The receiving node knows no leader: it renews the lease with the worker's own token.
+        if (receivingLeader == null || leader.scheduler !== receivingLeader || worker.isLost) {
+            // The receiving node does not know the leader. It renews the lease with the worker's own token.
             val isAnswered = heartbeat.incarnation == worker.incarnation && context.now >= worker.unreachableUntil
             if (isAnswered) worker.leaseRenewedAt = sentAt
             return
         }
         var commands: List<Command> = emptyList()
         leader.step { commands = heartbeatReceived(heartbeat) }
-        val token = receiver.token
+        val token = receivingLeader.token
         context.trace?.addHeartbeatReply(context.now, worker.id, token, commands)
         context.after(context.networkDelay()) {
             if (!acceptsAnswer(worker, heartbeat, token)) return@after
@@ -69,7 +69,7 @@
             token >= worker.highestToken
 
     private companion object {
-        /** The lease of the simulated deployment is 16 s. */
-        const val LONGEST_COPY_DELAY_SECONDS = 50
+        /** Well above the lease of the simulated deployment, which is 16 s. */
+        const val MAX_DUPLICATE_DELAY_SECONDS = 50
     }
 }
--- a/src/test/kotlin/glenspool/simulation/JobHistory.kt
+++ b/src/test/kotlin/glenspool/simulation/JobHistory.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Something that a user or a worker observed. */
+/** An event that a user or a worker observed. */
 sealed interface HistoryEvent {
     val at: Duration
 
@@ -13,18 +13,18 @@
 
     data class Started(override val at: Duration, val job: String, val machine: String) : HistoryEvent
 
-    /** The task has ended on the machine, for whatever reason. [done]: it ran to its end. */
+    /** The task has ended on the machine for any reason. [done] tells whether it completed. */
     data class Ended(override val at: Duration, val job: String, val machine: String, val done: Boolean) : HistoryEvent
 
     /** A user received the final state of a job. */
     data class FinalStateReceived(override val at: Duration, val job: String, val stage: String) : HistoryEvent
 }
 
-/** What users and workers observed of jobs of one task each, in order of time. Safe for use by many threads. */
+/** The events that users and workers observed of jobs with one task each, in order of time. Thread-safe. */
 class JobHistory(private val now: () -> Duration) {
     private val events = ArrayList<HistoryEvent>()
 
-    /** Records the event that [event] makes for the present moment. */
+    /** Records the event that [event] creates for the current time. */
     @Synchronized
     fun add(event: (Duration) -> HistoryEvent) {
         events.add(event(now()))
@@ -45,7 +45,10 @@
 
     val lastStartAt: Duration get() = allEvents().lastOrNull { it is HistoryEvent.Started }?.at ?: Duration.ZERO
 
-    /** The longest time between two successive events of a kind, of those in a span of time; zero if it has fewer. */
+    /**
+     * Returns the longest time between two successive events of a kind between [from] and [to], or zero if there are
+     * fewer than two.
+     */
     inline fun <reified T : HistoryEvent> longestGap(
         from: Duration = Duration.ZERO,
         to: Duration = Duration.INFINITE,
@@ -56,8 +59,9 @@
 }
 
 /**
- * Checks a history once the violations are over and all jobs had time to end. [maxStall]: the longest time without an
- * accepted submission or a start; [cancellationDeadline]: the time after which a cancelled job may not start any more.
+ * Checks a history after the faults are over and all jobs have had time to end. [maxStall] is the longest allowed time
+ * between two accepted submissions, and between two starts. [cancellationDeadline] is the time after the confirmation
+ * of a cancellation from which the job may not start any more.
  */
 class HistoryChecker(private val maxStall: Duration, private val cancellationDeadline: Duration) {
     fun violations(history: JobHistory): List<String> {
@@ -94,7 +98,7 @@
     private fun contradictions(events: List<HistoryEvent>): List<String> {
         val finalStates = events.filterIsInstance<HistoryEvent.FinalStateReceived>().groupBy({ it.job }, { it.stage })
         val completed = events.filterIsInstance<HistoryEvent.Ended>().filter { it.done }.map { it.job }.toSet()
-        val several =
+        val contradictory =
             finalStates
                 .filterValues { it.distinct().size > 1 }
                 .map { (job, stages) -> "$job has several final states: ${stages.distinct()}" }
@@ -102,7 +106,7 @@
             finalStates
                 .filter { (job, stages) -> "done" in stages && job !in completed }
                 .map { (job, _) -> "$job is called done and never completed" }
-        return several + neverCompleted
+        return contradictory + neverCompleted
     }
 
     private fun cancelledStarts(events: List<HistoryEvent>): List<String> {
@@ -125,10 +129,10 @@
             )
         return gaps
             .filterValues { it > maxStall }
-            .map { (what, gap) -> "no $what for ${gap.inWholeMilliseconds / MILLISECONDS} s" }
+            .map { (what, gap) -> "no $what for ${gap.inWholeMilliseconds / MILLIS_PER_SECOND} s" }
     }
 
     private companion object {
-        val MILLISECONDS = 1.seconds.inWholeMilliseconds.toDouble()
+        val MILLIS_PER_SECOND = 1.seconds.inWholeMilliseconds.toDouble()
     }
 }
--- a/src/test/kotlin/glenspool/simulation/JobStatusChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/JobStatusChecker.kt
@@ -5,7 +5,7 @@
 import glenspool.state.Keys
 import glenspool.state.Put
 
-/** The rules for what users are told and what is stored of the end of a job. */
+/** Checks the states of jobs that users receive, and the final states that are stored. */
 internal class JobStatusChecker(
     private val context: SimulationContext,
     private val store: SimulatedStore,
@@ -15,25 +15,25 @@
     private val lastAnswers = HashMap<String, String>()
 
     /**
-     * Checks what a node would answer a user about the job now: no accepted job is unknown, no job that nobody
-     * submitted is known, and a final state that was told is never taken back.
+     * Checks the answer that a user would receive from a node about the job now. Each accepted job must be known, a job
+     * that was never submitted must be unknown, and a final state that was reported must not change.
      */
     fun checkAnswer(job: String) {
         if (jobs.isUnrecorded(job)) return
         val answer = answer(job)
         if (job !in jobs.specs) {
-            if (answer != UNKNOWN) context.recordViolation("invented $job")
+            if (answer != UNKNOWN) context.recordViolation("invented $job: it was never submitted")
             return
         }
-        if (answer == UNKNOWN) context.recordViolation("forgotten $job")
+        if (answer == UNKNOWN) context.recordViolation("forgotten $job: it was accepted, but is unknown")
         val previous = lastAnswers.put(job, answer)
         if (previous != null && previous != LIVE && previous != answer) {
-            context.recordViolation("went_back $job from $previous to $answer")
+            context.recordViolation("went_back $job: the final state changed from $previous to $answer")
         }
         val isAborted = jobs.abortedSince(job) != null
-        if (answer == CANCELLED && !isAborted) context.recordViolation("went_back $job was not cancelled")
-        // An answer is worked out from the records, so it need not wait for anybody to store it.
-        if (answer == LIVE && isAborted) context.recordViolation("orphaned $job")
+        if (answer == CANCELLED && !isAborted) context.recordViolation("went_back $job: it was not cancelled")
+        // The answer is derived from the records, so it must not depend on whether a leader has stored the final state.
+        if (answer == LIVE && isAborted) context.recordViolation("orphaned $job: reported as live, but aborted")
     }
 
     private fun answer(job: String): String {
@@ -58,10 +58,10 @@
         val job = put.key.removePrefix(Keys.FINAL)
         val end = put.value["end"]
         if (end == DONE && jobs.completedTasks.getValue(job).cardinality() < jobs.specs.getValue(job).tasks) {
-            context.violations += "not_done $job"
+            context.violations += "not_done $job: stored as done before all of its tasks had completed"
         }
         if (end == CANCELLED && jobs.abortedSince(job) == null) {
-            context.violations += "went_back $job was not cancelled"
+            context.violations += "went_back $job: stored as cancelled without a cancellation"
         }
     }
 
--- a/src/test/kotlin/glenspool/simulation/LaggingStoreReplica.kt
+++ b/src/test/kotlin/glenspool/simulation/LaggingStoreReplica.kt
@@ -5,29 +5,32 @@
 import glenspool.wire.StoreWire
 import java.util.TreeMap
 
-/** A replica that lags: what the store held at an earlier revision, or pages of it read one after the other. */
+/**
+ * A replica that lags behind the store. It contains the entries of an earlier revision, or the pages that were read one
+ * after the other.
+ */
 class LaggingStoreReplica(private val state: InMemoryStore) : LiveKeyReader {
     private val entries = TreeMap<String, StoreWire.Item>()
     var revision = 0L
         private set
 
-    /** The last key that a load has read; null if none is under way. */
+    /** The last key that the current load has read, or null if no load is in progress. */
     private var lastKey: String? = null
 
-    /** Applies the store's changes up to a revision. */
+    /** Applies the store's changes up to revision [to]. */
     fun advance(to: Long) {
         for ((key, value, version) in state.log) if (version in (revision + 1)..to) put(key, value, version)
         revision = maxOf(revision, to)
     }
 
-    /** Begins to read everything anew in pages; changes made meanwhile are seen if they concern keys not yet read. */
+    /** Starts to reload all entries in pages. A change made during the load is included if its key is not read yet. */
     fun startLoad() {
         entries.clear()
         revision = state.revision
         lastKey = ""
     }
 
-    /** Reads the next page; false once all is read. */
+    /** Reads the next page. Returns false when all entries are read. */
     fun loadPage(size: Int): Boolean {
         val after = lastKey ?: return false
         val next =
@@ -40,7 +43,7 @@
         return lastKey != null
     }
 
-    /** Whether no load is under way, so that decisions may be based on this view. */
+    /** Whether no load is in progress, so that decisions may be based on this replica. */
     val isLoaded: Boolean get() = lastKey == null
 
     private fun put(key: String, value: Fields?, version: Long) {
--- a/src/test/kotlin/glenspool/simulation/LeaderDescription.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderDescription.kt
@@ -4,7 +4,7 @@
 import glenspool.core.lifecycle.Placement
 import kotlin.time.Duration
 
-/** What the leader knows of a job, for failure messages. */
+/** Describes the leader's state of a job for failure messages. */
 internal fun describe(leader: Scheduler?, now: Duration, id: String): String {
     val job = leader?.jobs?.get(id) ?: return "unknown to the leader"
     val placements = job.placements.values.joinToString { describe(leader, it) }
@@ -16,9 +16,9 @@
     val machine = leader.machines[placement.machine]
     val task = "$placement@${placement.machine} ${placement.stage}/${placement.taskState}"
     val commands = "sent=${placement.startSentAt} stop=${placement.stopCause}"
-    val seen = "trusted=${machine?.isTrusted} heard=${machine?.reachability?.lastContactAt}"
+    val contact = "trusted=${machine?.isTrusted} heard=${machine?.reachability?.lastContactAt}"
     val requests = "starts=${machine?.requests?.unconfirmedStarts} inFlight=${machine?.requests?.isInFlight}"
-    return "$task $commands $seen deleting=${machine?.isDeleting} $requests"
+    return "$task $commands $contact deleting=${machine?.isDeleting} $requests"
 }
 
 private const val MAX_TASKS = 9
--- a/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaderTransactions.kt
@@ -8,14 +8,17 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The leader's transactions: some are refused, some remain without an answer and are carried out at any time. */
+/**
+ * Executes the leader's transactions. Some are refused, and some get no response and are committed immediately, later
+ * or never.
+ */
 internal class LeaderTransactions(
     private val context: SimulationContext,
     private val store: SimulatedStore,
     private val leader: SimulatedLeader,
-    private val rules: JobStatusChecker,
+    private val jobStatusChecker: JobStatusChecker,
 ) {
-    /** Transactions that were refused because a value was too large. */
+    /** Number of transactions that were refused because a value was too large. */
     var oversizedTransactionCount = 0
         private set
 
@@ -23,13 +26,13 @@
         val transaction = transactionFor(changes)
         when {
             store.isDown ->
-                answerLater(scheduler, StoreOutcome.Refused(emptySet()))
+                respondAfterDelay(scheduler, StoreOutcome.Refused(emptySet()))
             transaction.puts.any(store.state::isTooLarge) -> {
                 oversizedTransactionCount++
-                answerLater(scheduler, StoreOutcome.TooLarge())
+                respondAfterDelay(scheduler, StoreOutcome.TooLarge())
             }
-            context.chance(context.faults.messageLoss / 2) -> loseAnswer(transaction, scheduler)
-            else -> storeAndAnswer(transaction, scheduler)
+            context.chance(context.faults.messageLoss / 2) -> executeWithoutResponse(transaction, scheduler)
+            else -> executeAndRespond(transaction, scheduler)
         }
     }
 
@@ -39,12 +42,12 @@
         return transaction.copy(puts = transaction.puts.map(OldVersion::rewrite))
     }
 
-    private fun answerLater(scheduler: Scheduler, outcome: StoreOutcome) {
+    private fun respondAfterDelay(scheduler: Scheduler, outcome: StoreOutcome) {
         context.after(context.networkDelay()) { leader.stepIfLeading(scheduler) { transactionEnded(outcome) } }
     }
 
-    /** The transaction is carried out at once, much later if its conditions still hold then, or never. */
-    private fun loseAnswer(transaction: Transaction, scheduler: Scheduler) {
+    /** Commits the transaction immediately, seconds later if its conditions still hold then, or never. */
+    private fun executeWithoutResponse(transaction: Transaction, scheduler: Scheduler) {
         if (context.chance(context.faults.immediateCommitShare)) {
             commit(transaction)
         } else if (context.chance(0.7)) {
@@ -56,7 +59,7 @@
         }
     }
 
-    private fun storeAndAnswer(transaction: Transaction, scheduler: Scheduler) =
+    private fun executeAndRespond(transaction: Transaction, scheduler: Scheduler) =
         context.after(context.networkDelay()) {
             val failedKeys = commit(transaction)
             val revision = store.state.revision
@@ -67,10 +70,10 @@
             }
         }
 
-    /** Returns the keys whose conditions failed, or null if the transaction was carried out. */
+    /** Returns the keys whose conditions failed, or null if the transaction was committed. */
     private fun commit(transaction: Transaction): List<String>? {
         val failedKeys = store.state.transact(transaction.conditions, transaction.puts, transaction.removes)
-        if (failedKeys == null) rules.checkStored(transaction)
+        if (failedKeys == null) jobStatusChecker.checkStored(transaction)
         return failedKeys
     }
 }
--- a/src/test/kotlin/glenspool/simulation/LeaseHolder.kt
+++ b/src/test/kotlin/glenspool/simulation/LeaseHolder.kt
@@ -2,12 +2,12 @@
 
 import kotlin.time.Duration
 
-/** A worker of a [CancellationSimulation]: it sends heartbeats, and its jobs end when its lease expires. */
+/** A worker of a [CancellationSimulation] that sends heartbeats. Its jobs end when its lease expires. */
 class LeaseHolder(private val simulation: CancellationSimulation, val name: String, initialNode: Int) {
-    /** Index of the node to which it sends its heartbeats. */
+    /** Index of the node to which the worker sends its heartbeats. */
     var nodeIndex = initialNode
     val jobs = HashSet<String>()
-    private val drift = simulation.clockDrift()
+    private val clockDrift = simulation.clockDrift()
     private var leaseRenewedAt = Duration.ZERO
 
     internal fun scheduleHeartbeat() {
@@ -20,7 +20,7 @@
         expireLease()
         val node = simulation.members[nodeIndex]
         if (!node.isUp || !node.renewsLease(this)) {
-            // Refused, or the node is down: the next heartbeat goes to the next node.
+            // The node is down or refused the renewal, so the next heartbeat is sent to the next node.
             nodeIndex = (nodeIndex + 1) % simulation.members.size
             return
         }
@@ -30,7 +30,7 @@
     }
 
     internal fun expireLease() {
-        if ((simulation.now - leaseRenewedAt) * drift <= simulation.settings.lease) return
+        if ((simulation.now - leaseRenewedAt) * clockDrift <= simulation.settings.lease) return
         simulation.killedJobs.addAll(jobs)
         jobs.clear()
         leaseRenewedAt = simulation.now
--- a/src/test/kotlin/glenspool/simulation/LivenessChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/LivenessChecker.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The rules about time: cancelled work ends within its deadline, and nothing waits for resources that are free. */
+/** Checks that cancelled tasks end within their deadline, and that no job waits although resources are free. */
 internal class LivenessChecker(
     private val context: SimulationContext,
     private val store: SimulatedStore,
@@ -15,35 +15,37 @@
 ) {
     private val waitingSince = HashMap<String, Duration>()
 
-    /** No task runs longer than the cancellation deadline after its user was told that the job is cancelled. */
+    /** Checks that no task runs longer than the deadline after its job's cancellation was confirmed to the user. */
     fun checkCancelledTasks() {
         for (task in fleet.liveTasks()) {
             val cancelledAt = jobs.cancelledAt[task.key.job] ?: continue
             if (context.now - cancelledAt > context.config.cancellationDeadline) {
-                context.recordViolation("ran_cancelled ${task.key} on ${task.worker.id}")
+                context.recordViolation(
+                    "ran_cancelled ${task.key} on ${task.worker.id}: it is live after the cancellation deadline",
+                )
             }
         }
     }
 
-    /** Faults occur: jobs may wait for as long as they have to. */
+    /** Restarts the measurement of waiting times. Called while faults occur, as jobs may then wait without limit. */
     fun resetWaitingTimes() = waitingSince.clear()
 
     /**
-     * Once all faults are over, no job waits for [LONGEST_WAIT] while a machine that it may use has room and its team
-     * is below its quota.
+     * Checks that, when all faults are over, no job waits longer than [MAX_WAIT] while an allowed machine has free
+     * resources and the job's team is below its quota.
      */
     fun checkWaiting(spec: JobSpec) {
         val live = fleet.liveTasks()
-        if (!mayStartAnywhere(spec) || !isWaiting(spec, live) || fleet.workers.none { hasRoom(it, spec) }) {
+        if (!canStartTasksSeparately(spec) || !isWaiting(spec, live) || fleet.workers.none { hasRoom(it, spec) }) {
             waitingSince.remove(spec.id)
-        } else if (context.now - waitingSince.getOrPut(spec.id) { context.now } > LONGEST_WAIT) {
-            context.recordViolation("waits_in_vain ${spec.id}: ${describe(spec.id)}")
+        } else if (context.now - waitingSince.getOrPut(spec.id) { context.now } > MAX_WAIT) {
+            context.recordViolation("waits_in_vain ${spec.id}, although resources are free: ${describe(spec.id)}")
             waitingSince.remove(spec.id)
         }
     }
 
-    /** Gangs, and jobs bound by where their other tasks are, may wait for more than one placement. */
-    private fun mayStartAnywhere(spec: JobSpec): Boolean {
+    /** Gangs, and jobs whose tasks depend on the zones of the other tasks, may wait for more than one placement. */
+    private fun canStartTasksSeparately(spec: JobSpec): Boolean {
         val dependsOnOtherTasks = spec.kind == JobKind.GANG || spec.sameZone || spec.spread
         return !dependsOnOtherTasks && jobs.areDependenciesDone(spec.id)
     }
@@ -80,6 +82,6 @@
     }
 
     private companion object {
-        val LONGEST_WAIT = 90.seconds
+        val MAX_WAIT = 90.seconds
     }
 }
--- a/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
@@ -10,8 +10,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Checks whether orders were received faster than the token bucket of a recovery allows: the orders of one second at
- * once, then as many in each second. [fleetSize]: machines, to which the rates are relative.
+ * Checks whether orders were received faster than the token bucket of a recovery allows. The bucket allows a burst of
+ * the orders of one second, and then the same number in each second. The rates are relative to [fleetSize].
  */
 class OrderRateChecker(rates: RepairRates, fleetSize: Int) {
     private val limits =
@@ -20,16 +20,16 @@
             OrderKind.DELETION to rates.deletions, OrderKind.SCALE_OUT to rates.rentals,
         ).mapValues { (_, rate) -> ceil(rate * fleetSize).toInt().coerceAtLeast(1) }
 
-    /** The first moment of each kind at which the rate was exceeded. */
+    /** Returns for each kind of order the first time at which its rate was exceeded. */
     fun violations(received: List<ReceivedOrder>): List<String> =
         limits.mapNotNull { (kind, limit) ->
-            val times = received.filter { it.kind == kind && it.cause !in unlimited }.map { it.at }
-            firstAbove(limit, times)?.let { "$kind above $limit a second at $it" }
+            val times = received.filter { it.kind == kind && it.cause !in causesWithoutLimit }.map { it.at }
+            firstExcess(limit, times)?.let { "the rate of $kind exceeded $limit per second at $it" }
         }
 
-    private fun firstAbove(limit: Int, times: List<Duration>): Duration? {
+    private fun firstExcess(limit: Int, times: List<Duration>): Duration? {
         for ((index, at) in times.withIndex()) {
-            // The second up to this order, with some tolerance for orders that were on their way.
+            // Orders of the last second up to this one, less a tolerance for the time that orders take to arrive.
             val recent = times.subList(0, index + 1).count { at - it < 1.seconds - TOLERANCE }
             if (recent > limit * 2) return at
         }
@@ -37,8 +37,8 @@
     }
 
     private companion object {
-        /** Orders that users were promised, and those that follow from certain knowledge. */
-        val unlimited =
+        /** Orders without a rate limit. They are promised to users or follow from certain evidence. */
+        val causesWithoutLimit =
             setOf(
                 StopCause.CANCELLED, StopCause.PREEMPTED, StopCause.NOTICE, StopCause.GANG_BROKEN,
                 DeletionCause.FAILED, DeletionCause.NOTICE, DeletionCause.CANCELLED_WORK,
--- a/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
+++ b/src/test/kotlin/glenspool/simulation/SchedulerDriver.kt
@@ -28,7 +28,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The core alone: a test hands it events, and sees the actions that it decides. */
+/** Drives the scheduler alone. A test passes events to it and receives the resulting actions. */
 abstract class SchedulerDriver(
     settings: SchedulerConfig = config(peerZones = setOf("b")),
     hooks: SchedulerHooks = SchedulerHooks(),
@@ -36,13 +36,13 @@
     protected val core = Scheduler(settings, TOKEN, Duration.ZERO, hooks)
     protected var now = Duration.ZERO
 
-    /** The store's revision, which the next stored change increases. */
+    /** The store's revision, which each stored change increments. */
     protected var revision = 100L
     private val sequences = HashMap<String, Long>()
 
     protected fun step(body: Scheduler.() -> Unit): List<Action> = core.step(now, now, body)
 
-    /** Lets time pass in ticks; returns all that was decided meanwhile. */
+    /** Advances the time in ticks. Returns the actions of all ticks. */
     protected fun advanceTime(time: Duration): List<Action> {
         val actions = ArrayList<Action>()
         val end = now + time
@@ -55,7 +55,7 @@
 
     private fun zoneOf(machine: String) = if (machine.startsWith("z")) "b" else "a"
 
-    /** The cloud lists these machines, of which those in [failed] have failed. */
+    /** Applies a list of the cloud with these machines, of which those in [failed] have failed. */
     protected fun applyCloudList(machines: Collection<String>, failed: Set<String> = emptySet()): List<Action> {
         val listed =
             machines.map { machine ->
@@ -65,7 +65,7 @@
         return step { machinesListed(listed) }
     }
 
-    /** The next heartbeat of a machine. */
+    /** Creates the next heartbeat of a machine. */
     protected fun heartbeat(
         machine: String,
         tasks: List<TaskStatus> = emptyList(),
@@ -88,10 +88,10 @@
         return TaskStatus(key, attempt, state, exit, false)
     }
 
-    /** The leader receives a heartbeat; returns the commands it answers with, and the actions it decides. */
-    protected fun receiveHeartbeat(received: Heartbeat): Pair<List<Command>, List<Action>> {
+    /** Delivers a heartbeat. Returns the commands in the reply and the resulting actions. */
+    protected fun receiveHeartbeat(heartbeat: Heartbeat): Pair<List<Command>, List<Action>> {
         var commands: List<Command> = emptyList()
-        val actions = step { commands = heartbeatReceived(received) }
+        val actions = step { commands = heartbeatReceived(heartbeat) }
         return commands to actions
     }
 
@@ -102,7 +102,7 @@
         dependencies: List<String> = emptyList(),
     ) = step { jobRecordRead(JobRecord(spec, now, lastAttempt, BitSet(), placements, dependencies), ++revision) }
 
-    /** Machines of zone a, and [peerZoneMachines] of zone b, where this node's controllers have another, report. */
+    /** Delivers heartbeats of machines in zone a, and of [peerZoneMachines] in zone b, which has another controller. */
     protected fun registerMachines(machines: Int = 1, peerZoneMachines: Int = 0): Scheduler {
         step { machineTypesRead(listOf(bigType)) }
         for (number in 1..machines) receiveHeartbeat(heartbeat("m$number"))
@@ -112,10 +112,10 @@
 
     protected fun singleStoreChanges(actions: List<Action>) = actions.filterIsInstance<StoreChanges>().single()
 
-    /** The transaction under way is carried out. */
+    /** Reports that the transaction in progress was committed. */
     protected fun confirmTransaction(): List<Action> = step { transactionEnded(StoreOutcome.Stored(++revision)) }
 
-    /** One machine, one job of one task, and the request that starts it there. */
+    /** Registers one machine and submits a job of one task. Returns the request that starts the task, unanswered. */
     protected fun sendSingleStart(): SendCommands {
         registerMachines()
         submit(job("a"))
@@ -128,7 +128,7 @@
             .flatMap { it.commands }
             .filterIsInstance<StartTask>()
 
-    /** Machines with one large running task each, so that none is returned for want of work. */
+    /** Registers machines and starts one large task on each, so that no machine is returned because it is idle. */
     protected fun startBusyMachines(machines: Int, peerZoneMachines: Int = 0): Map<String, TaskStatus> {
         registerMachines(machines, peerZoneMachines)
         val large = Resources(14.0, 4.0, 50.0)
@@ -137,7 +137,7 @@
         return executePlacements().also { assertEquals(machines + peerZoneMachines, it.size) }
     }
 
-    /** What was placed is stored, sent and runs: the task on each machine that was sent one. */
+    /** Commits the placements and executes the resulting starts. Returns the running task by machine. */
     protected fun executePlacements(): Map<String, TaskStatus> {
         val running =
             confirmTransaction().filterIsInstance<SendCommands>().associateWith { request ->
@@ -151,7 +151,7 @@
         return running.mapKeys { it.key.machine }
     }
 
-    /** Heartbeats of the machines keep coming; requests to [unreachable] end without an answer, others are answered. */
+    /** Advances the time while machines send heartbeats. Only requests to [unreachable] machines are not answered. */
     protected fun runWithHeartbeats(
         time: Duration,
         running: Map<String, TaskStatus>,
@@ -163,9 +163,9 @@
             for ((machine, task) in running) {
                 if (machine in core.machines) actions += receiveHeartbeat(heartbeat(machine, listOf(task))).second
             }
-            val decided = advanceTime(2.seconds)
-            actions += decided
-            for (action in decided) {
+            val tickActions = advanceTime(2.seconds)
+            actions += tickActions
+            for (action in tickActions) {
                 when (action) {
                     is Probe -> answerProbe(action, running, unreachable)
                     is SendCommands -> answerCommands(action, running, unreachable)
@@ -187,9 +187,9 @@
 
     private fun answerCommands(request: SendCommands, running: Map<String, TaskStatus>, unreachable: Set<String>) {
         val machine = request.machine
-        val isReached = machine !in unreachable
-        val outcome = if (isReached) CommandOutcome.DONE else CommandOutcome.UNKNOWN
-        val answer = if (isReached) heartbeat(machine, listOfNotNull(running[machine])) else null
+        val isReachable = machine !in unreachable
+        val outcome = if (isReachable) CommandOutcome.DONE else CommandOutcome.UNKNOWN
+        val answer = if (isReachable) heartbeat(machine, listOfNotNull(running[machine])) else null
         step { commandsEnded(machine, request, outcome, answer) }
     }
 
--- a/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedCloud.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The cloud of a [ClusterSimulation]: it rents and deletes machines, and lists them as they were a while ago. */
+/** The cloud of a [ClusterSimulation]. It rents and deletes machines, and its lists of machines are some time old. */
 internal class SimulatedCloud(
     private val context: SimulationContext,
     private val fleet: SimulatedFleet,
@@ -18,7 +18,7 @@
 ) {
     private class Listing(val at: Duration, val machines: List<ListedMachine>)
 
-    /** Machines that each request was granted: a repeated request gets the same ones. */
+    /** Machines that were granted, by request, since a repeated request gets the same machines. */
     private val grantedMachines = HashMap<String, List<String>>()
     private val listings = ArrayList<Listing>()
 
@@ -50,7 +50,7 @@
         return names
     }
 
-    /** Draws how long a machine takes to boot; a few never come up. */
+    /** Draws the boot time of a machine. A few machines never come up. */
     private fun bootTime(type: MachineType): Duration {
         if (context.chance(0.05)) return NEVER
         return type.bootTime * (0.6 + context.random.nextDouble())
@@ -60,7 +60,7 @@
         request.causes.values.forEach { context.recordOrders(it) }
         val isLost = context.chance(context.faults.messageLoss)
         context.after(context.networkDelay() * 5 + deletionDelay()) {
-            // Without an answer, the machines may be deleted all the same.
+            // If the answer is lost, the machines may or may not be deleted.
             if (!isLost || context.chance(0.5)) request.machines.forEach(fleet::remove)
             leader.stepIfLeading(scheduler) { deletionEnded(request.machines, !isLost) }
         }
@@ -71,14 +71,14 @@
         return if (longest > 0) context.random.nextInt(longest).seconds else Duration.ZERO
     }
 
-    /** The leader's node has a machine deleted on which cancelled work is overdue, without a decision of the core. */
+    /** Deletes a machine with overdue cancelled work, as the leader's node does without a decision of the scheduler. */
     fun deleteOverdue(machine: String, scheduler: Scheduler) =
         context.after(context.networkDelay() * 5) {
             fleet.remove(machine)
             leader.stepIfLeading(scheduler) { deletionEnded(listOf(machine), true) }
         }
 
-    /** Lists the machines, and hands the leader a listing that is some time old. */
+    /** Records the current list of machines, and delivers a list that is some time old to the leader. */
     fun deliverList() {
         val listLag = context.config.listLag
         listings.add(Listing(context.now, fleet.workers.map(::listed)))
--- a/src/test/kotlin/glenspool/simulation/SimulatedFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedFleet.kt
@@ -4,13 +4,13 @@
 import glenspool.core.model.TaskKey
 import kotlin.time.Duration
 
-/** A task that has not ended, and where it is. */
+/** A task that has not ended, with its machine. */
 internal class LiveTask(val worker: SimulatedWorker, val key: TaskKey)
 
-/** All machines of a [ClusterSimulation], in the order in which they were added. [onUp]: a machine has booted. */
+/** All machines of a [ClusterSimulation] in the order in which they were added. [onUp] is called after each boot. */
 internal class SimulatedFleet(private val context: SimulationContext, private val onUp: (SimulatedWorker) -> Unit) {
     private val workersById = LinkedHashMap<String, SimulatedWorker>()
-    private var added = 0
+    private var addedCount = 0
 
     val workers: Collection<SimulatedWorker> get() = workersById.values
     val size: Int get() = workersById.size
@@ -19,9 +19,9 @@
 
     fun getValue(id: String): SimulatedWorker = workersById.getValue(id)
 
-    /** Adds a machine that is up after [boot]; returns its name. */
+    /** Adds a machine that is up after [boot]. Returns its name. */
     fun add(type: MachineType, zone: String, isSpot: Boolean, boot: Duration): String {
-        val worker = SimulatedWorker(context, "i-%06d".format(++added), type, zone, isSpot)
+        val worker = SimulatedWorker(context, "i-%06d".format(++addedCount), type, zone, isSpot)
         workersById[worker.id] = worker
         context.after(boot) {
             worker.isUp = true
@@ -31,7 +31,7 @@
         return worker.id
     }
 
-    /** Removes a machine with all that is on it, if there is one of that name. */
+    /** Removes the machine of that name with all of its tasks, if it exists. */
     fun remove(id: String) {
         workersById.remove(id)?.isLost = true
     }
--- a/src/test/kotlin/glenspool/simulation/SimulatedJobs.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedJobs.kt
@@ -9,26 +9,26 @@
 import kotlin.time.Duration
 
 /**
- * What users did in a [ClusterSimulation] and what truly became of their jobs: the knowledge against which the rules
- * are checked. [onStored] is called a moment after each transaction of a user.
+ * The requests of the users of a [ClusterSimulation] and the actual outcome of their jobs, against which the rules are
+ * checked. [onStored] is called a network delay after each transaction of a user.
  */
 internal class SimulatedJobs(
     private val context: SimulationContext,
     private val store: SimulatedStore,
     private val onStored: () -> Unit,
 ) {
-    /** All jobs that workers may know, also those that nobody submitted. */
+    /** All jobs that workers may know, including those that were never submitted. */
     val specs = HashMap<String, JobSpec>()
     val dependenciesOf = HashMap<String, List<String>>()
 
-    /** Tasks of each job that ran to their end. */
+    /** Tasks that completed on a machine, by job. */
     val completedTasks = HashMap<String, BitSet>()
 
-    /** When the cancellation of a job was confirmed to its user. */
+    /** The time at which the cancellation was confirmed to the user, by job. */
     val cancelledAt = HashMap<String, Duration>()
     private val submittedAt = HashMap<String, Duration>()
 
-    /** Jobs of which workers have tasks, though the store knows nothing of them. */
+    /** Jobs of which workers have tasks although the store has no record of them. */
     private val unrecorded = HashSet<String>()
 
     fun isUnrecorded(job: String): Boolean = job in unrecorded
@@ -43,14 +43,14 @@
         transact(mapOf(Keys.job(spec.id) to 0L, Keys.final(spec.id) to 0L), Put(Keys.job(spec.id), record))
     }
 
-    /** Makes a job known to workers without storing it, unless it is known already. */
+    /** Adds a job for use by workers without storing it, unless it exists already. */
     fun addUnrecorded(spec: JobSpec) {
         if (spec.id !in specs) unrecorded.add(spec.id)
         specs.putIfAbsent(spec.id, spec)
         completedTasks.putIfAbsent(spec.id, BitSet())
     }
 
-    /** Cancels a job as a node does for a user; true if the cancellation was confirmed. */
+    /** Cancels a job as a node does for a user. Returns whether the cancellation was confirmed. */
     fun cancel(job: String): Boolean {
         if (store.isDown) return false
         val request = Put(Keys.cancel(job), mapOf("at" to context.now.inWholeMilliseconds))
@@ -66,8 +66,8 @@
     }
 
     /**
-     * The slow reference model: since when the job is aborted, because it or any of its direct or transitive
-     * dependencies was cancelled and the user told so; null if it is not.
+     * Returns since when the job is aborted, or null if it is not. This is a slow reference model: a job is aborted if
+     * the cancellation of the job or of any direct or transitive dependency was confirmed to the user.
      */
     fun abortedSince(job: String): Duration? {
         val own = listOfNotNull(cancelledAt[job])
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -15,12 +15,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Makes the recovery of a term that begins. */
+/** Creates the recovery of a new term. */
 typealias RecoveryFactory = (token: Long, at: Duration, kind: StartKind) -> RecoveryEngine
 
 /**
- * The leader of a [ClusterSimulation]: elections, the term in office with its real [Scheduler] and recovery, and the
- * store's changes on their way to it. [perform] carries out what a scheduler decides.
+ * The leader of a [ClusterSimulation]. It simulates elections, runs the current term with its real [Scheduler] and
+ * recovery, and delivers the store's changes to it. [perform] executes the actions of a scheduler.
  */
 internal class SimulatedLeader(
     private val context: SimulationContext,
@@ -28,39 +28,39 @@
     private val recoveryFactory: RecoveryFactory?,
     private val perform: (Action, Scheduler) -> Unit,
 ) {
-    /** The scheduler of the present leader; null while nobody leads. */
+    /** The scheduler of the current leader, or null if there is no leader. */
     var scheduler: Scheduler? = null
         private set
 
     /** The fencing token of the newest term. */
     private var token = 0L
 
-    /** The store's version of the leader record, on which the leader's transactions are conditioned. */
+    /** The store's version of the leadership record. It is a condition of the leader's transactions. */
     var recordVersion = 0L
         private set
 
-    /** Whether the present leader is of the version in production. */
+    /** Whether the current leader runs the version in production. */
     var isOldVersion = false
         private set
 
-    /** Whether all controllers are of the new version, so that no old one is elected any more. */
+    /** Whether all controllers run the new version, so that none of the old version is elected any more. */
     var allControllersNew = false
 
-    /** The recovery of the present term, if recovery is managed and one was due. */
+    /** The recovery of the current term, or null if recovery is not managed or none was due. */
     var recovery: RecoveryEngine? = null
         private set
     val recoveryNotices = ArrayList<RecoveryNotice>()
 
-    /** Whether the next leader finds that all controllers were down, or continues a recovery. */
+    /** Whether the next leader starts a recovery because all controllers were down, or continues one. */
     private var isRecoveryDue = false
 
-    /** Until then no controller answers workers or sends commands. */
+    /** The time until which no controller answers workers or sends commands. */
     var controllersDownUntil = Duration.ZERO
         private set
     private var appliedRevision = 0L
     private val heartbeatsForNextTerm = ArrayList<Heartbeat>()
 
-    /** Begins a new term, whoever leads at present. */
+    /** Starts a new term, also if there is a leader. */
     fun elect() {
         traceWorkCounters()
         isOldVersion = !allControllersNew && context.chance(context.faults.oldVersionLeaders)
@@ -93,7 +93,7 @@
             .filterKeys { it.startsWith(prefix) }
             .map { (key, entry) -> StoreWire.Change(key, entry.value, entry.version) }
 
-    /** Old heartbeats arrive just as the term begins, in any order. */
+    /** Delivers old heartbeats in random order during the first moments of the term. */
     private fun deliverOldHeartbeats() {
         for (heartbeat in heartbeatsForNextTerm.shuffled(context.random)) {
             context.after(context.random.nextInt(300).milliseconds) { step { heartbeatReceived(heartbeat) } }
@@ -101,44 +101,44 @@
         heartbeatsForNextTerm.clear()
     }
 
-    /** Keeps a heartbeat, so that it reaches the next leader as its term begins. */
+    /** Queues a heartbeat for delivery to the next leader at the start of its term. */
     fun queueForNextTerm(heartbeat: Heartbeat) {
         heartbeatsForNextTerm.add(heartbeat)
     }
 
-    /** Elects a leader as soon as the store answers, unless there is one by then. */
+    /** Elects a leader as soon as the store is up, unless there is one by then. */
     fun electWhenStoreIsUp() {
         if (scheduler != null) return
         if (store.isDown) context.after(1.seconds) { electWhenStoreIsUp() } else elect()
     }
 
-    /** The leader ends, and its messages stay on their way; another is elected after [untilElection]. */
+    /** Ends the leader, whose messages in transit still arrive. Another leader is elected after [untilElection]. */
     fun endTerm(untilElection: Duration) {
         traceWorkCounters()
         scheduler = null
         context.after(untilElection) { electWhenStoreIsUp() }
     }
 
-    /** As [endTerm], after a time that is drawn. */
+    /** Ends the leader, and elects another after a random time of 1 to 6 seconds. */
     fun endTermWithRandomDelay() {
         scheduler = null
         context.after((1 + context.random.nextInt(6)).seconds) { electWhenStoreIsUp() }
     }
 
-    /** All controllers are down for [time]; the next leader begins with a recovery, if that is managed. */
-    fun stopAllControllers(time: Duration) {
+    /** Stops all controllers for [time]. The next leader starts with a recovery if recovery is managed. */
+    fun stopControllers(time: Duration) {
         isRecoveryDue = recoveryFactory != null
         controllersDownUntil = context.now + time
         endTerm(time)
     }
 
-    /** The leader has resigned; another is elected soon. */
+    /** Ends the term of the leader that has resigned, and elects another after a second. */
     fun handleResignation(by: Scheduler) {
         if (scheduler === by) scheduler = null
         context.after(1.seconds) { electWhenStoreIsUp() }
     }
 
-    /** Stores and returns the next fencing token, or null if the store does not answer [by] or it does not lead. */
+    /** Stores and returns the next fencing token. Returns null if [by] is not the leader or the store is down. */
     fun advanceToken(by: Scheduler): Long? {
         if (scheduler !== by || store.isDown) return null
         token++
@@ -146,7 +146,7 @@
         return token
     }
 
-    /** The leader's regular work. */
+    /** Runs the regular work of the leader. */
     fun tick() {
         if (scheduler == null || store.isDown) return
         readChanges()
@@ -164,7 +164,7 @@
         isRecoveryDue = engine.isActive
     }
 
-    /** Hands the store's changes since the last call to the scheduler. */
+    /** Applies the store's changes since the last call to the scheduler. */
     fun readChanges() {
         if (store.isDown) return
         val changes = store.state.log.filter { (_, _, version) -> version > appliedRevision }
@@ -188,7 +188,7 @@
         }
     }
 
-    /** Lets the leader, if there is one, take in an event, and performs what it decides. */
+    /** Lets the leader, if there is one, process an event, and performs the resulting actions. */
     fun step(event: Scheduler.() -> Unit) {
         val leading = scheduler ?: return
         for (action in leading.step(context.now, context.now, event)) {
@@ -197,7 +197,7 @@
         }
     }
 
-    /** As [step], if the given scheduler still leads. */
+    /** Like [step], but only if the given scheduler is still that of the leader. */
     fun stepIfLeading(expected: Scheduler, event: Scheduler.() -> Unit) {
         if (scheduler === expected) step(event)
     }
--- a/src/test/kotlin/glenspool/simulation/SimulatedWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedWorker.kt
@@ -8,12 +8,12 @@
 import glenspool.core.model.TaskStatus
 import kotlin.time.Duration
 
-/** Tells attempts of a task apart: a worker knows ended attempts until it is told to forget them. */
+/** Identifies an attempt of a task. A worker keeps ended attempts until it receives the command to forget them. */
 internal data class TaskSlot(val key: TaskKey, val attempt: Long) {
     val job: String get() = key.job
 }
 
-/** A task on a worker. [transitionAt]: when it next changes state by itself. */
+/** A task on a worker. [transitionAt] is the time of its next state change without a command. */
 internal class WorkerTask(
     val attempt: Long,
     var state: TaskState,
@@ -28,7 +28,7 @@
     }
 }
 
-/** A machine and its worker: what is on it, and which faults hold it at present. */
+/** A machine and its worker, with its tasks, its images and its current faults. */
 internal class SimulatedWorker(
     private val context: SimulationContext,
     val id: String,
@@ -40,7 +40,7 @@
         private set
     private var sequence = 0L
 
-    /** The highest fencing token seen. */
+    /** The highest fencing token that the worker has received. */
     var highestToken = 0L
     val tasks = LinkedHashMap<TaskSlot, WorkerTask>()
     val images = HashSet<String>()
@@ -48,61 +48,61 @@
     /** Whether the machine has booted. */
     var isUp = false
 
-    /** Whether the machine was deleted, evicted or has died. */
+    /** Whether the machine was deleted or preempted, or was lost by a fault. */
     var isLost = false
     var partitionedUntil = Duration.ZERO
     var hungUntil = Duration.ZERO
 
-    /** Until then its heartbeats arrive, but no answer and no command reaches it. */
+    /** The time until which heartbeats of the worker arrive, but no answers and no commands reach it. */
     var unreachableUntil = Duration.ZERO
 
-    /** Until then its heartbeats are lost, but commands reach it. */
+    /** The time until which heartbeats of the worker are lost, but commands reach it. */
     var heartbeatsLostUntil = Duration.ZERO
 
-    /** Until then another node, which does not lead, answers its heartbeats with the worker's own token. */
+    /** The time until which a node that is not the leader answers the heartbeats with the worker's own token. */
     var servedByOtherNodeUntil = Duration.ZERO
 
-    /** Until then its zone is cut off, and the packets to it are held. */
+    /** The time until which the worker's zone is partitioned and packets to the worker are delayed. */
     var zonePartitionedUntil = Duration.ZERO
 
-    /** Counts restarts: what was on its way to the machine before is lost with its connections. */
+    /** Number of restarts. Messages that were in transit before a restart are lost with their connections. */
     var restarts = 0
         private set
 
-    /** When the heartbeat was sent whose answer renewed the lease last. */
+    /** The time at which the heartbeat was sent whose answer last renewed the lease. */
     var leaseRenewedAt = context.now
 
-    /** When the cloud evicts the machine, once it has given notice of that. */
+    /** The time at which the cloud preempts the machine, or null if it has not given notice. */
     var preemptionAt: Duration? = null
     val rentedAt = context.now
     val isHanging: Boolean get() = context.now < hungUntil
 
-    /** Whether a command would reach the worker, apart from [unreachableUntil]. */
+    /** Whether a command would reach the worker, without regard to [unreachableUntil]. */
     val isReachable: Boolean
         get() = !isLost && isUp && context.now >= partitionedUntil && context.now >= zonePartitionedUntil && !isHanging
 
-    /** Makes the next heartbeat, whether it is sent or answers a request. */
+    /** Creates the next heartbeat, which is either sent or returned as the answer to a request. */
     fun heartbeat(): Heartbeat {
         val statuses =
             tasks.map { (slot, task) -> TaskStatus(slot.key, task.attempt, task.state, task.exit, false) }
-        val timeToEviction = preemptionAt?.let { it - context.now }
+        val timeToPreemption = preemptionAt?.let { it - context.now }
         return Heartbeat(
             id, "addr-$id", type.name, zone, isSpot,
-            incarnation, ++sequence, highestToken, timeToEviction, statuses,
+            incarnation, ++sequence, highestToken, timeToPreemption, statuses,
         )
     }
 
-    /** Slots of the tasks that have not ended. */
+    /** Returns the slots of the tasks that have not ended. */
     fun liveSlots(): Set<TaskSlot> = tasks.filterValues { it.isLive }.keys
 
-    /** The lease expires: all tasks end with the incarnation. */
+    /** Lets the lease expire. All tasks end, and a new incarnation starts. */
     fun expireLease() {
         tasks.clear()
         incarnation++
         leaseRenewedAt = context.now
     }
 
-    /** The machine restarts within a moment: nothing is left on it, and its counters begin anew. */
+    /** Restarts the machine immediately. It has no tasks and no images afterwards, and its counters are reset. */
     fun restart() {
         restarts++
         tasks.clear()
--- a/src/test/kotlin/glenspool/simulation/SimulationContext.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulationContext.kt
@@ -11,22 +11,23 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * What all parts of a [ClusterSimulation] share: time, randomness, settings, and the record of what was observed. All
- * parts draw from the one [random], so the order of draws and of queued events is part of what a seed means.
+ * The state that all parts of a [ClusterSimulation] share, such as time, random numbers, settings and recorded
+ * observations. All parts draw from the same [random], so the run of a seed depends on the order of draws and of queued
+ * events.
  */
 internal class SimulationContext(
     seed: Long,
     val config: SchedulerConfig,
     val machineTypes: List<MachineType>,
     val faults: FaultRates,
-    /** Records all that the leaders decide. */
+    /** Records all decisions of the leaders. */
     val trace: DecisionTrace?,
 ) {
     val random = Random(seed)
     val events = EventQueue()
     val now: Duration get() = events.now
 
-    /** Rules that were broken, each with its moment and the task or job concerned. */
+    /** Violations of rules, each with its time and the task or job concerned. */
     val violations = ArrayList<String>()
 
     /** Orders as workers and the cloud received them. */
@@ -34,10 +35,10 @@
 
     fun after(delay: Duration, body: () -> Unit) = events.after(delay, body)
 
-    /** Draws whether something happens that has this probability. */
+    /** Draws whether an event with this probability occurs. */
     fun chance(probability: Double): Boolean = random.nextDouble() < probability
 
-    /** Draws the time that a message takes one way. */
+    /** Draws the one-way delay of a message. */
     fun networkDelay(): Duration = (2 + random.nextInt(20)).milliseconds
 
     fun recordOrders(cause: OrderCause, count: Int = 1) =
--- a/src/test/kotlin/glenspool/simulation/SyncThread.kt
+++ b/src/test/kotlin/glenspool/simulation/SyncThread.kt
@@ -3,7 +3,7 @@
 import glenspool.state.StoreCache
 import kotlin.concurrent.thread
 
-/** Starts the thread that brings a store cache up to date when a request needs it. It ends when it is interrupted. */
+/** Starts the thread that syncs a store cache when a request needs it. The thread ends when it is interrupted. */
 fun startSyncThread(cache: StoreCache): Thread =
     thread(isDaemon = true) {
         try {
--- a/src/test/kotlin/glenspool/simulation/TaskExecution.kt
+++ b/src/test/kotlin/glenspool/simulation/TaskExecution.kt
@@ -11,20 +11,20 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What workers do with the commands that reach them. */
+/** Executes the commands that reach workers. */
 internal class TaskExecution(
     private val context: SimulationContext,
     private val jobs: SimulatedJobs,
-    private val rules: TaskStartChecker,
+    private val startChecker: TaskStartChecker,
 ) {
-    /** Tasks started so far. */
+    /** Number of tasks started so far. */
     var startCount = 0
         private set
 
-    /** When the first task of each job was started. */
+    /** The time of the first start of a task, by job. */
     val firstStartTimes = HashMap<String, Duration>()
 
-    /** False: the worker refuses the request, because its token or incarnation is out of date. */
+    /** Executes a request. Returns false if the worker refuses it because its token or incarnation is out of date. */
     fun execute(worker: SimulatedWorker, request: SendCommands): Boolean {
         if (request.token < worker.highestToken || request.incarnation != worker.incarnation) return false
         worker.highestToken = request.token
@@ -52,20 +52,20 @@
 
     private fun start(worker: SimulatedWorker, command: StartTask): WorkerTask {
         val spec = jobs.specs[command.key.job]
-        if (spec == null || command.key.task >= spec.tasks) return failed(command.attempt, ExitReason.UNKNOWN)
+        if (spec == null || command.key.task >= spec.tasks) return rejected(command.attempt, ExitReason.UNKNOWN)
         val live = worker.liveSlots()
-        if (live.any { it.key == command.key }) return failed(command.attempt, ExitReason.ALREADY_PRESENT)
+        if (live.any { it.key == command.key }) return rejected(command.attempt, ExitReason.ALREADY_PRESENT)
         val placed = live.map { jobs.specs.getValue(it.job).resourceRequest }
         val requested = placed.fold(spec.resourceRequest) { sum, next -> sum + next }
-        if (!requested.fitsIn(worker.type.capacity)) return failed(command.attempt, ExitReason.INSUFFICIENT_RESOURCES)
-        rules.check(command.key, spec, worker)
+        if (!requested.fitsIn(worker.type.capacity)) return rejected(command.attempt, ExitReason.INSUFFICIENT_RESOURCES)
+        startChecker.check(command.key, spec, worker)
         val fetchTime = fetchTime(worker, spec)
         startCount++
         firstStartTimes.putIfAbsent(command.key.job, context.now)
         return WorkerTask(command.attempt, TaskState.FETCHING, context.now + fetchTime)
     }
 
-    private fun failed(attempt: Long, reason: ExitReason) = WorkerTask(attempt, TaskState.EXITED, context.now, reason)
+    private fun rejected(attempt: Long, reason: ExitReason) = WorkerTask(attempt, TaskState.EXITED, context.now, reason)
 
     private fun fetchTime(worker: SimulatedWorker, spec: JobSpec): Duration =
         if (spec.image in worker.images) {
--- a/src/test/kotlin/glenspool/simulation/TaskProgress.kt
+++ b/src/test/kotlin/glenspool/simulation/TaskProgress.kt
@@ -5,7 +5,7 @@
 import glenspool.core.model.TaskKey
 import glenspool.core.model.TaskState
 
-/** What tasks do by themselves as time passes: fetch images, run, complete, and start and end together in gangs. */
+/** Advances tasks over time. They fetch images, run and complete, and the tasks of a gang start and end together. */
 internal class TaskProgress(
     private val context: SimulationContext,
     private val jobs: SimulatedJobs,
@@ -49,7 +49,7 @@
             .filter { jobs.specs.getValue(it.key.job).kind == JobKind.GANG }
             .groupBy { GangAttempt(it.key.job, it.task.attempt) }
 
-    /** A gang runs when all members are there, completes when all have run long enough, and ends when one is lost. */
+    /** Runs a gang when all members wait, completes it when all have run long enough, and ends it when one is lost. */
     private fun advanceGang(gang: GangAttempt, members: List<GangMember>) {
         val spec = jobs.specs.getValue(gang.job)
         val waiting = members.filter { it.task.state == TaskState.WAITING }
