--- a/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -12,12 +12,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The store refuses the leader alone, another controller confirms cancellations, and then the store is down for all,
- * for longer than the cancellation deadline, while workers send their heartbeats to the old leader. Cancelled work must
- * end in time all the same, and no other work may be lost.
+ * The store rejects only the leader, another controller confirms cancellations, and then the store is down for all
+ * controllers, for longer than the cancellation deadline, while workers send their heartbeats to the old leader.
+ * Cancelled work must nevertheless end in time, and no other work may be lost.
  */
 class CancellationGapTest {
-    /** All workers send their heartbeats to the old leader, each with one job of each kind, named `kind-worker`. */
+    /**
+     * Creates a simulation in which all workers send their heartbeats to the old leader. Each worker runs one job of
+     * each kind, named `kind-worker`.
+     */
     private fun simulation(seed: Long, settings: WorkerSettings, vararg kinds: String): CancellationSimulation {
         val simulation = CancellationSimulation(seed, settings)
         for (worker in simulation.workers) {
@@ -29,7 +32,7 @@
 
     private fun simulation(seed: Long, vararg kinds: String) = simulation(seed, CancellationSimulation.SETTINGS, *kinds)
 
-    /** At a given moment, users cancel the job of each worker that is named `cancelled-worker`. */
+    /** Schedules that users cancel the job `cancelled-worker` of each worker at the given moment. */
     private fun CancellationSimulation.cancelAll(moment: Duration, node: CancellationNode) {
         for (worker in workers) at(moment) { node.cancel("cancelled-${worker.name}") }
     }
@@ -56,11 +59,14 @@
         assertEquals(emptyList<String>(), simulation.killedJobs.filter { it.startsWith("healthy") }, "seed $seed")
     }
 
-    /** Plays the sequence of the class comment, with [more] added to it, and checks what must hold in any case. */
+    /**
+     * Runs the sequence that the class comment describes, with the faults of [addFaults], and checks that no rule was
+     * broken and no cancelled job still runs.
+     */
     private fun runGapScenario(
         seed: Long,
         settings: WorkerSettings = CancellationSimulation.SETTINGS,
-        more: CancellationSimulation.() -> Unit = {},
+        addFaults: CancellationSimulation.() -> Unit = {},
     ): CancellationSimulation {
         val simulation = simulation(seed, settings, "cancelled", "healthy")
         simulation.run(30.seconds)
@@ -71,7 +77,7 @@
             val node = if (index % 2 == 0) second else third
             simulation.at(30.seconds + (100 + index * 100).milliseconds) { node.cancel("cancelled-${worker.name}") }
         }
-        simulation.more()
+        simulation.addFaults()
         simulation.run(200.seconds)
         assertEquals(emptyList<String>(), simulation.violations, "seed $seed")
         assertNoCancelledJobRuns(simulation, seed)
@@ -145,7 +151,7 @@
         simulation.members[0].storeRefusedUntil = 70.seconds
         simulation.cancelAll(50.seconds, simulation.members[1])
         simulation.storeDown(52.seconds, until = 170.seconds)
-        // Back with nothing in their memory, they report correctly that they know of nothing.
+        // After the restart their memory is empty, so they report correctly that they know of no cancellation.
         simulation.at(60.seconds) { simulation.members.drop(1).forEach { it.stop(8.seconds) } }
         simulation.run(250.seconds)
         assertAllConfirmed(simulation)
@@ -204,7 +210,8 @@
         simulation.members[0].storeRefusedUntil = 44.seconds
         simulation.cancelAll(31.seconds, simulation.members[1])
         simulation.storeDown(32.seconds, until = 93.seconds)
-        // A node of the old version renews leases without end, so workers that are refused must not reach one.
+        // A node of the old version renews leases without limit, so workers that the new node refuses must not reach
+        // one.
         simulation.at(33.seconds) { simulation.members.drop(1).forEach { it.downUntil = 150.seconds } }
         simulation.run(200.seconds)
         assertNoViolation(simulation, seed)
--- a/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/CombinedFaultsTest.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Faults of messages and transactions under load, and combinations of all faults at random. */
+/** Faults of messages and transactions under load, and random combinations of all faults. */
 class CombinedFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54])
--- a/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
+++ b/src/test/kotlin/glenspool/faults/ConsistentReadsTest.kt
@@ -43,8 +43,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Users query all nodes at once, repeat submissions and cancel, just when jobs are accepted, end or are cancelled,
- * while answers of the store are lost. No node may answer anything older than what any user has received before.
+ * Users concurrently query all nodes, repeat submissions and cancel jobs, at the moments when jobs are accepted, end or
+ * are cancelled, while responses of the store are lost. No node may return a state of a job that is older than one that
+ * any user has already received.
  */
 class ConsistentReadsTest {
     @TempDir
@@ -57,16 +58,16 @@
         Executors.newFixedThreadPool(12).also { resources.add(AutoCloseable(it::shutdownNow)) }
     }
 
-    /** The newest answer that users received about a job: accepted, and then done or aborted. */
-    private val lastAnswers = ConcurrentHashMap<String, String>()
+    /** The newest state of each job that users received: first accepted, then done or aborted. */
+    private val newestStates = ConcurrentHashMap<String, String>()
     private val faults = ConcurrentLinkedQueue<String>()
 
     private fun node(): UserApi {
         val settings = SettingsReader().read(File(dir, "s.toml").also { it.writeText(SettingsTest.VALID_SETTINGS) })
         val client = KeyValueStoreClient("127.0.0.1:${storeListener.port}", HttpClient(2.seconds))
         val cache = StoreCache(client, 2000.0) { _, _ -> }
-        val syncs = startSyncThread(cache)
-        resources.add(AutoCloseable(syncs::interrupt))
+        val syncThread = startSyncThread(cache)
+        resources.add(AutoCloseable(syncThread::interrupt))
         val peers = PeerClient(emptyList())
         val features = UnmanagedFeatures { true }
         return UserApi(settings, client, cache, peers, { false }, features, { true }) { listOf(bigType) }
@@ -78,9 +79,12 @@
         storeListener.close()
     }
 
-    /** Sends a request, whose answer must not be older than what any user had received before it began. */
+    /**
+     * Sends a request. The state in its response must not be older than one that any user had received before the
+     * request was sent.
+     */
     private fun query(id: String, request: Request, node: Int) {
-        val previous = lastAnswers[id]
+        val previous = newestStates[id]
         val response = nodes[node](request)
         if (response.status.code == 503 || response.status.code == 429) return
         if (response.status.code == 404) {
@@ -91,7 +95,7 @@
         if (previous != null && previous != ACCEPTED && answer != previous) {
             faults.add("$id was $previous and is $answer at $node")
         }
-        lastAnswers.merge(id, answer) { old, new -> newerOf(id, old, new) }
+        newestStates.merge(id, answer) { old, new -> newerOf(id, old, new) }
     }
 
     private fun answer(response: Response): String {
@@ -99,7 +103,10 @@
         return if (stage == "pending" || stage == "running") ACCEPTED else stage
     }
 
-    /** Two answers to requests under way at the same time may come in any order; a final one stays. */
+    /**
+     * Returns the newer of two states of a job. Responses to concurrent requests may arrive in any order, so a final
+     * state takes precedence.
+     */
     private fun newerOf(id: String, old: String, new: String): String {
         if (old != ACCEPTED && new != ACCEPTED && old != new) faults.add("$id is both $old and $new")
         return if (old == ACCEPTED) new else old
@@ -117,8 +124,8 @@
     private fun cancel(id: String, node: Int) =
         Callable { query(id, Request(Method.POST, "/api/jobs/$id/withdraw"), node) }
 
-    /** Closes a job as the leader does: done unless it was cancelled, else cancelled, never both. */
-    private fun end(id: String) {
+    /** Stores the final state of a job as the leader does: either cancelled, if it was cancelled, or done. */
+    private fun storeFinalState(id: String) {
         synchronized(state) {
             val record = state.get(Keys.job(id)) ?: return
             val cancellation = state.get(Keys.cancel(id))
@@ -135,26 +142,26 @@
     @ValueSource(longs = [1, 2, 3, 4])
     fun `no node returns an older state than a user has already received`(seed: Long) {
         val random = Random(seed)
-        loseAnswers(isLosing = seed % 2 == 0L)
+        loseResponses(isEnabled = seed % 2 == 0L)
         state.transact(emptyMap(), listOf(Put(Keys.LEADERSHIP, mapOf("token" to 1L), state.newLease())), emptyList())
         val ids = (1..40).map { "run-%06d".format(seed * 1000 + it) }
 
-        ids.forEach { play(it, random) }
+        ids.forEach { runJob(it, random) }
 
         assertEquals(emptyList<String>(), faults.toList())
-        val answers = lastAnswers.values.groupingBy { it }.eachCount()
+        val answers = newestStates.values.groupingBy { it }.eachCount()
         assertTrue(answers.keys.containsAll(listOf(ACCEPTED, "done", "aborted")), "$answers")
-        // Each job was accepted, and its end according to the records is what users received.
-        for (id in ids) if (lastAnswers[id] != ACCEPTED) assertEquals(storedAnswer(id), lastAnswers[id], id)
+        // Each job was accepted, and the final state that users received is the one in the records.
+        for (id in ids) if (newestStates[id] != ACCEPTED) assertEquals(storedState(id), newestStates[id], id)
     }
 
-    /** If [isLosing], every third answer of the store to a transaction is lost. */
-    private fun loseAnswers(isLosing: Boolean) {
+    /** If [isEnabled], every third response of the store to a transaction is lost. */
+    private fun loseResponses(isEnabled: Boolean) {
         val transactions = AtomicInteger()
-        state.losesResponse = { isLosing && transactions.incrementAndGet() % 3 == 0 }
+        state.losesResponse = { isEnabled && transactions.incrementAndGet() % 3 == 0 }
     }
 
-    private fun play(id: String, random: Random) {
+    private fun runJob(id: String, random: Random) {
         val submissions = List(NODES) { node -> submit(id, node) }
         val queries = List(6) { show(id, it % NODES) }
         runAll((submissions + queries).shuffled(random))
@@ -163,13 +170,13 @@
         repeat(9) { calls.add(show(id, it % NODES)) }
         if (random.nextInt(3) > 0) repeat(2) { node -> calls.add(cancel(id, node)) }
         repeat(2) { node -> calls.add(submit(id, node)) }
-        if (random.nextInt(3) > 0) calls.add(Callable { end(id) })
+        if (random.nextInt(3) > 0) calls.add(Callable { storeFinalState(id) })
         runAll(calls.shuffled(random))
 
         runAll(List(9) { show(id, it % NODES) })
     }
 
-    private fun storedAnswer(id: String): String {
+    private fun storedState(id: String): String {
         val end = state.get(Keys.final(id))?.value?.get("end")
         return when {
             end == "done" -> "done"
--- a/src/test/kotlin/glenspool/faults/FaultScenario.kt
+++ b/src/test/kotlin/glenspool/faults/FaultScenario.kt
@@ -16,7 +16,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A cluster in simulated time whose faults a test brings about on purpose, with every rule checked at every start and
+ * Base class of tests that inject faults into a cluster in simulated time. Every rule is checked at every start and
  * tick. All jobs submitted by [submitTracked] have to end correctly once the faults are over.
  */
 abstract class FaultScenario {
@@ -24,7 +24,7 @@
         listOf(Team("t0", 0.0, 0.0, null, null), Team("t1", 0.0, 4.0, null, 8.0), Team("t2", 0.0, 0.0, null, 4.0))
     protected val ids = ArrayList<String>()
 
-    /** A cluster with a leader; a third of its machines are in zone b, the others in zone a. */
+    /** Creates a cluster with a leader. A third of its machines are in zone b, the others in zone a. */
     protected fun simulation(seed: Long, faults: FaultRates = FaultRates(), machines: Int = 9): ClusterSimulation {
         val deployment = config(teams, peerZones = setOf("b"))
         val simulation = ClusterSimulation(seed, deployment, listOf(bigType), faults, maxMachines = 18)
@@ -42,7 +42,7 @@
         ids.add(spec.id)
     }
 
-    /** Submits a job for each number at once. */
+    /** Submits a job for each number, without a pause between them. */
     protected fun ClusterSimulation.submitEach(numbers: IntRange, spec: (number: Int) -> JobSpec) =
         numbers.forEach { submitTracked(spec(it)) }
 
@@ -66,12 +66,16 @@
     protected fun service(id: String, tasks: Int = 2, team: String = "t1") =
         job(id, JobKind.SERVICE, tasks, team = team, priority = Priority.CRITICAL)
 
-    /** The faults are over: every job ends as it should, no rule was broken, and nothing waits in vain. */
+    /**
+     * Ends the faults and verifies that every job ends as expected, that no rule was broken, and that no job waits in
+     * vain.
+     */
     protected fun ClusterSimulation.finishAndVerify(seed: Long) {
         run(now + 330.seconds, withoutRandomFaults = true)
         for (id in ids) {
-            val isLiveService = specs.getValue(id).kind == JobKind.SERVICE && hasRecord(id) && abortedSince(id) == null
-            if (isLiveService) assertTrue(cancel(id))
+            val isActiveService =
+                specs.getValue(id).kind == JobKind.SERVICE && hasRecord(id) && abortedSince(id) == null
+            if (isActiveService) assertTrue(cancel(id))
         }
         run(now + 250.seconds, withoutRandomFaults = true)
         assertEquals(emptyList<String>(), violations.take(4), "seed $seed")
--- a/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/LeaderChangeFaultsTest.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The leader changes while something else goes wrong. */
+/** Changes of the leader combined with other faults. */
 class LeaderChangeFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
@@ -37,7 +37,7 @@
         if (seed % 2 == 1L) simulation.injectFault(MachineFault.CUT, 0.4, 40.seconds)
         simulation.run(15.3.seconds)
         simulation.changeLeader(if (seed % 3 == 0L) 200.milliseconds else 3.seconds)
-        // These wait for capacity that only seems to be free.
+        // These jobs wait for capacity that only seems to be free.
         simulation.submitEach(10 until 16) { number ->
             array("a-$number", tasks = 4, team = "t${1 + number % 2}", estimatedDuration = 20.seconds)
         }
--- a/src/test/kotlin/glenspool/faults/MachineFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/MachineFaultsTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.time.Duration.Companion.seconds
 
-/** Machines, and whole zones, fail while something else goes wrong. */
+/** Failures of machines and of whole zones combined with other faults. */
 class MachineFaultsTest : FaultScenario() {
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35, 36])
--- a/src/test/kotlin/glenspool/faults/RandomCancellationFaultsTest.kt
+++ b/src/test/kotlin/glenspool/faults/RandomCancellationFaultsTest.kt
@@ -8,25 +8,28 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Cuts, refusals, outages, ends of nodes and lost messages in any order, with cancellations at any node. */
+/**
+ * Partitions, rejections by the store, store outages, restarts of nodes and lost messages in random order, with
+ * cancellations at any node.
+ */
 class RandomCancellationFaultsTest {
     @Test
     fun `cancelled work ends in time with random faults`() {
-        val confirmed = (1L..300L).sumOf { play(it).confirmed.size }
+        val confirmed = (1L..300L).sumOf { runRandomFaults(it).confirmed.size }
         assertTrue(confirmed > 1000, "$confirmed confirmed")
     }
 
-    private fun play(seed: Long): CancellationSimulation {
+    private fun runRandomFaults(seed: Long): CancellationSimulation {
         val random = Random(seed)
         val settings = if (seed % 2 == 0L) CancellationSimulation.SHORT_INTERVALS else CancellationSimulation.SETTINGS
         val simulation = CancellationSimulation(seed, settings, messageLoss = if (seed % 3 == 0L) 0.1 else 0.0)
-        queueEvents(simulation, random)
+        scheduleEvents(simulation, random)
         simulation.run(400.seconds)
         assertEquals(emptyList<String>(), simulation.violations.take(3), "seed $seed")
         return simulation
     }
 
-    private fun queueEvents(simulation: CancellationSimulation, random: Random) {
+    private fun scheduleEvents(simulation: CancellationSimulation, random: Random) {
         var moment = 20.0
         var jobs = 0
         while (moment < 280.0) {
--- a/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
+++ b/src/test/kotlin/glenspool/frozen/DecisionTrace.kt
@@ -23,8 +23,9 @@
 import kotlin.time.Duration
 
 /**
- * All that a scheduler decided, as a digest. It is spelled here field by field and in the stored forms, so that
- * renaming a type or a field changes nothing, while any other order, at any other time, does.
+ * Computes a digest of all decisions of a scheduler. Decisions are added field by field and in their stored forms, so
+ * that renaming a type or a field does not change the digest, whereas a different order or a different time of an order
+ * does.
  */
 class DecisionTrace {
     private val hasher = Hashing.sha256().newHasher()
@@ -35,12 +36,16 @@
         hasher.putUnencodedChars("${at.inWholeMicroseconds} $line\n")
     }
 
-    /** [transaction]: what a [StoreChanges] comes to; other actions have none. Lines of the log are no decisions. */
+    /**
+     * Adds an action, except log messages, which are not decisions.
+     *
+     * @param transaction returns the transaction that executes [StoreChanges]; other actions have none
+     */
     fun addAction(at: Duration, action: Action, transaction: (StoreChanges) -> Transaction) =
         when (action) {
             is SendCommands -> {
                 val target = "${action.machine} ${action.addr} ${action.token} ${action.incarnation}"
-                add(at, "direct $target ${spelled(action.commands)}")
+                add(at, "direct $target ${formatCommands(action.commands)}")
             }
             is Probe -> add(at, "probe ${action.machine} ${action.addr}")
             is ScaleOut -> {
@@ -54,22 +59,22 @@
                 )
             is AdvanceFencingToken -> add(at, "raise")
             is Resign -> add(at, "resign ${action.reason}")
-            is StoreImageLocations -> add(at, "images ${action.part} ${stored(ImagesWire.encode(action.images))}")
+            is StoreImageLocations -> add(at, "images ${action.part} ${hex(ImagesWire.encode(action.images))}")
             is ReadFinalStates -> add(at, "ends ${action.jobs}")
             is LogMessage -> Unit
-            is StoreChanges -> add(at, "store ${spelled(transaction(action))}")
+            is StoreChanges -> add(at, "store ${formatTransaction(transaction(action))}")
         }
 
-    /** What a worker was answered. */
+    /** Adds the reply to a worker's heartbeat. */
     fun addHeartbeatReply(at: Duration, machine: String, token: Long, commands: List<Command>) =
-        add(at, "answer $machine $token ${spelled(commands)}")
+        add(at, "answer $machine $token ${formatCommands(commands)}")
 
     fun addWorkCounters(counters: WorkCounters) {
         val scans = "${counters.placementScores} ${counters.storeScans} ${counters.commandScans}"
         add(Duration.ZERO, "effort $scans ${counters.placementRounds}")
     }
 
-    private fun spelled(commands: List<Command>) =
+    private fun formatCommands(commands: List<Command>) =
         commands.joinToString {
             when (it) {
                 is StartTask -> "start ${it.key.job}/${it.key.task}#${it.attempt} ${it.cause.label}"
@@ -81,13 +86,13 @@
             }
         }
 
-    private fun spelled(transaction: Transaction): String {
-        val puts = transaction.puts.joinToString { "${it.key}=${stored(it.value)}" }
+    private fun formatTransaction(transaction: Transaction): String {
+        val puts = transaction.puts.joinToString { "${it.key}=${hex(it.value)}" }
         return "${transaction.conditions.entries.joinToString()} $puts ${transaction.removes}"
     }
 
-    private fun stored(value: Map<String, Any?>) = Cbor.encode(value).joinToString("") { "%02x".format(it) }
+    private fun hex(value: Map<String, Any?>) = Cbor.encode(value).joinToString("") { "%02x".format(it) }
 
-    /** The digest, after which nothing more can be added. */
+    /** Returns the digest. Nothing can be added afterwards. */
     fun digest(): String = "$lines lines ${hasher.hash()}"
 }
--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -35,8 +35,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Seeded days whose every decision is recorded as a digest. A change that is not meant to change behaviour leaves them
- * as they are; one that is meant to records them anew, see CONTRIBUTING.md.
+ * Simulated days with fixed seeds, for each of which a digest of all decisions is recorded. A change that is not meant
+ * to alter behaviour leaves the digests as they are. A change that is meant to alter it records them again; see
+ * CONTRIBUTING.md.
  */
 class FrozenDecisionsTest {
     private val teams =
@@ -45,7 +46,7 @@
     private class Day(
         val seed: Long,
         val faults: FaultRates,
-        val chained: Boolean = false,
+        val hasDependencies: Boolean = false,
         val valueBytes: Int = 4096,
         val coldStarts: Boolean = false,
     )
@@ -76,10 +77,10 @@
                 Day(7, FaultRates(oneWayPartitions = 0.05, heartbeatOutages = 0.03, leaderIsolations = 0.02)),
             "cancellations" to Day(8, FaultRates(cancellationBursts = 0.05, hangs = 0.02, failovers = 0.02)),
             "dependencies" to
-                Day(9, FaultRates(messageLoss = 0.05, failovers = 0.03, machineLosses = 0.01), chained = true),
+                Day(9, FaultRates(messageLoss = 0.05, failovers = 0.03, machineLosses = 0.01), hasDependencies = true),
             "split records" to Day(10, FaultRates(messageLoss = 0.03, failovers = 0.03), valueBytes = 800),
             "an upgrade" to
-                Day(11, FaultRates(messageLoss = 0.03, failovers = 0.05, oldVersionLeaders = 0.5), chained = true),
+                Day(11, FaultRates(messageLoss = 0.03, failovers = 0.05, oldVersionLeaders = 0.5), hasDependencies = true),
             "cold starts" to Day(12, FaultRates(heartbeatOutages = 0.02, machineLosses = 0.01), coldStarts = true),
             "cold starts amid all troubles" to
                 Day(
@@ -88,7 +89,7 @@
                         messageLoss = 0.05, delayedCommands = 0.05, duplicateHeartbeats = 0.1, oneWayPartitions = 0.02,
                         machineLosses = 0.01, machinePartitions = 0.02, hangs = 0.02,
                     ),
-                    chained = true,
+                    hasDependencies = true,
                     coldStarts = true,
                 ),
         )
@@ -137,13 +138,13 @@
 
     private fun play(day: Day): String {
         val deployment = config(teams, peerZones = setOf("b")).copy(valueBytes = day.valueBytes)
-        val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
+        val timings = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoveryFactory = {
             token: Long,
             at: Duration,
             kind: StartKind,
             ->
-            RecoveryEngine(RecoveryPolicy(), setting, token, at, kind)
+            RecoveryEngine(RecoveryPolicy(), timings, token, at, kind)
         }
         val trace = DecisionTrace()
         val simulation =
@@ -182,10 +183,10 @@
         val random = Random(day.seed * 31)
         val ids = ArrayList<String>()
         for (number in 0 until 24) {
-            val next = jobOf(random, number)
+            val spec = jobOf(random, number)
             val earlier = ids.filterNot { it.startsWith("service") }
             val dependencies =
-                if (day.chained &&
+                if (day.hasDependencies &&
                     earlier.isNotEmpty() &&
                     random.nextInt(3) > 0
                 ) {
@@ -193,8 +194,8 @@
                 } else {
                     emptyList()
                 }
-            simulation.submit(next, dependencies)
-            ids.add(next.id)
+            simulation.submit(spec, dependencies)
+            ids.add(spec.id)
             simulation.run(simulation.now + random.nextInt(7).seconds)
             if (random.nextInt(6) == 0) simulation.cancel(ids[random.nextInt(ids.size)])
             if (day.coldStarts && random.nextInt(6) == 0) {
@@ -203,8 +204,8 @@
         }
     }
 
-    /** One core of 4,000 machines: they report, most of them get work, it ends, and a few are lost. */
-    private fun large(): String {
+    /** Runs one scheduler with 4,000 machines. They send heartbeats, most of them get work, and a few become silent. */
+    private fun playLargeFleet(): String {
         val trace = DecisionTrace()
         val core = Scheduler(config(), 5, Duration.ZERO)
         var now = Duration.ZERO
@@ -227,12 +228,12 @@
             )
 
         fun step(event: Scheduler.() -> Unit) {
-            val open = ArrayDeque(core.step(now, now, event))
-            while (open.isNotEmpty()) {
-                val action = open.removeFirst()
+            val pendingActions = ArrayDeque(core.step(now, now, event))
+            while (pendingActions.isNotEmpty()) {
+                val action = pendingActions.removeFirst()
                 trace.addAction(now, action) { transactionOf(1, it) }
                 if (action is StoreChanges) {
-                    open
+                    pendingActions
                         .addAll(core.step(now, now) { transactionEnded(StoreOutcome.Stored(++revision)) })
                 }
                 if (action !is SendCommands) continue
@@ -240,7 +241,7 @@
                     running.getOrPut(action.machine) { HashMap() }[start.key] =
                         TaskStatus(start.key, start.attempt, TaskState.RUNNING, null, false)
                 }
-                open
+                pendingActions
                     .addAll(
                         core.step(now, now) {
                             commandsEnded(action.machine, action, CommandOutcome.DONE, heartbeat(action.machine))
@@ -274,7 +275,7 @@
 
     @Test
     fun `the same days lead to the same decisions`() {
-        val digests = days.mapValues { play(it.value) } + ("4000 machines" to large())
+        val digests = days.mapValues { play(it.value) } + ("4000 machines" to playLargeFleet())
         GoldenFile("decisions.txt").check(digests)
     }
 }
--- a/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenFormsTest.kt
@@ -88,17 +88,17 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Every form that leaves the process, byte by byte: stored values, messages on the wire and between controllers, the
- * names that scripts and operators use. Controllers of several versions run together, so a changed byte here breaks a
- * running cluster.
+ * Compares every form that leaves the process byte by byte: stored values, messages on the wire and between
+ * controllers, and the names that scripts and operators use. Controllers of several versions run together, so a changed
+ * byte breaks a running cluster.
  */
 class FrozenFormsTest {
     private val json = ObjectMapper()
 
     private fun hex(bytes: ByteArray) = bytes.joinToString("") { "%02x".format(it) }
 
-    /** The bytes, and what they say for those who read a difference. */
-    private fun spelled(fields: Fields): String =
+    /** Returns the encoded bytes, followed by their content as JSON so that a difference can be read. */
+    private fun hexAndJson(fields: Fields): String =
         Cbor.encode(fields).let { "${hex(it)} ${json.writeValueAsString(Cbor.decodeMap(it))}" }
 
     private val done =
@@ -114,9 +114,9 @@
                     .seconds,
             deadline = 90.seconds,
         )
-    private val places =
+    private val placements =
         listOf(StoredPlacement(1, 8, "i-1"), StoredPlacement(2, 9, "i-1"), StoredPlacement(3, 9, "i-2"))
-    private val record = JobRecord(gang, 1234.seconds, 9, done, places, dependenciesDoneAt = 1300.seconds)
+    private val record = JobRecord(gang, 1234.seconds, 9, done, placements, dependenciesDoneAt = 1300.seconds)
     private val waiting =
         JobRecord(
             job("run-2", spread = true), 5.seconds, 0, BitSet(), emptyList(),
@@ -124,7 +124,7 @@
         )
     private val split =
         record.copy(
-            placementParts = mapOf(1 to places.take(1), 2 to places.drop(1)),
+            placementParts = mapOf(1 to placements.take(1), 2 to placements.drop(1)),
             descriptionPartCount = 2,
             placements = emptyList(),
         )
@@ -148,7 +148,7 @@
             records.mapValues { RecordWire.encode(it.value) } +
                 mapOf(
                     "part of a description" to RecordWire.encodeDescriptionParts(waiting, 4096).single(),
-                    "part with places" to RecordWire.encodePlacements(places),
+                    "part with places" to RecordWire.encodePlacements(placements),
                     "done bits" to mapOf("done" to RecordWire.encodeBits(done)),
                     "final state done" to FinalStateWire.encode(FinalState.DONE, 12, null),
                     "final state cancelled" to FinalStateWire.encode(FinalState.CANCELLED, 12, null),
@@ -186,7 +186,7 @@
                     "activation mode ${it.ordinal}" to
                         RolloutWire.encode(OperatorOrders(it))
                 }
-        GoldenFile("stored-values.txt").check(values.mapValues { spelled(it.value) })
+        GoldenFile("stored-values.txt").check(values.mapValues { hexAndJson(it.value) })
     }
 
     @Test
@@ -221,9 +221,9 @@
             )
         GoldenFile("keys-and-transactions.txt").check(
             mapOf(
-                "keys" to keys.joinToString(" "), "transaction" to spelled(message),
+                "keys" to keys.joinToString(" "), "transaction" to hexAndJson(message),
                 "requests" to requests.joinToString(" "),
-                "new lease" to spelled(StoreWire.leaseRequest(3.seconds)),
+                "new lease" to hexAndJson(StoreWire.leaseRequest(3.seconds)),
             ),
         )
     }
@@ -257,7 +257,7 @@
                 "rental" to CloudWire.rentalRequest("r-7-1", "g8", "a", true, 3),
                 "deletion" to CloudWire.deletionRequest(listOf("i-1", "i-2")),
             ) + statuses
-        GoldenFile("messages.txt").check(messages.mapValues { spelled(it.value) })
+        GoldenFile("messages.txt").check(messages.mapValues { hexAndJson(it.value) })
     }
 
     private val phase = PhaseState(RecoveryPhase.ADOPTING, 8.seconds)
--- a/src/test/kotlin/glenspool/frozen/GoldenFile.kt
+++ b/src/test/kotlin/glenspool/frozen/GoldenFile.kt
@@ -4,13 +4,13 @@
 import java.io.File
 
 /**
- * A file of named lines that a test compares with what the code produces now. With `-Dglenspool.record=true` the file
- * is written instead, which is the way to change it on purpose; see CONTRIBUTING.md.
+ * A file of named lines that a test compares with the current output of the code. With `-Dglenspool.record=true` the
+ * file is written instead, which is the way to change it intentionally; see CONTRIBUTING.md.
  */
 class GoldenFile(private val name: String) {
     fun check(actual: Map<String, String>) {
-        if (System.getProperty(RECORD) == "true") {
-            File(SOURCES, name)
+        if (System.getProperty(RECORD_PROPERTY) == "true") {
+            File(GOLDEN_FILE_DIRECTORY, name)
                 .apply { parentFile.mkdirs() }
                 .writeText(actual.entries.joinToString("") { (key, value) -> "$key\t$value\n" })
             return
@@ -22,7 +22,7 @@
     private fun recorded(): Map<String, String> {
         val resource =
             checkNotNull(javaClass.getResourceAsStream("/frozen/$name")) {
-                "$name was never recorded; see CONTRIBUTING.md"
+                "golden file $name has not been recorded; see CONTRIBUTING.md"
             }
         return resource.bufferedReader().useLines { lines ->
             lines.associate {
@@ -33,7 +33,7 @@
     }
 
     private companion object {
-        const val RECORD = "glenspool.record"
-        const val SOURCES = "src/test/resources/frozen"
+        const val RECORD_PROPERTY = "glenspool.record"
+        const val GOLDEN_FILE_DIRECTORY = "src/test/resources/frozen"
     }
 }
--- a/src/test/kotlin/glenspool/layout/DocumentationTest.kt
+++ b/src/test/kotlin/glenspool/layout/DocumentationTest.kt
@@ -5,7 +5,10 @@
 import org.junit.jupiter.api.Test
 import java.io.File
 
-/** What the documentation refers to exists: tests by class and function, files by link, other pages by name. */
+/**
+ * Checks that everything to which the documentation refers exists: tests by class and function, files by link, and
+ * other pages by name.
+ */
 class DocumentationTest {
     private val pages: List<File> =
         listOf(File("README.md"), File("CONTRIBUTING.md")) +
@@ -20,7 +23,7 @@
 
     @Test
     fun `every test that the documentation names exists`() {
-        // Records of past work keep the names of their time.
+        // experiments.md records past work and keeps the names that were valid at that time.
         val checked = pages.filter { it.name != "experiments.md" }
         val safety = checked.single { it.name == "safety.md" }
         assertTrue(testReferences(safety.readText()).size > 100, "the guards of safety.md name their tests")
@@ -64,19 +67,24 @@
         assertEquals(listOf("docs/nowhere.md"), namedPages(text))
     }
 
-    /** A test as a page names it: its class, and perhaps a function or the beginning of its name, closed by `…`. */
+    /** A test as a page names it: a class, optionally with a function or the beginning of its name, closed by `…`. */
     private data class TestReference(val testClass: String, val function: String?) {
         override fun toString() = if (function == null) testClass else "$testClass.$function"
     }
 
     private fun exists(reference: TestReference): Boolean {
         val functions = functionsOfTests[reference.testClass] ?: return false
-        val wanted = reference.function ?: return true
-        val isBeginning = wanted.endsWith(ELLIPSIS)
-        return functions.any { if (isBeginning) it.startsWith(wanted.removeSuffix(ELLIPSIS)) else it == wanted }
+        val expectedName = reference.function ?: return true
+        val isPrefix = expectedName.endsWith(ELLIPSIS)
+        return functions.any {
+            if (isPrefix) it.startsWith(expectedName.removeSuffix(ELLIPSIS)) else it == expectedName
+        }
     }
 
-    /** A beginning without a class, as in `FirstTest.one…`, `another…`, belongs to the class before it. */
+    /**
+     * Returns the tests that the text names. The beginning of a name without a class, such as the second one in
+     * `FirstTest.one…`, `another…`, belongs to the class before it.
+     */
     private fun testReferences(text: String): List<TestReference> =
         blocks(text).flatMap { block ->
             var testClass: String? = null
@@ -92,7 +100,7 @@
             }
         }
 
-    /** Paragraphs, list items and rows of tables, each on one line. */
+    /** Returns the paragraphs, list items and table rows of the text, each on one line. */
     private fun blocks(text: String): List<String> {
         val blocks = ArrayList<String>()
         var mayContinue = false
@@ -131,7 +139,7 @@
         val functionName = Regex("fun `([^`]+)`")
         val link = Regex("]\\(([^)#\\s]+)(?:#[^)]*)?\\)")
 
-        /** A page that is named from the root, as docs/limits.md; not part of a longer path or of a link. */
+        /** A page named by its path from the root, such as docs/limits.md, but not within a longer path or a link. */
         val namedPage = Regex("(?<![\\w/.(])(docs/[\\w-]+(?:/[\\w-]+)*\\.md)")
     }
 }
--- a/src/test/kotlin/glenspool/layout/LayersTest.kt
+++ b/src/test/kotlin/glenspool/layout/LayersTest.kt
@@ -5,12 +5,15 @@
 import org.junit.jupiter.api.Test
 import java.io.File
 
-/** Dependencies between packages point inward, and the names of the external formats are used in `wire` alone. */
+/**
+ * Checks that dependencies between packages point inward, and that field names of the external formats are used only in
+ * `wire`.
+ */
 class LayersTest {
     private val root = File("src/main/kotlin/glenspool")
     private val files = root.walkTopDown().filter { it.extension == "kt" }.toList()
 
-    /** The packages of this project that each package may import; others may import all. */
+    /** The packages of this project that each package may import. Packages without an entry may import all. */
     private val allowedImports =
         mapOf(
             "core" to setOf("core"),
@@ -32,10 +35,10 @@
                 ),
         )
 
-    /** Packages that take events and the time, and return decisions. */
+    /** Packages that receive events and the time as input, and return decisions. */
     private val purePackages = setOf("core", "reconcile", "rollout")
 
-    /** Parts of imports that stand for input, output, logging, threads or the time of day. */
+    /** Substrings of imports that indicate input, output, logging, threads or the time of day. */
     private val impureImports =
         listOf(
             "java.io", "java.net", "java.util.concurrent", "java.time.Instant", "org.http4k", "org.slf4j",
@@ -56,7 +59,7 @@
     @Test
     fun `imports point inward`() {
         assertTrue(files.size > 20)
-        val wrong =
+        val violations =
             files.flatMap { file ->
                 val allowed = allowedImports[packageOf(file)] ?: return@flatMap emptyList()
                 importsOf(file)
@@ -64,30 +67,30 @@
                     .filter { it.removePrefix(OWN_IMPORT).substringBefore('.') !in allowed }
                     .map { "${file.name}: $it" }
             }
-        assertEquals(emptyList<String>(), wrong)
+        assertEquals(emptyList<String>(), violations)
     }
 
     @Test
     fun `the core, the rollout and the recovery do no input or output and start no thread`() {
-        val wrong =
+        val violations =
             files.filter { packageOf(it) in purePackages }.flatMap { file ->
                 importsOf(file)
                     .filter { line -> impureImports.any { it in line } }
                     .map { "${file.name}: $it" }
             }
-        assertEquals(emptyList<String>(), wrong)
+        assertEquals(emptyList<String>(), violations)
     }
 
     @Test
     fun `field names of external formats are used in wire alone`() {
         val externalName = Regex("\"(${externalNames.joinToString("|")})\"")
-        val wrong =
+        val violations =
             files
                 .filter { packageOf(it) != "wire" && it.name != "ClassLoadingRun.kt" }
                 .flatMap { file ->
                     file.readLines().filter { externalName.containsMatchIn(it) }.map { "${file.name}: $it" }
                 }
-        assertEquals(emptyList<String>(), wrong)
+        assertEquals(emptyList<String>(), violations)
     }
 
     private companion object {
--- a/src/test/kotlin/glenspool/simulation/CancellationNode.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationNode.kt
@@ -8,24 +8,24 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A controller of a [CancellationSimulation]: it reads the store, exchanges cancellations and renews leases. */
+/** A controller of a [CancellationSimulation], which reads the store, exchanges cancellations and renews leases. */
 class CancellationNode(private val simulation: CancellationSimulation, val name: String) {
     private val drift = simulation.clockDrift()
     private var processStartedAt = simulation.now
 
-    /** Counts starts and stops; what an earlier process had begun has no effect any more. */
+    /** Incremented at each start and stop, so that operations which an earlier process began have no effect. */
     private var process = 0
 
-    /** Until then the controller is down. */
+    /** The simulated time until which the controller is down. */
     var downUntil = Duration.ZERO
 
-    /** Until then the store refuses this node alone. */
+    /** The simulated time until which the store rejects the requests of this node, but of no other node. */
     var storeRefusedUntil = Duration.ZERO
 
-    /** Until then no message passes between this node and the others. */
+    /** The simulated time until which no message passes between this node and the others. */
     var partitionedUntil = Duration.ZERO
 
-    /** Of the version in production: it does not exchange cancellations, and renews every lease. */
+    /** Whether the node runs the version in production, which exchanges no cancellations and renews every lease. */
     var isOldVersion = false
 
     internal lateinit var cancellations: Cancellations
@@ -33,7 +33,7 @@
     internal lateinit var leases: LeaseRenewalPolicy
         private set
 
-    /** Cancelled jobs read from the store, which are all that a node of the old version knows. */
+    /** The cancelled jobs read from the store. A node of the old version knows of no others. */
     private val readJobs = HashSet<String>()
     private var storeReadAt: Duration? = null
 
@@ -45,10 +45,10 @@
 
     private fun clock(): Duration = clockAt(simulation.now)
 
-    /** What this node's clock shows at a moment of the simulation. */
+    /** Returns the time of this node's clock at a moment of the simulation. */
     internal fun clockAt(moment: Duration): Duration = (moment - processStartedAt) * drift
 
-    /** Starts the controller with nothing in its memory. */
+    /** Starts the controller with empty memory. */
     internal fun start() {
         processStartedAt = simulation.now
         process++
@@ -61,31 +61,33 @@
                 "$name-$process", others.map { it.name }, settings.cancellationDeadline * 4, ::clock,
             ) { simulation.now }
         leases = LeaseRenewalPolicy(settings, 2, ::clock)
-        val started = process
-        simulation.after(simulation.random.nextInt(500).milliseconds) { readStorePeriodically(started) }
+        val startedProcess = process
+        simulation.after(simulation.random.nextInt(500).milliseconds) { readStorePeriodically(startedProcess) }
         for (other in others) {
-            simulation.after(simulation.random.nextInt(300).milliseconds) { exchangePeriodically(other, started) }
+            simulation.after(simulation.random.nextInt(300).milliseconds) {
+                exchangePeriodically(other, startedProcess)
+            }
         }
     }
 
-    /** The controller ends, and is back after [time]. */
+    /** Stops the controller and restarts it after [time]. */
     fun stop(time: Duration) {
         downUntil = simulation.now + time
         process++
-        val stopped = process
-        simulation.after(time) { if (stopped == process) start() }
+        val stoppedProcess = process
+        simulation.after(time) { if (stoppedProcess == process) start() }
     }
 
-    private fun readStorePeriodically(started: Int) {
-        if (started != process) return
-        simulation.after((100 + simulation.random.nextInt(300)).milliseconds) { readStorePeriodically(started) }
+    private fun readStorePeriodically(startedProcess: Int) {
+        if (startedProcess != process) return
+        simulation.after((100 + simulation.random.nextInt(300)).milliseconds) { readStorePeriodically(startedProcess) }
         if (!hasStore) return
-        val askedAt = clock()
+        val requestedAt = clock()
         simulation.after(simulation.networkDelay()) {
-            if (started != process) return@after
+            if (startedProcess != process) return@after
             val all = simulation.stored.values.toList()
             simulation.after(simulation.networkDelay() + storeDelay()) {
-                if (started == process) storeRead(all, askedAt)
+                if (startedProcess == process) storeRead(all, requestedAt)
             }
         }
     }
@@ -95,28 +97,28 @@
         return if (isSlow) (1 + simulation.random.nextInt(4)).seconds else Duration.ZERO
     }
 
-    private fun storeRead(all: List<Cancellation>, askedAt: Duration) {
+    private fun storeRead(all: List<Cancellation>, requestedAt: Duration) {
         storeReadAt = simulation.now
         readJobs.addAll(all.map { it.job })
         all.forEach { cancellations.add(it) }
-        cancellations.recordStoreRead(askedAt)
+        cancellations.recordStoreRead(requestedAt)
     }
 
-    private fun exchangePeriodically(other: CancellationNode, started: Int) {
-        if (started != process) return
+    private fun exchangePeriodically(other: CancellationNode, startedProcess: Int) {
+        if (startedProcess != process) return
         val hasFreshRead = storeReadAt?.let { simulation.now - it <= 2.5.seconds } ?: false
         val interval = if (hasFreshRead) 2.seconds else 500.milliseconds
-        simulation.after(interval) { exchangePeriodically(other, started) }
+        simulation.after(interval) { exchangePeriodically(other, startedProcess) }
         send(other)
     }
 
     private fun send(other: CancellationNode) {
         if (isOldVersion) return
         val sender = process
-        val askedAt = clock()
+        val requestedAt = clock()
         val update = cancellations.updateFor(other.name)
         val isLost = simulation.chance(simulation.messageLoss)
-        // A cut may hold a message back and deliver it when nobody waits for its answer any more.
+        // A partition may delay a message and deliver it when its sender no longer waits for the reply.
         if (simulation.now < partitionedUntil || simulation.now < other.partitionedUntil || isLost) {
             if (simulation.chance(0.5)) {
                 simulation.after(simulation.random.nextInt(60).seconds) { other.receive(this, update) }
@@ -125,34 +127,38 @@
         }
         simulation.after(simulation.networkDelay()) {
             val answer = other.receive(this, update)
-            simulation.after(simulation.networkDelay()) { answered(other, answer, askedAt, sender) }
+            simulation.after(simulation.networkDelay()) { answered(other, answer, requestedAt, sender) }
         }
     }
 
-    private fun answered(other: CancellationNode, answer: CancellationUpdate?, askedAt: Duration, sender: Int) {
+    private fun answered(other: CancellationNode, answer: CancellationUpdate?, requestedAt: Duration, sender: Int) {
         if (sender != process || simulation.chance(simulation.messageLoss) || simulation.now < partitionedUntil) return
         if (other.isOldVersion && other.isUp) cancellations.markUnsupported(other.name)
         if (answer == null) return
-        cancellations.applyReply(other.name, answer, askedAt)
-        // As a controller does: what a message had no room for goes at once.
+        cancellations.applyReply(other.name, answer, requestedAt)
+        // Like a controller, the node immediately sends the cancellations that did not fit into the last message.
         if (cancellations.needsUpdate(other.name)) send(other)
     }
 
-    /** The answer to another node; null if this one is down or knows no such messages. */
+    /** Returns the reply to another node, or null if this node is down or does not support such messages. */
     private fun receive(from: CancellationNode, update: CancellationUpdate): CancellationUpdate? {
         if (!isUp || isOldVersion) return null
         return cancellations.reply(from.name, update)?.update
     }
 
+    /** Returns whether this node knows that the job was cancelled. */
     internal fun isCancelled(job: String): Boolean = if (isOldVersion) job in readJobs else cancellations.contains(job)
 
-    /** Whether the node, which knows no leader for the worker, renews its lease. */
+    /** Returns whether the node, which knows of no leader, renews the worker's lease. */
     internal fun renewsLease(worker: LeaseHolder): Boolean {
         if (isOldVersion) return true
         return leases.renewsLease(worker.name, cancellations.completeUpTo(), isIsolated)
     }
 
-    /** Cancels a job as a controller does for a user: stores it, tells the others, and answers a moment later. */
+    /**
+     * Cancels a job for a user as a controller does. The node stores the cancellation, sends it to the other nodes, and
+     * answers the user a moment later.
+     */
     fun cancel(job: String) {
         if (!hasStore) return
         val stored = simulation.stored
@@ -160,8 +166,8 @@
         readJobs.add(job)
         cancellations.add(cancellation)
         if (!isOldVersion) simulation.members.forEach { if (it !== this) send(it) }
-        val asked = process
-        simulation.after(600.milliseconds) { if (asked == process && isUp) answerUser(job) }
+        val requestProcess = process
+        simulation.after(600.milliseconds) { if (requestProcess == process && isUp) answerUser(job) }
     }
 
     private fun answerUser(job: String) {
--- a/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationSimulation.kt
@@ -9,14 +9,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Three controllers' knowledge of cancellations and their workers' leases in simulated time: real [Cancellations] and
- * lease decisions, with the key-value store, the messages between controllers, the workers and the users simulated.
- * Every rule about cancelled work is checked after every event.
+ * Simulates how three controllers exchange cancellations and renew the leases of their workers. [Cancellations] and the
+ * lease decisions are the production code. The key-value store, the messages between controllers, the workers and the
+ * users are simulated. Every rule about cancelled work is checked after every event.
  */
 class CancellationSimulation(
     seed: Long,
     val settings: WorkerSettings = SETTINGS,
-    /** Share of the messages between controllers, and of the answers to them, that are lost. */
+    /** The share of the messages between controllers, and of the replies to them, that are lost. */
     internal val messageLoss: Double = 0.0,
     workers: Int = 12,
 ) {
@@ -24,23 +24,23 @@
     internal val events = EventQueue()
     val now: Duration get() = events.now
 
-    /** Stored cancellations by job. */
+    /** The stored cancellations by job. */
     internal val stored = LinkedHashMap<String, Cancellation>()
 
-    /** Until then the store answers nobody. */
+    /** The simulated time until which the store is down. */
     var storeDownUntil = Duration.ZERO
 
-    /** Until then the store answers a node that reads only after seconds. */
+    /** The simulated time until which the store answers reads only after seconds. */
     var storeSlowUntil = Duration.ZERO
 
-    /** When a cancellation was first confirmed to its user. */
+    /** The time at which the cancellation of a job was first confirmed to its user, by job. */
     val confirmed = LinkedHashMap<String, Duration>()
     val violations = ArrayList<String>()
 
     /** Jobs that ended because the lease of their worker expired. */
     val killedJobs = ArrayList<String>()
 
-    /** How often a user was asked to repeat a cancellation later. */
+    /** The number of times that a user was asked to retry a cancellation later. */
     var postponed = 0
         internal set
 
@@ -54,15 +54,15 @@
 
     internal fun after(delay: Duration, body: () -> Unit) = events.after(delay, body)
 
-    /** Queues an event for a moment. */
+    /** Schedules an event for the given simulated time. */
     fun at(moment: Duration, body: () -> Unit) = events.at(moment, body)
 
     internal fun chance(probability: Double) = random.nextDouble() < probability
 
-    /** Draws the time that a message takes one way. */
+    /** Draws the one-way delay of a message. */
     internal fun networkDelay() = (1 + random.nextInt(40)).milliseconds
 
-    /** Draws how much faster or slower than true time a clock runs. */
+    /** Draws the rate of a clock relative to true time. */
     internal fun clockDrift() = 1 + (random.nextDouble() - 0.5) * 0.001
 
     fun run(until: Duration) {
@@ -73,20 +73,23 @@
     private fun checkRules() {
         for (worker in workers) {
             worker.expireLease()
-            worker.jobs.forEach { checkCancelled(worker, it) }
+            worker.jobs.forEach { checkCancelledJob(worker, it) }
         }
-        members.forEach(::checkClaim)
+        members.forEach(::checkCompletenessClaim)
     }
 
-    private fun checkCancelled(worker: LeaseHolder, job: String) {
+    private fun checkCancelledJob(worker: LeaseHolder, job: String) {
         val confirmedAt = confirmed[job] ?: return
         if (now - confirmedAt > settings.cancellationDeadline) {
             violations += "$now ran_cancelled $job on ${worker.name}, confirmed at $confirmedAt"
         }
     }
 
-    /** A node knows all that was confirmed up to the moment it claims, except what must have ended long ago. */
-    private fun checkClaim(node: CancellationNode) {
+    /**
+     * Checks that a node knows every cancellation confirmed up to the moment until which it claims to know all of them.
+     * Cancellations whose work must have ended long ago are exempt.
+     */
+    private fun checkCompletenessClaim(node: CancellationNode) {
         if (!node.isUp || node.isOldVersion) return
         val complete = node.cancellations.completeUpTo() ?: return
         for ((job, confirmedAt) in confirmed) {
--- a/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
+++ b/src/test/kotlin/glenspool/simulation/InMemoryStore.kt
@@ -17,18 +17,18 @@
 import java.util.TreeMap
 
 /**
- * The key-value store as its protocol describes it, in memory: called directly, or over HTTP by [serve]. Leases end
- * only by [endLease].
+ * An in-memory key-value store that implements the protocol of the real one. Tests call it directly or, through
+ * [serve], over HTTP. Leases end only by [endLease].
  */
 class InMemoryStore : LiveKeyReader {
     data class Entry(val value: Fields, val version: Long, val lease: Long?)
 
     val entries = TreeMap<String, Entry>()
 
-    /** All changes: key, value or null if the key was removed, and revision. */
+    /** All changes, each with its key, its value (null if the key was removed) and its revision. */
     val log = ArrayList<Triple<String, Fields?, Long>>()
 
-    /** Of the newest change. */
+    /** The revision of the newest change. */
     var revision = 0L
         private set
     private var lastLease = 0L
@@ -37,23 +37,23 @@
     /** Whether every request is answered with 503. */
     var isDown = false
 
-    /** Most changes of a transaction; there may be four times as many conditions. */
+    /** The maximum number of changes of a transaction. Conditions are limited to four times as many. */
     var maxChangesPerTransaction = 24
 
-    /** Bytes in JSON; a larger value is answered with 400. */
+    /** The maximum size of a value in JSON. A larger value is answered with status 400. */
     var maxValueBytes = 16 * 1024
 
-    /** Called just before a transaction over HTTP is carried out, so that a test can let others change something. */
+    /** Called just before a transaction over HTTP is executed, so that a test can make concurrent changes. */
     var beforeTransaction: (List<Put>) -> Unit = {}
 
-    /** Whether the answer to a transaction that was carried out is replaced by one that can't be read. */
+    /** Returns whether the response to an executed transaction is replaced by one that can't be decoded. */
     var losesResponse: () -> Boolean = { false }
 
-    /** Requests that came in, apart from those that follow the changes. */
+    /** The number of requests received while the store was not down, apart from those that follow the changes. */
     var servedRequests = 0
         private set
 
-    /** As many of the next transactions are answered with 429, as being above the rate. */
+    /** The number of next transactions that are answered with status 429, as if they exceeded the rate limit. */
     var transactionsToThrottle = 0
 
     @Synchronized
@@ -74,18 +74,23 @@
 
     fun isTooLarge(put: Put) = Cbor.jsonSizeBytes(put.value) > maxValueBytes
 
-    /** Compare-and-swap: returns the keys whose versions differ from [conditions], or null if it was carried out. */
+    /**
+     * Executes a conditional transaction. Returns the keys whose versions differ from [conditions], or null if the
+     * transaction was executed.
+     */
     @Synchronized
     fun transact(conditions: Map<String, Long>, puts: List<Put>, removes: List<String>): List<String>? {
-        check(puts.size + removes.size <= maxChangesPerTransaction) { "too many changes: ${puts.size + removes.size}" }
-        check(conditions.size <= maxChangesPerTransaction * 4) { "too many conditions" }
-        check(puts.none(::isTooLarge)) { "too large" }
+        check(puts.size + removes.size <= maxChangesPerTransaction) {
+            "too many changes in a transaction: ${puts.size + removes.size}"
+        }
+        check(conditions.size <= maxChangesPerTransaction * 4) { "too many conditions in a transaction" }
+        check(puts.none(::isTooLarge)) { "a value of the transaction is too large" }
         val failed = conditions.filter { (key, version) -> (entries[key]?.version ?: 0L) != version }.keys.toList()
         if (failed.isNotEmpty()) return failed
         if (puts.isEmpty() && removes.isEmpty()) return null
         revision++
         for (put in puts) {
-            // As it would come back over the wire.
+            // Encoded and decoded again, so that readers get the value as they would over the wire.
             val value = Cbor.decodeMap(Cbor.encode(put.value))
             entries[put.key] = Entry(value, revision, put.lease)
             log.add(Triple(put.key, value, revision))
@@ -186,10 +191,10 @@
         Response(Status(status, null)).body(Body(ByteBuffer.wrap(Cbor.encode(body))))
 
     companion object {
-        /** Entries of a page: few, so that paging is exercised. */
+        /** The number of entries of a page, which is small so that paging is exercised. */
         const val PAGE_SIZE = 3
 
-        /** Not decodable as CBOR. */
+        /** A response body that is not decodable as CBOR. */
         private const val UNREADABLE = "\u00ff"
     }
 }
--- a/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
@@ -19,8 +19,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Workers and a cloud on loopback, as their protocols describe them. [nodes]: the addresses of the controllers by name;
- * [runTime]: how long each task runs.
+ * Simulated workers and a simulated cloud that implement their protocols over loopback sockets.
+ *
+ * @property nodes returns the addresses of the controllers by name
+ * @property runTime the run time of each task
  */
 class LoopbackFleet(
     workers: Int,
@@ -34,17 +36,17 @@
     /** A command that a worker executed. */
     data class ExecutedCommand(val at: Duration, val verb: String, val machine: String, val key: TaskKey)
 
-    /** Starts and stops that changed something. */
+    /** The start and stop commands that changed the state of a task. */
     val executedCommands = ConcurrentLinkedQueue<ExecutedCommand>()
 
-    /** Requests to the cloud for more machines. */
+    /** The number of requests to the cloud for more machines. */
     val rentRequests = AtomicInteger()
 
-    /** Machines that the cloud was asked to delete. */
+    /** The number of machines that the cloud was asked to delete. */
     val deletedMachines = AtomicInteger()
 
     internal val http = HttpClient(500.milliseconds)
-    private val timer = Executors.newScheduledThreadPool(minOf(workers, HEARTBEAT_THREADS))
+    private val heartbeatTimer = Executors.newScheduledThreadPool(minOf(workers, MAX_HEARTBEAT_THREADS))
     private val workers = ConcurrentHashMap<String, LoopbackWorker>()
     private val cloud = HttpListener(InetSocketAddress("127.0.0.1", 0), "cloud", 4, ::serveCloud)
     val cloudPort get() = cloud.port
@@ -60,7 +62,7 @@
         val period = heartbeatInterval.inWholeMilliseconds
         this.workers.values.forEachIndexed { number, worker ->
             val delay = 100 + period * number / workers
-            timer.scheduleAtFixedRate(worker::sendHeartbeat, delay, period, TimeUnit.MILLISECONDS)
+            heartbeatTimer.scheduleAtFixedRate(worker::sendHeartbeat, delay, period, TimeUnit.MILLISECONDS)
         }
     }
 
@@ -68,17 +70,17 @@
         executedCommands.add(ExecutedCommand(now(), verb, machine, key))
     }
 
-    /** The tasks that run on a machine. */
+    /** Returns the tasks that run on the machine. */
     fun tasksOn(machine: String): List<TaskKey> = workers.getValue(machine).running()
 
-    /** Puts a task on the machine that nobody ordered. */
+    /** Adds to the machine a running task that no controller has ordered. */
     fun addUnorderedTask(machine: String, key: TaskKey, attempt: Long) =
         workers.getValue(machine).addUnorderedTask(key, attempt)
 
-    /** The machine's lease expires, and all that is on it ends. */
+    /** Lets the lease of the machine expire, which ends all of its tasks. */
     fun expireLease(machine: String) = workers.getValue(machine).endLease()
 
-    /** Whether the machine sends no heartbeats; probes and commands still reach it. */
+    /** Sets whether the machine sends no heartbeats. It still receives probes and commands. */
     fun setSilent(machine: String, silent: Boolean) {
         workers.getValue(machine).silent = silent
     }
@@ -106,8 +108,8 @@
     }
 
     override fun close() {
-        timer.shutdownNow()
-        timer.awaitTermination(3, TimeUnit.SECONDS)
+        heartbeatTimer.shutdownNow()
+        heartbeatTimer.awaitTermination(3, TimeUnit.SECONDS)
         workers.values.forEach { it.delete() }
         cloud.close()
     }
@@ -117,8 +119,8 @@
         val LEASE_DURATION = 8.seconds
         val TASK_RUN_TIME = 300.milliseconds
 
-        /** Threads that send heartbeats. */
-        private const val HEARTBEAT_THREADS = 32
+        /** The maximum number of threads that send heartbeats. */
+        private const val MAX_HEARTBEAT_THREADS = 32
         private val machineType =
             mapOf(
                 "name" to "big", "cpus" to 16.0, "accelerators" to 4.0, "memory_gb" to 64.0, "local_gb" to 100.0,
--- a/src/test/kotlin/glenspool/simulation/LoopbackPorts.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackPorts.kt
@@ -3,11 +3,11 @@
 import java.net.BindException
 import java.net.ServerSocket
 
-/** Ports on loopback that are free, and stay so until they are used. */
+/** Finds loopback ports that are free and remain free until they are used. */
 internal object LoopbackPorts {
     /**
-     * Below the range from which the system gives ports to connections and to listeners that ask for any, so that
-     * nobody takes one meanwhile.
+     * Below the range from which the system assigns ports to connections and to listeners on port 0, so that none of
+     * these takes a port before it is used.
      */
     private val range = 20_000..30_000
 
--- a/src/test/kotlin/glenspool/simulation/LoopbackService.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackService.kt
@@ -27,8 +27,8 @@
 import kotlin.time.TimeSource
 
 /**
- * Three controllers with their real wiring on loopback, with an [InMemoryStore], a [LoopbackFleet] and users that keep
- * up a steady load of one-task jobs.
+ * Three controllers with their production wiring on loopback, an [InMemoryStore], a [LoopbackFleet], and users that
+ * submit one-task jobs at a steady rate.
  */
 class LoopbackService(
     private val dir: File,
@@ -39,7 +39,7 @@
     private val heartbeatInterval: Duration = LoopbackFleet.HEARTBEAT_INTERVAL,
     private val lease: Duration = LoopbackFleet.LEASE_DURATION,
     runTime: Duration = LoopbackFleet.TASK_RUN_TIME,
-    /** Whether users submit jobs of one task each all the time. */
+    /** Whether users continuously submit jobs of one task each. */
     steadyLoad: Boolean = true,
 ) : AutoCloseable {
     private val random = Random(seed)
@@ -60,12 +60,12 @@
     private val nodes = HashMap<String, Node>()
     private val http = HttpClient(300.milliseconds)
 
-    /** The first thing that went wrong on any thread. */
+    /** The first failure on any thread. */
     private val failure = AtomicReference<Throwable>()
     private val users =
         LoopbackUsers(history, http, ::anyNode, steadyLoad) { failure.compareAndSet(null, it) }
 
-    /** Submissions that were answered with a request to repeat them later. */
+    /** The number of submissions that were answered with a request to retry later. */
     val postponed: Int get() = users.postponed
 
     val leader: String? get() = state.get(Keys.LEADERSHIP)?.value?.get("node") as String?
@@ -80,79 +80,88 @@
         val settings = SettingsReader().read(file)
         val node =
             Node(settings, Tuning(), policy, registry, "build-${registry.highest}", recovery) {
-                failure.set(IllegalStateException("$name ended itself"))
+                failure.set(IllegalStateException("controller $name requested the exit of its process"))
             }
         node.start()
         nodes[name] = node
     }
 
-    /** Ends a controller as a crash would; the store ends its lease at once instead of after its time. */
+    /**
+     * Stops a controller as a crash would, except that the store ends its leadership lease immediately instead of after
+     * the lease duration.
+     */
     fun kill(name: String) {
         val leaderLease = state.entries[Keys.LEADERSHIP]?.takeIf { it.value["node"] == name }?.lease
         nodes.remove(name)?.close()
         leaderLease?.let(state::endLease)
     }
 
-    /** Ends a controller, starts a build with the given levels in its place, and waits until all work again. */
+    /**
+     * Stops a controller, starts a build with the given levels in its place, and waits until the new process has read
+     * the state and tasks start again.
+     */
     fun replace(name: String, registry: FeatureRegistry) {
         kill(name)
         start(name, registry)
-        await("$name serves") { hasReadState(name) }
+        await("$name has read the state") { hasReadState(name) }
         val replaced = now
-        await("work starts again") { history.lastStartAt > replaced }
+        await("tasks start again") { history.lastStartAt > replaced }
     }
 
-    /** A listening node is ready at once; one that can say that a job is unknown has read the state. */
+    /**
+     * Returns whether the controller has read the state. A node is ready as soon as it listens, but it answers that a
+     * job is unknown only after it has read the state.
+     */
     private fun hasReadState(name: String): Boolean {
         val answer = http.get(apiAddresses.getValue(name), "/api/jobs/run-999999", 1.seconds)
         return (answer as? CallResult.Response)?.status == 404
     }
 
-    /** Ends a random controller and starts a build in its place at once. */
+    /** Stops a random controller and immediately starts a build in its place. */
     fun replaceRandomNode(registryOf: (String) -> FeatureRegistry) {
         val name = names[random.nextInt(names.size)]
         replace(name, registryOf(name))
     }
 
-    /** The store answers nobody for [time]; returns when work starts again afterwards. */
+    /** Makes the store unavailable for [time], and returns when tasks start again afterwards. */
     fun storeOutage(time: Duration) {
-        val begun = now
+        val startedAt = now
         state.isDown = true
-        await("the outage is over") { now - begun > time }
+        await("the outage is over") { now - startedAt > time }
         state.isDown = false
         val ended = now
-        await("work starts again after the outage") { history.lastStartAt > ended }
+        await("tasks start again after the outage") { history.lastStartAt > ended }
     }
 
-    /** What a controller answers an operator about the rollout. */
+    /** Returns the controller's reply to an operator's request about the rollout. */
     fun rolloutReply(name: String, request: RolloutRequest = RolloutRequest(RolloutVerb.STATUS)): RolloutReply =
         node(name).rolloutAnswer(request)
 
-    /** What a controller answers an operator about its recovery. */
+    /** Returns the controller's reply to an operator's request about its recovery. */
     fun recoveryReply(name: String, verb: RecoveryVerb): RecoveryReply =
         node(name).recoveryAnswer(RecoveryRequest(verb))
 
-    /** The answer of a controller to a readiness probe. */
+    /** Returns the controller's response to a readiness probe. */
     fun readiness(name: String): CallResult = http.get(apiAddresses.getValue(name), "/ready", 1.seconds)
 
-    /** Waits for a condition; throws if it does not hold within [limit], or if anything has failed meanwhile. */
+    /** Waits for a condition. Throws if it does not hold within [limit], or if any thread has failed meanwhile. */
     fun await(what: String, limit: Duration = 30.seconds, condition: () -> Boolean) {
-        val begun = TimeSource.Monotonic.markNow()
+        val startedAt = TimeSource.Monotonic.markNow()
         while (!condition()) {
             failure.get()?.let { throw it }
-            check(begun.elapsedNow() < limit) { "not within $limit: $what" }
+            check(startedAt.elapsedNow() < limit) { "condition not met within $limit: $what" }
             Thread.onSpinWait()
             LoopbackUsers.pause(LoopbackUsers.POLL_INTERVAL)
         }
     }
 
-    /** Submits a job with any number of tasks as a user does, until it is accepted. */
+    /** Submits a job with any number of tasks as a user does, and retries until it is accepted. */
     fun submitJob(spec: JobSpec) = await("${spec.id} is accepted") { users.submitOnce(spec) }
 
-    /** Ends the load and waits until each accepted job has its final state. */
+    /** Stops the submissions and waits until every accepted job has its final state. */
     fun finish() {
         users.stopSubmitting()
-        await("all accepted jobs are over", 60.seconds) { !users.areActive }
+        await("all accepted jobs have their final states", 60.seconds) { !users.areActive }
         failure.get()?.let { throw it }
     }
 
--- a/src/test/kotlin/glenspool/simulation/LoopbackUsers.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackUsers.kt
@@ -14,17 +14,20 @@
 import kotlin.time.TimeSource
 
 /**
- * Users of a [LoopbackService]: while [loading], one submits jobs of one task all the time, some with a dependency, and
- * cancels some; another polls until each accepted job has its final state. [onFailure]: an answer broke a rule.
+ * Users of a [LoopbackService]. One user continuously submits one-task jobs, some with a dependency, and cancels some
+ * of them. Another user polls until every accepted job has its final state.
+ *
+ * @property isSubmitting whether jobs are still submitted
+ * @property onFailure called when a response breaks a rule
  */
 internal class LoopbackUsers(
     private val history: JobHistory,
     private val http: HttpClient,
     private val anyNode: () -> String,
-    @Volatile private var loading: Boolean,
+    @Volatile private var isSubmitting: Boolean,
     private val onFailure: (IllegalStateException) -> Unit,
 ) {
-    /** Submissions that were answered with a request to repeat them later. */
+    /** The number of submissions that were answered with a request to retry later. */
     @Volatile
     var postponed = 0
         private set
@@ -35,11 +38,11 @@
             thread(name = "polls") { reportingFailures(::pollAll) },
         )
 
-    /** Whether users still submit, or wait for final states. */
+    /** Whether users still submit jobs or wait for final states. */
     val areActive: Boolean get() = threads.any { it.isAlive }
 
     fun stopSubmitting() {
-        loading = false
+        isSubmitting = false
     }
 
     private fun reportingFailures(body: () -> Unit) {
@@ -52,32 +55,35 @@
 
     private fun submitAll() {
         var number = 0
-        while (loading) {
+        while (isSubmitting) {
             val id = jobId(++number)
-            val dependencies = if (number % DEPENDENCY_EVERY == 0) listOf(jobId(number - 1)) else null
-            if (submit(id, dependencies) && number % CANCEL_EVERY == 0) cancel(id)
+            val dependencies = if (number % JOBS_PER_DEPENDENCY == 0) listOf(jobId(number - 1)) else null
+            if (submit(id, dependencies) && number % JOBS_PER_CANCELLATION == 0) cancel(id)
             pause(SUBMIT_INTERVAL)
         }
     }
 
     private fun jobId(number: Int) = "run-%06d".format(number)
 
-    /** Submits a job at any controller, again after a refusal, for a while; true if it was accepted. */
+    /**
+     * Submits a job to a random controller, and retries for up to [RETRY_TIMEOUT] after a rejection or no response.
+     * Returns true if the job was accepted.
+     */
     private fun submit(id: String, dependencies: List<String>?): Boolean {
         val spec =
             job(
                 id, JobKind.ARRAY, 1, Resources(1.0, 1.0, 4.0), "a",
                 estimatedDuration = 1.seconds, imageGb = 0.0,
             )
-        val awaits = if (dependencies == null) emptyMap() else mapOf("awaits" to dependencies)
-        val begun = TimeSource.Monotonic.markNow()
-        while (begun.elapsedNow() < PATIENCE) {
-            val status = post("/api/jobs", JobWire.encode(spec) + awaits)?.status
+        val dependencyField = if (dependencies == null) emptyMap() else mapOf("awaits" to dependencies)
+        val startedAt = TimeSource.Monotonic.markNow()
+        while (startedAt.elapsedNow() < RETRY_TIMEOUT) {
+            val status = post("/api/jobs", JobWire.encode(spec) + dependencyField)?.status
             if (status in ACCEPTED) {
                 history.add { HistoryEvent.Accepted(it, id) }
                 return true
             }
-            // A job whose dependency was cancelled or never accepted is refused for good.
+            // A job whose dependency was cancelled or never accepted is rejected permanently, so it is not retried.
             if (status == 422 || status == 400) return false
             if (status == 503) postponed++
             pause(RETRY_INTERVAL)
@@ -85,12 +91,12 @@
         return false
     }
 
-    /** Submits a job once; true if it was accepted. */
+    /** Submits a job once. Returns true if it was accepted. */
     fun submitOnce(spec: JobSpec): Boolean = post("/api/jobs", JobWire.encode(spec))?.status in ACCEPTED
 
     private fun cancel(id: String) {
-        val begun = TimeSource.Monotonic.markNow()
-        while (begun.elapsedNow() < PATIENCE) {
+        val startedAt = TimeSource.Monotonic.markNow()
+        while (startedAt.elapsedNow() < RETRY_TIMEOUT) {
             val answer = post("/api/jobs/$id/withdraw", emptyMap())
             if (answer?.status == 200) {
                 if (answer.body["stage"] == "aborted") history.add { HistoryEvent.CancelConfirmed(it, id) }
@@ -104,7 +110,7 @@
         http.post(anyNode(), path, body, 5.seconds) as? CallResult.Response
 
     private fun pollAll() {
-        while (loading || history.acceptedJobs.size > history.finishedJobs.size) {
+        while (isSubmitting || history.acceptedJobs.size > history.finishedJobs.size) {
             (history.acceptedJobs - history.finishedJobs).forEach(::poll)
             pause(POLL_INTERVAL)
         }
@@ -112,21 +118,21 @@
 
     private fun poll(id: String) {
         val answer = http.get(anyNode(), "/api/jobs/$id", 2.seconds) as? CallResult.Response ?: return
-        check(answer.status != 404) { "$id was accepted and is unknown" }
+        check(answer.status != 404) { "job $id was accepted, but a controller answers that it is unknown" }
         val stage = answer.body["stage"]
         val hasEnded = answer.status == 200 && (stage == "done" || stage == "aborted")
         if (hasEnded) history.add { HistoryEvent.FinalStateReceived(it, id, stage as String) }
     }
 
     companion object {
-        private const val DEPENDENCY_EVERY = 5
-        private const val CANCEL_EVERY = 7
+        private const val JOBS_PER_DEPENDENCY = 5
+        private const val JOBS_PER_CANCELLATION = 7
         private val ACCEPTED = setOf(200, 201)
         private val SUBMIT_INTERVAL = 60.milliseconds
         private val RETRY_INTERVAL = 100.milliseconds
 
-        /** How long a user repeats a request. */
-        private val PATIENCE = 40.seconds
+        /** The time for which a user retries a request. */
+        private val RETRY_TIMEOUT = 40.seconds
         val POLL_INTERVAL = 50.milliseconds
 
         fun pause(time: Duration) = LockSupport.parkNanos(time.inWholeNanoseconds)
--- a/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
@@ -19,25 +19,26 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A worker of a [LoopbackFleet]: it sends heartbeats, executes commands, and ends its tasks when its lease expires.
- * [nextNode]: counts on with each heartbeat that goes to no known leader, and says to which node.
+ * A worker of a [LoopbackFleet], which sends heartbeats, executes commands, and ends its tasks when its lease expires.
+ *
+ * @property nextNode selects the node for a heartbeat while no leader is known, and is incremented with each of these
  */
 internal class LoopbackWorker(val name: String, private var nextNode: Int, private val fleet: LoopbackFleet) {
-    private class RunningTask(val attempt: Long, val until: Duration, var exit: ExitReason? = null)
+    private class RunningTask(val attempt: Long, val endsAt: Duration, var exit: ExitReason? = null)
 
     private val tasks = HashMap<TaskKey, RunningTask>()
     private val listener = HttpListener(InetSocketAddress("127.0.0.1", 0), name, 2, ::serve)
     private var incarnation = 1L
     private var sequence = 0L
 
-    /** The highest fencing token seen. */
+    /** The highest fencing token received. */
     private var token = 0L
     private var leaseRenewedAt = fleet.now()
 
-    /** The node that leads, as far as the worker knows. */
+    /** The name of the leader that a node reported last, or null if the leader is unknown. */
     private var leader: String? = null
 
-    /** Whether it sends no heartbeats. */
+    /** Whether the worker sends no heartbeats. */
     @Volatile
     var silent = false
 
@@ -49,7 +50,7 @@
         tasks[key] = RunningTask(attempt, Duration.INFINITE)
     }
 
-    /** Ends all tasks and begins a new incarnation, as after a lease expiry. */
+    /** Ends all tasks and begins a new incarnation, as a worker does after its lease has expired. */
     @Synchronized
     fun endLease() {
         tasks.forEach { (key, task) -> if (task.exit == null) exit(key, task, ExitReason.STOPPED) }
@@ -61,7 +62,7 @@
     @Synchronized
     private fun heartbeat(): Heartbeat {
         for ((key, task) in tasks) {
-            if (task.exit == null && fleet.now() >= task.until) exit(key, task, ExitReason.DONE)
+            if (task.exit == null && fleet.now() >= task.endsAt) exit(key, task, ExitReason.DONE)
         }
         val statuses =
             tasks.map { (key, task) ->
@@ -77,12 +78,12 @@
         fleet.history.add { HistoryEvent.Ended(it, key.job, name, reason == ExitReason.DONE) }
     }
 
-    /** Sends a heartbeat; a worker that is redirected sends one there at once. */
+    /** Sends a heartbeat and, if the response redirects the worker, immediately another one to the leader. */
     fun sendHeartbeat() {
         if (sendOnce() && !silent) sendOnce()
     }
 
-    /** True: the node has named another one, which leads. */
+    /** Sends one heartbeat. Returns whether the node has redirected the worker to the leader. */
     private fun sendOnce(): Boolean {
         if (silent) return false
         val addresses = fleet.nodes()
@@ -91,22 +92,22 @@
         val address = addresses[leader] ?: addresses.values.toList().let { it[nextNode++ % it.size] }
         val answer =
             fleet.http.post(address, "/checkin", WorkerWire.encode(heartbeat), 2.seconds) as? CallResult.Response
-        synchronized(this) { take(answer, heartbeat, sentAt) }
+        synchronized(this) { handleResponse(answer, heartbeat, sentAt) }
         return answer?.status == MISDIRECTED
     }
 
-    private fun take(answer: CallResult.Response?, heartbeat: Heartbeat, sentAt: Duration) {
+    private fun handleResponse(answer: CallResult.Response?, heartbeat: Heartbeat, sentAt: Duration) {
         when (answer?.status) {
-            OK -> takeCommands(answer.body, heartbeat, sentAt)
+            OK -> handleReply(answer.body, heartbeat, sentAt)
             MISDIRECTED -> leader = answer.body["foreman"] as? String
             else -> leader = null
         }
         if (fleet.now() - leaseRenewedAt > fleet.lease) endLease()
     }
 
-    private fun takeCommands(body: Fields, heartbeat: Heartbeat, sentAt: Duration) {
-        val answerToken = body["baton"] as? Long ?: 0
-        if (heartbeat.incarnation != incarnation || answerToken < token) return
+    private fun handleReply(body: Fields, heartbeat: Heartbeat, sentAt: Duration) {
+        val replyToken = body["baton"] as? Long ?: 0
+        if (heartbeat.incarnation != incarnation || replyToken < token) return
         leaseRenewedAt = sentAt
         executeAll(body)
     }
@@ -121,20 +122,20 @@
     }
 
     private fun execute(verb: String, key: TaskKey, attempt: Long) {
-        val known = tasks[key]
+        val existing = tasks[key]
         when {
-            verb == "run" && known == null -> {
+            verb == "run" && existing == null -> {
                 tasks[key] = RunningTask(attempt, fleet.now() + fleet.runTime)
                 fleet.recordCommand(verb, name, key)
                 fleet.history.add { HistoryEvent.Started(it, key.job, name) }
             }
-            known == null || known.attempt != attempt -> Unit
+            existing == null || existing.attempt != attempt -> Unit
             verb == "stop" ->
-                if (known.exit == null) {
+                if (existing.exit == null) {
                     fleet.recordCommand(verb, name, key)
-                    exit(key, known, ExitReason.STOPPED)
+                    exit(key, existing, ExitReason.STOPPED)
                 }
-            verb == "clear" -> if (known.exit != null) tasks.remove(key)
+            verb == "clear" -> if (existing.exit != null) tasks.remove(key)
         }
     }
 
@@ -157,7 +158,7 @@
         listener.close()
     }
 
-    /** The machine as the cloud lists it. */
+    /** Returns the machine's entry in the cloud's list. */
     fun cloudEntry(): Fields =
         mapOf(
             "uid" to name, "addr" to "127.0.0.1:${listener.port}", "frame" to "big", "hall" to "here",
--- a/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
+++ b/src/test/kotlin/glenspool/simulation/RolloutSimulation.kt
@@ -25,7 +25,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Levels of a build that does not exist yet: one that can be deactivated again, and one that can't. */
+/**
+ * The levels of a future build that exists only in tests. In addition to the current level it has one level that can be
+ * deactivated again, and one that can't.
+ */
 val FUTURE_LEVELS =
     listOf(
         checkNotNull(FeatureRegistry.CURRENT.find(FeatureRegistry.SEALED_RECORDS)),
@@ -33,27 +36,27 @@
         FeatureLevel(3, "last-form", "a form without a way down", Deactivation.UNSUPPORTED),
     )
 
-/** A build that knows levels up to [highest] of [FUTURE_LEVELS]. */
+/** Returns the registry of a build that knows levels up to [highest] of [FUTURE_LEVELS]. */
 fun registryUpTo(highest: Int, lowest: Int = FeatureRegistry.BASE): FeatureRegistry {
     val levels = FUTURE_LEVELS.take(highest)
     return FeatureRegistry(levels, lowest)
 }
 
 /**
- * A rollout in simulated time: real engines, gates and stored forms on an [InMemoryStore]. A test says what each member
- * is at any time.
+ * A rollout in simulated time, with the production engines, gates and stored forms on an [InMemoryStore]. Tests set the
+ * build and the condition of each member at any time.
  */
 class RolloutSimulation(val policy: RolloutPolicy = RolloutPolicy(), names: List<String> = listOf("a", "b", "c")) {
-    /** A controller as the rollout knows it. */
+    /** A controller that takes part in the rollout. */
     inner class Member(val name: String) {
         var registry = registryUpTo(1)
 
-        /** Of a build without levels, which reports only which stored forms it reads. */
+        /** Whether the build has no levels. Such a build reports only which stored forms it reads. */
         var isUnmanaged = false
         var up = true
         var ready = true
 
-        /** Nobody receives an answer from it, though it may reach the store. */
+        /** Whether no other member receives a response from this one. The member may still reach the store. */
         var isPartitionedFromPeers = false
         private var processes = 0
         val boot: String get() = "$name-$processes"
@@ -91,7 +94,7 @@
         private set
     private lateinit var engine: RolloutEngine
 
-    /** What happens to a transaction of the leader; one that is late is carried out by [executeLateTransactions]. */
+    /** What happens to a transaction of the leader. A late one is executed by [executeLateTransactions]. */
     enum class TransactionOutcome { DONE, ANSWER_LOST, LATE, REFUSED }
 
     var transactionOutcome = TransactionOutcome.DONE
@@ -101,13 +104,13 @@
     /** Each level record that was stored, in order. */
     val levelHistory = ArrayList<LevelRecord>()
 
-    /** How often the rollout's state was stored. */
+    /** The number of times that the rollout's state was stored. */
     var stateWrites = 0
         private set
 
     fun member(name: String) = members.first { it.name == name }
 
-    /** Begins a term of the given member, whoever leads at present. */
+    /** Begins a term of the given member, regardless of which member leads at present. */
     fun elect(name: String) {
         leader = member(name)
         token++
@@ -116,7 +119,7 @@
         engine = RolloutEngine(leader.registry, policy, members.map { it.name }, now)
     }
 
-    /** The leader asks everybody and performs what the engine decides. */
+    /** Collects the reports of all members that answer the leader, and performs the actions of the engine. */
     fun runRound() {
         collectReports()
         engine.step(input()).forEach(::perform)
@@ -145,7 +148,7 @@
 
     fun overview() = engine.overview(input())
 
-    /** Rounds every two seconds for as long as [time]. */
+    /** Runs a round every two seconds for [time]. */
     fun run(time: Duration) {
         val end = now + time
         while (now < end) {
@@ -174,7 +177,7 @@
         }
     }
 
-    /** Carries out the transactions that were late, if their conditions still hold. */
+    /** Executes the late transactions whose conditions still hold. */
     fun executeLateTransactions() {
         lateTransactions.forEach { it() }
         lateTransactions.clear()
@@ -196,6 +199,6 @@
     /** The level that is active according to the store. */
     val activeLevel: Int get() = records.level().valueOrNull()?.level ?: FeatureRegistry.BASE
 
-    /** A moment of the records, whose time of day is the simulated time. */
+    /** Returns the time that a record states in [milliseconds]. The records' time of day is the simulated time. */
     fun recordTime(milliseconds: Long) = milliseconds.milliseconds
 }
--- a/src/test/kotlin/glenspool/simulation/UserApiTestBase.kt
+++ b/src/test/kotlin/glenspool/simulation/UserApiTestBase.kt
@@ -25,7 +25,7 @@
 import java.net.InetSocketAddress
 import kotlin.time.Duration.Companion.seconds
 
-/** Requests of users over real sockets on loopback, against an [InMemoryStore]. */
+/** Base class of tests that send user requests over loopback sockets to a node with an [InMemoryStore]. */
 abstract class UserApiTestBase(private val settingsText: String = SettingsTest.VALID_SETTINGS) {
     @TempDir
     lateinit var dir: File
@@ -36,7 +36,7 @@
     private val cache = StoreCache(client, 1000.0) { _, _ -> }
     private val syncThread = startSyncThread(cache)
 
-    /** Null while no machine types are known. */
+    /** The machine types that the node knows, or null if it has read none yet. */
     protected var types: List<MachineType>? = listOf(bigType)
     protected val settings by lazy {
         val file = File(dir, "s.toml").also { it.writeText(settingsText) }
@@ -46,10 +46,10 @@
     protected var allMembersReadSplitRecords = true
     protected var features: FeaturePermits = UnmanagedFeatures { allMembersReadSplitRecords }
 
-    /** Whether the node takes itself for cut off from the store. */
+    /** Whether the node behaves as if it had lost the key-value store and every other node. */
     protected var isIsolated = false
 
-    /** Whether every cancellation can be confirmed to its user. */
+    /** Whether cancellations may be confirmed to their users. */
     protected var mayConfirmCancellation = true
     private val api by lazy {
         val users =
@@ -75,7 +75,7 @@
         team: String = "a",
     ) = job(id, kind, tasks, resourceRequest, team)
 
-    /** Submits a job. [awaits]: the field of its dependencies, as it is sent. */
+    /** Submits a job. [awaits] is the value of the field that lists the dependencies, and is sent unchanged. */
     protected fun submit(spec: JobSpec, awaits: Any? = null): CallResult.Response {
         val dependencies = if (awaits == null) emptyMap() else mapOf("awaits" to awaits)
         return http.post(addr, "/api/jobs", JobWire.encode(spec) + dependencies, 20.seconds) as CallResult.Response
--- a/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/glenspool/upgrade/UpgradeTest.kt
@@ -42,16 +42,17 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.seconds
 
-/** Old and new versions on each other's data: see docs/upgrade.md. */
+/** Checks how old and new versions process each other's data; see docs/upgrade.md. */
 class UpgradeTest {
     private val store = InMemoryStore()
 
-    /** What the version in production has written. */
-    private fun written(name: String): ByteArray =
-        checkNotNull(javaClass.getResourceAsStream("/stored-by-production/$name.cbor")) { "no resource $name" }
-            .use { it.readAllBytes() }
+    /** Returns the bytes that the version in production has written. */
+    private fun productionBytes(name: String): ByteArray =
+        checkNotNull(javaClass.getResourceAsStream("/stored-by-production/$name.cbor")) {
+            "missing resource $name.cbor"
+        }.use { it.readAllBytes() }
 
-    private fun stored(key: String) = Cbor.decodeMap(written(key.replace('/', '~')))
+    private fun stored(key: String) = Cbor.decodeMap(productionBytes(key.replace('/', '~')))
 
     private fun read(id: String) = JobRecordReader(store).read(id, stored(Keys.job(id)))
 
@@ -59,20 +60,20 @@
 
     @Test
     fun `a job array that the version in production stored is read`() {
-        val wide =
+        val wideJob =
             job("run-000412", tasks = 160, priority = Priority.IDLE, spot = true, checkpointInterval = 15.seconds)
         val placements = (1..120).map { StoredPlacement(it, 200L + it, "i-%06d".format(it)) }
 
-        assertEquals(JobRecord(wide, 1000.seconds, 400, bits(0, 7, 159), placements), read("run-000412"))
+        assertEquals(JobRecord(wideJob, 1000.seconds, 400, bits(0, 7, 159), placements), read("run-000412"))
     }
 
     @Test
     fun `a job with chunks that the version in production stored is read`() {
         val chunks = (0..1).map { Keys.chunk("run-000413", it) }
         for (key in chunks) store.transact(emptyMap(), listOf(Put(key, stored(key))), emptyList())
-        val large = job("run-000413", tasks = 20_000)
+        val largeJob = job("run-000413", tasks = 20_000)
 
-        assertEquals(JobRecord(large, 1001.seconds, 5, bits(3, 9_000), emptyList()), read("run-000413"))
+        assertEquals(JobRecord(largeJob, 1001.seconds, 5, bits(3, 9_000), emptyList()), read("run-000413"))
     }
 
     @Test
@@ -101,17 +102,17 @@
 
     @Test
     fun `messages of the production version are decoded, and the sender is not mistaken for a new version`() {
-        val status = PeerWire.decodeStatus(written("peer-status"))
+        val status = PeerWire.decodeStatus(productionBytes("peer-status"))
         assertEquals(PeerStatus("bobbin-0", true, "bobbin-0", true, readableLevel = 0), status)
 
-        val request = PeerWire.decodeRelayRequest(written("relay-request"))
+        val request = PeerWire.decodeRelayRequest(productionBytes("relay-request"))
         assertEquals("run-000412", JobWire.decode(Cbor.decodeMap(request.body)).id)
 
-        val answer = PeerWire.decodeRelayAnswer(written("relay-answer"))
+        val answer = PeerWire.decodeRelayAnswer(productionBytes("relay-answer"))
         assertEquals(201 to "1", answer.status to answer.retryAfter)
     }
 
-    /** The form of a status that the version in production knows. */
+    /** The status message as the version in production defines it. */
     @Serializable
     private data class OldStatus(val node: String, val leading: Boolean, val leader: String?, val fresh: Boolean)
 
@@ -121,13 +122,13 @@
         val encoded = PeerWire.encode(PeerStatus("bobbin-1", false, "bobbin-0", true, PeerStatus.SEALED_RECORDS))
         val oldDecoder = kotlinx.serialization.cbor.Cbor { ignoreUnknownKeys = true }
 
-        val understood = oldDecoder.decodeFromByteArray<OldStatus>(encoded)
+        val decoded = oldDecoder.decodeFromByteArray<OldStatus>(encoded)
 
-        assertEquals(OldStatus("bobbin-1", false, "bobbin-0", true), understood)
+        assertEquals(OldStatus("bobbin-1", false, "bobbin-0", true), decoded)
     }
 
-    /** What this version stores for the record, by key. */
-    private fun stores(record: JobRecord, parts: Map<Int, Long> = emptyMap()): Map<String, Fields> {
+    /** Returns the values that this version stores for the record, by key. */
+    private fun storedValues(record: JobRecord, parts: Map<Int, Long> = emptyMap()): Map<String, Fields> {
         val update = UpdateJobRecord(record.spec.id, 3, record, emptyList(), 1, false, parts)
         val transaction = transactionOf(7, StoreChanges(listOf(update)))
         return transaction.puts.associate { it.key to Cbor.decodeMap(Cbor.encode(it.value)) }
@@ -138,12 +139,12 @@
         val placements = listOf(StoredPlacement(2, 3, "i-1"))
         val record =
             JobRecord(job("a", tasks = 9), 5.seconds, 3, bits(1), placements, dependenciesDoneAt = 7.seconds)
-        val value = stores(record).getValue(Keys.job("a"))
+        val value = storedValues(record).getValue(Keys.job("a"))
 
-        val seenByOld = checkNotNull(OldVersion.read(value))
-        val rewrittenByOld = OldVersion.rewrite(Put(Keys.job("a"), seenByOld)).value
+        val readByOld = checkNotNull(OldVersion.read(value))
+        val rewrittenByOld = OldVersion.rewrite(Put(Keys.job("a"), readByOld)).value
 
-        // Only the time at which it became ready is lost, which decides no more than the order of work.
+        // Only the time at which the job became ready is lost, which affects only the order of work.
         val expected = record.copy(dependenciesDoneAt = null)
         assertEquals(expected, JobRecordReader(store).read("a", rewrittenByOld))
         assertEquals(record, JobRecordReader(store).read("a", value))
@@ -170,19 +171,22 @@
                 job("a", tasks = 9), 5.seconds, 3, BitSet(), listOf(StoredPlacement(1, 1, "i-1")),
                 placementParts = mapOf(0 to listOf(StoredPlacement(2, 3, "i-2"))),
             )
-        val values = stores(record, mapOf(0 to 1L))
+        val values = storedValues(record, mapOf(0 to 1L))
         store.transact(emptyMap(), values.map { Put(it.key, it.value) }, emptyList())
 
         assertNull(OldVersion.read(values.getValue(Keys.job("a"))))
         assertEquals(record, JobRecordReader(store).read("a", values.getValue(Keys.job("a"))))
     }
 
-    /** A controller of the version in production, which knows two paths; the paths of its requests are [taken]. */
-    private fun oldController(taken: MutableList<String>) =
+    /**
+     * Starts a controller of the version in production, which serves only two paths. The paths of the requests that it
+     * serves are added to [servedPaths].
+     */
+    private fun oldController(servedPaths: MutableList<String>) =
         HttpListener(InetSocketAddress("127.0.0.1", 0), "old", 4, { request ->
             val path = request.uri.path
             if (path == "/peer/status" || path == "/peer/relay") {
-                taken.add(path)
+                servedPaths.add(path)
                 Response(Status.OK).body(PeerWire.encode(RelayAnswer(201, ByteArray(0), null)).inputStream())
             } else {
                 Response(Status.NOT_FOUND)
@@ -199,15 +203,15 @@
 
     @Test
     fun `a submission with dependencies is not relayed to a controller that would start the job immediately`() {
-        val taken = ArrayList<String>()
+        val servedPaths = ArrayList<String>()
         val request = RelayRequest("POST", "/api/jobs", ByteArray(0))
-        oldController(taken).use { old ->
+        oldController(servedPaths).use { old ->
             newController().use { new ->
                 val both = PeerClient(listOf(member(old), member(new)))
                 val oldAlone = PeerClient(listOf(member(old)))
 
                 assertEquals(200, both.relay(request, 5.seconds, PeerPaths.RELAY_WITH_DEPENDENCIES)?.status)
-                assertEquals(emptyList<String>(), taken)
+                assertEquals(emptyList<String>(), servedPaths)
                 assertNull(oldAlone.relay(request, 5.seconds, PeerPaths.RELAY_WITH_DEPENDENCIES))
                 assertEquals(201, both.relay(request, 5.seconds)?.status)
             }
