--- a/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
+++ b/src/test/kotlin/glenspool/frozen/FrozenDecisionsTest.kt
@@ -80,7 +80,11 @@
                 Day(9, FaultRates(messageLoss = 0.05, failovers = 0.03, machineLosses = 0.01), hasDependencies = true),
             "split records" to Day(10, FaultRates(messageLoss = 0.03, failovers = 0.03), valueBytes = 800),
             "an upgrade" to
-                Day(11, FaultRates(messageLoss = 0.03, failovers = 0.05, oldVersionLeaders = 0.5), hasDependencies = true),
+                Day(
+                    11,
+                    FaultRates(messageLoss = 0.03, failovers = 0.05, oldVersionLeaders = 0.5),
+                    hasDependencies = true,
+                ),
             "cold starts" to Day(12, FaultRates(heartbeatOutages = 0.02, machineLosses = 0.01), coldStarts = true),
             "cold starts amid all troubles" to
                 Day(
