--- a/src/main/kotlin/glenspool/controller/RecoveryManager.kt
+++ b/src/main/kotlin/glenspool/controller/RecoveryManager.kt
@@ -8,7 +8,7 @@
 import glenspool.peer.RecoveryRequest
 import glenspool.peer.RecoveryStatus
 import glenspool.peer.RecoveryVerb
-import glenspool.reconcile.ContinuityEvidence
+import glenspool.reconcile.ContinuityTracker
 import glenspool.reconcile.MemberContinuityEvidence
 import glenspool.reconcile.RecoveryEngine
 import glenspool.reconcile.RecoveryNotice
@@ -36,7 +36,7 @@
     private val node: String,
     private val memberCount: Int,
     private val policy: RecoveryPolicy,
-    private val setting: RecoveryTimings,
+    private val timings: RecoveryTimings,
     store: KeyValueStoreClient,
     cache: StoreCache,
     private val leadership: Leadership,
@@ -52,7 +52,7 @@
     private val records = RecoveryRecords(cache, RecordStore(store, cache))
 
     /** Guarded by its own lock, which also guards [storeReadAt]. */
-    private val continuityEvidence = ContinuityEvidence(STALE_LEASE_LIMIT)
+    private val continuityTracker = ContinuityTracker(STALE_LEASE_LIMIT)
     private var storeReadAt: Duration? = null
 
     /** The fencing token of the first term that this process has lived through; null if there is none yet. */
@@ -81,16 +81,16 @@
      * passed to the core.
      */
     fun storeRead(sentAgo: Duration) {
-        synchronized(continuityEvidence) { observeLeader(uptime()) }
+        synchronized(continuityTracker) { observeLeader(uptime()) }
         if (current?.engine?.needsStoreReads == true) post(Event.StoreRead(TimeSource.Monotonic.markNow() - sentAgo))
     }
 
     private fun observeLeader(now: Duration) {
         val lastReadAt = storeReadAt
         storeReadAt = now
-        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuityEvidence.recordReadGap(now)
-        continuityEvidence.recordStoreRead(leadership.recordedToken(), now)
-        firstObservedToken = continuityEvidence.firstToken
+        if (lastReadAt != null && now - lastReadAt > MAX_READ_GAP) continuityTracker.recordReadGap(now)
+        continuityTracker.recordStoreRead(leadership.recordedToken(), now)
+        firstObservedToken = continuityTracker.firstToken
     }
 
     /**
@@ -120,7 +120,7 @@
         unstoredPhase = null
         current = null
         if (kind.needsNoRecovery()) return null
-        val engine = RecoveryEngine(policy, setting, term.token, at, kind, record)
+        val engine = RecoveryEngine(policy, timings, term.token, at, kind, record)
         current = TermRecovery(term, engine)
         log.info("recovery token={} start={} phase={}", term.token, kind, engine.phase)
         return engine
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The service thread. */
+    /** The body of the service thread. */
     fun run() {
         while (!Thread.currentThread().isInterrupted) {
             currentRecovery()?.let { runRound(it) }
--- a/src/main/kotlin/glenspool/core/Actions.kt
+++ b/src/main/kotlin/glenspool/core/Actions.kt
@@ -82,8 +82,8 @@
     val lastChange: Long,
     val requiresUncancelled: Boolean,
     val parts: Map<Int, Long> = emptyMap(),
-    /** Whether no change of the job remains to be stored after this write. */
-    val includesAllChanges: Boolean = true,
+    /** Whether the write includes all changed parts of the placements, so that no urgent change is left out. */
+    val includesAllDirtyParts: Boolean = true,
 ) : JobWrite
 
 /**
--- a/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
+++ b/src/test/kotlin/glenspool/core/RandomizedSimulation.kt
@@ -39,9 +39,9 @@
 
     private fun newSimulation(): ClusterSimulation {
         val deployment = config(TEAMS, peerZones = setOf("b")).copy(valueBytes = valueBytes)
-        val setting = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
+        val timings = RecoveryTimings(deployment.lease, deployment.heartbeatInterval, deployment.listLag)
         val recoveryFactory = { token: Long, startedAt: Duration, kind: StartKind ->
-            RecoveryEngine(RecoveryPolicy(), setting, token, startedAt, kind)
+            RecoveryEngine(RecoveryPolicy(), timings, token, startedAt, kind)
         }
         val types = listOf(bigType, leanType)
         val simulation =
@@ -80,7 +80,7 @@
         // Without a leader, cancelled work on hung machines is not stopped in this simulation. Therefore all
         // controllers are away only for a short time if machines hang.
         if (coldStarts && random.nextInt(6) == 0) {
-            simulation.stopAllControllers((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
+            simulation.stopControllers((1 + random.nextInt(if (faults.hangs > 0) 5 else 24)).seconds)
         }
     }
 
