--- a/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/glenspool/faults/CancellationGapTest.kt
@@ -121,6 +121,7 @@
     @ParameterizedTest
     @ValueSource(longs = [31, 32, 33, 34, 35])
     fun `cancellations are postponed while the old leader is partitioned from the other nodes`(seed: Long) {
+        // The other nodes can't find out which cancellations the old leader knows, so they must not confirm any.
         for (span in listOf(20.seconds, 90.seconds)) {
             val simulation = runGapScenario(seed) { members[0].partitionedUntil = 30.seconds + span }
             assertEquals(0, simulation.confirmed.size)
--- a/src/test/kotlin/glenspool/simulation/CancellationNode.kt
+++ b/src/test/kotlin/glenspool/simulation/CancellationNode.kt
@@ -10,7 +10,7 @@
 
 /** A controller of a [CancellationSimulation], which reads the store, exchanges cancellations and renews leases. */
 class CancellationNode(private val simulation: CancellationSimulation, val name: String) {
-    private val drift = simulation.clockDrift()
+    private val clockDrift = simulation.clockDrift()
     private var processStartedAt = simulation.now
 
     /** Incremented at each start and stop, so that operations which an earlier process began have no effect. */
@@ -46,7 +46,7 @@
     private fun clock(): Duration = clockAt(simulation.now)
 
     /** Returns the time of this node's clock at a moment of the simulation. */
-    internal fun clockAt(moment: Duration): Duration = (moment - processStartedAt) * drift
+    internal fun clockAt(moment: Duration): Duration = (moment - processStartedAt) * clockDrift
 
     /** Starts the controller with empty memory. */
     internal fun start() {
--- a/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackFleet.kt
@@ -78,7 +78,7 @@
         workers.getValue(machine).addUnorderedTask(key, attempt)
 
     /** Lets the lease of the machine expire, which ends all of its tasks. */
-    fun expireLease(machine: String) = workers.getValue(machine).endLease()
+    fun expireLease(machine: String) = workers.getValue(machine).expireLease()
 
     /** Sets whether the machine sends no heartbeats. It still receives probes and commands. */
     fun setSilent(machine: String, silent: Boolean) {
--- a/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
+++ b/src/test/kotlin/glenspool/simulation/LoopbackWorker.kt
@@ -52,7 +52,7 @@
 
     /** Ends all tasks and begins a new incarnation, as a worker does after its lease has expired. */
     @Synchronized
-    fun endLease() {
+    fun expireLease() {
         tasks.forEach { (key, task) -> if (task.exit == null) exit(key, task, ExitReason.STOPPED) }
         tasks.clear()
         incarnation++
@@ -102,7 +102,7 @@
             MISDIRECTED -> leader = answer.body["foreman"] as? String
             else -> leader = null
         }
-        if (fleet.now() - leaseRenewedAt > fleet.lease) endLease()
+        if (fleet.now() - leaseRenewedAt > fleet.lease) expireLease()
     }
 
     private fun handleReply(body: Fields, heartbeat: Heartbeat, sentAt: Duration) {
@@ -154,7 +154,7 @@
 
     @Synchronized
     fun delete() {
-        endLease()
+        expireLease()
         listener.close()
     }
 
--- a/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
+++ b/src/test/kotlin/glenspool/simulation/OrderRateChecker.kt
@@ -11,7 +11,8 @@
 
 /**
  * Checks whether orders were received faster than the token bucket of a recovery allows. The bucket allows a burst of
- * the orders of one second, and then the same number in each second. The rates are relative to [fleetSize].
+ * the orders of one second, and then the same number in each second. The rates are relative to [fleetSize],
+ * the number of machines.
  */
 class OrderRateChecker(rates: RepairRates, fleetSize: Int) {
     private val limits =
--- a/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
+++ b/src/test/kotlin/glenspool/simulation/SimulatedLeader.kt
@@ -119,7 +119,10 @@
         context.after(untilElection) { electWhenStoreIsUp() }
     }
 
-    /** Ends the leader, and elects another after a random time of 1 to 6 seconds. */
+    /**
+     * Ends the leader, whose messages in transit still arrive. Another leader is elected after a random time of 1 to 6
+     * seconds.
+     */
     fun endTermWithRandomDelay() {
         scheduler = null
         context.after((1 + context.random.nextInt(6)).seconds) { electWhenStoreIsUp() }
--- a/src/test/kotlin/glenspool/simulation/UserApiTestBase.kt
+++ b/src/test/kotlin/glenspool/simulation/UserApiTestBase.kt
@@ -49,7 +49,7 @@
     /** Whether the node behaves as if it had lost the key-value store and every other node. */
     protected var isIsolated = false
 
-    /** Whether cancellations may be confirmed to their users. */
+    /** Whether the node may confirm each stored cancellation to its user. */
     protected var mayConfirmCancellation = true
     private val api by lazy {
         val users =
