--- a/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingRun.kt
@@ -37,45 +37,45 @@
 
 /**
  * Runs a controller briefly against simulated counterparts on loopback, so that the build can archive the classes
- * that a controller loads (see pom.xml). A controller is not available while it starts, and most of the start is class
- * loading on a slow processor.
+ * that a controller loads (see pom.xml). A controller is not available while it starts, and on a slow processor most of
+ * the start is class loading, which the archive shortens.
  */
 internal object ClassLoadingRun {
     private const val MAX_SOCKETS = 1000
     private const val LOOPBACK = "127.0.0.1"
-    private const val HEARTBEATS = 4L
+    private const val HEARTBEAT_COUNT = 4L
 
-    /** Rounds of the simulated fleet until a recovery is over. */
-    private const val RECOVERY_ROUNDS = 40
+    /** Cycles of the simulated fleet after which a recovery has ended. */
+    private const val RECOVERY_CYCLES = 40
 
-    /** Until a leader is elected. */
+    /** Time after which a leader is elected. */
     private val ELECTION_TIME = 700.milliseconds
 
-    /** Until a leader is elected and has done one round of a managed rollout. */
-    private val MANAGED_TIME = 1500.milliseconds
-    private val HEARTBEAT_PAUSE = 300.milliseconds
+    /** Time after which a leader is elected and has completed one round of a managed rollout. */
+    private val MANAGED_ROLLOUT_TIME = 1500.milliseconds
+    private val HEARTBEAT_INTERVAL = 300.milliseconds
     private val CONNECT_TIMEOUT = 500.milliseconds
     private val TIMEOUT = 2.seconds
 
     fun run(): Int {
-        // The log lines are formatted, which loads classes too, but nobody reads them.
+        // Discards the log output. The lines are still formatted, because formatting loads classes too.
         System.setErr(PrintStream(OutputStream.nullOutputStream()))
-        // Before the first listener is made, as in `serve`: a listener reads the limit once.
+        // Set before the first listener is created, as in `serve`, because a listener reads the limit only once.
         HttpListener.setSocketLimit(MAX_SOCKETS)
-        val outside = HttpListener(InetSocketAddress(LOOPBACK, 0), "canned", 8, SimulatedCounterparts::answer)
+        val counterparts = HttpListener(InetSocketAddress(LOOPBACK, 0), "canned", 8, SimulatedCounterparts::answer)
         val settingsFile = File.createTempFile("class-loading", ".toml")
         try {
-            runServing(settingsFile, outside.port)
-            runManaged(settingsFile, outside.port)
+            runServing(settingsFile, counterparts.port)
+            runManaged(settingsFile, counterparts.port)
             runRecovery(settingsFile)
         } finally {
-            outside.close()
+            counterparts.close()
             settingsFile.deleteOnExit()
         }
         return ExitCode.OK
     }
 
-    /** A controller that serves users, a worker and another controller. */
+    /** Runs a controller that serves users, a worker and another controller. */
     private fun runServing(settingsFile: File, simulatedPort: Int) {
         val apiPort = freePort()
         val internalPort = freePort()
@@ -94,12 +94,12 @@
         val job = SimulatedCounterparts.job
         http.post(api, "/api/jobs", job, TIMEOUT)
         http.post(api, "/api/jobs", job + mapOf("uid" to "run-000003", "awaits" to listOf("run-000001")), TIMEOUT)
-        for (number in 1..HEARTBEATS) {
+        for (number in 1..HEARTBEAT_COUNT) {
             http.get(api, "/ready", TIMEOUT)
             http.get(api, "/api/jobs/run-000001", TIMEOUT)
             http.get(api, "/api/jobs/run-000002", TIMEOUT)
             http.post(api, "/checkin", SimulatedCounterparts.heartbeat(number, workerAddress), TIMEOUT)
-            Thread.sleep(HEARTBEAT_PAUSE.inWholeMilliseconds)
+            Thread.sleep(HEARTBEAT_INTERVAL.inWholeMilliseconds)
         }
         http.post(api, "/api/jobs/run-000001/withdraw", emptyMap(), TIMEOUT)
         http.call("POST", api, "/api/jobs", byteArrayOf(1), TIMEOUT)
@@ -116,7 +116,7 @@
         client.relay(RelayRequest("GET", "/api/jobs/run-000001", ByteArray(0)), TIMEOUT)
     }
 
-    /** A controller with managed rollouts and recovery, until a leader has collected evidence. */
+    /** Runs a controller with managed rollouts and recovery until a leader has collected evidence for a rollout. */
     private fun runManaged(settingsFile: File, simulatedPort: Int) {
         val apiPort = freePort()
         val internalPort = freePort()
@@ -126,7 +126,7 @@
             listOf("--config", settingsFile.path, "--rollout", policyFile.path, "--recovery", policyFile.path)
         try {
             ServeCommand.start(args).use {
-                Thread.sleep(MANAGED_TIME.inWholeMilliseconds)
+                Thread.sleep(MANAGED_ROLLOUT_TIME.inWholeMilliseconds)
                 val request = PeerWire.encode(RolloutRequest(RolloutVerb.STATUS))
                 val node = "$LOOPBACK:$internalPort"
                 HttpClient(CONNECT_TIMEOUT).callRaw("POST", node, PeerPaths.ROLLOUT, request, TIMEOUT)
@@ -136,19 +136,19 @@
         }
     }
 
-    /** The scheduler after a cold start, until its recovery is over. */
+    /** Runs the scheduler from a simulated cold start until its recovery has ended. */
     private fun runRecovery(settingsFile: File) {
         val settings = SettingsReader().read(settingsFile)
         val config = schedulerConfig(settings, Tuning())
-        val setting =
+        val timings =
             RecoveryTimings(
                 settings.workers.lease,
                 settings.workers.heartbeatInterval,
                 settings.cloudLimits.listLag,
             )
-        val engine = RecoveryEngine(RecoveryPolicy(), setting, 2, Duration.ZERO, StartKind.COLD)
+        val engine = RecoveryEngine(RecoveryPolicy(), timings, 2, Duration.ZERO, StartKind.COLD)
         val fleet = WarmUpFleet(config, engine.hooks)
-        repeat(RECOVERY_ROUNDS) {
+        repeat(RECOVERY_CYCLES) {
             fleet.runCycle()
             engine.tick(fleet.now).forEach { it.toString() }
         }
@@ -158,18 +158,18 @@
     private fun freePort(): Int = ServerSocket(0).use { it.localPort }
 }
 
-/** The cloud, the key-value store and a worker, as far as a controller needs their answers to go on. */
+/** Simulates the cloud, the key-value store and a worker with the few responses that a controller needs to proceed. */
 private object SimulatedCounterparts {
-    /** The worker's replies to commands have higher numbers than the heartbeats that it sends. */
+    /** Added to the numbers of the worker's replies to commands, which are thus higher than those of its heartbeats. */
     private const val HEARTBEAT_OFFSET = 100L
 
-    /** The jobs are reported at each revision that this divides. */
-    private const val CHANGES_EVERY = 3L
+    /** The jobs are reported as changed at each revision that is a multiple of this number. */
+    private const val CHANGE_INTERVAL_REVISIONS = 3L
 
-    /** The heartbeat that reports the end of the task. */
+    /** Number of the first heartbeat that reports the task as ended. */
     private const val ENDED_AT_HEARTBEAT = 3
 
-    /** Rises with each write, as the store's revision does. */
+    /** Increases with each write, like the revision of the key-value store. */
     private val revision = AtomicLong(1)
     private val machineType =
         mapOf(
@@ -203,7 +203,7 @@
         return cborResponse(Status.OK, body)
     }
 
-    /** Of a worker whose task runs at first and ends later. */
+    /** Returns a heartbeat of a worker whose task is running at first and has ended from [ENDED_AT_HEARTBEAT] on. */
     fun heartbeat(number: Long, workerAddress: String): Map<String, Any?> {
         val stage = if (number < ENDED_AT_HEARTBEAT) "running" else "ended"
         val task = mapOf("thread" to "run-000001/0", "try" to 1, "stage" to stage, "cause" to "done")
@@ -213,10 +213,10 @@
         )
     }
 
-    /** At some revisions two jobs that are stored already, so that the scheduler has something to place. */
+    /** Returns two stored jobs at some revisions, so that the scheduler has tasks to place, and nothing at others. */
     private fun changes(): List<Map<String, Any?>> {
         val current = revision.get()
-        if (current % CHANGES_EVERY != 0L) return emptyList()
+        if (current % CHANGE_INTERVAL_REVISIONS != 0L) return emptyList()
         val dependent =
             mapOf("job" to job + ("uid" to "run-000002"), "awaits" to listOf("run-000001"), "waits" to true)
         return listOf(
--- a/src/main/kotlin/glenspool/cli/ClassLoadingSettings.kt
+++ b/src/main/kotlin/glenspool/cli/ClassLoadingSettings.kt
@@ -3,10 +3,10 @@
 /** The settings file of a [ClassLoadingRun]. */
 internal object ClassLoadingSettings {
     /**
-     * @param simulatedPort where the cloud, the key-value store and one other controller are simulated
-     * @param closedPort where nobody listens, as if another controller were down
+     * @param simulatedPort port of the simulated cloud, key-value store and one other controller
+     * @param closedPort port without a listener, which stands for a controller that is down
      */
-    @Suppress("LongMethod") // It is a single text.
+    @Suppress("LongMethod") // The body is a single string.
     fun toml(apiPort: Int, internalPort: Int, simulatedPort: Int, closedPort: Int): String =
         """
         host_name = "class-loading"
--- a/src/main/kotlin/glenspool/cli/CommandOptions.kt
+++ b/src/main/kotlin/glenspool/cli/CommandOptions.kt
@@ -28,19 +28,20 @@
 
 /**
  * The optional files that `serve` and `check-config` share: the tuning script and the policies. Each function reads its
- * file, and throws [glenspool.config.SettingsError] if it can't be used.
+ * file and throws [glenspool.config.SettingsError] if the file is invalid.
  */
-internal class ConfigFiles(private val line: CommandLine) {
-    /** Null: rollouts are not managed. */
-    fun rolloutPolicy(): RolloutPolicy? = line.getOptionValue(ROLLOUT)?.let { RolloutSettingsReader().read(File(it)) }
+internal class ConfigFiles(private val commandLine: CommandLine) {
+    /** Returns null if no policy for rollouts is given, so that rollouts are not managed. */
+    fun rolloutPolicy(): RolloutPolicy? =
+        commandLine.getOptionValue(ROLLOUT)?.let { RolloutSettingsReader().read(File(it)) }
 
-    /** Null: recovery after a cold start is not managed. */
+    /** Returns null if no policy for recovery is given, so that recovery after a cold start is not managed. */
     fun recoveryPolicy(): RecoveryPolicy? =
-        line.getOptionValue(RECOVERY)?.let { RecoverySettingsReader().read(File(it)) }
+        commandLine.getOptionValue(RECOVERY)?.let { RecoverySettingsReader().read(File(it)) }
 
-    /** The defaults if there is no script. */
+    /** Returns the default tuning if no script is given. */
     fun tuning(settings: Settings): Tuning {
-        val script = line.getOptionValue(SCRIPT) ?: return Tuning()
+        val script = commandLine.getOptionValue(SCRIPT) ?: return Tuning()
         return OperatorScript(settings).load(File(script))
     }
 
--- a/src/main/kotlin/glenspool/cli/CommandOutcome.kt
+++ b/src/main/kotlin/glenspool/cli/CommandOutcome.kt
@@ -4,20 +4,20 @@
 internal object ExitCode {
     const val OK = 0
 
-    /** The command could not be carried out, or was refused. */
+    /** The command failed or was rejected. */
     const val FAILED = 1
 
-    /** The command line was wrong. */
+    /** The command line is invalid. */
     const val USAGE = 2
 
-    /** A controller that can't go on, such as one without memory; the platform restarts it. */
+    /** A controller can't continue, for example because it is out of memory; the platform restarts it. */
     const val FATAL_ERROR = 70
 }
 
-/** The command line was wrong; the message says what is needed. */
+/** The command line is invalid; the message says what is required. */
 class UsageError(message: String) : Exception(message)
 
-/** Reports on standard error why a command failed, and returns the exit code for it. */
+/** Prints to standard error why a command failed, and returns the exit code of a failed command. */
 internal fun reportFailure(reason: String, retryAfterSeconds: Int? = null): Int {
     val retry = retryAfterSeconds?.let { "; try again in $it s" }.orEmpty()
     System.err.println("glenspool: $reason$retry")
--- a/src/main/kotlin/glenspool/cli/ExplainCommand.kt
+++ b/src/main/kotlin/glenspool/cli/ExplainCommand.kt
@@ -3,9 +3,10 @@
 import java.io.File
 
 /**
- * `glenspool explain LOG`: how tasks were placed and stopped, by class and cause, from a log at level debug whose lines
- * begin with the time in seconds and the node, as the platform writes them. Whoever looks into a missed objective sees
- * whether an image was not cached, there was no room, a machine was lost or no leader was there.
+ * `glenspool explain LOG`: summarizes how tasks were placed and stopped, by class and cause. The log has to be at level
+ * debug, with lines that begin with the time in seconds and the node, as the platform writes them. The summary shows
+ * whether an objective was missed because an image was not cached, free resources were missing, a machine was lost or
+ * there was no leader.
  */
 internal object ExplainCommand {
     fun run(args: List<String>): Int {
--- a/src/main/kotlin/glenspool/cli/JobCommand.kt
+++ b/src/main/kotlin/glenspool/cli/JobCommand.kt
@@ -13,7 +13,7 @@
 internal object JobCommand {
     private const val SUBMIT = "submit"
     private const val NODE = "node"
-    private val TIMEOUT = 5.seconds
+    private val REQUEST_TIMEOUT = 5.seconds
     private val SUCCESS = 200..299
     private val json = ObjectMapper()
     private val http = HttpClient(2.seconds)
@@ -27,10 +27,10 @@
             line.argList.singleOrNull()
                 ?: throw UsageError("job $verb needs one ${if (verb == SUBMIT) "FILE" else "ID"}")
         return when (verb) {
-            SUBMIT -> report(http.post(node, "/api/jobs", read(File(argument)), TIMEOUT))
-            "show" -> report(http.get(node, "/api/jobs/$argument", TIMEOUT))
-            // "withdraw" is the name of earlier versions.
-            "cancel", "withdraw" -> report(http.post(node, "/api/jobs/$argument/withdraw", emptyMap(), TIMEOUT))
+            SUBMIT -> report(http.post(node, "/api/jobs", read(File(argument)), REQUEST_TIMEOUT))
+            "show" -> report(http.get(node, "/api/jobs/$argument", REQUEST_TIMEOUT))
+            // "withdraw" is the name of this command in earlier versions.
+            "cancel", "withdraw" -> report(http.post(node, "/api/jobs/$argument/withdraw", emptyMap(), REQUEST_TIMEOUT))
             else -> throw UsageError("unknown job command '$verb'")
         }
     }
@@ -47,12 +47,13 @@
         when (result) {
             is CallResult.Response -> report(result)
             is CallResult.NotSent -> reportFailure(result.reason)
-            is CallResult.NoResponse -> reportFailure("no answer; it may have been carried out: ${result.reason}")
+            is CallResult.NoResponse ->
+                reportFailure("no response; the request may have been carried out: ${result.reason}")
         }
 
-    private fun report(answer: CallResult.Response): Int {
-        val text = json.writeValueAsString(answer.body)
-        if (answer.status !in SUCCESS) return reportFailure("status ${answer.status} $text")
+    private fun report(response: CallResult.Response): Int {
+        val text = json.writeValueAsString(response.body)
+        if (response.status !in SUCCESS) return reportFailure("status ${response.status} $text")
         println(text)
         return ExitCode.OK
     }
--- a/src/main/kotlin/glenspool/cli/LogSummary.kt
+++ b/src/main/kotlin/glenspool/cli/LogSummary.kt
@@ -6,16 +6,16 @@
 internal class PlacementSummary {
     var placements = 0
 
-    /** Placements on a machine that did not have the image. */
+    /** Placements on machines that did not have the image cached. */
     var uncached = 0
 
-    /** Placements of tasks that had been placed before and lost their place. */
+    /** Placements of tasks whose earlier placement was removed. */
     var replacements = 0
 
-    /** Between the loss of a place and the next placement, in seconds, over all [replacements]. */
+    /** Seconds between the removal of a placement and the task's next placement, summed over all [replacements]. */
     var secondsWithoutPlacement = 0.0
 
-    /** Tasks stopped, by reason. */
+    /** Number of stopped tasks by reason. */
     val stops = TreeMap<String, Int>()
 }
 
@@ -24,41 +24,44 @@
     /** Jobs whose dependencies were done. */
     var done = 0
 
-    /** Until then, in seconds, over all jobs that are [done]. */
+    /** Seconds until the dependencies were done, summed over the jobs counted in [done]. */
     var secondsWaited = 0.0
 
     /** Jobs aborted because a dependency failed. */
     var aborted = 0
 }
 
-/** What a log says about placements, dependencies, machines and leaders. */
+/** Summary of what a log reports about placements, dependencies, machines and leaders. */
 internal class LogSummary private constructor() {
-    /** By class. */
+    /** Summary of placements by class. */
     val placements = TreeMap<String, PlacementSummary>()
 
-    /** By class. */
+    /** Summary of jobs with dependencies by class. */
     val dependencies = TreeMap<String, DependencySummary>()
 
-    /** Machines deleted, by reason. */
+    /** Number of deleted machines by reason. */
     val deletedMachines = TreeMap<String, Int>()
     var expiredLeases = 0
         private set
     var terms = 0
         private set
 
-    /** From the end of a leader's term, or its last sign of life, to the election of the next one. */
+    /**
+     * Seconds without a leader, summed over all changes of the leader: from the logged end of a term, or from the last
+     * line of its leader if the end was not logged, to the next election.
+     */
     var leaderlessSeconds = 0.0
         private set
 
     private val classOfTask = HashMap<String, String>()
-    private val unplacedAt = HashMap<String, Double>()
+    private val placementRemovedAt = HashMap<String, Double>()
     private var leadershipEndedAt: Double? = null
-    private var lastLeaderLineAt = 0.0
+    private var lastLineOfLeaderAt = 0.0
 
     private fun add(line: LogLine) {
         when (line.event) {
             "place" -> addPlacement(line, line.className ?: return)
-            "unplace" -> if (line.task in classOfTask) unplacedAt[line.task] = line.seconds
+            "unplace" -> if (line.task in classOfTask) placementRemovedAt[line.task] = line.seconds
             "stop" -> addStop(line)
             "dependencies-done" -> line.className?.let { addDependenciesDone(line, it) }
             "abort" -> line.className?.let { dependenciesOf(it).aborted++ }
@@ -67,7 +70,7 @@
             "elected" -> addElection(line)
             "leadership" -> leadershipEndedAt = line.seconds
         }
-        if (line.isOfLeader) lastLeaderLineAt = line.seconds
+        if (line.isOfLeader) lastLineOfLeaderAt = line.seconds
     }
 
     private fun addPlacement(line: LogLine, className: String) {
@@ -75,9 +78,9 @@
         val summary = placements.getOrPut(className) { PlacementSummary() }
         summary.placements++
         if (line.field("cached") == "false") summary.uncached++
-        val unplaced = unplacedAt.remove(line.task) ?: return
+        val removedAt = placementRemovedAt.remove(line.task) ?: return
         summary.replacements++
-        summary.secondsWithoutPlacement += line.seconds - unplaced
+        summary.secondsWithoutPlacement += line.seconds - removedAt
     }
 
     private fun addStop(line: LogLine) {
@@ -93,14 +96,14 @@
 
     private fun addElection(line: LogLine) {
         terms++
-        if (terms > 1) leaderlessSeconds += line.seconds - (leadershipEndedAt ?: lastLeaderLineAt)
+        if (terms > 1) leaderlessSeconds += line.seconds - (leadershipEndedAt ?: lastLineOfLeaderAt)
         leadershipEndedAt = null
     }
 
     private fun dependenciesOf(className: String) = dependencies.getOrPut(className) { DependencySummary() }
 
     companion object {
-        /** Lines that are not of the log are passed over. */
+        /** Summarizes [lines]; text that is not a log line is skipped. */
         fun of(lines: Sequence<String>): LogSummary {
             val summary = LogSummary()
             for (text in lines) summary.add(LogLine.parse(text) ?: continue)
@@ -109,7 +112,7 @@
     }
 }
 
-/** A log line: when it was written, which event it reports, and the event's fields, written `name=value`. */
+/** A log line with its time, the event that it reports, and the event's fields in the form `name=value`. */
 private class LogLine(val seconds: Double, private val text: String) {
     private val fields = fieldPattern.findAll(text).associate { it.groupValues[1] to it.groupValues[2] }
 
@@ -118,7 +121,7 @@
     val className: String? get() = field("class")
     val reason: String get() = field("reason") ?: "?"
 
-    /** Whether only a leader writes such a line. */
+    /** Whether the line is of a kind that only a leader writes. */
     val isOfLeader: Boolean get() = leaderPrefixes.any(text::startsWith)
 
     fun field(name: String): String? = fields[name]
@@ -128,7 +131,7 @@
         private val fieldPattern = Regex("""([a-z-]+)=(\S+)""")
         private val leaderPrefixes = listOf("direct ", "store ", "place ")
 
-        /** Null: the text is no log line. */
+        /** Returns null if [text] is not a log line. */
         fun parse(text: String): LogLine? {
             val (time, _, message) = linePattern.matchEntire(text)?.destructured ?: return null
             return LogLine(time.toDoubleOrNull() ?: return null, message)
--- a/src/main/kotlin/glenspool/cli/Main.kt
+++ b/src/main/kotlin/glenspool/cli/Main.kt
@@ -64,7 +64,7 @@
         "rollout" -> RolloutCommand.run(rest)
         "recovery" -> RecoveryCommand.run(rest)
         "explain" -> ExplainCommand.run(rest)
-        // Run by the build alone, see pom.xml.
+        // Run only by the build, see pom.xml.
         "rehearse" -> ClassLoadingRun.run()
         else -> throw UsageError("unknown command '$command'")
     }
@@ -75,5 +75,5 @@
     return ExitCode.OK
 }
 
-/** The build's version from the jar's manifest. */
+/** Returns the version from the jar's manifest, or `development` outside of a jar. */
 internal fun version(): String = Tuning::class.java.`package`.implementationVersion ?: "development"
--- a/src/main/kotlin/glenspool/cli/OperatorClient.kt
+++ b/src/main/kotlin/glenspool/cli/OperatorClient.kt
@@ -8,12 +8,12 @@
 import org.apache.commons.cli.Options
 import kotlin.time.Duration.Companion.seconds
 
-/** How an operator's request to a controller ended. */
+/** Outcome of an operator's request to a controller. */
 sealed interface OperatorAnswer<out T> {
     /** The controller replied. */
     data class Replied<T>(val reply: T) : OperatorAnswer<T>
 
-    /** There is no reply, for [reason]. */
+    /** There is no usable reply; [reason] says why. */
     data class Failed(val reason: String) : OperatorAnswer<Nothing>
 }
 
@@ -21,9 +21,9 @@
  * The options and arguments of an operators' command.
  *
  * @property node the controller's internal address, not yet checked, see [requireAddress]
- * @property operator who gives the order; by default the user of the process
+ * @property operator name of the operator who gives the order; by default the user of the process
  * @property isJson whether the reply is printed as JSON
- * @property arguments what is left besides the options
+ * @property arguments arguments that are not options
  */
 internal class OperatorOptions private constructor(
     val node: String,
@@ -67,7 +67,7 @@
     /**
      * Posts [body] to [path] and decodes the reply with [decode].
      *
-     * @param notFoundReason the reason of failure if the controller does not know [path]
+     * @param notFoundReason the reason of the failure if the controller responds that [path] does not exist
      */
     fun <T> post(
         node: String,
@@ -79,20 +79,20 @@
         when (val result = http.callRaw("POST", node, path, body, REPLY_TIMEOUT)) {
             is RawResult.NotSent -> OperatorAnswer.Failed(result.reason)
             is RawResult.NoResponse ->
-                OperatorAnswer.Failed("no answer; it may have been carried out: ${result.reason}")
+                OperatorAnswer.Failed("no response; the request may have been carried out: ${result.reason}")
             is RawResult.Response ->
                 when (result.status) {
-                    OK -> decoded(result.body, decode)
+                    OK -> decodeReply(result.body, decode)
                     NOT_FOUND -> OperatorAnswer.Failed(notFoundReason)
                     else -> OperatorAnswer.Failed("status ${result.status}")
                 }
         }
 
-    private fun <T> decoded(body: ByteArray, decode: (ByteArray) -> T): OperatorAnswer<T> =
+    private fun <T> decodeReply(body: ByteArray, decode: (ByteArray) -> T): OperatorAnswer<T> =
         try {
             OperatorAnswer.Replied(decode(body))
         } catch (e: SerializationException) {
-            OperatorAnswer.Failed("the answer is not understood: ${e.message}")
+            OperatorAnswer.Failed("the reply could not be decoded: ${e.message}")
         }
 
     fun printJson(reply: Any) = println(ObjectMapper().writeValueAsString(reply))
--- a/src/main/kotlin/glenspool/cli/RecoveryCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RecoveryCommand.kt
@@ -8,22 +8,29 @@
 
 /** `glenspool recovery …`: the state of a leader's recovery after a cold start, and operators' orders to it. */
 internal object RecoveryCommand {
-    private const val NOT_KNOWN = "this controller is of a version without recovery"
+    private const val UNSUPPORTED_MESSAGE = "this controller is of a version without recovery"
     private val verbs = RecoveryVerb.entries.associateBy { it.name.lowercase() }
 
     fun run(args: List<String>): Int {
         val allowed = verbs.keys.joinToString(", ")
-        val word = args.firstOrNull() ?: throw UsageError("recovery needs one of $allowed")
-        val verb = verbs[word] ?: throw UsageError("unknown recovery command '$word'; one of $allowed is needed")
+        val verbName = args.firstOrNull() ?: throw UsageError("recovery needs one of $allowed")
+        val verb =
+            verbs[verbName] ?: throw UsageError("unknown recovery command '$verbName'; one of $allowed is needed")
         val options = OperatorOptions.parse(args.drop(1))
-        options.requireNoArguments("recovery $word")
+        options.requireNoArguments("recovery $verbName")
         options.requireAddress()
         val request = PeerWire.encode(RecoveryRequest(verb, options.operator))
-        val answer =
-            OperatorClient.post(options.node, PeerPaths.RECOVERY, request, NOT_KNOWN, PeerWire::decodeRecoveryReply)
-        return when (answer) {
-            is OperatorAnswer.Failed -> reportFailure(answer.reason)
-            is OperatorAnswer.Replied -> report(answer.reply, options.isJson)
+        val result =
+            OperatorClient.post(
+                options.node,
+                PeerPaths.RECOVERY,
+                request,
+                UNSUPPORTED_MESSAGE,
+                PeerWire::decodeRecoveryReply,
+            )
+        return when (result) {
+            is OperatorAnswer.Failed -> reportFailure(result.reason)
+            is OperatorAnswer.Replied -> report(result.reply, options.isJson)
         }
     }
 
--- a/src/main/kotlin/glenspool/cli/RolloutCommand.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutCommand.kt
@@ -12,7 +12,7 @@
     private const val STATUS = "status"
     private const val PLAN = "plan"
     private const val WATCH = "watch"
-    private const val NOT_MANAGED =
+    private const val NOT_MANAGED_MESSAGE =
         "this controller does not manage rollouts; it is started without --rollout, or of a version without it"
     private val verbs =
         listOf(STATUS, PLAN, WATCH, "hold", "resume", "activate", "deactivate", "exclude", "include")
@@ -23,11 +23,11 @@
         if (verb !in verbs) throw UsageError("unknown rollout command '$verb'; one of $allowed is needed")
         val options = OperatorOptions.parse(args.drop(1))
         options.requireAddress()
-        if (verb == WATCH) return RolloutView.run { ask(options.node, RolloutRequest(RolloutVerb.STATUS)) }
-        val answer = ask(options.node, request(verb, options))
-        return when (answer) {
-            is OperatorAnswer.Failed -> reportFailure(answer.reason)
-            is OperatorAnswer.Replied -> report(answer.reply, options.isJson) { text(verb, it) }
+        if (verb == WATCH) return RolloutView.run { send(options.node, RolloutRequest(RolloutVerb.STATUS)) }
+        val result = send(options.node, request(verb, options))
+        return when (result) {
+            is OperatorAnswer.Failed -> reportFailure(result.reason)
+            is OperatorAnswer.Replied -> report(result.reply, options.isJson) { text(verb, it) }
         }
     }
 
@@ -53,9 +53,14 @@
     private fun member(verb: String, options: OperatorOptions): String =
         options.arguments.singleOrNull() ?: throw UsageError("rollout $verb needs one MEMBER")
 
-    private fun ask(node: String, request: RolloutRequest): OperatorAnswer<RolloutReply> =
-        OperatorClient
-            .post(node, PeerPaths.ROLLOUT, PeerWire.encode(request), NOT_MANAGED, PeerWire::decodeRolloutReply)
+    private fun send(node: String, request: RolloutRequest): OperatorAnswer<RolloutReply> =
+        OperatorClient.post(
+            node,
+            PeerPaths.ROLLOUT,
+            PeerWire.encode(request),
+            NOT_MANAGED_MESSAGE,
+            PeerWire::decodeRolloutReply,
+        )
 
     private fun report(reply: RolloutReply, isJson: Boolean, text: (RolloutStatus) -> List<String>): Int {
         if (isJson) OperatorClient.printJson(reply)
--- a/src/main/kotlin/glenspool/cli/RolloutView.kt
+++ b/src/main/kotlin/glenspool/cli/RolloutView.kt
@@ -17,20 +17,20 @@
 
 /** Shows a rollout live in a terminal. No other command loads the terminal library. */
 internal object RolloutView {
-    private val REFRESH = 1.seconds
-    private val KEY_POLL = 50.milliseconds
+    private val REFRESH_INTERVAL = 1.seconds
+    private val KEY_POLL_INTERVAL = 50.milliseconds
 
-    /** Shows the answer of [ask], which is called once a second, until `q` or escape is pressed. */
-    fun run(ask: () -> OperatorAnswer<RolloutReply>): Int = run(UnixTerminal(), ask)
+    /** Shows the result of [requestStatus], which is called once a second, until `q` or escape is pressed. */
+    fun run(requestStatus: () -> OperatorAnswer<RolloutReply>): Int = run(UnixTerminal(), requestStatus)
 
-    /** As above, in [terminal]. */
-    fun run(terminal: Terminal, ask: () -> OperatorAnswer<RolloutReply>): Int {
+    /** Shows the result of [requestStatus] in [terminal], as the function above does. */
+    fun run(terminal: Terminal, requestStatus: () -> OperatorAnswer<RolloutReply>): Int {
         val screen = TerminalScreen(terminal)
         screen.startScreen()
         try {
             screen.cursorPosition = null
             while (true) {
-                draw(screen, ask())
+                draw(screen, requestStatus())
                 if (isQuitPressed(screen)) return ExitCode.OK
             }
         } finally {
@@ -41,10 +41,10 @@
     /** Waits for keys until the next refresh is due. */
     private fun isQuitPressed(screen: Screen): Boolean {
         val lastRefresh = TimeSource.Monotonic.markNow()
-        while (lastRefresh.elapsedNow() < REFRESH) {
+        while (lastRefresh.elapsedNow() < REFRESH_INTERVAL) {
             val key = screen.pollInput()
             if (key != null && isQuit(key)) return true
-            if (key == null) Thread.sleep(KEY_POLL.inWholeMilliseconds)
+            if (key == null) Thread.sleep(KEY_POLL_INTERVAL.inWholeMilliseconds)
         }
         return false
     }
--- a/src/main/kotlin/glenspool/cli/ServeCommand.kt
+++ b/src/main/kotlin/glenspool/cli/ServeCommand.kt
@@ -16,7 +16,7 @@
         return ExitCode.OK
     }
 
-    /** Starts a controller as the options say. */
+    /** Starts a controller with the options in [args]. */
     fun start(args: List<String>): Node {
         val options = ConfigFiles.options().addOption(valueOption(CONFIG, isRequired = true))
         val line = parseOptions(options, args)
--- a/src/main/kotlin/glenspool/config/LuaSandbox.kt
+++ b/src/main/kotlin/glenspool/config/LuaSandbox.kt
@@ -13,7 +13,7 @@
 import org.luaj.vm2.lib.TableLib
 import org.luaj.vm2.lib.jse.JseMathLib
 
-/** A Lua environment without access to files, to other code and to output, and with a bound on instructions. */
+/** A Lua environment without access to files, other code and output, and with a limit on executed instructions. */
 internal object LuaSandbox {
     private const val MAX_INSTRUCTIONS = 1_000_000
     private val removedFunctions =
@@ -30,17 +30,17 @@
         LoadState.install(globals)
         LuaC.install(globals)
         for (name in removedFunctions) globals.set(name, LuaValue.NIL)
-        // One call of it can build a text larger than the process's memory.
+        // A single call of string.rep can build a string larger than the process's memory.
         globals.get("string").set("rep", LuaValue.NIL)
         return globals
     }
 
-    /** Aborts a script that does not end. */
+    /** Aborts a script after [MAX_INSTRUCTIONS], because the script may not end otherwise. */
     private class InstructionLimit : DebugLib() {
-        private var left = MAX_INSTRUCTIONS
+        private var remainingInstructions = MAX_INSTRUCTIONS
 
         override fun onInstruction(pc: Int, v: Varargs?, top: Int) {
-            if (--left < 0) throw LuaError("the script runs for too long")
+            if (--remainingInstructions < 0) throw LuaError("the script runs for too long")
             super.onInstruction(pc, v, top)
         }
     }
--- a/src/main/kotlin/glenspool/config/OperatorScript.kt
+++ b/src/main/kotlin/glenspool/config/OperatorScript.kt
@@ -9,12 +9,13 @@
 import kotlin.time.DurationUnit
 
 /**
- * The operators' optional Lua script, which may change the scheduler's tuning parameters. It finds their defaults in
- * the table `tuning` and facts about the deployment in `deployment`. It runs once, before anything starts, in a
- * [LuaSandbox]. A script that fails, or sets an unknown name or a value out of range, is refused as a whole.
+ * The operators' optional Lua script, which may change the scheduler's tuning parameters. The table `tuning` holds
+ * their defaults, and the table `deployment` holds facts about the deployment. The script runs once in a [LuaSandbox]
+ * before anything is started. A script that fails, or sets an unknown name or a value out of range, is rejected as a
+ * whole.
  */
 class OperatorScript(private val settings: Settings) {
-    /** @throws SettingsError if the script can't be read or is refused */
+    /** @throws SettingsError if the script can't be read or is rejected */
     fun load(file: File): Tuning =
         try {
             run(file.readText(), file.name)
@@ -23,9 +24,9 @@
         }
 
     /**
-     * Runs [source]; messages refer to it as [name].
+     * Runs the script [source]; error messages refer to the script as [name].
      *
-     * @throws SettingsError if the script is refused
+     * @throws SettingsError if the script is rejected
      */
     fun run(source: String, name: String): Tuning {
         val globals = LuaSandbox.globals()
@@ -34,7 +35,7 @@
         try {
             globals.load(source, "@$name").call()
         } catch (e: LuaError) {
-            throw SettingsError(listOf(e.message ?: "$name: failed"))
+            throw SettingsError(listOf(e.message ?: "$name: the script failed"))
         }
         val result = globals.get("tuning")
         if (!result.istable()) throw SettingsError(listOf("$name: tuning must stay a table"))
@@ -77,7 +78,7 @@
     private fun unknownNames(table: LuaTable): List<String> =
         table.keys().map { it.tojstring() }.filter { name -> TuningParameter.ALL.none { it.name == name } }
 
-    /** NaN if [value] is no number. Lua counts a text of digits as a number, which is not accepted here. */
+    /** Returns NaN if [value] is not a number. A string of digits, which Lua treats as a number, is not accepted. */
     private fun numberOf(value: LuaValue): Double {
         val isNumber = value.isnumber() && !value.isstring() || value.type() == LuaValue.TNUMBER
         return if (isNumber) value.todouble() else Double.NaN
--- a/src/main/kotlin/glenspool/config/PolicyTable.kt
+++ b/src/main/kotlin/glenspool/config/PolicyTable.kt
@@ -7,22 +7,23 @@
 import kotlin.time.DurationUnit
 
 /**
- * A table of a policy file, the optional file that switches a subsystem on. Every value has a default. The format is
- * this project's own, so unknown names are faults. Each fault is added to [problems] with its path, and the default is
- * returned in its place.
+ * A table of a policy file, which is optional and enables a subsystem. Every value has a default. The file format is
+ * defined by this project alone, so unknown names are errors. Each error is added to [problems] with its path, and the
+ * default is returned instead of an invalid value.
  */
 internal class PolicyTable(
     private val node: JsonNode,
     private val path: String,
     private val problems: MutableList<String>,
 ) {
+    /** Adds an error to [problems] for each name in this table that is not in [known]. */
     fun reportUnknownNames(vararg known: String) {
         for (name in node.fieldNames()) {
             if (name !in known) report(name, "unknown; one of ${known.sorted().joinToString(", ")} is possible")
         }
     }
 
-    /** The table [name]; null if it is missing or no table. */
+    /** Returns the table [name], or null if it is missing or is not a table. */
     fun table(name: String): PolicyTable? {
         val child = node.path(name)
         if (child.isMissingNode) return null
@@ -31,7 +32,7 @@
         return null
     }
 
-    /** One of [values], written in lower case. */
+    /** Reads one of [values], which the file names in lower case. */
     fun <T : Enum<T>> choice(name: String, default: T, values: List<T>): T {
         val value = node.path(name)
         if (value.isMissingNode) return default
@@ -40,7 +41,7 @@
         return found ?: default
     }
 
-    /** A time of at least [minSeconds], written in seconds. */
+    /** Reads a duration of at least [minSeconds], which the file gives in seconds. */
     fun duration(name: String, default: Duration, minSeconds: Double = 0.0): Duration =
         number(name, default.toDouble(DurationUnit.SECONDS), minSeconds).seconds
 
@@ -62,7 +63,7 @@
         /**
          * Converts the file's root table with [convert].
          *
-         * @throws SettingsError if the file can't be read or anything in it can't be used
+         * @throws SettingsError if the file can't be read or contains an invalid value
          */
         fun <T> read(file: File, convert: (PolicyTable) -> T): T {
             val problems = mutableListOf<String>()
--- a/src/main/kotlin/glenspool/config/RecoverySettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/RecoverySettingsReader.kt
@@ -6,7 +6,7 @@
 
 /** Reads the policy file for recovery after a cold start. */
 class RecoverySettingsReader {
-    /** @throws SettingsError if the file can't be read or anything in it can't be used */
+    /** @throws SettingsError if the file can't be read or contains an invalid value */
     fun read(file: File): RecoveryPolicy = PolicyTable.read(file, ::policy)
 
     private fun policy(root: PolicyTable): RecoveryPolicy {
@@ -37,10 +37,10 @@
     private companion object {
         const val MIN_SHARE = 0.01
 
-        /** Longest recovery phase, in leases: beyond it a recovery without progress would practically never end. */
+        /** Longest recovery phase in leases. With more, a recovery without progress would practically never end. */
         const val MAX_LEASES = 100.0
 
-        /** Commands a second for each machine: below one in a thousand seconds hardly anything is repaired. */
+        /** Commands per second and machine. With less than one in a thousand seconds, hardly anything is repaired. */
         const val MIN_RATE = 0.001
         const val MAX_RATE = 100.0
     }
--- a/src/main/kotlin/glenspool/config/RequiredTable.kt
+++ b/src/main/kotlin/glenspool/config/RequiredTable.kt
@@ -7,9 +7,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A table of the platform's file, whose values have no defaults. A value that is missing or can't be used is added to
- * [problems] with its path, and a placeholder is returned so that reading goes on; only functions named `optional` take
- * a missing or unusable value without a problem.
+ * A table of the platform's settings file, whose values have no defaults. An error for each missing or invalid value is
+ * added to [problems] with its path, and a placeholder is returned so that the rest of the file is read too. Only the
+ * functions whose names begin with `optional` accept a missing or invalid value.
  */
 internal class RequiredTable(
     private val node: JsonNode,
@@ -20,10 +20,10 @@
         problems += "$path$name: $problem"
     }
 
-    /** The table [name]; an empty one if it is missing, so that each value that it needs is reported. */
+    /** Returns the table [name], or an empty one if it is missing, so that each of its required values is reported. */
     fun table(name: String) = RequiredTable(node.path(name), "$path$name.", problems)
 
-    /** The elements of an array of tables; empty if it is missing. */
+    /** Returns the elements of the array of tables [name]; empty if the array is missing. */
     fun tables(name: String): List<RequiredTable> =
         node.path(name).mapIndexed { index, element -> RequiredTable(element, "$path$name[$index].", problems) }
 
@@ -31,7 +31,7 @@
 
     fun isMissing(name: String): Boolean = node.path(name).isMissingNode
 
-    /** Whether [name] is missing or has no value. */
+    /** Whether [name] is missing or its value is null. */
     fun isMissingOrNull(name: String): Boolean = isMissing(name) || node.path(name).isNull
 
     fun text(name: String): String {
@@ -40,7 +40,7 @@
         return value.asText("")
     }
 
-    /** A finite number of at least [min]. */
+    /** Reads a finite number of at least [min]. */
     fun number(name: String, min: Double = ABOVE_ZERO): Double {
         val value = node.path(name)
         val number = value.asDouble(Double.NaN)
@@ -51,7 +51,7 @@
 
     fun seconds(name: String): Duration = number(name).seconds
 
-    /** A resolved address, written `host:port`. */
+    /** Reads an address of the form `host:port` and resolves it. */
     fun address(name: String): InetSocketAddress {
         val value = node.path(name).asText("")
         val port = value.substringAfterLast(':', "").toIntOrNull()
@@ -79,7 +79,7 @@
     fun optionalMilliseconds(name: String): Duration = optionalNumber(name).milliseconds
 
     companion object {
-        /** As a smallest value: any number above zero is taken. */
+        /** As a minimum, accepts any number above zero. */
         const val ABOVE_ZERO = Double.MIN_VALUE
         private const val PLACEHOLDER_NUMBER = 1.0
         private val PORTS = 0..65535
--- a/src/main/kotlin/glenspool/config/RolloutSettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/RolloutSettingsReader.kt
@@ -8,7 +8,7 @@
 
 /** Reads the policy file for managed rollouts. */
 class RolloutSettingsReader {
-    /** @throws SettingsError if the file can't be read or anything in it can't be used */
+    /** @throws SettingsError if the file can't be read or contains an invalid value */
     fun read(file: File): RolloutPolicy = PolicyTable.read(file, ::policy)
 
     private fun policy(root: PolicyTable): RolloutPolicy {
@@ -34,7 +34,7 @@
     }
 
     private companion object {
-        /** In seconds. Members are polled every two seconds: evidence must stay valid when one reply is lost. */
+        /** In seconds. Members are polled every two seconds, and evidence has to stay valid if one reply is lost. */
         const val MIN_EVIDENCE_S = 5.0
     }
 }
--- a/src/main/kotlin/glenspool/config/Settings.kt
+++ b/src/main/kotlin/glenspool/config/Settings.kt
@@ -9,9 +9,9 @@
 data class Member(val name: String, val zone: String, val addr: InetSocketAddress)
 
 /**
- * The times of the worker protocol: how often a worker sends a heartbeat, how long its lease lasts without one, how
- * long the tasks of a gang wait for each other before the start and after the loss of one, and how long a cancelled
- * task may go on running.
+ * Intervals and timeouts of the worker protocol: how often a worker sends a heartbeat, how long its lease lasts without
+ * one, how long the tasks of a gang wait for each other before the start and after the loss of one, and how long a
+ * cancelled task may continue to run.
  */
 data class WorkerSettings(
     val heartbeatInterval: Duration,
@@ -24,13 +24,13 @@
 /**
  * The key-value store's limits.
  *
- * @property rps requests a second, reads and writes together
- * @property writeRps writes a second
+ * @property rps requests per second, reads and writes together
+ * @property writeRps writes per second
  * @property valueBytes size of one value in bytes
  * @property txnOps operations of one transaction
  */
 data class StoreLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int) {
-    /** Of each limit the stricter one. */
+    /** Returns the stricter value of each limit. */
     fun strictest(other: StoreLimits) =
         StoreLimits(
             minOf(rps, other.rps),
@@ -45,21 +45,21 @@
  * announced limits without notice.
  */
 data class StoreSettings(val current: StoreLimits, val announced: StoreLimits?) {
-    /** The limits to keep: both sets, since the moment of the change is not known. */
+    /** The limits to observe: the stricter value of each, since the time of the change is not known. */
     val effective: StoreLimits = announced?.let { current.strictest(it) } ?: current
 }
 
-/** The cloud's limit in requests a second, and how far its list of machines may lag behind. */
+/** The cloud's limit in requests per second, and the maximum lag of its list of machines. */
 data class CloudSettings(val rps: Double, val listLag: Duration)
 
 /**
  * The validated settings from the platform's file.
  *
- * @property apiAddr where users and workers connect
- * @property internalAddr where the other controllers and operators connect
+ * @property apiAddr address to which users and workers connect
+ * @property internalAddr address to which the other controllers and operators connect
  * @property members the other controllers of the service
- * @property maxClockSkew how far the clocks of two hosts may differ
- * @property maxSockets how many sockets the process may have open
+ * @property maxClockSkew maximum difference between the clocks of two hosts
+ * @property maxSockets maximum number of open sockets of the process
  */
 data class Settings(
     val node: String,
@@ -79,5 +79,5 @@
     val maxSockets: Int,
 )
 
-/** The settings can't be used. Each of [problems] names one fault and where it is. */
+/** A settings file, a policy file or a script is invalid. Each of [problems] names one error and its location. */
 class SettingsError(val problems: List<String>) : Exception(problems.joinToString("; "))
--- a/src/main/kotlin/glenspool/config/SettingsReader.kt
+++ b/src/main/kotlin/glenspool/config/SettingsReader.kt
@@ -4,11 +4,11 @@
 import glenspool.core.model.Team
 import java.io.File
 
-/** Reads the platform's TOML file. Unknown names are ignored; all faults are reported together. */
+/** Reads the platform's TOML file. Unknown names are ignored; all errors are reported together. */
 class SettingsReader {
     private val problems = mutableListOf<String>()
 
-    /** @throws SettingsError if the file can't be read or anything in it can't be used */
+    /** @throws SettingsError if the file can't be read or contains an invalid value */
     fun read(file: File): Settings {
         val settings = settings(RequiredTable(TomlTree.read(file), "", problems))
         if (problems.isNotEmpty()) throw SettingsError(problems)
@@ -55,7 +55,7 @@
             upperBound(table, "gpus_max"),
         )
 
-    /** In the file 0 stands for no bound. */
+    /** Returns null if the file contains 0, which means that there is no limit. */
     private fun upperBound(table: RequiredTable, name: String): Double? = table.number(name, 0.0).takeIf { it > 0.0 }
 
     private fun objective(table: RequiredTable) =
@@ -78,13 +78,13 @@
     private fun cloudSettings(table: RequiredTable) = CloudSettings(table.number("rps"), table.seconds("list_lag_s"))
 
     private fun storeSettings(table: RequiredTable): StoreSettings {
-        val now = storeLimits(table, null)
-        if (table.isMissingOrNull("next")) return StoreSettings(now, null)
+        val current = storeLimits(table, null)
+        if (table.isMissingOrNull("next")) return StoreSettings(current, null)
         if (!table.isTable("next")) table.report("next", "a table is needed")
-        return StoreSettings(now, storeLimits(table.table("next"), now))
+        return StoreSettings(current, storeLimits(table.table("next"), current))
     }
 
-    /** A limit that [table] leaves out is that of [fallback]; without a fallback each one is required. */
+    /** Reads the limits. Those missing in [table] are taken from [fallback]; without a fallback all are required. */
     private fun storeLimits(table: RequiredTable, fallback: StoreLimits?): StoreLimits {
         fun limit(name: String, min: Double, fallbackValue: Double?): Double =
             if (fallbackValue != null && table.isMissing(name)) fallbackValue else table.number(name, min)
@@ -102,10 +102,10 @@
         const val BYTES_PER_KIB = 1024.0
         const val DEFAULT_MAX_SOCKETS = 1024
 
-        /** The change of one job can take as many operations. */
+        /** A transaction that changes one job can need this number of operations. */
         const val MIN_TXN_OPS = 3.0
 
-        /** One part of a value that is stored in several can be as large. */
+        /** One part of a value that is stored in several parts can have this size. */
         const val MIN_VALUE_KIB = 1.0
     }
 }
--- a/src/main/kotlin/glenspool/config/TomlTree.kt
+++ b/src/main/kotlin/glenspool/config/TomlTree.kt
@@ -12,8 +12,8 @@
 
 /**
  * Reads a TOML file into a tree with Jackson's streaming parser. Jackson's `TomlMapper` does the same with one call,
- * but takes 70 ms of processor time to initialise object mapping that nobody uses here, and on a twentieth of a core
- * that is more than a second of each start.
+ * but takes 70 ms of processor time to initialise object mapping, which is not needed here. On a twentieth of a core
+ * that would add more than a second to each start.
  */
 internal object TomlTree {
     private val nodes = JsonNodeFactory.instance
@@ -54,7 +54,7 @@
             JsonToken.VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.doubleValue)
             JsonToken.VALUE_TRUE -> nodes.booleanNode(true)
             JsonToken.VALUE_FALSE -> nodes.booleanNode(false)
-            // Dates and times. No setting has one, and the readers check the type of each value that they use.
+            // A date or time. No setting has such a value, and the readers check the type of each value that they use.
             JsonToken.VALUE_EMBEDDED_OBJECT -> nodes.pojoNode(parser.embeddedObject)
             else -> nodes.nullNode()
         }
--- a/src/main/kotlin/glenspool/config/TuningParameter.kt
+++ b/src/main/kotlin/glenspool/config/TuningParameter.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** A parameter of [Tuning] that the operators' script may set: its name there, and the values it may have. */
+/** A parameter of [Tuning] that the operators' script may set, with its name in the script and its range. */
 internal class TuningParameter private constructor(
     val name: String,
     val range: ClosedFloatingPointRange<Double>,
